--- a/bench/bench_claims.c
+++ b/bench/bench_claims.c
@@ -140,8 +140,8 @@
 			message_serve(bench, message);
 			continue;
 		}
-		claims_reply(bench->claims[message->entry], &message->reply,
-			     bench->now);
+		claims_handle_store_reply(bench->claims[message->entry],
+					  &message->reply, bench->now);
 		message_free(message);
 	}
 }
@@ -201,8 +201,8 @@
 		if (running->ends > bench->now)
 			continue;
 		key = ticket_key(running->ticket);
-		claims_finish(bench->claims[running->entry], key, key, 200,
-			      "{}", bench->now);
+		claims_complete(bench->claims[running->entry], key, key, 200,
+				"{}", bench->now);
 		bench->done++;
 		list_remove(&running->node);
 		g_free(running);
@@ -216,8 +216,8 @@
 	char *key = ticket_key(ticket);
 
 	g_array_append_val(bench->asked_at, bench->now);
-	claims_take(bench->claims[ticket % bench->entries], ticket, key, key,
-		    "digest", bench->now);
+	claims_acquire(bench->claims[ticket % bench->entries], ticket, key, key,
+		       "digest", bench->now);
 	g_free(key);
 }
 
--- a/core/attempt.c
+++ b/core/attempt.c
@@ -153,8 +153,8 @@
 	if (request->claim_key) {
 		char *body = g_strndup(event->data, event->len);
 
-		claims_finish(entry->claims, request->claim_key, request->nonce,
-			      event->status, body, entry->now);
+		claims_complete(entry->claims, request->claim_key,
+				request->nonce, event->status, body, entry->now);
 		g_free(body);
 	}
 	request_reply(entry, request, ACTION_ANSWER, event->data, event->len,
--- a/core/claim_pace.h
+++ b/core/claim_pace.h
@@ -11,12 +11,12 @@
 
 typedef struct claim_pace {
 	double rate; /* writes a second that this entry may make */
-	double credit; /* writes it may make now */
-	pd_time_t credited_at;
+	double tokens; /* writes it may make now */
+	pd_time_t refilled_at;
 } claim_pace_t;
 
 void claim_pace_init(claim_pace_t *pace);
-void claim_pace_share(claim_pace_t *pace, unsigned int entries);
-bool claim_pace_take(claim_pace_t *pace, pd_time_t now);
+void claim_pace_set_entries(claim_pace_t *pace, unsigned int entries);
+bool claim_pace_try_take(claim_pace_t *pace, pd_time_t now);
 
 #endif
--- a/core/claim_table.c
+++ b/core/claim_table.c
@@ -3,9 +3,9 @@
 
 #include <string.h>
 
-#define RECORD_OVERHEAD 96 /* names of the fields, numbers, punctuation */
-#define ESCAPED_CONTROL 6 /* \u0000 */
-#define ESCAPED_QUOTE 2
+#define RECORD_OVERHEAD_BYTES 96 /* names of the fields, numbers, punctuation */
+#define ESCAPED_CONTROL_BYTES 6 /* \u0000 */
+#define ESCAPED_QUOTE_BYTES 2
 
 static void claim_destroy(void *data)
 {
@@ -100,9 +100,9 @@
 
 	for (; text && *text; text++) {
 		if (g_ascii_iscntrl(*text))
-			size += ESCAPED_CONTROL;
+			size += ESCAPED_CONTROL_BYTES;
 		else if (*text == '"' || *text == '\\')
-			size += ESCAPED_QUOTE;
+			size += ESCAPED_QUOTE_BYTES;
 		else
 			size++;
 	}
@@ -111,7 +111,7 @@
 
 static size_t claim_size(const claim_t *claim)
 {
-	return RECORD_OVERHEAD + strlen(claim->key) + strlen(claim->nonce) +
+	return RECORD_OVERHEAD_BYTES + strlen(claim->key) + strlen(claim->nonce) +
 	       strlen(claim->digest) + escaped_size(claim->answer);
 }
 
@@ -128,7 +128,7 @@
 	return size;
 }
 
-static int claim_by_age(const void *left, const void *right)
+static int claim_compare_age(const void *left, const void *right)
 {
 	const claim_t *a = *(claim_t *const *)left;
 	const claim_t *b = *(claim_t *const *)right;
@@ -153,7 +153,7 @@
 	g_hash_table_iter_init(&it, table->claims);
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		g_ptr_array_add(by_age, value);
-	g_ptr_array_sort(by_age, claim_by_age);
+	g_ptr_array_sort(by_age, claim_compare_age);
 	for (guint i = 0; i < by_age->len && size > max; i++) {
 		claim_t *claim = g_ptr_array_index(by_age, i);
 
--- a/core/claim_table.h
+++ b/core/claim_table.h
@@ -19,11 +19,11 @@
  * Bytes of a table as it is written, by estimate. The store refuses an object
  * over a megabyte; what lies between is room for the records of one write.
  */
-#define CLAIM_TABLE_MAX (960 * 1024)
-#define CLAIM_TABLE_FULL (880 * 1024) /* takes no claim any more */
+#define CLAIM_TABLE_MAX_BYTES (960 * 1024)
+#define CLAIM_TABLE_FULL_BYTES (880 * 1024) /* takes no claim any more */
 
 /* Longest answer that is kept for a retry of the same key, in bytes. */
-#define CLAIM_ANSWER_MAX 2048
+#define CLAIM_ANSWER_MAX_BYTES 2048
 
 typedef struct claim {
 	char *key; /* account and idempotency key, hashed, in hex */
--- a/core/claims.c
+++ b/core/claims.c
@@ -12,22 +12,22 @@
 #include "ports/event.h"
 
 #define STORE_TIMEOUT (2 * PD_SEC)
-#define STORE_RETRY (500 * PD_MSEC)
+#define STORE_RETRY_DELAY (500 * PD_MSEC)
 /*
  * A store that refuses so soon after it confirmed something is taken to be over
  * its rate, and calls wait; one that confirmed nothing for longer is down, and
  * they are refused at once.
  */
-#define STORE_PATIENCE PD_SEC
-#define STORE_RETRY_SOON (100 * PD_MSEC)
+#define STORE_DOWN_AFTER PD_SEC
+#define THROTTLED_RETRY_DELAY (100 * PD_MSEC)
 /*
  * A table read longer ago than this is read again before it is written over.
- * While a write waits for its turn other entries write, and a write on an old
+ * While a write waits for its first_shard other entries write, and a write on an old
  * version is spent on a conflict; reads are cheaper by far.
  */
-#define FRESH_FOR (10 * PD_MSEC)
+#define TABLE_MAX_AGE (10 * PD_MSEC)
 /* A call waits this long for its claim, then it is refused as not run. */
-#define TAKE_PATIENCE (3 * PD_SEC)
+#define ACQUIRE_TIMEOUT (3 * PD_SEC)
 
 /* Frees a result that is on no list. */
 void claim_result_destroy(claim_result_t *result)
@@ -70,7 +70,7 @@
 		LIST_FOR_EACH_SAFE (it, &shard->ops)
 			claim_op_destroy(LIST_ENTRY(it, claim_op_t, node));
 		claim_table_destroy(shard->table);
-		claim_table_destroy(shard->written);
+		claim_table_destroy(shard->write_table);
 		g_free(shard->object);
 	}
 	while ((node = list_pop(&claims->results)))
@@ -89,7 +89,7 @@
 void claims_set_entries(claims_t *claims, unsigned int entries)
 {
 	claims->entries = entries;
-	claim_pace_share(&claims->pace, entries);
+	claim_pace_set_entries(&claims->pace, entries);
 }
 
 static shard_t *claims_shard(claims_t *claims, const char *key)
@@ -97,8 +97,8 @@
 	return &claims->shards[hash_string(key) % CLAIM_SHARDS];
 }
 
-static claim_op_t *claims_add(claims_t *claims, claim_op_kind_t kind,
-			      const char *key, const char *nonce, pd_time_t now)
+static claim_op_t *claims_enqueue(claims_t *claims, claim_op_kind_t kind,
+				  const char *key, const char *nonce, pd_time_t now)
 {
 	shard_t *shard = claims_shard(claims, key);
 	claim_op_t *op = g_new0(claim_op_t, 1);
@@ -106,7 +106,7 @@
 	op->kind = kind;
 	op->key = g_strdup(key);
 	op->nonce = g_strdup(nonce);
-	op->since = now;
+	op->requested_at = now;
 	list_append(&shard->ops, &op->node);
 	return op;
 }
@@ -116,23 +116,23 @@
  * a key used twice for different calls is noticed. The outcome comes out of
  * claims_run() under TICKET.
  */
-void claims_take(claims_t *claims, uint64_t ticket, const char *key,
-		 const char *nonce, const char *digest, pd_time_t now)
+void claims_acquire(claims_t *claims, uint64_t ticket, const char *key,
+		    const char *nonce, const char *digest, pd_time_t now)
 {
-	claim_op_t *op = claims_add(claims, OP_TAKE, key, nonce, now);
+	claim_op_t *op = claims_enqueue(claims, OP_ACQUIRE, key, nonce, now);
 
 	op->ticket = ticket;
 	op->digest = g_strdup(digest);
 }
 
 /* Records the answer of a call that this entry claimed and ran. */
-void claims_finish(claims_t *claims, const char *key, const char *nonce,
-		   int status, const char *answer, pd_time_t now)
+void claims_complete(claims_t *claims, const char *key, const char *nonce,
+		     int status, const char *answer, pd_time_t now)
 {
-	claim_op_t *op = claims_add(claims, OP_FINISH, key, nonce, now);
+	claim_op_t *op = claims_enqueue(claims, OP_COMPLETE, key, nonce, now);
 
 	op->status = status;
-	if (answer && strlen(answer) <= CLAIM_ANSWER_MAX)
+	if (answer && strlen(answer) <= CLAIM_ANSWER_MAX_BYTES)
 		op->answer = g_strdup(answer);
 }
 
@@ -140,14 +140,15 @@
  * Takes back what NONCE still asks for. Left in, it would win a claim after its
  * request was refused: nothing runs, yet each retry hears that it may have.
  */
-static void claims_withdraw(claims_t *claims, const char *key, const char *nonce)
+static void claims_cancel_acquire(claims_t *claims, const char *key,
+				  const char *nonce)
 {
 	shard_t *shard = claims_shard(claims, key);
 
 	LIST_FOR_EACH_SAFE (it, &shard->ops) {
 		claim_op_t *op = LIST_ENTRY(it, claim_op_t, node);
 
-		if (op->kind == OP_TAKE && !strcmp(op->nonce, nonce))
+		if (op->kind == OP_ACQUIRE && !strcmp(op->nonce, nonce))
 			claim_op_destroy(op);
 	}
 }
@@ -160,18 +161,18 @@
 void claims_release(claims_t *claims, const char *key, const char *nonce,
 		    pd_time_t now)
 {
-	claims_withdraw(claims, key, nonce);
-	claims_add(claims, OP_RELEASE, key, nonce, now);
+	claims_cancel_acquire(claims, key, nonce);
+	claims_enqueue(claims, OP_RELEASE, key, nonce, now);
 }
 
 /* Hands out what became of a take. */
-static action_t *shard_ask(claims_t *claims, shard_t *shard, action_kind_t kind,
-			   pd_time_t now)
+static action_t *shard_request(claims_t *claims, shard_t *shard,
+			       action_kind_t kind, pd_time_t now)
 {
 	action_t *action = action_create(kind);
 
 	shard->store_op = claims->next_op++;
-	shard->asked_at = now;
+	shard->requested_at = now;
 	action->store.op = shard->store_op;
 	action->store.key = g_strdup(shard->object);
 	return action;
@@ -181,25 +182,25 @@
  * Gives up on the waiting takes of a shard whose store does not answer. Their
  * claims are given back: a write of theirs may have taken effect unseen.
  */
-static void shard_fail_takes(claims_t *claims, shard_t *shard, pd_time_t now,
-			     pd_time_t older_than)
+static void shard_fail_acquires(claims_t *claims, shard_t *shard, pd_time_t now,
+				pd_time_t older_than)
 {
-	list_node_t given_up;
+	list_node_t expired;
 
-	list_init(&given_up);
+	list_init(&expired);
 	LIST_FOR_EACH_SAFE (it, &shard->ops) {
 		claim_op_t *op = LIST_ENTRY(it, claim_op_t, node);
 
-		if (op->kind == OP_TAKE && op->since <= older_than) {
+		if (op->kind == OP_ACQUIRE && op->requested_at <= older_than) {
 			list_remove(&op->node);
-			list_append(&given_up, &op->node);
+			list_append(&expired, &op->node);
 		}
 	}
-	LIST_FOR_EACH_SAFE (it, &given_up) {
+	LIST_FOR_EACH_SAFE (it, &expired) {
 		claim_op_t *op = LIST_ENTRY(it, claim_op_t, node);
 
 		claims_release(claims, op->key, op->nonce, now);
-		claims_settle(claims, op, CLAIM_UNAVAILABLE, NULL);
+		claims_resolve(claims, op, CLAIM_UNAVAILABLE, NULL);
 	}
 }
 
@@ -207,13 +208,13 @@
  * Refuses the waiting takes if the object has no room for their records: the
  * store refuses one that is too long, and then nothing of it can be written.
  */
-static void shard_check_room(claims_t *claims, shard_t *shard, pd_time_t now)
+static void shard_check_capacity(claims_t *claims, shard_t *shard, pd_time_t now)
 {
-	if (claim_table_size(shard->written) < CLAIM_TABLE_FULL)
+	if (claim_table_size(shard->write_table) < CLAIM_TABLE_FULL_BYTES)
 		return;
-	claim_table_trim(shard->written, CLAIM_TABLE_FULL - 1);
-	if (claim_table_size(shard->written) >= CLAIM_TABLE_FULL)
-		shard_fail_takes(claims, shard, now, now);
+	claim_table_trim(shard->write_table, CLAIM_TABLE_FULL_BYTES - 1);
+	if (claim_table_size(shard->write_table) >= CLAIM_TABLE_FULL_BYTES)
+		shard_fail_acquires(claims, shard, now, now);
 }
 
 /* Writes all that waits, as far as the table has room for it. */
@@ -222,35 +223,35 @@
 {
 	action_t *action;
 
-	shard->written = claim_table_copy(shard->table);
-	claim_table_expire(shard->written, wall - claims->retention / PD_SEC);
-	shard_check_room(claims, shard, now);
-	shard_settle(claims, shard);
+	shard->write_table = claim_table_copy(shard->table);
+	claim_table_expire(shard->write_table, wall - claims->retention / PD_SEC);
+	shard_check_capacity(claims, shard, now);
+	shard_resolve(claims, shard);
 	if (list_empty(&shard->ops)) {
-		g_clear_pointer(&shard->written, claim_table_destroy);
+		g_clear_pointer(&shard->write_table, claim_table_destroy);
 		return;
 	}
 	LIST_FOR_EACH (it, &shard->ops)
-		claim_op_apply(LIST_ENTRY(it, claim_op_t, node), shard->written,
-			       wall);
-	claim_table_trim(shard->written, CLAIM_TABLE_MAX);
-	action = shard_ask(claims, shard, ACTION_STORE_WRITE, now);
+		claim_op_apply(LIST_ENTRY(it, claim_op_t, node),
+			       shard->write_table, wall);
+	claim_table_trim(shard->write_table, CLAIM_TABLE_MAX_BYTES);
+	action = shard_request(claims, shard, ACTION_STORE_WRITE, now);
 	shard->phase = SHARD_WRITING;
 	action->store.version = shard->version;
-	action->store.table = claim_table_copy(shard->written);
+	action->store.table = claim_table_copy(shard->write_table);
 	list_append(actions, &action->node);
 }
 
 /* The store refused: nothing is known of the object now. */
-static void shard_lost(claims_t *claims, shard_t *shard, pd_time_t now)
+static void shard_handle_failure(claims_t *claims, shard_t *shard, pd_time_t now)
 {
 	shard->phase = SHARD_STALE;
-	if (claims->confirmed_at && now - claims->confirmed_at < STORE_PATIENCE) {
-		shard->retry_at = now + STORE_RETRY_SOON;
+	if (claims->confirmed_at && now - claims->confirmed_at < STORE_DOWN_AFTER) {
+		shard->retry_at = now + THROTTLED_RETRY_DELAY;
 		return;
 	}
-	shard->retry_at = now + STORE_RETRY;
-	shard_fail_takes(claims, shard, now, now);
+	shard->retry_at = now + STORE_RETRY_DELAY;
+	shard_fail_acquires(claims, shard, now, now);
 }
 
 /*
@@ -260,19 +261,19 @@
 static void shard_confirm(claims_t *claims, shard_t *shard, uint64_t version)
 {
 	shard->version = version;
-	shard->confirmed_at = shard->asked_at;
+	shard->confirmed_at = shard->requested_at;
 	shard->phase = SHARD_FRESH;
-	claims->confirmed_at = shard->asked_at;
-	if (version != shard->doubt)
-		shard->in_doubt = false;
-	shard_settle(claims, shard);
+	claims->confirmed_at = shard->requested_at;
+	if (version != shard->doubt_version)
+		shard->write_in_doubt = false;
+	shard_resolve(claims, shard);
 }
 
-static void shard_read_back(claims_t *claims, shard_t *shard,
-			    const store_reply_t *reply, pd_time_t now)
+static void shard_handle_read(claims_t *claims, shard_t *shard,
+			      const store_reply_t *reply, pd_time_t now)
 {
 	if (reply->status != STORE_OK && reply->status != STORE_MISSING) {
-		shard_lost(claims, shard, now);
+		shard_handle_failure(claims, shard, now);
 		return;
 	}
 	claim_table_destroy(shard->table);
@@ -281,18 +282,18 @@
 	shard_confirm(claims, shard, reply->version);
 }
 
-static void shard_written(claims_t *claims, shard_t *shard,
-			  const store_reply_t *reply, pd_time_t now)
+static void shard_handle_write(claims_t *claims, shard_t *shard,
+			       const store_reply_t *reply, pd_time_t now)
 {
 	switch (reply->status) {
 	case STORE_OK:
 		claim_table_destroy(shard->table);
-		shard->table = g_steal_pointer(&shard->written);
+		shard->table = g_steal_pointer(&shard->write_table);
 		shard_confirm(claims, shard, reply->version);
 		break;
 	case STORE_UNKNOWN:
-		shard->in_doubt = true;
-		shard->doubt = shard->version;
+		shard->write_in_doubt = true;
+		shard->doubt_version = shard->version;
 		/* fall through */
 	case STORE_CONFLICT:
 	case STORE_MISSING:
@@ -301,14 +302,15 @@
 		shard->retry_at = now;
 		break;
 	case STORE_DOWN:
-		shard_lost(claims, shard, now);
+		shard_handle_failure(claims, shard, now);
 		break;
 	}
-	g_clear_pointer(&shard->written, claim_table_destroy);
+	g_clear_pointer(&shard->write_table, claim_table_destroy);
 }
 
 /* Takes the store's answer to one of this machine's reads or writes. */
-void claims_reply(claims_t *claims, const store_reply_t *reply, pd_time_t now)
+void claims_handle_store_reply(claims_t *claims, const store_reply_t *reply,
+			       pd_time_t now)
 {
 	for (unsigned int i = 0; i < CLAIM_SHARDS; i++) {
 		shard_t *shard = &claims->shards[i];
@@ -316,9 +318,9 @@
 		if (shard->store_op != reply->op)
 			continue;
 		if (shard->phase == SHARD_READING)
-			shard_read_back(claims, shard, reply, now);
+			shard_handle_read(claims, shard, reply, now);
 		else if (shard->phase == SHARD_WRITING)
-			shard_written(claims, shard, reply, now);
+			shard_handle_write(claims, shard, reply, now);
 		return;
 	}
 }
@@ -326,60 +328,61 @@
 static void shard_read(claims_t *claims, shard_t *shard, pd_time_t now,
 		       list_node_t *actions)
 {
-	action_t *action = shard_ask(claims, shard, ACTION_STORE_READ, now);
+	action_t *action = shard_request(claims, shard, ACTION_STORE_READ, now);
 
 	shard->phase = SHARD_READING;
 	list_append(actions, &action->node);
 }
 
-/* Says whether the shard may write now; a turn is kept until it does. */
-static bool shard_take_turn(claims_t *claims, shard_t *shard, pd_time_t now)
+/* Says whether the shard may write now; a first_shard is kept until it does. */
+static bool shard_take_write_permit(claims_t *claims, shard_t *shard, pd_time_t now)
 {
-	if (!shard->has_turn && claim_pace_take(&claims->pace, now)) {
-		shard->has_turn = true;
-		shard->turn_at = now;
+	if (!shard->has_write_permit && claim_pace_try_take(&claims->pace, now)) {
+		shard->has_write_permit = true;
+		shard->write_permit_at = now;
 	}
-	return shard->has_turn;
+	return shard->has_write_permit;
 }
 
-/* Uses the turn to write, after another read if the table may be old. */
-static void shard_write_fresh(claims_t *claims, shard_t *shard, pd_time_t now,
-			      int64_t wall, list_node_t *actions)
+/* Uses the first_shard to write, after another read if the table may be old. */
+static void shard_use_write_permit(claims_t *claims, shard_t *shard, pd_time_t now,
+				   int64_t wall, list_node_t *actions)
 {
 	if (claims->entries > 1 &&
-	    shard->confirmed_at + FRESH_FOR < shard->turn_at) {
+	    shard->confirmed_at + TABLE_MAX_AGE < shard->write_permit_at) {
 		shard_read(claims, shard, now, actions);
 		return;
 	}
-	shard->has_turn = false;
+	shard->has_write_permit = false;
 	shard_write(claims, shard, now, wall, actions);
 }
 
 static void shard_run(claims_t *claims, shard_t *shard, pd_time_t now,
 		      int64_t wall, list_node_t *actions)
 {
-	shard_fail_takes(claims, shard, now, now - TAKE_PATIENCE);
+	shard_fail_acquires(claims, shard, now, now - ACQUIRE_TIMEOUT);
 	if ((shard->phase == SHARD_READING || shard->phase == SHARD_WRITING) &&
-	    now - shard->asked_at >= STORE_TIMEOUT) {
-		const store_reply_t silent = { .op = shard->store_op,
-					       .status = STORE_UNKNOWN };
+	    now - shard->requested_at >= STORE_TIMEOUT) {
+		const store_reply_t timed_out = { .op = shard->store_op,
+						  .status = STORE_UNKNOWN };
 
-		claims_reply(claims, &silent, now);
+		claims_handle_store_reply(claims, &timed_out, now);
 	}
 	if (shard->phase == SHARD_FRESH)
-		shard_settle(claims, shard);
+		shard_resolve(claims, shard);
 	if (list_empty(&shard->ops)) {
-		shard->has_turn = false;
+		shard->has_write_permit = false;
 		return;
 	}
 	if (shard->phase == SHARD_STALE && now >= shard->retry_at)
 		shard_read(claims, shard, now, actions);
-	else if (shard->phase == SHARD_FRESH && shard_take_turn(claims, shard, now))
-		shard_write_fresh(claims, shard, now, wall, actions);
+	else if (shard->phase == SHARD_FRESH &&
+		 shard_take_write_permit(claims, shard, now))
+		shard_use_write_permit(claims, shard, now, wall, actions);
 }
 
 /*
- * Moves every shard on: times out silent reads and writes, appends the next
+ * Moves every shard on: times out timed_out reads and writes, appends the next
  * read or write to ACTIONS and hands out what is settled on RESULTS, whose
  * items the caller then owns. WALL is wall-clock time in seconds.
  */
@@ -390,10 +393,10 @@
 
 	for (unsigned int i = 0; i < CLAIM_SHARDS; i++)
 		shard_run(claims,
-			  &claims->shards[(claims->turn + i) % CLAIM_SHARDS],
+			  &claims->shards[(claims->first_shard + i) % CLAIM_SHARDS],
 			  now, wall, actions);
 	/* None is always last when there are fewer writes than shards. */
-	claims->turn++;
+	claims->first_shard++;
 	while ((node = list_pop(&claims->results)))
 		list_append(results, node);
 }
--- a/core/claims.h
+++ b/core/claims.h
@@ -21,7 +21,7 @@
 	CLAIM_UNAVAILABLE /* the store can't say; this attempt is not run */
 } claim_outcome_t;
 
-/* What became of one claims_take(). */
+/* What became of one claims_acquire(). */
 typedef struct claim_result {
 	list_node_t node;
 	uint64_t ticket;
@@ -36,13 +36,14 @@
 void claims_destroy(claims_t *claims);
 void claims_set_retention(claims_t *claims, pd_time_t retention);
 void claims_set_entries(claims_t *claims, unsigned int entries);
-void claims_take(claims_t *claims, uint64_t ticket, const char *key,
-		 const char *nonce, const char *digest, pd_time_t now);
-void claims_finish(claims_t *claims, const char *key, const char *nonce,
-		   int status, const char *answer, pd_time_t now);
+void claims_acquire(claims_t *claims, uint64_t ticket, const char *key,
+		    const char *nonce, const char *digest, pd_time_t now);
+void claims_complete(claims_t *claims, const char *key, const char *nonce,
+		     int status, const char *answer, pd_time_t now);
 void claims_release(claims_t *claims, const char *key, const char *nonce,
 		    pd_time_t now);
-void claims_reply(claims_t *claims, const store_reply_t *reply, pd_time_t now);
+void claims_handle_store_reply(claims_t *claims, const store_reply_t *reply,
+			       pd_time_t now);
 void claims_run(claims_t *claims, pd_time_t now, int64_t wall,
 		list_node_t *actions, list_node_t *results);
 bool claims_is_idle(const claims_t *claims);
--- a/core/claims_decide.c
+++ b/core/claims_decide.c
@@ -18,8 +18,8 @@
 }
 
 /* Hands out the outcome of a take, which is then done with. */
-void claims_settle(claims_t *claims, claim_op_t *op, claim_outcome_t outcome,
-		   const claim_t *record)
+void claims_resolve(claims_t *claims, claim_op_t *op, claim_outcome_t outcome,
+		    const claim_t *record)
 {
 	claim_result_t *result = g_new0(claim_result_t, 1);
 
@@ -34,7 +34,8 @@
 }
 
 /* Says whether a give-back of that nonce waits ahead of OP. */
-static bool shard_releases(shard_t *shard, const claim_op_t *op, const char *nonce)
+static bool shard_has_release_before(shard_t *shard, const claim_op_t *op,
+				     const char *nonce)
 {
 	LIST_FOR_EACH (it, &shard->ops) {
 		const claim_op_t *other = LIST_ENTRY(it, claim_op_t, node);
@@ -48,26 +49,26 @@
 }
 
 /* Decides a take against a confirmed record; returns false to go on. */
-static bool claims_decide_take(claims_t *claims, shard_t *shard, claim_op_t *op,
-			       const claim_t *record)
+static bool claims_resolve_acquire(claims_t *claims, shard_t *shard,
+				   claim_op_t *op, const claim_t *record)
 {
 	if (!record || record->state == CLAIM_RELEASED)
 		return false;
 	if (!strcmp(record->nonce, op->nonce)) {
-		claims_settle(claims, op, CLAIM_WON, record);
+		claims_resolve(claims, op, CLAIM_WON, record);
 		return true;
 	}
-	if (shard_releases(shard, op, record->nonce))
+	if (shard_has_release_before(shard, op, record->nonce))
 		return false;
 	if (strcmp(record->digest, op->digest)) {
-		claims_settle(claims, op, CLAIM_MISMATCH, record);
+		claims_resolve(claims, op, CLAIM_MISMATCH, record);
 	} else if (record->state == CLAIM_DONE) {
-		claims_settle(claims, op, CLAIM_ANSWERED, record);
-	} else if (shard->confirmed_at >= op->since) {
-		claims_settle(claims, op, CLAIM_TAKEN, record);
+		claims_resolve(claims, op, CLAIM_ANSWERED, record);
+	} else if (shard->confirmed_at >= op->requested_at) {
+		claims_resolve(claims, op, CLAIM_TAKEN, record);
 	} else {
 		/*
-		 * Another entry may have finished the call since this table
+		 * Another entry may have finished the call requested_at this table
 		 * was read; a caller would hear that the outcome is unknown
 		 * although the answer is on record. Read again first.
 		 */
@@ -78,7 +79,7 @@
 }
 
 /* Settles all that the confirmed table already decides. */
-void shard_settle(claims_t *claims, shard_t *shard)
+void shard_resolve(claims_t *claims, shard_t *shard)
 {
 	LIST_FOR_EACH_SAFE (it, &shard->ops) {
 		claim_op_t *op = LIST_ENTRY(it, claim_op_t, node);
@@ -87,10 +88,10 @@
 		bool held = own && record->state == CLAIM_HELD;
 
 		switch (op->kind) {
-		case OP_TAKE:
-			claims_decide_take(claims, shard, op, record);
+		case OP_ACQUIRE:
+			claims_resolve_acquire(claims, shard, op, record);
 			break;
-		case OP_FINISH:
+		case OP_COMPLETE:
 			if (!own || record->state == CLAIM_DONE)
 				claim_op_destroy(op);
 			break;
@@ -101,7 +102,7 @@
 			 * holds, and retries would hear of a call that may
 			 * have run. Any write of ours makes it fail.
 			 */
-			if (!held && !shard->in_doubt)
+			if (!held && !shard->write_in_doubt)
 				claim_op_destroy(op);
 			break;
 		}
@@ -115,13 +116,13 @@
 	bool own = record && !strcmp(record->nonce, op->nonce);
 
 	switch (op->kind) {
-	case OP_TAKE:
+	case OP_ACQUIRE:
 		if (record && record->state != CLAIM_RELEASED)
 			return;
 		record = claim_table_put(table, op->key, op->nonce, op->digest);
 		record->made_at = wall;
 		break;
-	case OP_FINISH:
+	case OP_COMPLETE:
 		if (!own)
 			return; /* expired just now */
 		record->state = CLAIM_DONE;
--- a/core/claims_state.h
+++ b/core/claims_state.h
@@ -8,7 +8,11 @@
 #include "core/claim_pace.h"
 #include "core/claims.h"
 
-typedef enum claim_op_kind { OP_TAKE, OP_FINISH, OP_RELEASE } claim_op_kind_t;
+typedef enum claim_op_kind {
+	OP_ACQUIRE,
+	OP_COMPLETE,
+	OP_RELEASE
+} claim_op_kind_t;
 
 typedef struct claim_op {
 	list_node_t node;
@@ -19,7 +23,7 @@
 	char *digest;
 	int status;
 	char *answer;
-	pd_time_t since;
+	pd_time_t requested_at;
 } claim_op_t;
 
 typedef enum shard_phase {
@@ -33,16 +37,16 @@
 	char *object;
 	shard_phase_t phase;
 	store_op_t store_op;
-	pd_time_t asked_at;
+	pd_time_t requested_at;
 	pd_time_t retry_at;
 	pd_time_t confirmed_at; /* the table held then or later */
 	uint64_t version;
-	bool has_turn; /* it may write once */
-	pd_time_t turn_at; /* since then */
-	bool in_doubt; /* a write may still land on version DOUBT */
-	uint64_t doubt;
+	bool has_write_permit; /* it may write once */
+	pd_time_t write_permit_at; /* requested_at then */
+	bool write_in_doubt; /* a write may still land on version DOUBT */
+	uint64_t doubt_version;
 	claim_table_t *table;
-	claim_table_t *written; /* of the write in flight */
+	claim_table_t *write_table; /* of the write in flight */
 	list_node_t ops;
 } shard_t;
 
@@ -53,16 +57,16 @@
 	claim_pace_t pace;
 	pd_time_t confirmed_at; /* last time the store confirmed anything */
 	unsigned int entries; /* that write the same objects */
-	unsigned int turn; /* shard that is served first */
+	unsigned int first_shard; /* shard that is served first */
 	shard_t shards[CLAIM_SHARDS];
 	list_node_t results; /* settled, to be handed out by claims_run() */
 };
 
 /* claims_decide.c */
 void claim_op_destroy(claim_op_t *op);
-void claims_settle(claims_t *claims, claim_op_t *op, claim_outcome_t outcome,
-		   const claim_t *record);
-void shard_settle(claims_t *claims, shard_t *shard);
+void claims_resolve(claims_t *claims, claim_op_t *op, claim_outcome_t outcome,
+		    const claim_t *record);
+void shard_resolve(claims_t *claims, shard_t *shard);
 void claim_op_apply(const claim_op_t *op, claim_table_t *table, int64_t wall);
 
 #endif
--- a/core/entry.c
+++ b/core/entry.c
@@ -430,7 +430,7 @@
 		entry_load(entry, &event->load);
 		break;
 	case EVENT_STORE_REPLY:
-		claims_reply(entry->claims, &event->store, entry->now);
+		claims_handle_store_reply(entry->claims, &event->store, entry->now);
 		break;
 	case EVENT_VM_LIST:
 		entry_vm_list(entry, event->vm_list.vms, event->vm_list.count);
--- a/core/request.c
+++ b/core/request.c
@@ -34,8 +34,8 @@
 	request->nonce = g_strdup(request->id);
 	request->attempt = entry->next_id++;
 	g_hash_table_insert(entry->claiming, &request->attempt, request);
-	claims_take(entry->claims, request->attempt, request->claim_key,
-		    request->nonce, digest, entry->now);
+	claims_acquire(entry->claims, request->attempt, request->claim_key,
+		       request->nonce, digest, entry->now);
 	g_free(digest);
 }
 
--- a/tests/property/test_claims.cc
+++ b/tests/property/test_claims.cc
@@ -164,8 +164,8 @@
 	attempt.key = key_name(key);
 	attempt.nonce = "nonce-" + std::to_string(ticket);
 	attempts.push_back(attempt);
-	claims_take(nodes[entry].claims, ticket, attempt.key.c_str(),
-		    attempt.nonce.c_str(), "digest", now);
+	claims_acquire(nodes[entry].claims, ticket, attempt.key.c_str(),
+		       attempt.nonce.c_str(), "digest", now);
 	return ticket;
 }
 
@@ -254,8 +254,8 @@
 	if (attempt.right == Right::WON && runs) {
 		attempt.right = Right::DONE;
 		attempt.answer = "answer to " + attempt.nonce;
-		claims_finish(claims, attempt.key.c_str(), attempt.nonce.c_str(),
-			      200, attempt.answer.c_str(), now);
+		claims_complete(claims, attempt.key.c_str(), attempt.nonce.c_str(),
+				200, attempt.answer.c_str(), now);
 	} else if (attempt.right == Right::WON || attempt.right == Right::ASKED) {
 		attempt.right = Right::GIVEN_UP;
 		claims_release(claims, attempt.key.c_str(),
@@ -293,7 +293,7 @@
 	if (!message.answerable || node.life != message.life || node.frozen)
 		return;
 	message.answerable = false;
-	claims_reply(node.claims, &reply, now);
+	claims_handle_store_reply(node.claims, &reply, now);
 	run(message.entry);
 }
 
--- a/tests/unit/test_claims.c
+++ b/tests/unit/test_claims.c
@@ -44,13 +44,13 @@
 	action_t *action;
 
 	(void)state;
-	claims_take(claims, 1, "key", "nonce-2", "digest", now);
+	claims_acquire(claims, 1, "key", "nonce-2", "digest", now);
 	claims_release(claims, "key", "nonce-1", now);
 	action = run_once(claims, now);
 	assert_int_equal(action->kind, ACTION_STORE_READ);
 	reply.op = action->store.op;
 	action_destroy(action);
-	claims_reply(claims, &reply, now);
+	claims_handle_store_reply(claims, &reply, now);
 	action = run_once(claims, now);
 	assert_int_equal(action->kind, ACTION_STORE_WRITE);
 	record = claim_table_get(action->store.table, "key");
@@ -95,11 +95,11 @@
 	store_reply_t reply = { .status = STORE_OK, .version = 7, .table = table };
 	action_t *action;
 
-	claims_take(claims, 1, key, "nonce", "digest", PD_SEC);
+	claims_acquire(claims, 1, key, "nonce", "digest", PD_SEC);
 	action = run_once(claims, PD_SEC);
 	reply.op = action->store.op;
 	action_destroy(action);
-	claims_reply(claims, &reply, PD_SEC);
+	claims_handle_store_reply(claims, &reply, PD_SEC);
 	return run_once(claims, PD_SEC);
 }
 
