--- a/core/claim_pace.c
+++ b/core/claim_pace.c
@@ -1,23 +1,28 @@
 /*
- * A token bucket whose rate is the fleet's divided by the entries. Beyond the
- * store's rate each write is refused and made again, and claims that could have
- * waited for a turn are refused; waiting here lets more of them share a write.
+ * A token bucket whose rate is the fleet's write budget divided by the number
+ * of entries. Beyond the store's rate each write is rejected and repeated, and
+ * claims that could have waited are refused. Waiting for a permit here lets
+ * more claims share one write.
  */
 #include "core/claim_pace.h"
 
 #include <glib.h>
 
-/* Of the few hundred that the store takes; the rest is for other objects. */
+/*
+ * Most of the few hundred a second that the store accepts; the rest is left for
+ * other objects.
+ */
 #define FLEET_WRITES_PER_S 240.0
-/* What may be saved up, so that a lone call need not wait. */
+/* Bucket size in seconds of the rate, so that a single call need not wait. */
 #define BURST_S 0.1
 
+/* Returns the bucket size in writes. */
 static double claim_pace_burst(const claim_pace_t *pace)
 {
 	return MAX(1.0, pace->rate * BURST_S);
 }
 
-/* Makes the pace of an entry that knows of no other. */
+/* Initializes a full bucket with the whole fleet's rate, for a single entry. */
 void claim_pace_init(claim_pace_t *pace)
 {
 	claim_pace_set_entries(pace, 1);
@@ -25,13 +30,13 @@
 	pace->refilled_at = 0;
 }
 
-/* Sets how many entries, this one among them, share the store's rate. */
+/* Sets the number of live entries, including this one, that share the rate. */
 void claim_pace_set_entries(claim_pace_t *pace, unsigned int entries)
 {
 	pace->rate = FLEET_WRITES_PER_S / MAX(entries, 1);
 }
 
-/* Says whether a write may be made now, and counts it if so. */
+/* Takes a token for one write. Returns false if the bucket is empty. */
 bool claim_pace_try_take(claim_pace_t *pace, pd_time_t now)
 {
 	double elapsed_s = (double)(now - pace->refilled_at) / PD_SEC;
--- a/core/claim_pace.h
+++ b/core/claim_pace.h
@@ -1,6 +1,7 @@
 /*
- * Keeps the claims' writes of all entries together under what the platform's
- * store takes. Each entry keeps to its share, so no message is needed for it.
+ * Rate limit of the claims' writes: keeps those of all entries together below
+ * what the platform's store accepts. Each entry limits itself to its share, so
+ * no coordination is needed.
  */
 #ifndef PISTACHIO_CLAIM_PACE_H
 #define PISTACHIO_CLAIM_PACE_H
@@ -10,8 +11,8 @@
 #include "ports/clock.h"
 
 typedef struct claim_pace {
-	double rate; /* writes a second that this entry may make */
-	double tokens; /* writes it may make now */
+	double rate; /* writes per second for this entry */
+	double tokens; /* writes allowed now */
 	pd_time_t refilled_at;
 } claim_pace_t;
 
--- a/core/claim_table.c
+++ b/core/claim_table.c
@@ -1,4 +1,4 @@
-/* The records of one claims object, by key. */
+/* The records of one claims object, indexed by key. */
 #include "core/claim_table.h"
 
 #include <string.h>
@@ -18,7 +18,7 @@
 	g_free(claim);
 }
 
-/* Returns an empty table, owned by the caller. */
+/* Returns an empty table; the caller owns it. */
 claim_table_t *claim_table_create(void)
 {
 	claim_table_t *table = g_new0(claim_table_t, 1);
@@ -28,7 +28,7 @@
 	return table;
 }
 
-/* Returns a deep copy, owned by the caller. */
+/* Returns a deep copy; the caller owns it. */
 claim_table_t *claim_table_copy(const claim_table_t *table)
 {
 	claim_table_t *copy = claim_table_create();
@@ -58,13 +58,13 @@
 	g_free(table);
 }
 
-/* Returns the record of a key, borrowed, or NULL. */
+/* Returns the record of KEY, borrowed, or NULL. */
 claim_t *claim_table_get(const claim_table_t *table, const char *key)
 {
 	return g_hash_table_lookup(table->claims, key);
 }
 
-/* Puts a held record in place of any old one; returns it, borrowed. */
+/* Inserts a held record, replacing any old one of KEY; returns it, borrowed. */
 claim_t *claim_table_put(claim_table_t *table, const char *key,
 			 const char *nonce, const char *digest)
 {
@@ -87,13 +87,13 @@
 	return claim->made_at < *before;
 }
 
-/* Drops every record made before BEFORE, in wall-clock seconds. */
+/* Removes every record made before BEFORE, in wall-clock seconds. */
 void claim_table_expire(claim_table_t *table, int64_t before)
 {
 	g_hash_table_foreach_remove(table->claims, claim_is_older, &before);
 }
 
-/* Returns how long TEXT is as a JSON string. */
+/* Returns the length of TEXT in bytes when escaped as a JSON string. */
 static size_t escaped_size(const char *text)
 {
 	size_t size = 0;
@@ -109,13 +109,14 @@
 	return size;
 }
 
+/* Returns an upper estimate of the encoded size of a record, in bytes. */
 static size_t claim_size(const claim_t *claim)
 {
 	return RECORD_OVERHEAD_BYTES + strlen(claim->key) + strlen(claim->nonce) +
 	       strlen(claim->digest) + escaped_size(claim->answer);
 }
 
-/* Estimates how many bytes the table is when it is written, or a few more. */
+/* Returns an upper estimate of the encoded size of the table, in bytes. */
 size_t claim_table_size(const claim_table_t *table)
 {
 	GHashTableIter it;
@@ -128,6 +129,7 @@
 	return size;
 }
 
+/* Orders pointers to records by age, oldest first. */
 static int claim_compare_age(const void *left, const void *right)
 {
 	const claim_t *a = *(claim_t *const *)left;
@@ -137,8 +139,8 @@
 }
 
 /*
- * Drops recorded answers, the oldest first, until the table is no longer than
- * MAX. The records stay: without one its call could run a second time.
+ * Removes recorded answers, oldest first, until the estimated size is at most
+ * MAX bytes. The records stay: without its record a call could run twice.
  */
 void claim_table_trim(claim_table_t *table, size_t max)
 {
--- a/core/claim_table.h
+++ b/core/claim_table.h
@@ -1,7 +1,7 @@
 /*
- * The content of one claims object: who may run which not-repeatable call.
- * A record is written before its call is dispatched, and only the writer that
- * reads back its own nonce may dispatch.
+ * The content of one claims object: which attempt holds each not-repeatable
+ * call. A record is written before its call is dispatched, and only the writer
+ * that reads back its own nonce may dispatch.
  */
 #ifndef PISTACHIO_CLAIM_TABLE_H
 #define PISTACHIO_CLAIM_TABLE_H
@@ -10,29 +10,30 @@
 #include <stdint.h>
 
 typedef enum claim_state {
-	CLAIM_HELD, /* claimed; it may be running or have run */
-	CLAIM_DONE, /* ran; the answer is recorded */
-	CLAIM_RELEASED /* its holder never dispatched and never will */
+	CLAIM_HELD, /* claimed; the call may be running or have run */
+	CLAIM_DONE, /* the call ran; its answer is recorded */
+	CLAIM_RELEASED /* never dispatched by its holder, nor will be */
 } claim_state_t;
 
 /*
- * Bytes of a table as it is written, by estimate. The store refuses an object
- * over a megabyte; what lies between is room for the records of one write.
+ * Sizes of an encoded table in bytes, by estimate. The store rejects objects
+ * over 1 MB; the difference between the two limits leaves room for the records
+ * of one write.
  */
 #define CLAIM_TABLE_MAX_BYTES (960 * 1024)
-#define CLAIM_TABLE_FULL_BYTES (880 * 1024) /* takes no claim any more */
+#define CLAIM_TABLE_FULL_BYTES (880 * 1024) /* no new claims */
 
-/* Longest answer that is kept for a retry of the same key, in bytes. */
+/* Longest answer that is kept for retries of the same key. */
 #define CLAIM_ANSWER_MAX_BYTES 2048
 
 typedef struct claim {
-	char *key; /* account and idempotency key, hashed, in hex */
-	char *nonce; /* of the attempt that holds it */
-	char *digest; /* of the call's target, path and body, in hex */
+	char *key; /* hash of account and idempotency key, in hex */
+	char *nonce; /* of the attempt that holds the claim */
+	char *digest; /* hash of the call's target, path and body, in hex */
 	claim_state_t state;
-	int64_t made_at; /* seconds of wall-clock time, for retention only */
-	int status; /* of the answer, if done */
-	char *answer; /* its body if short enough, else NULL */
+	int64_t made_at; /* wall-clock seconds, used for retention only */
+	int status; /* HTTP status of the answer, if done */
+	char *answer; /* body of the answer if short enough, else NULL */
 } claim_t;
 
 typedef struct claim_table {
--- a/core/claims.c
+++ b/core/claims.c
@@ -1,7 +1,7 @@
 /*
  * Group commit of claims. Each claims object (shard) has at most one read or
- * write in flight; what comes in meanwhile goes into the next write. All
- * decisions are made against a table that the store has confirmed.
+ * write in flight; operations that arrive meanwhile are batched into the next
+ * write. All decisions are based on a table that the store has confirmed.
  */
 #include "core/claims.h"
 
@@ -14,22 +14,22 @@
 #define STORE_TIMEOUT (2 * PD_SEC)
 #define STORE_RETRY_DELAY (500 * PD_MSEC)
 /*
- * A store that refuses so soon after it confirmed something is taken to be over
- * its rate, and calls wait; one that confirmed nothing for longer is down, and
- * they are refused at once.
+ * A refusal within this time of a confirmed read or write is taken as
+ * throttling, and calls wait. If the store has confirmed nothing for longer, it
+ * counts as down and calls are refused at once.
  */
 #define STORE_DOWN_AFTER PD_SEC
 #define THROTTLED_RETRY_DELAY (100 * PD_MSEC)
 /*
- * A table read longer ago than this is read again before it is written over.
- * While a write waits for its first_shard other entries write, and a write on an old
- * version is spent on a conflict; reads are cheaper by far.
+ * A table older than this is read again before it is written. Other entries
+ * write while this one waits for its write permit, and a write based on an old
+ * version ends in a conflict; reads are much cheaper than writes.
  */
 #define TABLE_MAX_AGE (10 * PD_MSEC)
-/* A call waits this long for its claim, then it is refused as not run. */
+/* A call whose claim takes longer is refused as not run. */
 #define ACQUIRE_TIMEOUT (3 * PD_SEC)
 
-/* Frees a result that is on no list. */
+/* Frees a result that is not linked into a list. */
 void claim_result_destroy(claim_result_t *result)
 {
 	g_free(result->answer);
@@ -37,8 +37,8 @@
 }
 
 /*
- * Returns the claims of one entry. RETENTION is how long a record is kept; a
- * key that comes back later than that counts as new.
+ * Returns the claims of the entry ENTRY_ID; the caller owns them. Records are
+ * kept for RETENTION; a key that is used again after that counts as new.
  */
 claims_t *claims_create(const char *entry_id, pd_time_t retention)
 {
@@ -57,7 +57,9 @@
 	return claims;
 }
 
-/* Frees the claims and all that waits in them; NULL is allowed. */
+/*
+ * Frees the claims with their waiting operations and results; NULL is allowed.
+ */
 void claims_destroy(claims_t *claims)
 {
 	list_node_t *node;
@@ -79,24 +81,29 @@
 	g_free(claims);
 }
 
-/* Sets how long records are kept, as the bundle in force says. */
+/* Sets the retention of records, as configured by the bundle in force. */
 void claims_set_retention(claims_t *claims, pd_time_t retention)
 {
 	claims->retention = retention;
 }
 
-/* Sets how many entries share what the store takes, this one among them. */
+/*
+ * Sets the number of live entries, including this one, that share the store's
+ * write rate.
+ */
 void claims_set_entries(claims_t *claims, unsigned int entries)
 {
 	claims->entries = entries;
 	claim_pace_set_entries(&claims->pace, entries);
 }
 
+/* Returns the shard that holds KEY. */
 static shard_t *claims_shard(claims_t *claims, const char *key)
 {
 	return &claims->shards[hash_string(key) % CLAIM_SHARDS];
 }
 
+/* Appends an operation to its shard; returns it, borrowed. */
 static claim_op_t *claims_enqueue(claims_t *claims, claim_op_kind_t kind,
 				  const char *key, const char *nonce, pd_time_t now)
 {
@@ -112,9 +119,9 @@
 }
 
 /*
- * Asks for the claim of KEY under a fresh NONCE. DIGEST names the call, so that
- * a key used twice for different calls is noticed. The outcome comes out of
- * claims_run() under TICKET.
+ * Requests the claim of KEY under a fresh NONCE. DIGEST identifies the call, so
+ * that reuse of a key for a different call is detected. claims_run() returns
+ * the outcome under TICKET.
  */
 void claims_acquire(claims_t *claims, uint64_t ticket, const char *key,
 		    const char *nonce, const char *digest, pd_time_t now)
@@ -125,7 +132,10 @@
 	op->digest = g_strdup(digest);
 }
 
-/* Records the answer of a call that this entry claimed and ran. */
+/*
+ * Records the answer of a call that this entry claimed and ran. ANSWER may be
+ * NULL; one longer than CLAIM_ANSWER_MAX_BYTES is not kept.
+ */
 void claims_complete(claims_t *claims, const char *key, const char *nonce,
 		     int status, const char *answer, pd_time_t now)
 {
@@ -137,8 +147,9 @@
 }
 
 /*
- * Takes back what NONCE still asks for. Left in, it would win a claim after its
- * request was refused: nothing runs, yet each retry hears that it may have.
+ * Removes the waiting acquire operation of NONCE. Otherwise it could acquire
+ * the claim after its request was refused: nothing would run, but each retry
+ * would be told that the call may have run.
  */
 static void claims_cancel_acquire(claims_t *claims, const char *key,
 				  const char *nonce)
@@ -154,9 +165,9 @@
 }
 
 /*
- * Gives a claim back, or gives up asking for it. Only for a nonce that this
- * entry has never dispatched and never will: a later attempt of the same key
- * may then run.
+ * Releases a claim, or cancels the attempt to acquire it, so that a later
+ * attempt of the same key may run. Only for a nonce that this entry has not
+ * dispatched and never will.
  */
 void claims_release(claims_t *claims, const char *key, const char *nonce,
 		    pd_time_t now)
@@ -165,7 +176,10 @@
 	claims_enqueue(claims, OP_RELEASE, key, nonce, now);
 }
 
-/* Hands out what became of a take. */
+/*
+ * Returns a read or write request for the shard's object, owned by the caller,
+ * and records it as the one in flight.
+ */
 static action_t *shard_request(claims_t *claims, shard_t *shard,
 			       action_kind_t kind, pd_time_t now)
 {
@@ -179,8 +193,8 @@
 }
 
 /*
- * Gives up on the waiting takes of a shard whose store does not answer. Their
- * claims are given back: a write of theirs may have taken effect unseen.
+ * Fails the acquire operations requested at OLDER_THAN or before. Their claims
+ * are also released, because an unanswered write of them may have taken effect.
  */
 static void shard_fail_acquires(claims_t *claims, shard_t *shard, pd_time_t now,
 				pd_time_t older_than)
@@ -205,8 +219,9 @@
 }
 
 /*
- * Refuses the waiting takes if the object has no room for their records: the
- * store refuses one that is too long, and then nothing of it can be written.
+ * Fails the waiting acquire operations if the object has no room for their
+ * records. The store rejects an object that is too large, and then none of it
+ * could be written.
  */
 static void shard_check_capacity(claims_t *claims, shard_t *shard, pd_time_t now)
 {
@@ -217,7 +232,7 @@
 		shard_fail_acquires(claims, shard, now, now);
 }
 
-/* Writes all that waits, as far as the table has room for it. */
+/* Writes the waiting operations, as far as the table has room for them. */
 static void shard_write(claims_t *claims, shard_t *shard, pd_time_t now,
 			int64_t wall, list_node_t *actions)
 {
@@ -242,7 +257,10 @@
 	list_append(actions, &action->node);
 }
 
-/* The store refused: nothing is known of the object now. */
+/*
+ * Handles a request that the store refused: the object's content is unknown, so
+ * it has to be read again.
+ */
 static void shard_handle_failure(claims_t *claims, shard_t *shard, pd_time_t now)
 {
 	shard->phase = SHARD_STALE;
@@ -255,8 +273,9 @@
 }
 
 /*
- * The store has confirmed the shard's table at that version. A write is made
- * on a version, so none can land any more once that version is past.
+ * Records that the store confirmed the shard's table at VERSION. Writes are
+ * conditional on a version, so an unanswered write can no longer take effect
+ * once the object has moved past the version it was based on.
  */
 static void shard_confirm(claims_t *claims, shard_t *shard, uint64_t version)
 {
@@ -269,6 +288,7 @@
 	shard_resolve(claims, shard);
 }
 
+/* Handles the store's reply to a read of the shard's object. */
 static void shard_handle_read(claims_t *claims, shard_t *shard,
 			      const store_reply_t *reply, pd_time_t now)
 {
@@ -282,6 +302,7 @@
 	shard_confirm(claims, shard, reply->version);
 }
 
+/* Handles the store's reply to a write of the shard's object. */
 static void shard_handle_write(claims_t *claims, shard_t *shard,
 			       const store_reply_t *reply, pd_time_t now)
 {
@@ -297,7 +318,7 @@
 		/* fall through */
 	case STORE_CONFLICT:
 	case STORE_MISSING:
-		/* Reading back shows whose nonce is there. */
+		/* Reading back shows which nonce is recorded. */
 		shard->phase = SHARD_STALE;
 		shard->retry_at = now;
 		break;
@@ -308,7 +329,10 @@
 	g_clear_pointer(&shard->write_table, claim_table_destroy);
 }
 
-/* Takes the store's answer to one of this machine's reads or writes. */
+/*
+ * Handles the store's reply to a read or write requested through claims_run().
+ * Late replies to requests that timed out are ignored.
+ */
 void claims_handle_store_reply(claims_t *claims, const store_reply_t *reply,
 			       pd_time_t now)
 {
@@ -325,6 +349,7 @@
 	}
 }
 
+/* Appends a read of the shard's object to ACTIONS. */
 static void shard_read(claims_t *claims, shard_t *shard, pd_time_t now,
 		       list_node_t *actions)
 {
@@ -334,7 +359,9 @@
 	list_append(actions, &action->node);
 }
 
-/* Says whether the shard may write now; a first_shard is kept until it does. */
+/*
+ * Returns whether the shard may write now. A permit is kept until it is used.
+ */
 static bool shard_take_write_permit(claims_t *claims, shard_t *shard, pd_time_t now)
 {
 	if (!shard->has_write_permit && claim_pace_try_take(&claims->pace, now)) {
@@ -344,7 +371,7 @@
 	return shard->has_write_permit;
 }
 
-/* Uses the first_shard to write, after another read if the table may be old. */
+/* Uses the permit to write; reads again first if the table is too old. */
 static void shard_use_write_permit(claims_t *claims, shard_t *shard, pd_time_t now,
 				   int64_t wall, list_node_t *actions)
 {
@@ -357,6 +384,10 @@
 	shard_write(claims, shard, now, wall, actions);
 }
 
+/*
+ * Advances one shard: times out its operations and its request to the store,
+ * and appends the next request to ACTIONS.
+ */
 static void shard_run(claims_t *claims, shard_t *shard, pd_time_t now,
 		      int64_t wall, list_node_t *actions)
 {
@@ -382,9 +413,9 @@
 }
 
 /*
- * Moves every shard on: times out timed_out reads and writes, appends the next
- * read or write to ACTIONS and hands out what is settled on RESULTS, whose
- * items the caller then owns. WALL is wall-clock time in seconds.
+ * Advances every shard: times out unanswered reads and writes, appends the next
+ * requests to ACTIONS and the resolved outcomes to RESULTS. The caller owns the
+ * items of both lists. WALL is the wall-clock time in seconds.
  */
 void claims_run(claims_t *claims, pd_time_t now, int64_t wall,
 		list_node_t *actions, list_node_t *results)
@@ -395,13 +426,13 @@
 		shard_run(claims,
 			  &claims->shards[(claims->first_shard + i) % CLAIM_SHARDS],
 			  now, wall, actions);
-	/* None is always last when there are fewer writes than shards. */
+	/* Rotate, so that no shard starves when permits run short. */
 	claims->first_shard++;
 	while ((node = list_pop(&claims->results)))
 		list_append(results, node);
 }
 
-/* Says whether nothing waits to be written. */
+/* Returns whether no operation is waiting to be written. */
 bool claims_is_idle(const claims_t *claims)
 {
 	for (unsigned int i = 0; i < CLAIM_SHARDS; i++) {
--- a/core/claims.h
+++ b/core/claims.h
@@ -1,8 +1,9 @@
 /*
- * The claims of calls that may not be repeated. Before such a call is
- * dispatched, a record with a nonce of this attempt is written conditionally to
- * a claims object of the platform; only the attempt whose nonce is read there
- * may dispatch. claims-notes.md gives the reasoning.
+ * Idempotency claims: at-most-once execution of calls that must not be
+ * repeated. Before such a call is dispatched, a record with a nonce of this
+ * attempt is written conditionally to a claims object in the platform's store;
+ * only the attempt whose nonce is read back may dispatch. The safety argument
+ * is in claims-notes.md.
  */
 #ifndef PISTACHIO_CLAIMS_H
 #define PISTACHIO_CLAIMS_H
@@ -14,20 +15,20 @@
 #define CLAIM_SHARDS 16
 
 typedef enum claim_outcome {
-	CLAIM_WON, /* dispatch, once */
-	CLAIM_ANSWERED, /* ran before: give the recorded answer */
-	CLAIM_TAKEN, /* another attempt may be running it or have run it */
-	CLAIM_MISMATCH, /* the key was used for another call */
-	CLAIM_UNAVAILABLE /* the store can't say; this attempt is not run */
+	CLAIM_WON, /* may be dispatched, once */
+	CLAIM_ANSWERED, /* already ran: replay the recorded answer */
+	CLAIM_TAKEN, /* another attempt is running it or may have run it */
+	CLAIM_MISMATCH, /* the key was used for a different call */
+	CLAIM_UNAVAILABLE /* no answer from the store; not dispatched */
 } claim_outcome_t;
 
-/* What became of one claims_acquire(). */
+/* The outcome of one claims_acquire(). */
 typedef struct claim_result {
 	list_node_t node;
 	uint64_t ticket;
 	claim_outcome_t outcome;
-	int status; /* of the recorded answer */
-	char *answer; /* recorded, or NULL if it was too long to keep */
+	int status; /* HTTP status of the recorded answer */
+	char *answer; /* recorded body, or NULL if too long to keep */
 } claim_result_t;
 
 typedef struct claims claims_t;
--- a/core/claims_decide.c
+++ b/core/claims_decide.c
@@ -1,12 +1,12 @@
 /*
- * What a confirmed table decides about the operations that wait, and what the
- * rest put into the table that is to be written.
+ * Resolves waiting operations against the confirmed table, and applies the
+ * others to the table that is to be written.
  */
 #include <string.h>
 
 #include "core/claims_state.h"
 
-/* Takes an operation off its list and frees it. */
+/* Unlinks an operation and frees it. */
 void claim_op_destroy(claim_op_t *op)
 {
 	list_remove(&op->node);
@@ -17,7 +17,10 @@
 	g_free(op);
 }
 
-/* Hands out the outcome of a take, which is then done with. */
+/*
+ * Queues the result of an acquire operation and frees the operation. RECORD is
+ * the confirmed record, or NULL; an answer is copied from it.
+ */
 void claims_resolve(claims_t *claims, claim_op_t *op, claim_outcome_t outcome,
 		    const claim_t *record)
 {
@@ -33,7 +36,7 @@
 	claim_op_destroy(op);
 }
 
-/* Says whether a give-back of that nonce waits ahead of OP. */
+/* Returns whether a release of NONCE is queued ahead of OP. */
 static bool shard_has_release_before(shard_t *shard, const claim_op_t *op,
 				     const char *nonce)
 {
@@ -48,7 +51,10 @@
 	return false;
 }
 
-/* Decides a take against a confirmed record; returns false to go on. */
+/*
+ * Resolves an acquire operation against the confirmed record. Returns false if
+ * the operation has to wait for another read or write.
+ */
 static bool claims_resolve_acquire(claims_t *claims, shard_t *shard,
 				   claim_op_t *op, const claim_t *record)
 {
@@ -68,9 +74,9 @@
 		claims_resolve(claims, op, CLAIM_TAKEN, record);
 	} else {
 		/*
-		 * Another entry may have finished the call requested_at this table
-		 * was read; a caller would hear that the outcome is unknown
-		 * although the answer is on record. Read again first.
+		 * Another entry may have completed the call after this table
+		 * was read. Without another read the caller would be told that
+		 * the outcome is unknown although the answer is recorded.
 		 */
 		shard->phase = SHARD_STALE;
 		return false;
@@ -78,7 +84,7 @@
 	return true;
 }
 
-/* Settles all that the confirmed table already decides. */
+/* Resolves all waiting operations that the confirmed table decides. */
 void shard_resolve(claims_t *claims, shard_t *shard)
 {
 	LIST_FOR_EACH_SAFE (it, &shard->ops) {
@@ -97,10 +103,11 @@
 			break;
 		case OP_RELEASE:
 			/*
-			 * While a write may still land, one of this claim may
-			 * be among them; it would leave a claim that nobody
-			 * holds, and retries would hear of a call that may
-			 * have run. Any write of ours makes it fail.
+			 * While an unanswered write may still take effect, it
+			 * may contain this claim. The claim would then have no
+			 * owner, and retries would be told that the call may
+			 * have run. Any write of ours makes the unanswered one
+			 * fail.
 			 */
 			if (!held && !shard->write_in_doubt)
 				claim_op_destroy(op);
@@ -109,7 +116,10 @@
 	}
 }
 
-/* Puts one waiting operation into the table that is to be written. */
+/*
+ * Applies one waiting operation to TABLE, which is to be written. WALL is the
+ * wall-clock time in seconds.
+ */
 void claim_op_apply(const claim_op_t *op, claim_table_t *table, int64_t wall)
 {
 	claim_t *record = claim_table_get(table, op->key);
@@ -124,7 +134,7 @@
 		break;
 	case OP_COMPLETE:
 		if (!own)
-			return; /* expired just now */
+			return; /* dropped because its retention is over */
 		record->state = CLAIM_DONE;
 		record->status = op->status;
 		g_free(record->answer);
--- a/core/claims_state.h
+++ b/core/claims_state.h
@@ -1,6 +1,6 @@
 /*
- * What the files of the claims share: waiting operations and claims objects.
- * Private to them.
+ * Waiting operations and claims objects. Internal to claims.c and
+ * claims_decide.c.
  */
 #ifndef PISTACHIO_CLAIMS_STATE_H
 #define PISTACHIO_CLAIMS_STATE_H
@@ -27,9 +27,9 @@
 } claim_op_t;
 
 typedef enum shard_phase {
-	SHARD_STALE, /* must read before it can decide */
+	SHARD_STALE, /* must be read before anything is decided */
 	SHARD_READING,
-	SHARD_FRESH, /* the table is what the store confirmed last */
+	SHARD_FRESH, /* the table is the last one confirmed */
 	SHARD_WRITING
 } shard_phase_t;
 
@@ -39,14 +39,14 @@
 	store_op_t store_op;
 	pd_time_t requested_at;
 	pd_time_t retry_at;
-	pd_time_t confirmed_at; /* the table held then or later */
+	pd_time_t confirmed_at; /* the table was current then or later */
 	uint64_t version;
-	bool has_write_permit; /* it may write once */
-	pd_time_t write_permit_at; /* requested_at then */
-	bool write_in_doubt; /* a write may still land on version DOUBT */
+	bool has_write_permit; /* may write once */
+	pd_time_t write_permit_at; /* when the permit was granted */
+	bool write_in_doubt; /* a write based on doubt_version may land */
 	uint64_t doubt_version;
 	claim_table_t *table;
-	claim_table_t *write_table; /* of the write in flight */
+	claim_table_t *write_table; /* content of the write in flight */
 	list_node_t ops;
 } shard_t;
 
@@ -55,11 +55,11 @@
 	pd_time_t retention;
 	store_op_t next_op;
 	claim_pace_t pace;
-	pd_time_t confirmed_at; /* last time the store confirmed anything */
-	unsigned int entries; /* that write the same objects */
-	unsigned int first_shard; /* shard that is served first */
+	pd_time_t confirmed_at; /* last confirmed read or write */
+	unsigned int entries; /* live entries that share the objects */
+	unsigned int first_shard; /* index served first by the next run */
 	shard_t shards[CLAIM_SHARDS];
-	list_node_t results; /* settled, to be handed out by claims_run() */
+	list_node_t results; /* resolved, not yet returned by claims_run() */
 };
 
 /* claims_decide.c */
