--- a/tests/property/test_claims.cc
+++ b/tests/property/test_claims.cc
@@ -1,9 +1,9 @@
 /*
- * Several claim machines against one store that fails in every way the
- * platform's may: answers that are late or lost, writes that land late, refusals,
- * conflicts; and entries that die or are frozen meanwhile. After every step at
- * most one attempt of a key has the right to run, and at the end, with all
- * repaired, a retry hears what became of its key.
+ * Several claims state machines against one store that fails in every way the
+ * platform's may: late or lost replies, writes that take effect late, refusals,
+ * conflicts; and entries that die or are paused meanwhile. After every step at
+ * most one attempt of a key has the right to run. At the end, with all faults
+ * repaired, a retry is told the outcome of its key.
  */
 #include <rapidcheck.h>
 
@@ -23,46 +23,46 @@
 
 static constexpr unsigned int ENTRIES = 3;
 static constexpr unsigned int KEYS = 4;
-static constexpr unsigned int SHARDS = 2; /* that the keys lie on */
+static constexpr unsigned int SHARDS_USED = 2; /* that the keys fall on */
 static constexpr pd_time_t RETENTION = 24 * 3600 * PD_SEC;
 static constexpr int64_t WALL = 1000000;
-static constexpr int REPAIR_ROUNDS = 200;
+static constexpr int QUIESCENCE_ROUNDS = 200;
 static constexpr int CASES = 10000;
-static constexpr double LENGTH_SCALE = 4; /* up to 400 steps a case */
-
-enum class Right {
-	ASKED, /* its claim is under way */
-	WON, /* may run now, or did */
-	DONE, /* ran, and its entry asked to have that recorded */
-	GIVEN_UP, /* never ran and never will */
-	REFUSED, /* heard that another has the claim, or its answer */
-	LOST /* its entry died while the claim was under way */
+static constexpr double HISTORY_LENGTH_SCALE = 4; /* up to 400 steps per case */
+
+enum class State {
+	REQUESTED, /* its claim has been requested */
+	ACQUIRED, /* may run now, or has run */
+	COMPLETED, /* ran, and its entry requested to record that */
+	RELEASED, /* never ran and never will */
+	REFUSED, /* told that another has the claim, or its answer */
+	LOST /* its entry died while the claim was requested */
 };
 
 struct Attempt {
 	unsigned int entry;
 	std::string key;
 	std::string nonce;
-	Right right = Right::ASKED;
+	State state = State::REQUESTED;
 	claim_outcome_t outcome = CLAIM_UNAVAILABLE;
 	std::string answer; /* as it was told, or as it ran */
-	bool finish_lost = false; /* its entry died: maybe not recorded */
+	bool completion_lost = false; /* its entry died: perhaps not recorded */
 };
 
-/* One read or write on its way between an entry and the store. */
+/* One read or write between an entry and the store. */
 struct Message {
 	unsigned int entry;
-	unsigned int life; /* of the entry when it asked */
+	unsigned int incarnation; /* of the entry when it sent the request */
 	bool is_write;
 	store_op_t op;
 	std::string object;
 	uint64_t version;
 	std::shared_ptr<claim_table_t> table;
-	bool served = false; /* the store has dealt with it */
-	bool answerable = true; /* else nobody hears of it any more */
+	bool handled = false; /* the store has processed it */
+	bool expects_reply = true; /* false once nobody waits for the reply */
 	store_status_t status = STORE_DOWN;
-	uint64_t answer_version = 0;
-	std::shared_ptr<claim_table_t> answer_table;
+	uint64_t reply_version = 0;
+	std::shared_ptr<claim_table_t> reply_table;
 };
 
 struct Object {
@@ -72,8 +72,8 @@
 
 struct Node {
 	claims_t *claims = nullptr;
-	unsigned int life = 0;
-	bool frozen = false;
+	unsigned int incarnation = 0;
+	bool paused = false;
 };
 
 static std::shared_ptr<claim_table_t> shared(const claim_table_t *table)
@@ -82,7 +82,7 @@
 					      claim_table_destroy);
 }
 
-/* Names keys so that several share a claims object. */
+/* Returns key names, chosen so that several keys share a claims object. */
 static const std::string &key_name(unsigned int index)
 {
 	static const std::vector<std::string> names = [] {
@@ -92,7 +92,7 @@
 			std::string name = "key-" + std::to_string(i);
 
 			if (hash_string(name.c_str()) % CLAIM_SHARDS ==
-			    found.size() % SHARDS)
+			    found.size() % SHARDS_USED)
 				found.push_back(name);
 		}
 		return found;
@@ -101,30 +101,30 @@
 	return names[index];
 }
 
-/* A number from 0 to 255 three times: what to do, and to which. */
+/* Three bytes that select an action, its subject and a variant. */
 using Step = std::tuple<uint8_t, uint8_t, uint8_t>;
 
-class World
+class Simulation
 {
       public:
-	World()
+	Simulation()
 	{
 		for (unsigned int i = 0; i < ENTRIES; i++)
 			start(i);
 	}
 
-	~World()
+	~Simulation()
 	{
 		for (auto &node : nodes)
 			claims_destroy(node.claims);
 	}
 
-	World(const World &) = delete;
-	World &operator=(const World &) = delete;
+	Simulation(const Simulation &) = delete;
+	Simulation &operator=(const Simulation &) = delete;
 
 	void step(const Step &step);
-	void check() const;
-	void repair();
+	void check_invariants() const;
+	void run_to_quiescence();
 	void check_retries();
 
       private:
@@ -132,30 +132,30 @@
 	{
 		nodes[entry].claims = claims_create("entry", RETENTION);
 		claims_set_entries(nodes[entry].claims, ENTRIES);
-		nodes[entry].life++;
-		nodes[entry].frozen = false;
+		nodes[entry].incarnation++;
+		nodes[entry].paused = false;
 	}
 
-	size_t take(unsigned int entry, unsigned int key);
+	size_t acquire(unsigned int entry, unsigned int key);
 	void run(unsigned int entry);
-	void hear(const claim_result_t *result);
+	void on_result(const claim_result_t *result);
 	void kill(unsigned int entry);
-	void end_of(Attempt &attempt, bool runs);
-	void serve(Message &message);
-	void answer(Message &message, store_status_t status);
-	void on_message(unsigned int what, Message &message);
-	void collect(unsigned int entry, list_node_t *actions);
+	void finish_attempt(Attempt &attempt, bool runs);
+	void handle_request(Message &message);
+	void reply(Message &message, store_status_t status);
+	void deliver(unsigned int action, Message &message);
+	void send_requests(unsigned int entry, list_node_t *actions);
 	const Attempt *holder(const std::string &key) const;
 
 	Node nodes[ENTRIES];
 	std::map<std::string, Object> objects;
-	std::deque<Message> messages; /* references to it stay valid */
+	std::deque<Message> messages; /* keeps references valid */
 	std::vector<Attempt> attempts;
 	uint64_t last_version = 0;
 	pd_time_t now = PD_SEC;
 };
 
-size_t World::take(unsigned int entry, unsigned int key)
+size_t Simulation::acquire(unsigned int entry, unsigned int key)
 {
 	Attempt attempt;
 	size_t ticket = attempts.size();
@@ -169,19 +169,19 @@
 	return ticket;
 }
 
-void World::collect(unsigned int entry, list_node_t *actions)
+void Simulation::send_requests(unsigned int entry, list_node_t *actions)
 {
 	LIST_FOR_EACH (it, actions) {
 		const action_t *action = LIST_ENTRY(it, action_t, node);
 		Message message = {};
 
 		message.entry = entry;
-		message.life = nodes[entry].life;
+		message.incarnation = nodes[entry].incarnation;
 		message.is_write = action->kind == ACTION_STORE_WRITE;
 		message.op = action->store.op;
 		message.object = action->store.key;
 		message.version = action->store.version;
-		message.answerable = true;
+		message.expects_reply = true;
 		if (action->store.table)
 			message.table = shared(action->store.table);
 		messages.push_back(message);
@@ -189,91 +189,92 @@
 	action_list_clear(actions);
 }
 
-void World::hear(const claim_result_t *result)
+void Simulation::on_result(const claim_result_t *result)
 {
 	Attempt &attempt = attempts.at(result->ticket);
 
-	/* One that has given up, or has been told, may not be told again. */
-	RC_ASSERT(attempt.right == Right::ASKED);
+	/* An attempt has one outcome, and none after it was released. */
+	RC_ASSERT(attempt.state == State::REQUESTED);
 	attempt.outcome = result->outcome;
 	if (result->outcome == CLAIM_WON)
-		attempt.right = Right::WON;
+		attempt.state = State::ACQUIRED;
 	else if (result->outcome == CLAIM_UNAVAILABLE)
-		attempt.right = Right::GIVEN_UP;
+		attempt.state = State::RELEASED;
 	else
-		attempt.right = Right::REFUSED;
+		attempt.state = State::REFUSED;
 	if (result->answer)
 		attempt.answer = result->answer;
 }
 
-/* Runs a machine as its entry does after every event. */
-void World::run(unsigned int entry)
+/* Runs the claims of an entry, as the entry does after every event. */
+void Simulation::run(unsigned int entry)
 {
 	list_node_t actions;
 	list_node_t results;
 	list_node_t *node;
 
-	if (nodes[entry].frozen)
+	if (nodes[entry].paused)
 		return;
 	list_init(&actions);
 	list_init(&results);
 	claims_run(nodes[entry].claims, now, WALL, &actions, &results);
-	collect(entry, &actions);
+	send_requests(entry, &actions);
 	while ((node = list_pop(&results))) {
 		claim_result_t *result = LIST_ENTRY(node, claim_result_t, node);
 
-		hear(result);
+		on_result(result);
 		claim_result_destroy(result);
 	}
 }
 
-void World::kill(unsigned int entry)
+void Simulation::kill(unsigned int entry)
 {
 	for (auto &attempt : attempts) {
 		if (attempt.entry != entry)
 			continue;
-		if (attempt.right == Right::ASKED)
-			attempt.right = Right::LOST;
-		attempt.finish_lost = true;
+		if (attempt.state == State::REQUESTED)
+			attempt.state = State::LOST;
+		attempt.completion_lost = true;
 	}
 	for (auto &message : messages) {
 		if (message.entry == entry)
-			message.answerable = false;
+			message.expects_reply = false;
 	}
 	claims_destroy(nodes[entry].claims);
 	start(entry);
 }
 
-/* An attempt that won runs, or gives its claim back before it ran. */
-void World::end_of(Attempt &attempt, bool runs)
+/* Runs an attempt that acquired its claim, or releases it before it ran. */
+void Simulation::finish_attempt(Attempt &attempt, bool runs)
 {
 	claims_t *claims = nodes[attempt.entry].claims;
 
-	if (attempt.finish_lost || nodes[attempt.entry].frozen)
+	if (attempt.completion_lost || nodes[attempt.entry].paused)
 		return;
-	if (attempt.right == Right::WON && runs) {
-		attempt.right = Right::DONE;
+	if (attempt.state == State::ACQUIRED && runs) {
+		attempt.state = State::COMPLETED;
 		attempt.answer = "answer to " + attempt.nonce;
 		claims_complete(claims, attempt.key.c_str(), attempt.nonce.c_str(),
 				200, attempt.answer.c_str(), now);
-	} else if (attempt.right == Right::WON || attempt.right == Right::ASKED) {
-		attempt.right = Right::GIVEN_UP;
+	} else if (attempt.state == State::ACQUIRED ||
+		   attempt.state == State::REQUESTED) {
+		attempt.state = State::RELEASED;
 		claims_release(claims, attempt.key.c_str(),
 			       attempt.nonce.c_str(), now);
 	}
 }
 
-/* The store deals with a message; its answer is not heard yet. */
-void World::serve(Message &message)
+/* Has the store process a message; the reply is not delivered yet. */
+void Simulation::handle_request(Message &message)
 {
 	Object &object = objects[message.object];
 
-	if (message.served)
+	if (message.handled)
 		return;
-	message.served = true;
+	message.handled = true;
 	if (!message.is_write) {
 		message.status = object.table ? STORE_OK : STORE_MISSING;
-		message.answer_table = object.table;
+		message.reply_table = object.table;
 	} else if (object.version != message.version) {
 		message.status = STORE_CONFLICT;
 	} else {
@@ -281,39 +282,40 @@
 		object.table = message.table;
 		message.status = STORE_OK;
 	}
-	message.answer_version = object.version;
+	message.reply_version = object.version;
 }
 
-void World::answer(Message &message, store_status_t status)
+void Simulation::reply(Message &message, store_status_t status)
 {
 	const Node &node = nodes[message.entry];
-	store_reply_t reply = { message.op, status, message.answer_version,
-				message.answer_table.get() };
+	store_reply_t reply = { message.op, status, message.reply_version,
+				message.reply_table.get() };
 
-	if (!message.answerable || node.life != message.life || node.frozen)
+	if (!message.expects_reply || node.incarnation != message.incarnation ||
+	    node.paused)
 		return;
-	message.answerable = false;
+	message.expects_reply = false;
 	claims_handle_store_reply(node.claims, &reply, now);
 	run(message.entry);
 }
 
-void World::on_message(unsigned int what, Message &message)
+void Simulation::deliver(unsigned int action, Message &message)
 {
-	switch (what) {
-	case 0: /* all goes well */
-		serve(message);
-		answer(message, message.status);
+	switch (action) {
+	case 0: /* processed and replied to */
+		handle_request(message);
+		reply(message, message.status);
 		break;
-	case 1: /* it takes effect, and the answer is late or lost */
-		serve(message);
+	case 1: /* processed, and the reply is late or lost */
+		handle_request(message);
 		break;
-	case 2: /* nobody knows; a write may still land */
-		answer(message, message.is_write ? STORE_UNKNOWN : STORE_DOWN);
+	case 2: /* no reply in time; a write may still take effect */
+		reply(message, message.is_write ? STORE_UNKNOWN : STORE_DOWN);
 		break;
-	case 3: /* the store refuses it */
-		if (!message.served) {
-			message.served = true;
-			answer(message, STORE_DOWN);
+	case 3: /* refused by the store */
+		if (!message.handled) {
+			message.handled = true;
+			reply(message, STORE_DOWN);
 		}
 		break;
 	default:
@@ -321,16 +323,16 @@
 	}
 }
 
-void World::step(const Step &step)
+void Simulation::step(const Step &step)
 {
-	auto [what, which, how] = step;
-	unsigned int entry = which % ENTRIES;
+	auto [action, index, variant] = step;
+	unsigned int entry = index % ENTRIES;
 
-	switch (what % 10) {
+	switch (action % 10) {
 	case 0:
 	case 1:
-		if (!nodes[entry].frozen)
-			take(entry, how % KEYS);
+		if (!nodes[entry].paused)
+			acquire(entry, variant % KEYS);
 		break;
 	case 2:
 	case 3:
@@ -340,33 +342,37 @@
 	case 5:
 	case 6:
 		if (!messages.empty())
-			on_message(how % 8 < 4 ? 0 : how % 4,
-				   messages[which % messages.size()]);
+			deliver(variant % 8 < 4 ? 0 : variant % 4,
+				messages[index % messages.size()]);
 		break;
 	case 7:
-		now += how % 4 ? 100 * PD_MSEC : 2 * PD_SEC;
+		now += variant % 4 ? 100 * PD_MSEC : 2 * PD_SEC;
 		break;
 	case 8:
 		if (!attempts.empty())
-			end_of(attempts[which % attempts.size()], how % 3 > 0);
+			finish_attempt(attempts[index % attempts.size()],
+				       variant % 3 > 0);
 		break;
 	default:
-		if (how % 4 == 0)
+		if (variant % 4 == 0)
 			kill(entry);
 		else
-			nodes[entry].frozen = !nodes[entry].frozen;
+			nodes[entry].paused = !nodes[entry].paused;
 		break;
 	}
 }
 
-/* Returns the attempt that has the right to run under a key, or had it. */
-const Attempt *World::holder(const std::string &key) const
+/*
+ * Returns the attempt that has, or had, the right to run under KEY, or NULL.
+ * Asserts that there is at most one.
+ */
+const Attempt *Simulation::holder(const std::string &key) const
 {
 	const Attempt *found = nullptr;
 
 	for (const auto &attempt : attempts) {
-		if (attempt.key != key ||
-		    (attempt.right != Right::WON && attempt.right != Right::DONE))
+		if (attempt.key != key || (attempt.state != State::ACQUIRED &&
+					   attempt.state != State::COMPLETED))
 			continue;
 		RC_ASSERT(found == nullptr);
 		found = &attempt;
@@ -374,7 +380,7 @@
 	return found;
 }
 
-void World::check() const
+void Simulation::check_invariants() const
 {
 	for (unsigned int key = 0; key < KEYS; key++) {
 		const std::string &name = key_name(key);
@@ -391,27 +397,30 @@
 
 			if (!record)
 				continue;
-			/* What ran, or may, is never on record as free. */
+			/*
+			 * A call that ran, or may, is never recorded as
+			 * released.
+			 */
 			RC_ASSERT(record->state != CLAIM_RELEASED);
 			RC_ASSERT(winner->nonce == record->nonce);
 		}
 	}
 }
 
-/* Thaws all, lands what is on its way, and runs until nothing is left. */
-void World::repair()
+/* Resumes all entries, delivers all messages, and runs until all are idle. */
+void Simulation::run_to_quiescence()
 {
 	for (auto &node : nodes)
-		node.frozen = false;
-	for (int round = 0; round < REPAIR_ROUNDS; round++) {
+		node.paused = false;
+	for (int round = 0; round < QUIESCENCE_ROUNDS; round++) {
 		bool idle = true;
 
 		for (auto &attempt : attempts) {
-			if (attempt.right == Right::WON)
-				end_of(attempt, true);
+			if (attempt.state == State::ACQUIRED)
+				finish_attempt(attempt, true);
 		}
 		for (size_t count = messages.size(); count > 0; count--) {
-			on_message(0, messages.front());
+			deliver(0, messages.front());
 			messages.pop_front();
 		}
 		now += 100 * PD_MSEC;
@@ -420,74 +429,76 @@
 			idle = idle && claims_is_idle(nodes[i].claims);
 		}
 		for (const auto &attempt : attempts)
-			idle = idle && (attempt.right != Right::WON ||
-					attempt.finish_lost);
+			idle = idle && (attempt.state != State::ACQUIRED ||
+					attempt.completion_lost);
 		if (idle)
 			return;
 	}
-	RC_FAIL("the machines never come to rest");
+	RC_FAIL("the claims do not become idle");
 }
 
-/* With all repaired, each key is asked for once more at each entry. */
-void World::check_retries()
+/* After the repair, retries each key once at each entry. */
+void Simulation::check_retries()
 {
 	for (unsigned int i = 0; i < KEYS * ENTRIES; i++) {
 		const std::string &key = key_name(i / ENTRIES);
 		const Attempt *before = holder(key);
 		std::string answer = before ? before->answer : "";
-		bool recorded = before && before->right == Right::DONE &&
-				!before->finish_lost;
+		bool recorded = before && before->state == State::COMPLETED &&
+				!before->completion_lost;
 		bool lost = false;
 
 		for (const auto &attempt : attempts)
-			lost |= attempt.key == key && attempt.finish_lost;
+			lost |= attempt.key == key && attempt.completion_lost;
 
-		size_t ticket = take(i % ENTRIES, i / ENTRIES);
+		size_t ticket = acquire(i % ENTRIES, i / ENTRIES);
 
-		repair();
+		run_to_quiescence();
 		if (recorded) {
 			RC_ASSERT(attempts[ticket].outcome == CLAIM_ANSWERED);
 			RC_ASSERT(attempts[ticket].answer == answer);
 		} else if (!before && !lost) {
-			/* Nothing ran and nobody died: the key is free. */
-			RC_ASSERT(attempts[ticket].right == Right::DONE);
+			/* Nothing ran and no entry died: the key is free. */
+			RC_ASSERT(attempts[ticket].state == State::COMPLETED);
 		}
-		check();
+		check_invariants();
 	}
 }
 
-/* Long histories from the first case on, so that faults have room to meet. */
-static rc::Gen<std::vector<Step>> histories()
+/*
+ * Returns long histories from the first case on, so that faults can coincide.
+ */
+static rc::Gen<std::vector<Step>> any_history()
 {
 	auto byte =
 		rc::gen::resize(rc::kNominalSize, rc::gen::arbitrary<uint8_t>());
 	auto step = rc::gen::tuple(byte, byte, byte);
 
-	return rc::gen::scale(LENGTH_SCALE,
+	return rc::gen::scale(HISTORY_LENGTH_SCALE,
 			      rc::gen::container<std::vector<Step>>(step));
 }
 
 static bool check_at_most_once()
 {
 	return rc::check("at most one attempt of a key has the right to run", [] {
-		const auto steps = *histories();
-		World world;
+		const auto steps = *any_history();
+		Simulation simulation;
 
 		for (const auto &step : steps) {
-			world.step(step);
-			world.check();
+			simulation.step(step);
+			simulation.check_invariants();
 		}
-		world.repair();
-		world.check();
-		world.check_retries();
+		simulation.run_to_quiescence();
+		simulation.check_invariants();
+		simulation.check_retries();
 	});
 }
 
 /*
- * Rare meetings of faults need more cases than the other properties do; a case
- * takes some 0.1 ms.
+ * Raises the number of cases, as rare coincidences of faults need more of them
+ * than the other properties; a case takes some 0.1 ms.
  */
-static void ask_for_cases()
+static void set_case_count()
 {
 	const char *given = std::getenv("RC_PARAMS");
 	std::string params = given ? given : "seed=20261202";
@@ -499,6 +510,6 @@
 
 int main()
 {
-	ask_for_cases();
+	set_case_count();
 	return check_at_most_once() ? 0 : 1;
 }
--- a/tests/unit/test_claims.c
+++ b/tests/unit/test_claims.c
@@ -1,4 +1,4 @@
-/* The claims machine, driven by hand. */
+/* Unit tests of the claims: releases, and objects that are full. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -31,11 +31,10 @@
 }
 
 /*
- * A call was given up while the store was slow, and its key is already claimed
- * again by a later attempt when the give-back is written. Had the give-back
- * freed the later claim, a third attempt could run beside it.
+ * A release is written only after a later attempt has claimed the same key. If
+ * it released the later claim, a third attempt could run beside it.
  */
-static void test_a_release_spares_another_claim(void **state)
+static void test_release_keeps_later_claim(void **state)
 {
 	claims_t *claims = claims_create("entry-1", 3600 * PD_SEC);
 	store_reply_t reply = { .status = STORE_MISSING };
@@ -60,10 +59,12 @@
 	claims_destroy(claims);
 }
 
-#define OBJECT_MAX (1024 * 1024) /* of the platform's store */
+#define OBJECT_MAX_BYTES (1024 * 1024) /* limit of the platform's store */
 
-/* Returns a table of COUNT calls that ran, the first the oldest. */
-static claim_table_t *table_of(unsigned int count, const char *answer)
+/*
+ * Returns a table of COUNT completed calls, oldest first; the caller owns it.
+ */
+static claim_table_t *make_table(unsigned int count, const char *answer)
 {
 	claim_table_t *table = claim_table_create();
 	char name[65];
@@ -89,8 +90,11 @@
 	return size;
 }
 
-/* Takes KEY on an object that holds TABLE; returns what is asked next. */
-static action_t *take_on(claims_t *claims, claim_table_t *table, const char *key)
+/*
+ * Acquires KEY on an object that holds TABLE. Returns the next request to the
+ * store, or NULL.
+ */
+static action_t *acquire_on(claims_t *claims, claim_table_t *table, const char *key)
 {
 	store_reply_t reply = { .status = STORE_OK, .version = 7, .table = table };
 	action_t *action;
@@ -104,18 +108,18 @@
 }
 
 /*
- * More calls came within the retention than an object holds. The store refuses
- * an object over a megabyte; written all the same, no call of that object
- * would get through, nor any answer be recorded, until the retention is over.
- * The call is refused as not run instead, and nothing is written.
+ * More calls came within the retention than an object can hold. The store
+ * rejects an object over 1 MB; if it were written all the same, no call of that
+ * object would get through and no answer be recorded until the retention is
+ * over. The call has to be refused as not run, with nothing written.
  */
-static void test_a_full_object_takes_no_claim(void **state)
+static void test_full_object_refuses_claims(void **state)
 {
 	claims_t *claims = claims_create("entry-1", 3600 * PD_SEC);
-	claim_table_t *table = table_of(4300, NULL);
+	claim_table_t *table = make_table(4300, NULL);
 
 	(void)state;
-	assert_null(take_on(claims, table, "key"));
+	assert_null(acquire_on(claims, table, "key"));
 	assert_true(claims_is_idle(claims));
 	claim_table_destroy(table);
 	claims_destroy(claims);
@@ -123,22 +127,22 @@
 
 /*
  * Recorded answers fill an object long before the records do. The oldest are
- * dropped, since their callers are the least likely to ask again; the records
- * stay, so that none of the calls can run twice.
+ * evicted, since their callers are the least likely to retry; the records stay,
+ * so that none of the calls can run twice.
  */
-static void test_old_answers_make_room(void **state)
+static void test_oldest_answers_are_evicted(void **state)
 {
 	claims_t *claims = claims_create("entry-1", 3600 * PD_SEC);
 	char *answer = g_strnfill(1500, '"');
-	claim_table_t *table = table_of(1000, answer);
-	action_t *action = take_on(claims, table, "key");
+	claim_table_t *table = make_table(1000, answer);
+	action_t *action = acquire_on(claims, table, "key");
 	claim_table_t *written;
 	char newest[65];
 
 	(void)state;
 	assert_non_null(action);
 	written = action->store.table;
-	assert_true(encoded_size(written) < OBJECT_MAX);
+	assert_true(encoded_size(written) < OBJECT_MAX_BYTES);
 	assert_int_equal(g_hash_table_size(written->claims), 1001);
 	snprintf(newest, sizeof(newest), "%064x", 999);
 	assert_non_null(claim_table_get(written, newest)->answer);
@@ -153,9 +157,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_release_spares_another_claim),
-		cmocka_unit_test(test_a_full_object_takes_no_claim),
-		cmocka_unit_test(test_old_answers_make_room),
+		cmocka_unit_test(test_release_keeps_later_claim),
+		cmocka_unit_test(test_full_object_refuses_claims),
+		cmocka_unit_test(test_oldest_answers_are_evicted),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
