--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -26,9 +26,9 @@
  */
 static const lease_timing_t timing = {
 	.term = 2500 * PD_MSEC,
-	.renew = 1000 * PD_MSEC,
-	.takeover = 3500 * PD_MSEC,
-	.standby = 4000 * PD_MSEC,
+	.renew_period = 1000 * PD_MSEC,
+	.takeover_timeout = 3500 * PD_MSEC,
+	.standby_period = 4000 * PD_MSEC,
 };
 
 /* Returns the duties of nobody yet; the caller owns them. */
@@ -84,7 +84,7 @@
 		log_line(G_LOG_LEVEL_WARNING, PART,
 			 "lease call failed status=%d", reply->status);
 	answer.record = record;
-	lease_reply(duties->lease, &answer, gateway_now());
+	lease_handle_reply(duties->lease, &answer, gateway_now());
 	lease_record_destroy(record);
 }
 
@@ -139,16 +139,16 @@
 {
 	pd_time_t gap = duties->gateway->settings->lease_gap_ms * PD_MSEC;
 	pd_time_t calls = CLOUD_TIMEOUT_MS * PD_MSEC -
-			  (timing.takeover - timing.term) + CALLS_MARGIN;
+			  (timing.takeover_timeout - timing.term) + CALLS_MARGIN;
 
-	return MAX(calls, gap + CALLS_MARGIN - timing.takeover);
+	return MAX(calls, gap + CALLS_MARGIN - timing.takeover_timeout);
 }
 
 /* Notes when the lease is won or lost. */
 static void follow_lease(gateway_duties_t *duties, pd_time_t now)
 {
-	bool held = lease_is_settled(duties->lease, now);
-	uint64_t fence = lease_fence(duties->lease);
+	bool held = lease_is_synced(duties->lease, now);
+	uint64_t fence = lease_fencing_token(duties->lease);
 
 	if (held && fence != duties->fence) {
 		duties->fence = fence;
@@ -171,7 +171,7 @@
 static bool may_act(const gateway_duties_t *duties, pd_time_t now)
 {
 	return lease_is_held(duties->lease, now) && now >= duties->acts_from &&
-	       lease_fence(duties->lease) == duties->fence;
+	       lease_fencing_token(duties->lease) == duties->fence;
 }
 
 /* Returns the text of what the lease's record notes, borrowed; NULL: none. */
@@ -232,7 +232,7 @@
 
 	if (duties->gateway->stop_at)
 		return duties->fence &&
-		       lease_fence(duties->lease) <= duties->fence &&
+		       lease_fencing_token(duties->lease) <= duties->fence &&
 		       !gateway_peers_has_holder_after(peers, duties->fence);
 	return duties->resumes || gateway_peers_stand_for_duties(peers);
 }
@@ -246,7 +246,7 @@
 {
 	log_line(G_LOG_LEVEL_INFO, PART, "resume: led before the start");
 	duties->resumes = true;
-	lease_resume(duties->lease, gateway_now());
+	lease_check_at_start(duties->lease, gateway_now());
 }
 
 /* Another one has taken the lease since. */
@@ -269,7 +269,7 @@
 	bool serves = fleet_feed_is_back(duties->gateway->feed);
 
 	if (serves && !duties->store_serves)
-		lease_hurry(duties->lease, now);
+		lease_check_now(duties->lease, now);
 	duties->store_serves = serves;
 }
 
@@ -280,13 +280,13 @@
 		return;
 	watch_store(duties, now);
 	if (gateway_peers_holder_is_silent(duties->gateway->peers, now))
-		lease_hurry(duties->lease, now);
+		lease_check_now(duties->lease, now);
 	lease_step(duties, now);
 	end_resuming(duties);
 	follow_lease(duties, now);
 	gateway_peers_hold_duties(duties->gateway->peers,
 				  lease_is_held(duties->lease, now),
-				  lease_fence(duties->lease));
+				  lease_fencing_token(duties->lease));
 	if (!may_act(duties, now))
 		return;
 	duties_run_usage(duties, now);
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -48,12 +48,12 @@
 	duties_note_t *note;
 	char *text;
 
-	if (!lease_is_settled(duties->lease, now))
+	if (!lease_is_synced(duties->lease, now))
 		return;
 	note = duties_note_read(duties_noted_text(duties));
 	duties_note_needs(duties, note);
 	text = duties_note_write(note);
-	lease_update_note(duties->lease, text, now);
+	lease_set_note_deferred(duties->lease, text, now);
 	g_free(text);
 	duties_note_destroy(note);
 }
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -220,7 +220,7 @@
 	const duties_note_t *note;
 
 	if (duties->reporting || now < duties->report_at ||
-	    !lease_is_settled(duties->lease, now))
+	    !lease_is_synced(duties->lease, now))
 		return;
 	note = duties_noted(duties);
 	if (note->report && duties->reported < note->window) {
--- a/bench/bench_lease.c
+++ b/bench/bench_lease.c
@@ -42,7 +42,7 @@
 		fake->version++;
 	}
 	reply.version = fake->version;
-	lease_reply(lease, &reply, fake->now);
+	lease_handle_reply(lease, &reply, fake->now);
 }
 
 /* Answers come after all have asked, so that those who ask at once collide. */
--- a/core/lease.c
+++ b/core/lease.c
@@ -10,15 +10,15 @@
 
 #define STORE_TIMEOUT (2 * PD_SEC)
 /* The holder asks again so soon after an answer that settled nothing. */
-#define HOLDER_RETRY (300 * PD_MSEC)
+#define HOLDER_RETRY_DELAY (300 * PD_MSEC)
 /* All candidates may start at once; their first reads are spread. */
-#define START_SPREAD (2 * PD_SEC)
+#define START_JITTER (2 * PD_SEC)
 /*
  * A clock that leaps ahead would make a renewed lease look abandoned, and two
  * placers would give orders until the holder's next renewal failed. So one step
  * counts for at most this much; ticks come far more often.
  */
-#define QUIET_STEP_MAX PD_SEC
+#define TIME_STEP_MAX PD_SEC
 
 /*
  * The placer's: at the planned size its candidates cost the store two reads
@@ -26,9 +26,9 @@
  */
 const lease_timing_t lease_timing_placer = {
 	.term = 6 * PD_SEC,
-	.renew = 2 * PD_SEC,
-	.takeover = 9 * PD_SEC,
-	.standby = 20 * PD_SEC,
+	.renew_period = 2 * PD_SEC,
+	.takeover_timeout = 9 * PD_SEC,
+	.standby_period = 20 * PD_SEC,
 };
 
 struct lease {
@@ -38,17 +38,17 @@
 	store_op_t next_op;
 	store_op_t op; /* in flight, 0 if none */
 	bool writing;
-	pd_time_t asked_at;
+	pd_time_t requested_at;
 	pd_time_t next_at; /* when the next call is due; 0: never asked */
 	uint64_t version; /* of the object as last read or written */
-	pd_time_t quiet; /* how long this version has been the latest known */
-	pd_time_t stepped_at; /* when quiet was last added to */
-	bool confirming; /* standing by: the next read is the second of two */
-	bool hurried; /* the call in flight, if it fails, is repeated at once */
-	bool takeable; /* the latest call was a read that showed it so */
+	pd_time_t unchanged_for; /* how long this version has been the latest known */
+	pd_time_t last_step_at; /* when unchanged_for was last added to */
+	bool second_read_due; /* standing by: the next read is the second of two */
+	bool retry_at_once; /* the call in flight, if it fails, is repeated at once */
+	bool can_take_over; /* the latest call was a read that showed it so */
 	pd_time_t held_until; /* 0 if this process does not hold it */
 	lease_record_t *record; /* as last read or written; NULL: unknown */
-	lease_record_t *wanted; /* of the write in flight */
+	lease_record_t *pending; /* of the write in flight */
 	bool dirty; /* intents changed since the last write */
 	bool missing; /* the object was read and is not there */
 };
@@ -71,7 +71,7 @@
 	if (!lease)
 		return;
 	lease_record_destroy(lease->record);
-	lease_record_destroy(lease->wanted);
+	lease_record_destroy(lease->pending);
 	g_rand_free(lease->random);
 	g_free(lease->holder);
 	g_free(lease);
@@ -91,16 +91,16 @@
 
 /*
  * Says whether orders may follow from the record: the lease is held, and what
- * the record says has been written, not merely wanted.
+ * the record says has been written, not merely pending.
  */
-bool lease_is_settled(const lease_t *lease, pd_time_t now)
+bool lease_is_synced(const lease_t *lease, pd_time_t now)
 {
 	return lease_is_held(lease, now) && !lease->dirty && !lease->op &&
 	       lease->record;
 }
 
 /* Returns the fencing number to send with each order. */
-uint64_t lease_fence(const lease_t *lease)
+uint64_t lease_fencing_token(const lease_t *lease)
 {
 	return lease->record ? lease->record->fence : 0;
 }
@@ -146,9 +146,9 @@
  * the lease next. Nothing may be done on the strength of it before. False if the
  * lease is not settled.
  */
-bool lease_update_note(lease_t *lease, const char *note, pd_time_t now)
+bool lease_set_note_deferred(lease_t *lease, const char *note, pd_time_t now)
 {
-	if (!lease_is_settled(lease, now))
+	if (!lease_is_synced(lease, now))
 		return false;
 	g_free(lease->record->note);
 	lease->record->note = g_strdup(note);
@@ -162,7 +162,7 @@
  */
 bool lease_set_note(lease_t *lease, const char *note, pd_time_t now)
 {
-	if (!lease_update_note(lease, note, now))
+	if (!lease_set_note_deferred(lease, note, now))
 		return false;
 	lease->dirty = true;
 	return true;
@@ -172,11 +172,11 @@
  * Looks at the lease now, where this process stands by and its holder seems to
  * have ended: left to the usual look, that shows some seconds later.
  */
-void lease_hurry(lease_t *lease, pd_time_t now)
+void lease_check_now(lease_t *lease, pd_time_t now)
 {
-	if (lease->confirming || lease_is_held(lease, now))
+	if (lease->second_read_due || lease_is_held(lease, now))
 		return;
-	lease->hurried = lease->op != 0;
+	lease->retry_at_once = lease->op != 0;
 	lease->next_at = MIN(lease->next_at, now);
 }
 
@@ -184,13 +184,13 @@
  * Has the first look made at once, as this node held the lease before it was
  * restarted: all candidates may have been, and it need not wait for a takeover.
  */
-void lease_resume(lease_t *lease, pd_time_t now)
+void lease_check_at_start(lease_t *lease, pd_time_t now)
 {
 	if (lease->next_op == 1)
 		lease->next_at = now;
 }
 
-static bool lease_is_own(const lease_t *lease)
+static bool lease_is_ours(const lease_t *lease)
 {
 	return !g_strcmp0(lease->record->holder, lease->holder);
 }
@@ -203,7 +203,7 @@
 }
 
 /* Returns a time between half of PERIOD and one and a half. */
-static pd_time_t lease_spread(lease_t *lease, pd_time_t period)
+static pd_time_t lease_jitter(lease_t *lease, pd_time_t period)
 {
 	return period / 2 +
 	       (pd_time_t)(g_rand_double(lease->random) * (double)period);
@@ -214,62 +214,66 @@
  * apart, tell whether the lease is renewed; then it is left alone for long.
  * Watching the object instead would wake every placer at each renewal.
  */
-static void lease_stand_by(lease_t *lease, bool changed, pd_time_t now)
+static void lease_schedule_standby(lease_t *lease, bool changed, pd_time_t now)
 {
-	if (lease->quiet >= lease->timing.takeover) {
+	if (lease->unchanged_for >= lease->timing.takeover_timeout) {
 		lease->next_at = now;
-	} else if (lease->confirming && changed) {
-		lease->confirming = false;
-		lease->next_at = now + lease_spread(lease, lease->timing.standby);
+	} else if (lease->second_read_due && changed) {
+		lease->second_read_due = false;
+		lease->next_at =
+			now + lease_jitter(lease, lease->timing.standby_period);
 	} else {
-		lease->confirming = true;
-		lease->next_at = now + lease->timing.takeover - lease->quiet;
+		lease->second_read_due = true;
+		lease->next_at = now + lease->timing.takeover_timeout -
+				 lease->unchanged_for;
 	}
 }
 
 /* Returns when to read again after a read that failed. */
-static pd_time_t lease_retry_at(lease_t *lease, pd_time_t now)
+static pd_time_t lease_read_retry_at(lease_t *lease, pd_time_t now)
 {
-	if (lease->hurried)
+	if (lease->retry_at_once)
 		return now;
 	if (lease_is_held(lease, now))
-		return now + HOLDER_RETRY;
-	return now + lease_spread(lease, lease->timing.takeover);
+		return now + HOLDER_RETRY_DELAY;
+	return now + lease_jitter(lease, lease->timing.takeover_timeout);
 }
 
-static void lease_read_back(lease_t *lease, const lease_reply_t *reply,
-			    pd_time_t now)
+static void lease_handle_read(lease_t *lease, const lease_reply_t *reply,
+			      pd_time_t now)
 {
 	bool changed = reply->version != lease->version;
 
 	if (reply->status != STORE_OK && reply->status != STORE_MISSING) {
-		lease->next_at = lease_retry_at(lease, now);
+		lease->next_at = lease_read_retry_at(lease, now);
 		return;
 	}
 	lease->missing = reply->status == STORE_MISSING;
 	lease->version = reply->version;
 	if (changed)
-		lease->quiet = 0;
+		lease->unchanged_for = 0;
 	lease_record_destroy(lease->record);
 	lease->record = reply->record ? lease_record_copy(reply->record)
 				      : lease_record_create();
 	lease->dirty = false;
-	lease->takeable = lease_is_free(lease) ||
-			  lease->quiet >= lease->timing.takeover;
+	lease->can_take_over = lease_is_free(lease) ||
+			       lease->unchanged_for >=
+				       lease->timing.takeover_timeout;
 	/* Reading one's own name may show a write whose answer was lost. */
-	if (!lease_is_own(lease))
+	if (!lease_is_ours(lease))
 		lease->held_until = 0;
-	if (lease_is_own(lease) || lease_is_free(lease))
+	if (lease_is_ours(lease) || lease_is_free(lease))
 		lease->next_at = now;
 	else
-		lease_stand_by(lease, changed, now);
+		lease_schedule_standby(lease, changed, now);
 }
 
-static void lease_written(lease_t *lease, const lease_reply_t *reply, pd_time_t now)
+static void lease_handle_write(lease_t *lease, const lease_reply_t *reply,
+			       pd_time_t now)
 {
 	if (reply->status != STORE_OK) {
 		/* A renewal conflicts also with an own write that was done late. */
-		bool was_own = lease->record && lease_is_own(lease);
+		bool was_own = lease->record && lease_is_ours(lease);
 
 		/* Only a read tells who holds it now. */
 		g_clear_pointer(&lease->record, lease_record_destroy);
@@ -280,42 +284,43 @@
 		lease->next_at =
 			now +
 			(was_own || reply->status == STORE_UNKNOWN
-				 ? HOLDER_RETRY
-				 : lease_spread(lease, lease->timing.standby));
+				 ? HOLDER_RETRY_DELAY
+				 : lease_jitter(lease,
+						lease->timing.standby_period));
 		return;
 	}
 	lease_record_destroy(lease->record);
-	lease->record = g_steal_pointer(&lease->wanted);
+	lease->record = g_steal_pointer(&lease->pending);
 	lease->version = reply->version;
-	lease->quiet = 0;
-	lease->held_until = lease->asked_at + lease->timing.term;
-	lease->next_at = lease->asked_at + lease->timing.renew;
+	lease->unchanged_for = 0;
+	lease->held_until = lease->requested_at + lease->timing.term;
+	lease->next_at = lease->requested_at + lease->timing.renew_period;
 	lease->missing = false;
 	lease->dirty = false;
 }
 
 /* Takes the store's answer to the read or write in flight. */
-void lease_reply(lease_t *lease, const lease_reply_t *reply, pd_time_t now)
+void lease_handle_reply(lease_t *lease, const lease_reply_t *reply, pd_time_t now)
 {
 	if (!lease->op || reply->op != lease->op)
 		return;
 	lease->op = 0;
 	if (lease->writing)
-		lease_written(lease, reply, now);
+		lease_handle_write(lease, reply, now);
 	else
-		lease_read_back(lease, reply, now);
-	lease->hurried = false;
-	g_clear_pointer(&lease->wanted, lease_record_destroy);
+		lease_handle_read(lease, reply, now);
+	lease->retry_at_once = false;
+	g_clear_pointer(&lease->pending, lease_record_destroy);
 }
 
-static placer_action_t *lease_ask(lease_t *lease, placer_action_kind_t kind,
-				  pd_time_t now)
+static placer_action_t *lease_request(lease_t *lease, placer_action_kind_t kind,
+				      pd_time_t now)
 {
 	placer_action_t *action = placer_action_create(kind);
 
 	lease->op = lease->next_op++;
-	lease->asked_at = now;
-	lease->takeable = false;
+	lease->requested_at = now;
+	lease->can_take_over = false;
 	lease->writing = kind == PLACER_LEASE_WRITE;
 	action->lease.op = lease->op;
 	action->lease.version = lease->version;
@@ -324,7 +329,7 @@
 
 static void lease_write(lease_t *lease, pd_time_t now, list_node_t *actions)
 {
-	placer_action_t *action = lease_ask(lease, PLACER_LEASE_WRITE, now);
+	placer_action_t *action = lease_request(lease, PLACER_LEASE_WRITE, now);
 	lease_record_t *record = lease_record_copy(lease->record);
 
 	if (g_strcmp0(record->holder, lease->holder)) {
@@ -333,45 +338,45 @@
 		record->fence++;
 	}
 	record->renewals++;
-	lease->wanted = record;
+	lease->pending = record;
 	action->lease.record = lease_record_copy(record);
 	list_append(actions, &action->node);
 }
 
 /*
- * A quiet lease is taken only right after a read that showed it unchanged: a
+ * A unchanged_for lease is taken only right after a read that showed it unchanged: a
  * write on an old version would fail, and cost the store a call for nothing.
  */
 static bool lease_may_write(const lease_t *lease)
 {
-	return lease->record && (lease_is_own(lease) || lease->takeable);
+	return lease->record && (lease_is_ours(lease) || lease->can_take_over);
 }
 
-static void lease_step(lease_t *lease, pd_time_t now)
+static void lease_advance_time(lease_t *lease, pd_time_t now)
 {
-	pd_time_t step = now - lease->stepped_at;
+	pd_time_t step = now - lease->last_step_at;
 
-	if (lease->stepped_at)
-		lease->quiet += CLAMP(step, 0, QUIET_STEP_MAX);
-	lease->stepped_at = now;
+	if (lease->last_step_at)
+		lease->unchanged_for += CLAMP(step, 0, TIME_STEP_MAX);
+	lease->last_step_at = now;
 }
 
 /* Reads, takes or renews the lease as is due at NOW. */
 void lease_run(lease_t *lease, pd_time_t now, list_node_t *actions)
 {
-	const lease_reply_t silent = { .op = lease->op, .status = STORE_UNKNOWN };
+	const lease_reply_t timed_out = { .op = lease->op, .status = STORE_UNKNOWN };
 
-	lease_step(lease, now);
+	lease_advance_time(lease, now);
 	if (!lease->next_at)
 		lease->next_at = now + (pd_time_t)(g_rand_double(lease->random) *
-						   (double)START_SPREAD);
-	if (lease->op && now - lease->asked_at >= STORE_TIMEOUT)
-		lease_reply(lease, &silent, now);
+						   (double)START_JITTER);
+	if (lease->op && now - lease->requested_at >= STORE_TIMEOUT)
+		lease_handle_reply(lease, &timed_out, now);
 	if (lease->op || (now < lease->next_at && !lease->dirty))
 		return;
 	if (lease_may_write(lease))
 		lease_write(lease, now, actions);
 	else
 		list_append(actions,
-			    &lease_ask(lease, PLACER_LEASE_READ, now)->node);
+			    &lease_request(lease, PLACER_LEASE_READ, now)->node);
 }
--- a/core/lease.h
+++ b/core/lease.h
@@ -12,9 +12,9 @@
 /* How long things take; TAKEOVER is longer than TERM by clocks' drift. */
 typedef struct lease_timing {
 	pd_time_t term; /* a holder believes so long after it asked to renew */
-	pd_time_t renew;
-	pd_time_t takeover; /* others wait so long for a renewal */
-	pd_time_t standby; /* about how often others look */
+	pd_time_t renew_period;
+	pd_time_t takeover_timeout; /* others wait so long for a renewal */
+	pd_time_t standby_period; /* about how often others look */
 } lease_timing_t;
 
 extern const lease_timing_t lease_timing_placer;
@@ -22,17 +22,17 @@
 lease_t *lease_create(const char *holder, const lease_timing_t *timing,
 		      uint32_t seed);
 void lease_destroy(lease_t *lease);
-void lease_reply(lease_t *lease, const lease_reply_t *reply, pd_time_t now);
+void lease_handle_reply(lease_t *lease, const lease_reply_t *reply, pd_time_t now);
 void lease_run(lease_t *lease, pd_time_t now, list_node_t *actions);
 bool lease_is_held(const lease_t *lease, pd_time_t now);
 pd_time_t lease_held_until(const lease_t *lease);
-bool lease_is_settled(const lease_t *lease, pd_time_t now);
-uint64_t lease_fence(const lease_t *lease);
+bool lease_is_synced(const lease_t *lease, pd_time_t now);
+uint64_t lease_fencing_token(const lease_t *lease);
 const lease_record_t *lease_record(const lease_t *lease);
 bool lease_set_note(lease_t *lease, const char *note, pd_time_t now);
-bool lease_update_note(lease_t *lease, const char *note, pd_time_t now);
-void lease_hurry(lease_t *lease, pd_time_t now);
-void lease_resume(lease_t *lease, pd_time_t now);
+bool lease_set_note_deferred(lease_t *lease, const char *note, pd_time_t now);
+void lease_check_now(lease_t *lease, pd_time_t now);
+void lease_check_at_start(lease_t *lease, pd_time_t now);
 bool lease_add_intent(lease_t *lease, const intent_t *intent);
 void lease_drop_intent(lease_t *lease, const char *tag);
 
--- a/core/orders.c
+++ b/core/orders.c
@@ -72,7 +72,7 @@
 	placer_action_t *action = placer_action_create(PLACER_BUY);
 
 	intent_copy(&action->buy.intent, intent);
-	action->buy.fence = lease_fence(placer->lease);
+	action->buy.fence = lease_fencing_token(placer->lease);
 	action->buy.not_after = lease_held_until(placer->lease);
 	list_append(placer->actions, &action->node);
 }
@@ -108,7 +108,7 @@
 	action->engine.port = vm->port;
 	action->engine.model = g_strdup(vm->serves);
 	action->engine.role = ENGINE_DRAINING;
-	action->engine.fence = lease_fence(placer->lease);
+	action->engine.fence = lease_fencing_token(placer->lease);
 	action->engine.not_after = lease_held_until(placer->lease);
 	list_append(placer->actions, &action->node);
 }
@@ -118,7 +118,7 @@
 	placer_action_t *action = placer_action_create(PLACER_RELEASE);
 
 	action->release.vm_id = g_strdup(vm->id);
-	action->release.fence = lease_fence(placer->lease);
+	action->release.fence = lease_fencing_token(placer->lease);
 	action->release.not_after = lease_held_until(placer->lease);
 	list_append(placer->actions, &action->node);
 }
--- a/core/placer.c
+++ b/core/placer.c
@@ -106,10 +106,10 @@
 	/* A list from before a takeover would hide what others bought since. */
 	if (!lease_is_held(placer->lease, placer->now))
 		placer->listed = false;
-	if (lease_is_settled(placer->lease, placer->now) && placer->listed &&
+	if (lease_is_synced(placer->lease, placer->now) && placer->listed &&
 	    placer->bundle)
 		orders_run(placer);
-	if (lease_is_settled(placer->lease, placer->now) && placer->listed &&
+	if (lease_is_synced(placer->lease, placer->now) && placer->listed &&
 	    placer->bundle)
 		placement_run(placer);
 	lease_run(placer->lease, placer->now, placer->actions);
@@ -156,7 +156,7 @@
 	case PLACER_STOP:
 		break;
 	case PLACER_LEASE_REPLY:
-		lease_reply(placer->lease, &event->lease, event->now);
+		lease_handle_reply(placer->lease, &event->lease, event->now);
 		break;
 	case PLACER_VM_LIST:
 		placer_take_list(placer, event->vm_list.vms, event->vm_list.count);
--- a/tests/property/test_lease.cc
+++ b/tests/property/test_lease.cc
@@ -162,8 +162,8 @@
 			if (message.from != i || !message.done || message.lost ||
 			    message.life != process.life || now < message.answered)
 				continue;
-			lease_reply(process.lease, &message.reply,
-				    process.clock(now));
+			lease_handle_reply(process.lease, &message.reply,
+					   process.clock(now));
 			message.lost = true;
 		}
 		list_init(&actions);
--- a/tests/unit/test_duties_note.c
+++ b/tests/unit/test_duties_note.c
@@ -15,9 +15,9 @@
 
 static const lease_timing_t timing = {
 	.term = 2500 * PD_MSEC,
-	.renew = 1000 * PD_MSEC,
-	.takeover = 3500 * PD_MSEC,
-	.standby = 4000 * PD_MSEC,
+	.renew_period = 1000 * PD_MSEC,
+	.takeover_timeout = 3500 * PD_MSEC,
+	.standby_period = 4000 * PD_MSEC,
 };
 
 static void test_a_note_survives_the_round_trip(void **state)
@@ -85,7 +85,7 @@
 		.record = record,
 	};
 
-	lease_reply(lease, &reply, now);
+	lease_handle_reply(lease, &reply, now);
 }
 
 /*
@@ -107,10 +107,10 @@
 	assert_int_equal(action->kind, PLACER_LEASE_WRITE);
 	answer(lease, action, action->lease.record, 1, now);
 	placer_action_destroy(action);
-	assert_true(lease_update_note(lease, "n", now));
-	assert_true(lease_is_settled(lease, now));
-	assert_null(next_action(lease, now + timing.renew / 2));
-	action = next_action(lease, now + timing.renew);
+	assert_true(lease_set_note_deferred(lease, "n", now));
+	assert_true(lease_is_synced(lease, now));
+	assert_null(next_action(lease, now + timing.renew_period / 2));
+	action = next_action(lease, now + timing.renew_period);
 	assert_int_equal(action->kind, PLACER_LEASE_WRITE);
 	assert_string_equal(action->lease.record->note, "n");
 	placer_action_destroy(action);
@@ -137,7 +137,7 @@
 		placer_action_destroy(action);
 	}
 	assert_null(next_action(lease, now + 100 * PD_MSEC));
-	lease_hurry(lease, now + 100 * PD_MSEC);
+	lease_check_now(lease, now + 100 * PD_MSEC);
 	action = next_action(lease, now + 100 * PD_MSEC);
 	assert_non_null(action);
 	assert_int_equal(action->kind, PLACER_LEASE_READ);
@@ -158,9 +158,9 @@
 	while (!(action = next_action(lease, now)))
 		now += 20 * PD_MSEC;
 	placer_action_destroy(action);
-	lease_hurry(lease, now + PD_SEC / 2);
+	lease_check_now(lease, now + PD_SEC / 2);
 	assert_null(next_action(lease, now + PD_SEC / 2));
-	lease_reply(lease, &silent, now + PD_SEC);
+	lease_handle_reply(lease, &silent, now + PD_SEC);
 	action = next_action(lease, now + PD_SEC);
 	assert_non_null(action);
 	assert_int_equal(action->kind, PLACER_LEASE_READ);
@@ -205,7 +205,7 @@
 	now += timing.term;
 	assert_false(lease_is_held(lease, now));
 	failed_at = now;
-	lease_reply(lease, &reply, now);
+	lease_handle_reply(lease, &reply, now);
 	/* It is done between the read that follows and the next write. */
 	action = await_action(lease, &now);
 	assert_int_equal(action->kind, PLACER_LEASE_READ);
@@ -215,7 +215,7 @@
 	assert_int_equal(action->kind, PLACER_LEASE_WRITE);
 	reply.op = action->lease.op;
 	reply.status = STORE_CONFLICT;
-	lease_reply(lease, &reply, now);
+	lease_handle_reply(lease, &reply, now);
 	placer_action_destroy(action);
 	action = await_action(lease, &now);
 	assert_int_equal(action->kind, PLACER_LEASE_READ);
