--- a/core/lease.c
+++ b/core/lease.c
@@ -1,28 +1,28 @@
 /*
- * Takes, renews and loses the lease. A holder judges its own lease by when it
- * asked for the last renewal that succeeded; the others by how long the object
- * has not changed. Neither compares clocks of two machines. lease-notes.md has
- * the argument.
+ * Acquires, renews and loses the lease. A holder bounds its own lease by the
+ * time at which it requested the last renewal that succeeded; the others by how
+ * long the object has not changed. Neither compares clocks of two machines. The
+ * argument is in lease-notes.md.
  */
 #include "core/lease.h"
 
 #include <string.h>
 
 #define STORE_TIMEOUT (2 * PD_SEC)
-/* The holder asks again so soon after an answer that settled nothing. */
+/* Delay before the holder retries after an inconclusive reply. */
 #define HOLDER_RETRY_DELAY (300 * PD_MSEC)
-/* All candidates may start at once; their first reads are spread. */
+/* Spreads the first reads, as all candidates may start at once. */
 #define START_JITTER (2 * PD_SEC)
 /*
- * A clock that leaps ahead would make a renewed lease look abandoned, and two
- * placers would give orders until the holder's next renewal failed. So one step
- * counts for at most this much; ticks come far more often.
+ * Largest time step that is counted. A clock that jumps ahead would make a
+ * renewed lease look abandoned, and two placers would send orders until the
+ * holder's next renewal failed. Ticks are far more frequent than this.
  */
 #define TIME_STEP_MAX PD_SEC
 
 /*
- * The placer's: at the planned size its candidates cost the store two reads
- * each in 29 s; lease-notes.md has the ways weighed.
+ * Timing of the placers: at the planned size each candidate sends two reads to
+ * the store in 29 s. lease-notes.md compares the alternatives.
  */
 const lease_timing_t lease_timing_placer = {
 	.term = 6 * PD_SEC,
@@ -36,24 +36,27 @@
 	lease_timing_t timing;
 	GRand *random;
 	store_op_t next_op;
-	store_op_t op; /* in flight, 0 if none */
+	store_op_t op; /* request in flight; 0: none */
 	bool writing;
 	pd_time_t requested_at;
-	pd_time_t next_at; /* when the next call is due; 0: never asked */
-	uint64_t version; /* of the object as last read or written */
-	pd_time_t unchanged_for; /* how long this version has been the latest known */
-	pd_time_t last_step_at; /* when unchanged_for was last added to */
-	bool second_read_due; /* standing by: the next read is the second of two */
-	bool retry_at_once; /* the call in flight, if it fails, is repeated at once */
-	bool can_take_over; /* the latest call was a read that showed it so */
-	pd_time_t held_until; /* 0 if this process does not hold it */
+	pd_time_t next_at; /* when the next request is due; 0: not yet set */
+	uint64_t version; /* of the object, as last read or written */
+	pd_time_t unchanged_for; /* how long the version has not changed */
+	pd_time_t last_step_at; /* when unchanged_for was last updated */
+	bool second_read_due; /* as a candidate: the next read is the second of two */
+	bool retry_at_once; /* repeat the request in flight if it fails */
+	bool can_take_over; /* as shown by the latest request, a read */
+	pd_time_t held_until; /* 0: not held by this process */
 	lease_record_t *record; /* as last read or written; NULL: unknown */
-	lease_record_t *pending; /* of the write in flight */
-	bool dirty; /* intents changed since the last write */
-	bool missing; /* the object was read and is not there */
+	lease_record_t *pending; /* content of the write in flight */
+	bool dirty; /* the record changed since the last write */
+	bool missing; /* the object does not exist, as last read */
 };
 
-/* Returns a lease not held; HOLDER names this process uniquely. */
+/*
+ * Returns a lease that is not held; the caller owns it. HOLDER is a name unique
+ * to this process, and SEED drives the jitter.
+ */
 lease_t *lease_create(const char *holder, const lease_timing_t *timing, uint32_t seed)
 {
 	lease_t *lease = g_new0(lease_t, 1);
@@ -65,7 +68,7 @@
 	return lease;
 }
 
-/* Frees the lease without giving it up; NULL is allowed. */
+/* Frees the lease without releasing it; NULL is allowed. */
 void lease_destroy(lease_t *lease)
 {
 	if (!lease)
@@ -77,21 +80,21 @@
 	g_free(lease);
 }
 
-/* Says whether this process may give orders at NOW. */
+/* Returns whether this process holds the lease at NOW and may send orders. */
 bool lease_is_held(const lease_t *lease, pd_time_t now)
 {
 	return now < lease->held_until;
 }
 
-/* Returns when this process stops believing that it holds; 0: it does not. */
+/* Returns the time until which this process holds the lease; 0: it does not. */
 pd_time_t lease_held_until(const lease_t *lease)
 {
 	return lease->held_until;
 }
 
 /*
- * Says whether orders may follow from the record: the lease is held, and what
- * the record says has been written, not merely pending.
+ * Returns whether orders may follow from the record: the lease is held, and the
+ * record has been written to the store without later changes.
  */
 bool lease_is_synced(const lease_t *lease, pd_time_t now)
 {
@@ -99,7 +102,7 @@
 	       lease->record;
 }
 
-/* Returns the fencing number to send with each order. */
+/* Returns the fencing token to send with each order; 0 if unknown. */
 uint64_t lease_fencing_token(const lease_t *lease)
 {
 	return lease->record ? lease->record->fence : 0;
@@ -112,8 +115,8 @@
 }
 
 /*
- * Notes an intent, to be written with the next renewal, which is then due at
- * once. Returns false if there is no room.
+ * Adds an intent to the record, to be written at once with a renewal. INTENT is
+ * copied. Returns false if there is no room or the record is unknown.
  */
 bool lease_add_intent(lease_t *lease, const intent_t *intent)
 {
@@ -126,7 +129,7 @@
 	return true;
 }
 
-/* Drops the intent of that tag, with the next write. */
+/* Removes the intent with that tag, if any, with the next write. */
 void lease_drop_intent(lease_t *lease, const char *tag)
 {
 	lease_record_t *record = lease->record;
@@ -142,9 +145,9 @@
 }
 
 /*
- * Changes what the holder writes down with its next renewal, for whoever holds
- * the lease next. Nothing may be done on the strength of it before. False if the
- * lease is not settled.
+ * Sets the note for the next holder, to be written with the next renewal.
+ * Nothing may be done that depends on it before. Returns false if the lease is
+ * not synced.
  */
 bool lease_set_note_deferred(lease_t *lease, const char *note, pd_time_t now)
 {
@@ -156,9 +159,9 @@
 }
 
 /*
- * Sets what the holder writes down before it acts on it, to be written at once.
- * Returns false if the lease is not settled: a change made while a write is out
- * could be lost with that write's answer.
+ * Sets the note that the holder records before it acts on it, to be written at
+ * once. Returns false if the lease is not synced: a change made while a write
+ * is in flight could be lost with that write's reply.
  */
 bool lease_set_note(lease_t *lease, const char *note, pd_time_t now)
 {
@@ -169,8 +172,8 @@
 }
 
 /*
- * Looks at the lease now, where this process stands by and its holder seems to
- * have ended: left to the usual look, that shows some seconds later.
+ * Reads the lease at once if this process is a candidate and the holder seems
+ * to have terminated. The regular check would notice that some seconds later.
  */
 void lease_check_now(lease_t *lease, pd_time_t now)
 {
@@ -181,8 +184,9 @@
 }
 
 /*
- * Has the first look made at once, as this node held the lease before it was
- * restarted: all candidates may have been, and it need not wait for a takeover.
+ * Makes the first read at once, for a node that held the lease before it was
+ * restarted. All candidates may have been restarted, and it need not wait for
+ * the takeover time-out.
  */
 void lease_check_at_start(lease_t *lease, pd_time_t now)
 {
@@ -202,7 +206,7 @@
 	return lease->missing || !holder || !*holder;
 }
 
-/* Returns a time between half of PERIOD and one and a half. */
+/* Returns a random time between 0.5 and 1.5 times PERIOD. */
 static pd_time_t lease_jitter(lease_t *lease, pd_time_t period)
 {
 	return period / 2 +
@@ -210,9 +214,10 @@
 }
 
 /*
- * Sets when a process that stands by asks next. Two reads, a takeover's wait
- * apart, tell whether the lease is renewed; then it is left alone for long.
- * Watching the object instead would wake every placer at each renewal.
+ * Schedules the next read of a candidate. Two reads, a takeover time-out apart,
+ * show whether the lease is being renewed; then the store is left alone for the
+ * standby period. Watching the object instead would wake every placer at each
+ * renewal.
  */
 static void lease_schedule_standby(lease_t *lease, bool changed, pd_time_t now)
 {
@@ -239,6 +244,7 @@
 	return now + lease_jitter(lease, lease->timing.takeover_timeout);
 }
 
+/* Handles the store's reply to a read. */
 static void lease_handle_read(lease_t *lease, const lease_reply_t *reply,
 			      pd_time_t now)
 {
@@ -259,7 +265,7 @@
 	lease->can_take_over = lease_is_free(lease) ||
 			       lease->unchanged_for >=
 				       lease->timing.takeover_timeout;
-	/* Reading one's own name may show a write whose answer was lost. */
+	/* Our own name may show a write whose reply was lost. */
 	if (!lease_is_ours(lease))
 		lease->held_until = 0;
 	if (lease_is_ours(lease) || lease_is_free(lease))
@@ -268,19 +274,22 @@
 		lease_schedule_standby(lease, changed, now);
 }
 
+/* Handles the store's reply to a write. */
 static void lease_handle_write(lease_t *lease, const lease_reply_t *reply,
 			       pd_time_t now)
 {
 	if (reply->status != STORE_OK) {
-		/* A renewal conflicts also with an own write that was done late. */
+		/* A late write of our own makes the renewal conflict, too. */
 		bool was_own = lease->record && lease_is_ours(lease);
 
-		/* Only a read tells who holds it now. */
+		/* Only a read shows who holds it now. */
 		g_clear_pointer(&lease->record, lease_record_destroy);
 		lease->dirty = false;
 		if (reply->status == STORE_CONFLICT)
 			lease->held_until = 0;
-		/* Whoever lost the race for a lapsed lease need not hurry. */
+		/*
+		 * After losing the race for an expired lease there is no hurry.
+		 */
 		lease->next_at =
 			now +
 			(was_own || reply->status == STORE_UNKNOWN
@@ -299,7 +308,7 @@
 	lease->dirty = false;
 }
 
-/* Takes the store's answer to the read or write in flight. */
+/* Handles the store's reply to the request in flight; ignores any other. */
 void lease_handle_reply(lease_t *lease, const lease_reply_t *reply, pd_time_t now)
 {
 	if (!lease->op || reply->op != lease->op)
@@ -313,6 +322,10 @@
 	g_clear_pointer(&lease->pending, lease_record_destroy);
 }
 
+/*
+ * Returns a read or write request, owned by the caller, and records it as the
+ * one in flight.
+ */
 static placer_action_t *lease_request(lease_t *lease, placer_action_kind_t kind,
 				      pd_time_t now)
 {
@@ -327,6 +340,9 @@
 	return action;
 }
 
+/*
+ * Appends a write that acquires or renews the lease, with the changed record.
+ */
 static void lease_write(lease_t *lease, pd_time_t now, list_node_t *actions)
 {
 	placer_action_t *action = lease_request(lease, PLACER_LEASE_WRITE, now);
@@ -344,14 +360,16 @@
 }
 
 /*
- * A unchanged_for lease is taken only right after a read that showed it unchanged: a
- * write on an old version would fail, and cost the store a call for nothing.
+ * Returns whether a write may succeed. An expired lease is taken only right
+ * after a read that showed it unchanged: a write based on an old version would
+ * fail, at the cost of a useless request.
  */
 static bool lease_may_write(const lease_t *lease)
 {
 	return lease->record && (lease_is_ours(lease) || lease->can_take_over);
 }
 
+/* Updates the time for which the version has not changed. */
 static void lease_advance_time(lease_t *lease, pd_time_t now)
 {
 	pd_time_t step = now - lease->last_step_at;
@@ -361,7 +379,10 @@
 	lease->last_step_at = now;
 }
 
-/* Reads, takes or renews the lease as is due at NOW. */
+/*
+ * Reads, acquires or renews the lease as due at NOW; appends the request to
+ * ACTIONS, whose items the caller owns.
+ */
 void lease_run(lease_t *lease, pd_time_t now, list_node_t *actions)
 {
 	const lease_reply_t timed_out = { .op = lease->op, .status = STORE_UNKNOWN };
--- a/core/lease.h
+++ b/core/lease.h
@@ -1,6 +1,6 @@
 /*
- * A lease on a duty: one object in the platform that names the holder and a
- * fencing number. lease-notes.md gives the reasoning.
+ * A lease on a role: one object in the platform's store that names the holder
+ * and a fencing token. The safety argument is in lease-notes.md.
  */
 #ifndef PISTACHIO_LEASE_H
 #define PISTACHIO_LEASE_H
@@ -9,12 +9,12 @@
 
 typedef struct lease lease_t;
 
-/* How long things take; TAKEOVER is longer than TERM by clocks' drift. */
+/* The lease's timing. takeover_timeout exceeds term, as clocks drift. */
 typedef struct lease_timing {
-	pd_time_t term; /* a holder believes so long after it asked to renew */
+	pd_time_t term; /* validity, counted from the request of a renewal */
 	pd_time_t renew_period;
-	pd_time_t takeover_timeout; /* others wait so long for a renewal */
-	pd_time_t standby_period; /* about how often others look */
+	pd_time_t takeover_timeout; /* others take over after this long unrenewed */
+	pd_time_t standby_period; /* mean time between checks by candidates */
 } lease_timing_t;
 
 extern const lease_timing_t lease_timing_placer;
