--- a/core/lease.c
+++ b/core/lease.c
@@ -43,7 +43,7 @@
 	uint64_t version; /* of the object, as last read or written */
 	pd_time_t unchanged_for; /* how long the version has not changed */
 	pd_time_t last_step_at; /* when unchanged_for was last updated */
-	bool second_read_due; /* as a candidate: the next read is the second of two */
+	bool second_read_due; /* candidate: next read is the second */
 	bool retry_at_once; /* repeat the request in flight if it fails */
 	bool can_take_over; /* as shown by the latest request, a read */
 	pd_time_t held_until; /* 0: not held by this process */
--- a/core/lease.h
+++ b/core/lease.h
@@ -13,7 +13,7 @@
 typedef struct lease_timing {
 	pd_time_t term; /* validity, counted from the request of a renewal */
 	pd_time_t renew_period;
-	pd_time_t takeover_timeout; /* others take over after this long unrenewed */
+	pd_time_t takeover_timeout; /* unrenewed for so long: expired */
 	pd_time_t standby_period; /* mean time between checks by candidates */
 } lease_timing_t;
 
--- a/tests/property/test_lease.cc
+++ b/tests/property/test_lease.cc
@@ -1,8 +1,8 @@
 /*
- * Several placers share one lease through a store that loses answers, delays
+ * Several placers share one lease through a store that loses replies, delays
  * writes and goes down, while processes pause, die, and have clocks that drift
- * and leap. At no real time may two believe that they hold the lease: users
- * would pay for VMs bought twice, and see engines given opposite orders.
+ * and jump. At no real time may two of them hold the lease: users would pay for
+ * VMs bought twice, and engines would get contradictory orders.
  */
 #include <algorithm>
 #include <cmath>
@@ -17,73 +17,78 @@
 static const size_t PLACERS = 4;
 static const pd_time_t STEP = 100 * PD_MSEC;
 static const int STEPS = 3000;
-static const int CALM_STEPS = 1500;
-static const pd_time_t LEAP_GAP = 10 * PD_SEC;
+static const int FAULT_FREE_STEPS = 1500;
+static const pd_time_t MIN_JUMP_GAP = 10 * PD_SEC;
 
-/* A call on its way to the store, then its answer on the way back. */
+/* A request to the store, then its reply. */
 struct message {
 	size_t from;
-	unsigned life; /* of the process that asked */
-	placer_action_t *ask;
-	pd_time_t arrives;
-	pd_time_t answered; /* when the answer is back */
-	bool lost;
-	bool done = false;
+	unsigned incarnation; /* of the process that sent it */
+	placer_action_t *request;
+	pd_time_t arrives_at;
+	pd_time_t reply_at; /* when the reply is back */
+	bool reply_lost;
+	bool handled = false;
 	struct lease_reply reply = {};
 };
 
 struct process {
 	lease_t *lease = nullptr;
-	unsigned life = 0;
-	double rate = 1; /* of its clock */
-	pd_time_t offset = 0;
+	unsigned incarnation = 0;
+	double clock_rate = 1; /* relative to real time */
+	pd_time_t clock_offset = 0;
 	pd_time_t paused_until = 0;
-	pd_time_t leapt_at = 0;
+	pd_time_t jumped_at = 0;
 
 	pd_time_t clock(pd_time_t now) const
 	{
-		return offset + (pd_time_t)std::llround((double)now * rate);
+		return clock_offset +
+		       (pd_time_t)std::llround((double)now * clock_rate);
 	}
 };
 
-class world
+class simulation
 {
       public:
-	world(uint32_t seed) : random(g_rand_new_with_seed(seed))
+	simulation(uint32_t seed) : random(g_rand_new_with_seed(seed))
 	{
 		for (auto &process : processes) {
-			process.rate = 1 + (draw() - 0.5) * 0.02;
-			process.offset = (pd_time_t)(draw() * 1e6) * PD_MSEC;
+			process.clock_rate = 1 + (random_fraction() - 0.5) * 0.02;
+			process.clock_offset =
+				(pd_time_t)(random_fraction() * 1e6) * PD_MSEC;
 			start(process);
 		}
 	}
 
-	~world()
+	~simulation()
 	{
 		for (auto &process : processes)
 			lease_destroy(process.lease);
 		for (auto &message : messages)
-			forget(message);
+			free_message(message);
 		g_rand_free(random);
 	}
 
-	world(const world &) = delete;
-	world &operator=(const world &) = delete;
+	simulation(const simulation &) = delete;
+	simulation &operator=(const simulation &) = delete;
 
 	void step(bool faults)
 	{
 		now += STEP;
 		if (faults)
-			break_something();
+			inject_fault();
 		else
 			down_until = 0;
-		deliver();
+		deliver_requests();
 		for (size_t i = 0; i < PLACERS; i++)
 			run(i, faults);
 	}
 
-	/* A paused process counts: it acts on its belief once it wakes. */
-	size_t believers() const
+	/*
+	 * Returns how many processes consider themselves the holder. Paused
+	 * ones count: they act as the holder when they resume.
+	 */
+	size_t holders() const
 	{
 		return (size_t)std::count_if(
 			processes.begin(), processes.end(),
@@ -97,11 +102,11 @@
 		return store.takeovers;
 	}
 
-	unsigned lost = 0;
-	unsigned calls = 0;
+	unsigned lost_replies = 0;
+	unsigned requests = 0;
 
       private:
-	double draw()
+	double random_fraction()
 	{
 		return g_rand_double(random);
 	}
@@ -113,40 +118,44 @@
 		lease_destroy(process.lease);
 		process.lease = lease_create(id.c_str(), &lease_timing_placer,
 					     g_rand_int(random));
-		process.life++;
+		process.incarnation++;
 	}
 
-	void break_something()
+	void inject_fault()
 	{
-		process &any = processes[(size_t)(draw() * PLACERS)];
-		double what = draw();
-
-		if (what < 0.004) {
-			start(any);
-		} else if (what < 0.012) {
-			any.paused_until =
-				now + (pd_time_t)(draw() * 60 * (double)PD_SEC);
-		} else if (what < 0.02 && now - any.leapt_at > LEAP_GAP) {
-			any.leapt_at = now;
-			any.offset += (pd_time_t)(draw() * 60 * (double)PD_SEC);
-		} else if (what < 0.022) {
-			down_until =
-				now + (pd_time_t)(draw() * 30 * (double)PD_SEC);
+		process &victim = processes[(size_t)(random_fraction() * PLACERS)];
+		double choice = random_fraction();
+
+		if (choice < 0.004) {
+			start(victim);
+		} else if (choice < 0.012) {
+			victim.paused_until =
+				now + (pd_time_t)(random_fraction() * 60 *
+						  (double)PD_SEC);
+		} else if (choice < 0.02 && now - victim.jumped_at > MIN_JUMP_GAP) {
+			victim.jumped_at = now;
+			victim.clock_offset += (pd_time_t)(random_fraction() *
+							   60 * (double)PD_SEC);
+		} else if (choice < 0.022) {
+			down_until = now + (pd_time_t)(random_fraction() * 30 *
+						       (double)PD_SEC);
 		}
 	}
 
-	void send(size_t from, placer_action_t *ask, bool faults)
+	void send(size_t from, placer_action_t *request, bool faults)
 	{
 		message message = {};
-		double late = faults && draw() < 0.1 ? 15 * draw() : 0.005;
+		double delay_s = faults && random_fraction() < 0.1
+					 ? 15 * random_fraction()
+					 : 0.005;
 
-		calls++;
+		requests++;
 		message.from = from;
-		message.life = processes[from].life;
-		message.ask = ask;
-		message.arrives = now + (pd_time_t)(late * (double)PD_SEC);
-		message.answered = message.arrives + 10 * PD_MSEC;
-		message.lost = faults && draw() < 0.1;
+		message.incarnation = processes[from].incarnation;
+		message.request = request;
+		message.arrives_at = now + (pd_time_t)(delay_s * (double)PD_SEC);
+		message.reply_at = message.arrives_at + 10 * PD_MSEC;
+		message.reply_lost = faults && random_fraction() < 0.1;
 		messages.push_back(message);
 	}
 
@@ -159,12 +168,14 @@
 		if (now < process.paused_until)
 			return;
 		for (auto &message : messages) {
-			if (message.from != i || !message.done || message.lost ||
-			    message.life != process.life || now < message.answered)
+			if (message.from != i || !message.handled ||
+			    message.reply_lost ||
+			    message.incarnation != process.incarnation ||
+			    now < message.reply_at)
 				continue;
 			lease_handle_reply(process.lease, &message.reply,
 					   process.clock(now));
-			message.lost = true;
+			message.reply_lost = true;
 		}
 		list_init(&actions);
 		lease_run(process.lease, process.clock(now), &actions);
@@ -172,34 +183,36 @@
 			send(i, LIST_ENTRY(node, placer_action_t, node), faults);
 	}
 
-	void deliver()
+	void deliver_requests()
 	{
 		for (auto &message : messages) {
-			if (!message.done && message.arrives <= now)
+			if (!message.handled && message.arrives_at <= now)
 				apply(message);
 		}
 		messages.remove_if([this](message &message) {
-			bool over = message.done &&
-				    (message.lost ||
-				     message.life != processes[message.from].life);
+			bool over = message.handled &&
+				    (message.reply_lost ||
+				     message.incarnation !=
+					     processes[message.from].incarnation);
 
 			if (over)
-				forget(message);
+				free_message(message);
 			return over;
 		});
 	}
 
 	void apply(message &message)
 	{
-		message.done = true;
-		message.reply = store.apply(message.ask, now < down_until);
-		lost += message.lost && message.reply.status == STORE_OK &&
-			message.ask->kind == PLACER_LEASE_WRITE;
+		message.handled = true;
+		message.reply = store.apply(message.request, now < down_until);
+		lost_replies += message.reply_lost &&
+				message.reply.status == STORE_OK &&
+				message.request->kind == PLACER_LEASE_WRITE;
 	}
 
-	static void forget(message &message)
+	static void free_message(message &message)
 	{
-		placer_action_destroy(message.ask);
+		placer_action_destroy(message.request);
 		lease_record_destroy(
 			const_cast<lease_record_t *>(message.reply.record));
 	}
@@ -216,35 +229,36 @@
 static bool check_one_holder()
 {
 	return rc::check("at most one placer believes it holds the lease", [] {
-		world world(*rc::gen::arbitrary<uint32_t>());
+		simulation simulation(*rc::gen::arbitrary<uint32_t>());
 
 		for (int i = 0; i < STEPS; i++) {
-			world.step(true);
-			RC_ASSERT(world.believers() <= 1);
+			simulation.step(true);
+			RC_ASSERT(simulation.holders() <= 1);
 		}
-		RC_CLASSIFY(world.takeovers() > 2,
+		RC_CLASSIFY(simulation.takeovers() > 2,
 			    "taken over more than twice");
-		RC_CLASSIFY(world.lost > 0, "an answer was lost after a write");
+		RC_CLASSIFY(simulation.lost_replies > 0,
+			    "an answer was lost after a write");
 	});
 }
 
 static bool check_recovers()
 {
 	return rc::check("after the faults one placer holds the lease", [] {
-		world world(*rc::gen::arbitrary<uint32_t>());
+		simulation simulation(*rc::gen::arbitrary<uint32_t>());
 
 		for (int i = 0; i < STEPS; i++)
-			world.step(true);
-		for (int i = 0; i < CALM_STEPS; i++)
-			world.step(false);
-		RC_ASSERT(world.believers() == 1);
+			simulation.step(true);
+		for (int i = 0; i < FAULT_FREE_STEPS; i++)
+			simulation.step(false);
+		RC_ASSERT(simulation.holders() == 1);
 	});
 }
 
 int main()
 {
-	bool good = check_one_holder();
+	bool passed = check_one_holder();
 
-	good = check_recovers() && good;
-	return good ? 0 : 1;
+	passed = check_recovers() && passed;
+	return passed ? 0 : 1;
 }
