--- a/core/entry.c
+++ b/core/entry.c
@@ -180,7 +180,7 @@
 
 	if (!upstreams_leaving(entry->upstreams, vm_id, leaves_at))
 		return;
-	members_spread_leaving(entry->members, vm_id, leaves_at);
+	members_announce_leaving(entry->members, vm_id, leaves_at);
 	entry_decide(entry, "-", "drain", vm_id, "told to leave", "");
 }
 
--- a/core/members.c
+++ b/core/members.c
@@ -6,15 +6,15 @@
 #include "core/hash.h"
 #include "core/members_state.h"
 
-#define NEWS_REPEATS 3 /* times the logarithm of the fleet */
-#define GONE_AFTER (900 * PD_SEC) /* dead for so long: gone for good */
+#define SENDS_PER_LOG2 3 /* times the logarithm of the fleet */
+#define DEAD_REMOVAL_DELAY (900 * PD_SEC) /* dead for so long: gone for good */
 
 static void member_destroy(void *data)
 {
 	member_t *member = data;
 
 	list_remove(&member->node);
-	list_remove(&member->news);
+	list_remove(&member->update_node);
 	member_info_clear(&member->info);
 	g_free(member);
 }
@@ -33,9 +33,9 @@
 	members->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       member_destroy);
 	list_init(&members->list);
-	list_init(&members->news);
+	list_init(&members->updates);
 	list_init(&members->leaving);
-	members->round = g_ptr_array_new_with_free_func(g_free);
+	members->ping_round = g_ptr_array_new_with_free_func(g_free);
 	members->sequence = 1;
 	return members;
 }
@@ -52,10 +52,10 @@
 		g_free(leaving);
 	}
 	g_hash_table_unref(members->by_id);
-	g_ptr_array_unref(members->round);
+	g_ptr_array_unref(members->ping_round);
 	g_rand_free(members->rand);
 	member_info_clear(&members->self);
-	g_free(members->pinged);
+	g_free(members->ping_target);
 	g_free(members);
 }
 
@@ -87,7 +87,7 @@
 	if (member->info.state == MEMBER_LEFT)
 		return true;
 	return member->info.state == MEMBER_DEAD &&
-	       now - member->changed_at >= GONE_AFTER;
+	       now - member->changed_at >= DEAD_REMOVAL_DELAY;
 }
 
 /* Returns what is known of another entry, borrowed, or NULL. */
@@ -99,19 +99,19 @@
 }
 
 /* Returns how often a piece of news is told, so that all have heard it. */
-unsigned int news_repeats(const members_t *members)
+unsigned int members_send_limit(const members_t *members)
 {
 	unsigned int size = g_hash_table_size(members->by_id) + 1;
 
-	return NEWS_REPEATS * (g_bit_storage(size));
+	return SENDS_PER_LOG2 * (g_bit_storage(size));
 }
 
 /* Later news of a member wins; at the same incarnation the worse news wins. */
-static bool member_is_news(const member_info_t *known, const member_info_t *heard)
+static bool update_supersedes(const member_info_t *known, const member_info_t *update)
 {
-	if (heard->incarnation != known->incarnation)
-		return heard->incarnation > known->incarnation;
-	return heard->state > known->state;
+	if (update->incarnation != known->incarnation)
+		return update->incarnation > known->incarnation;
+	return update->state > known->state;
 }
 
 /*
@@ -119,55 +119,55 @@
  * incarnation, which overrules the rumour everywhere. Without it one lost ping
  * would take a healthy entry out of the fleet.
  */
-static void members_refute(members_t *members, const member_info_t *heard)
+static void members_refute(members_t *members, const member_info_t *update)
 {
 	/* One that leaves has said so itself; the echo is no rumour. */
-	if (heard->state == MEMBER_ALIVE || members->self.state == MEMBER_LEFT ||
-	    heard->incarnation < members->self.incarnation)
+	if (update->state == MEMBER_ALIVE || members->self.state == MEMBER_LEFT ||
+	    update->incarnation < members->self.incarnation)
 		return;
-	members->self.incarnation = heard->incarnation + 1;
+	members->self.incarnation = update->incarnation + 1;
 }
 
 /* Puts a member behind those that wait to be told of. */
-void member_make_news(members_t *members, member_t *member)
+void members_queue_update(members_t *members, member_t *member)
 {
-	member->repeats = news_repeats(members);
-	list_remove(&member->news);
-	list_append(&members->news, &member->news);
+	member->sends_left = members_send_limit(members);
+	list_remove(&member->update_node);
+	list_append(&members->updates, &member->update_node);
 }
 
-static void members_hear(members_t *members, const member_info_t *heard,
-			 pd_time_t now)
+static void members_apply_update(members_t *members,
+				 const member_info_t *update, pd_time_t now)
 {
 	member_t *member;
 
-	if (!strcmp(heard->id, members->self.id)) {
-		members_refute(members, heard);
+	if (!strcmp(update->id, members->self.id)) {
+		members_refute(members, update);
 		return;
 	}
-	member = g_hash_table_lookup(members->by_id, heard->id);
+	member = g_hash_table_lookup(members->by_id, update->id);
 	if (!member) {
-		if (heard->state == MEMBER_DEAD || heard->state == MEMBER_LEFT)
+		if (update->state == MEMBER_DEAD || update->state == MEMBER_LEFT)
 			return;
 		member = g_new0(member_t, 1);
-		member_info_copy(&member->info, heard);
-		list_init(&member->news);
+		member_info_copy(&member->info, update);
+		list_init(&member->update_node);
 		list_append(&members->list, &member->node);
 		g_hash_table_insert(members->by_id, member->info.id, member);
-	} else if (member_is_news(&member->info, heard)) {
+	} else if (update_supersedes(&member->info, update)) {
 		/* The old id stays: the table's key points to it. */
 		char *id = g_steal_pointer(&member->info.id);
 
 		member_info_clear(&member->info);
-		member_info_copy(&member->info, heard);
+		member_info_copy(&member->info, update);
 		g_free(member->info.id);
 		member->info.id = id;
 	} else {
 		return;
 	}
 	member->changed_at = now;
-	member->misses = 0;
-	member_make_news(members, member);
+	member->missed_pings = 0;
+	members_queue_update(members, member);
 }
 
 /*
@@ -182,10 +182,10 @@
 		bool known = g_hash_table_contains(members->by_id, infos[i].id);
 		member_t *member;
 
-		members_hear(members, &infos[i], now);
+		members_apply_update(members, &infos[i], now);
 		member = g_hash_table_lookup(members->by_id, infos[i].id);
 		if (!known && member)
-			list_remove(&member->news);
+			list_remove(&member->update_node);
 	}
 }
 
@@ -193,30 +193,30 @@
 void members_set_generation(members_t *members, uint64_t generation)
 {
 	members->generation = generation;
-	members->push = true;
+	members->push_due = true;
 	/* Rare, so it need not wait for what was pushed before. */
 	members->next_push = 0;
 }
 
 /* Says whether a leaving VM was told to nobody yet; those come first. */
-bool members_have_untold(const members_t *members)
+bool members_has_unsent_leaving(const members_t *members)
 {
 	if (list_empty(&members->leaving))
 		return false;
-	return !LIST_ENTRY(members->leaving.next, leaving_t, node)->told;
+	return !LIST_ENTRY(members->leaving.next, leaving_t, node)->sent;
 }
 
 /* Notes that a VM leaves, once, and tells a few peers at once. */
-void members_spread_leaving(members_t *members, const char *vm_id,
-			    pd_time_t leaves_at)
+void members_announce_leaving(members_t *members, const char *vm_id,
+			      pd_time_t leaves_at)
 {
 	leaving_t *leaving = g_new0(leaving_t, 1);
 
 	leaving->vm_id = g_strdup(vm_id);
 	leaving->leaves_at = leaves_at;
-	leaving->repeats = news_repeats(members);
+	leaving->sends_left = members_send_limit(members);
 	list_append(members->leaving.next, &leaving->node);
-	members->push = true;
+	members->push_due = true;
 }
 
 /* Says whether a member is thought to run. */
@@ -226,7 +226,7 @@
 	       member->info.state == MEMBER_SUSPECT;
 }
 
-static gint member_compare(gconstpointer a, gconstpointer b, gpointer key)
+static gint compare_rendezvous_weight(gconstpointer a, gconstpointer b, gpointer key)
 {
 	const member_info_t *const *one = a;
 	const member_info_t *const *other = b;
@@ -254,22 +254,23 @@
 		if (member_is_up(member))
 			g_ptr_array_add(rank, &member->info);
 	}
-	g_ptr_array_sort_with_data(rank, member_compare, (gpointer)key);
+	g_ptr_array_sort_with_data(rank, compare_rendezvous_weight, (gpointer)key);
 	if (rank->len > count)
 		g_ptr_array_set_size(rank, (gint)count);
 	return rank;
 }
 
 /* Asks ABOUT in the name of a third entry; the answer goes straight there. */
-static void members_forward(members_t *members, const peer_msg_t *msg,
-			    pd_time_t now, list_node_t *actions)
+static void members_ping_for(members_t *members, const peer_msg_t *msg,
+			     pd_time_t now, list_node_t *actions)
 {
 	const member_info_t *about = members_find(members, msg->about);
 	peer_msg_t *ping;
 
 	if (!about)
 		return;
-	ping = members_msg(members, PEER_PING, msg->sequence, about->id, now);
+	ping = members_create_msg(members, PEER_PING, msg->sequence, about->id,
+				  now);
 	member_info_clear(&ping->from);
 	member_info_copy(&ping->from, &msg->from);
 	ping->generation = msg->generation;
@@ -283,25 +284,26 @@
 void members_receive(members_t *members, const peer_msg_t *msg, pd_time_t now,
 		     list_node_t *actions)
 {
-	members_hear(members, &msg->from, now);
-	members_heard_from(members, msg->from.id);
+	members_apply_update(members, &msg->from, now);
+	members_mark_alive(members, msg->from.id);
 	for (unsigned int i = 0; i < msg->news_count; i++)
-		members_hear(members, &msg->news[i], now);
+		members_apply_update(members, &msg->news[i], now);
 	switch (msg->kind) {
 	case PEER_PING:
 		if (msg->sequence)
 			members_send(&msg->from,
-				     members_msg(members, PEER_ACK, msg->sequence,
-						 msg->from.id, now),
+				     members_create_msg(members, PEER_ACK,
+							msg->sequence,
+							msg->from.id, now),
 				     actions);
 		break;
 	case PEER_ACK:
-		if (members->pinged && msg->sequence == members->sequence &&
-		    !strcmp(members->pinged, msg->from.id))
-			g_clear_pointer(&members->pinged, g_free);
+		if (members->ping_target && msg->sequence == members->sequence &&
+		    !strcmp(members->ping_target, msg->from.id))
+			g_clear_pointer(&members->ping_target, g_free);
 		break;
 	case PEER_PING_REQ:
-		members_forward(members, msg, now, actions);
+		members_ping_for(members, msg, now, actions);
 		break;
 	case PEER_BUNDLE_PULL:
 	case PEER_BUNDLE:
--- a/core/members.h
+++ b/core/members.h
@@ -20,8 +20,8 @@
 void members_seed(members_t *members, const member_info_t *infos, size_t count,
 		  pd_time_t now);
 void members_set_generation(members_t *members, uint64_t generation);
-void members_spread_leaving(members_t *members, const char *vm_id,
-			    pd_time_t leaves_at);
+void members_announce_leaving(members_t *members, const char *vm_id,
+			      pd_time_t leaves_at);
 void members_receive(members_t *members, const peer_msg_t *msg, pd_time_t now,
 		     list_node_t *actions);
 void members_run(members_t *members, pd_time_t now, list_node_t *actions);
--- a/core/members_detect.c
+++ b/core/members_detect.c
@@ -6,14 +6,14 @@
 #define PING_PERIOD (1 * PD_SEC)
 #define PING_TIMEOUT (300 * PD_MSEC)
 #define INDIRECT_PINGS 2
-#define SUSPICION_PINGS 5 /* unanswered in a row, a period each */
-#define DEAD_TRY_PERIOD (10 * PD_SEC)
+#define MISSED_PINGS_MAX 5 /* unanswered in a row, a period each */
+#define DEAD_PING_PERIOD (10 * PD_SEC)
 /*
  * A member that left is forgotten after this long, when all have heard of it. A
  * dead one is kept for longer than regions lose each other, to be tried again.
  */
-#define LEFT_MEMORY (300 * PD_SEC)
-#define DEAD_MEMORY (3600 * PD_SEC)
+#define LEFT_RETENTION (300 * PD_SEC)
+#define DEAD_RETENTION (3600 * PD_SEC)
 /*
  * Urgent news goes to this many peers by each entry that hears it first: with
  * four, all but a few in a hundred have it after log4 of the fleet hops, and
@@ -25,7 +25,7 @@
  * push each time would cost several times the 3 KB a second of a node's budget;
  * the first goes out at once, what comes after it is gathered for this long.
  */
-#define PUSH_PERIOD (500 * PD_MSEC)
+#define PUSH_INTERVAL (500 * PD_MSEC)
 
 /* Returns up to COUNT members that are up, at random, without EXCEPT. */
 static GPtrArray *members_sample(members_t *members, unsigned int count,
@@ -53,28 +53,30 @@
 	return sample;
 }
 
-static void members_push(members_t *members, pd_time_t now, list_node_t *actions)
+static void members_send_updates(members_t *members, pd_time_t now,
+				 list_node_t *actions)
 {
 	GPtrArray *sample = members_sample(members, PUSH_FANOUT, NULL);
 
-	members->next_push = now + PUSH_PERIOD;
+	members->next_push = now + PUSH_INTERVAL;
 	for (guint i = 0; i < sample->len; i++) {
 		member_t *member = g_ptr_array_index(sample, i);
 
 		members_send(&member->info,
-			     members_msg(members, PEER_PING, 0, member->info.id, now),
+			     members_create_msg(members, PEER_PING, 0,
+						member->info.id, now),
 			     actions);
 	}
 	g_ptr_array_unref(sample);
-	members->push = members_have_untold(members);
+	members->push_due = members_has_unsent_leaving(members);
 }
 
-static member_t *members_suspect(const members_t *members)
+static member_t *members_find_suspect(const members_t *members)
 {
 	LIST_FOR_EACH (it, &members->list) {
 		member_t *member = LIST_ENTRY(it, member_t, node);
 
-		if (member->info.state == MEMBER_SUSPECT && member->misses)
+		if (member->info.state == MEMBER_SUSPECT && member->missed_pings)
 			return member;
 	}
 	return NULL;
@@ -84,9 +86,9 @@
  * Takes the member that this entry suspects, or the next of a shuffled round, so
  * that none is long unpinged.
  */
-static member_t *members_next(members_t *members)
+static member_t *members_next_target(members_t *members)
 {
-	member_t *suspect = members_suspect(members);
+	member_t *suspect = members_find_suspect(members);
 
 	if (suspect)
 		return suspect;
@@ -94,20 +96,20 @@
 		member_t *member;
 		char *id;
 
-		if (members->round->len == 0) {
+		if (members->ping_round->len == 0) {
 			LIST_FOR_EACH (it, &members->list) {
 				member = LIST_ENTRY(it, member_t, node);
 				if (member_is_up(member))
-					g_ptr_array_add(members->round,
+					g_ptr_array_add(members->ping_round,
 							g_strdup(member->info.id));
 			}
-			if (members->round->len == 0)
+			if (members->ping_round->len == 0)
 				return NULL;
 		}
 		id = g_ptr_array_steal_index_fast(
-			members->round,
+			members->ping_round,
 			(guint)g_rand_int_range(members->rand, 0,
-						(gint32)members->round->len));
+						(gint32)members->ping_round->len));
 		member = g_hash_table_lookup(members->by_id, id);
 		g_free(id);
 		if (member && member_is_up(member))
@@ -117,18 +119,18 @@
 
 static void members_ping(members_t *members, pd_time_t now, list_node_t *actions)
 {
-	member_t *member = members_next(members);
+	member_t *member = members_next_target(members);
 
 	members->next_ping = now + PING_PERIOD;
 	if (!member)
 		return;
-	members->pinged = g_strdup(member->info.id);
-	members->pinged_at = now;
-	members->indirect = false;
+	members->ping_target = g_strdup(member->info.id);
+	members->ping_sent_at = now;
+	members->indirect_sent = false;
 	members->sequence++;
 	members_send(&member->info,
-		     members_msg(members, PEER_PING, members->sequence,
-				 member->info.id, now),
+		     members_create_msg(members, PEER_PING, members->sequence,
+					member->info.id, now),
 		     actions);
 }
 
@@ -137,12 +139,12 @@
  * each other nothing, so neither would notice that the link is back. One of the
  * dead is therefore tried now and then.
  */
-static void members_try_dead(members_t *members, pd_time_t now, list_node_t *actions)
+static void members_ping_dead(members_t *members, pd_time_t now, list_node_t *actions)
 {
 	member_t *chosen = NULL;
 	gint32 seen = 0;
 
-	members->next_try = now + DEAD_TRY_PERIOD;
+	members->next_dead_ping = now + DEAD_PING_PERIOD;
 	LIST_FOR_EACH (it, &members->list) {
 		member_t *member = LIST_ENTRY(it, member_t, node);
 
@@ -154,8 +156,8 @@
 		return;
 	members->sequence++;
 	members_send(&chosen->info,
-		     members_msg(members, PEER_PING, members->sequence,
-				 chosen->info.id, now),
+		     members_create_msg(members, PEER_PING, members->sequence,
+					chosen->info.id, now),
 		     actions);
 }
 
@@ -167,16 +169,16 @@
 				    list_node_t *actions)
 {
 	GPtrArray *helpers =
-		members_sample(members, INDIRECT_PINGS, members->pinged);
+		members_sample(members, INDIRECT_PINGS, members->ping_target);
 
-	members->indirect = true;
+	members->indirect_sent = true;
 	for (guint i = 0; i < helpers->len; i++) {
 		member_t *helper = g_ptr_array_index(helpers, i);
-		peer_msg_t *msg = members_msg(members, PEER_PING_REQ,
-					      members->sequence,
-					      helper->info.id, now);
+		peer_msg_t *msg = members_create_msg(members, PEER_PING_REQ,
+						     members->sequence,
+						     helper->info.id, now);
 
-		msg->about = g_strdup(members->pinged);
+		msg->about = g_strdup(members->ping_target);
 		members_send(&helper->info, msg, actions);
 	}
 	g_ptr_array_unref(helpers);
@@ -187,67 +189,67 @@
 {
 	member->info.state = state;
 	member->changed_at = now;
-	member_make_news(members, member);
+	members_queue_update(members, member);
 }
 
 /*
  * Ends a ping that nobody answered. The suspicion stays here: this entry asks
- * again each period, and only when SUSPICION_PINGS in a row stay unanswered does
+ * again each period, and only when MISSED_PINGS_MAX in a row stay unanswered does
  * it tell that the member is dead. Telling others of each suspicion, and taking
  * it back, filled every message at 320 members with 5 % of them lost; the
  * refutations came too late and living members were declared dead.
  */
-static void members_end_ping(members_t *members, pd_time_t now)
+static void members_time_out_ping(members_t *members, pd_time_t now)
 {
 	member_t *member;
 
-	if (!members->pinged)
+	if (!members->ping_target)
 		return;
-	member = g_hash_table_lookup(members->by_id, members->pinged);
+	member = g_hash_table_lookup(members->by_id, members->ping_target);
 	if (member && member_is_up(member)) {
 		member->info.state = MEMBER_SUSPECT;
-		if (++member->misses >= SUSPICION_PINGS)
+		if (++member->missed_pings >= MISSED_PINGS_MAX)
 			member_set_state(members, member, MEMBER_DEAD, now);
 	}
-	g_clear_pointer(&members->pinged, g_free);
+	g_clear_pointer(&members->ping_target, g_free);
 }
 
 /* A member that was heard from directly is not suspect any more. */
-void members_heard_from(members_t *members, const char *id)
+void members_mark_alive(members_t *members, const char *id)
 {
 	member_t *member = g_hash_table_lookup(members->by_id, id);
 
 	if (!member || !member_is_up(member))
 		return;
 	member->info.state = MEMBER_ALIVE;
-	member->misses = 0;
+	member->missed_pings = 0;
 }
 
-static gboolean member_expires(void *key, void *value, void *data)
+static gboolean member_has_expired(void *key, void *value, void *data)
 {
 	const member_t *member = value;
 	const pd_time_t *now = data;
-	pd_time_t memory = member->info.state == MEMBER_DEAD ? DEAD_MEMORY
-							     : LEFT_MEMORY;
+	pd_time_t retention = member->info.state == MEMBER_DEAD ? DEAD_RETENTION
+								: LEFT_RETENTION;
 
 	(void)key;
-	return !member_is_up(member) && *now - member->changed_at > memory;
+	return !member_is_up(member) && *now - member->changed_at > retention;
 }
 
 /* Does what is due at NOW: pings, suspicions, pushes. */
 void members_run(members_t *members, pd_time_t now, list_node_t *actions)
 {
-	if (members->push && now >= members->next_push)
-		members_push(members, now, actions);
-	if (members->pinged && !members->indirect &&
-	    now - members->pinged_at >= PING_TIMEOUT)
+	if (members->push_due && now >= members->next_push)
+		members_send_updates(members, now, actions);
+	if (members->ping_target && !members->indirect_sent &&
+	    now - members->ping_sent_at >= PING_TIMEOUT)
 		members_ping_indirectly(members, now, actions);
 	if (now < members->next_ping)
 		return;
-	members_end_ping(members, now);
-	g_hash_table_foreach_remove(members->by_id, member_expires, &now);
-	if (now >= members->next_try)
-		members_try_dead(members, now, actions);
+	members_time_out_ping(members, now);
+	g_hash_table_foreach_remove(members->by_id, member_has_expired, &now);
+	if (now >= members->next_dead_ping)
+		members_ping_dead(members, now, actions);
 	members_ping(members, now, actions);
 }
 
@@ -255,5 +257,5 @@
 void members_leave(members_t *members, pd_time_t now, list_node_t *actions)
 {
 	members->self.state = MEMBER_LEFT;
-	members_push(members, now, actions);
+	members_send_updates(members, now, actions);
 }
--- a/core/members_msg.c
+++ b/core/members_msg.c
@@ -6,26 +6,26 @@
  * fleet starts, or a zone goes, the first eight would else ride on every message
  * until they are worn out, and entries would not know of each other for minutes.
  */
-static void msg_add_members(members_t *members, peer_msg_t *msg)
+static void msg_add_updates(members_t *members, peer_msg_t *msg)
 {
-	list_node_t told;
+	list_node_t sent;
 	list_node_t *node;
 
-	list_init(&told);
+	list_init(&sent);
 	while (msg->news_count < PEER_NEWS_MAX &&
-	       (node = list_pop(&members->news))) {
-		member_t *member = LIST_ENTRY(node, member_t, news);
-		member_info_t *news = &msg->news[msg->news_count++];
+	       (node = list_pop(&members->updates))) {
+		member_t *member = LIST_ENTRY(node, member_t, update_node);
+		member_info_t *update = &msg->news[msg->news_count++];
 
-		member_info_copy(news, &member->info);
+		member_info_copy(update, &member->info);
 		/* A suspicion is this entry's own; others would pass it on. */
-		if (news->state == MEMBER_SUSPECT)
-			news->state = MEMBER_ALIVE;
-		if (--member->repeats > 0)
-			list_append(&told, &member->news);
+		if (update->state == MEMBER_SUSPECT)
+			update->state = MEMBER_ALIVE;
+		if (--member->sends_left > 0)
+			list_append(&sent, &member->update_node);
 	}
-	while ((node = list_pop(&told)))
-		list_append(&members->news, node);
+	while ((node = list_pop(&sent)))
+		list_append(&members->updates, node);
 }
 
 static void leaving_destroy(leaving_t *leaving)
@@ -41,10 +41,10 @@
  */
 static void msg_add_leaving(members_t *members, peer_msg_t *msg, pd_time_t now)
 {
-	list_node_t told;
+	list_node_t sent;
 	list_node_t *node;
 
-	list_init(&told);
+	list_init(&sent);
 	while (msg->leaving_count < PEER_NEWS_MAX &&
 	       (node = list_pop(&members->leaving))) {
 		leaving_t *leaving = LIST_ENTRY(node, leaving_t, node);
@@ -52,13 +52,13 @@
 
 		info->vm_id = g_strdup(leaving->vm_id);
 		info->leaves_in = MAX(leaving->leaves_at - now, 0);
-		leaving->told = true;
-		if (--leaving->repeats == 0)
+		leaving->sent = true;
+		if (--leaving->sends_left == 0)
 			leaving_destroy(leaving);
 		else
-			list_append(&told, &leaving->node);
+			list_append(&sent, &leaving->node);
 	}
-	while ((node = list_pop(&told)))
+	while ((node = list_pop(&sent)))
 		list_append(&members->leaving, node);
 }
 
@@ -77,8 +77,8 @@
 }
 
 /* Returns a message for the member TO, with news; owned by the caller. */
-peer_msg_t *members_msg(members_t *members, peer_msg_kind_t kind,
-			uint64_t sequence, const char *to, pd_time_t now)
+peer_msg_t *members_create_msg(members_t *members, peer_msg_kind_t kind,
+			       uint64_t sequence, const char *to, pd_time_t now)
 {
 	peer_msg_t *msg = peer_msg_create(kind);
 
@@ -86,7 +86,7 @@
 	msg->generation = members->generation;
 	member_info_copy(&msg->from, &members->self);
 	msg_add_death(members, msg, to);
-	msg_add_members(members, msg);
+	msg_add_updates(members, msg);
 	msg_add_leaving(members, msg, now);
 	return msg;
 }
--- a/tests/harness/gossip.h
+++ b/tests/harness/gossip.h
@@ -146,8 +146,8 @@
 	if (leaving && !node->has_leaving) {
 		node->has_leaving = true;
 		node->leaving_at = gossip->now;
-		members_spread_leaving(node->members, "vm-1",
-				       gossip->now + 30 * PD_SEC);
+		members_announce_leaving(node->members, "vm-1",
+					 gossip->now + 30 * PD_SEC);
 	}
 }
 
@@ -164,7 +164,7 @@
 	node->wave_known++;
 	node->wave_at = gossip->now;
 	g_snprintf(id, sizeof(id), "wave-%u", vm);
-	members_spread_leaving(node->members, id, gossip->now + 30 * PD_SEC);
+	members_announce_leaving(node->members, id, gossip->now + 30 * PD_SEC);
 }
 
 static inline void gossip_hear_leaving(gossip_t *gossip, unsigned int index,
