--- a/core/members.c
+++ b/core/members.c
@@ -1,4 +1,4 @@
-/* Who the members are, and what is heard of them. */
+/* The table of members, and the handling of received updates. */
 #include "core/members.h"
 
 #include <string.h>
@@ -6,8 +6,8 @@
 #include "core/hash.h"
 #include "core/members_state.h"
 
-#define SENDS_PER_LOG2 3 /* times the logarithm of the fleet */
-#define DEAD_REMOVAL_DELAY (900 * PD_SEC) /* dead for so long: gone for good */
+#define SENDS_PER_LOG2 3 /* times log2 of the number of members */
+#define DEAD_REMOVAL_DELAY (900 * PD_SEC) /* then it counts as removed */
 
 static void member_destroy(void *data)
 {
@@ -20,8 +20,8 @@
 }
 
 /*
- * Returns the membership as SELF sees it: alone. SELF is copied; SEED makes
- * the order of pings repeatable.
+ * Returns a membership that contains only SELF; the caller owns it. SELF is
+ * copied; SEED makes the order of pings reproducible.
  */
 members_t *members_create(const member_info_t *self, uint32_t seed)
 {
@@ -59,7 +59,7 @@
 	g_free(members);
 }
 
-/* Returns how many entries are thought alive, this one among them. */
+/* Returns how many entries are considered alive, including this one. */
 unsigned int members_alive(const members_t *members)
 {
 	unsigned int alive = 1;
@@ -75,8 +75,8 @@
 }
 
 /*
- * Says whether a member left, or has been dead for longer than regions lose each
- * other: until then it may only be out of reach.
+ * Returns whether a member left, or has been dead for longer than a partition
+ * between regions lasts: until then it may only be unreachable.
  */
 bool members_is_gone(const members_t *members, const char *id, pd_time_t now)
 {
@@ -90,7 +90,7 @@
 	       now - member->changed_at >= DEAD_REMOVAL_DELAY;
 }
 
-/* Returns what is known of another entry, borrowed, or NULL. */
+/* Returns the known state of another entry, borrowed, or NULL. */
 const member_info_t *members_find(const members_t *members, const char *id)
 {
 	const member_t *member = g_hash_table_lookup(members->by_id, id);
@@ -98,7 +98,7 @@
 	return member ? &member->info : NULL;
 }
 
-/* Returns how often a piece of news is told, so that all have heard it. */
+/* Returns how often an update is sent so that it reaches all members. */
 unsigned int members_send_limit(const members_t *members)
 {
 	unsigned int size = g_hash_table_size(members->by_id) + 1;
@@ -106,7 +106,10 @@
 	return SENDS_PER_LOG2 * (g_bit_storage(size));
 }
 
-/* Later news of a member wins; at the same incarnation the worse news wins. */
+/*
+ * Returns whether an update supersedes the known state: a later incarnation
+ * does, and within one incarnation the worse state.
+ */
 static bool update_supersedes(const member_info_t *known, const member_info_t *update)
 {
 	if (update->incarnation != known->incarnation)
@@ -115,20 +118,23 @@
 }
 
 /*
- * An entry that hears itself called suspect or dead answers with a higher
- * incarnation, which overrules the rumour everywhere. Without it one lost ping
- * would take a healthy entry out of the fleet.
+ * Refutes an update that calls this entry suspect or dead, by a higher
+ * incarnation, which overrides the update everywhere. Otherwise one lost ping
+ * would remove a healthy entry from the fleet.
  */
 static void members_refute(members_t *members, const member_info_t *update)
 {
-	/* One that leaves has said so itself; the echo is no rumour. */
+	/*
+	 * A leaving entry has announced that itself; there is nothing to
+	 * refute.
+	 */
 	if (update->state == MEMBER_ALIVE || members->self.state == MEMBER_LEFT ||
 	    update->incarnation < members->self.incarnation)
 		return;
 	members->self.incarnation = update->incarnation + 1;
 }
 
-/* Puts a member behind those that wait to be told of. */
+/* Queues the state of a member for dissemination, behind the others. */
 void members_queue_update(members_t *members, member_t *member)
 {
 	member->sends_left = members_send_limit(members);
@@ -136,6 +142,10 @@
 	list_append(&members->updates, &member->update_node);
 }
 
+/*
+ * Applies an update from a peer or from the platform's list, and queues it for
+ * dissemination if it is new.
+ */
 static void members_apply_update(members_t *members,
 				 const member_info_t *update, pd_time_t now)
 {
@@ -155,7 +165,7 @@
 		list_append(&members->list, &member->node);
 		g_hash_table_insert(members->by_id, member->info.id, member);
 	} else if (update_supersedes(&member->info, update)) {
-		/* The old id stays: the table's key points to it. */
+		/* The id is kept, as the table's key points to it. */
 		char *id = g_steal_pointer(&member->info.id);
 
 		member_info_clear(&member->info);
@@ -171,9 +181,9 @@
 }
 
 /*
- * Takes entries that the platform lists; they are pinged in their turn. Others
- * read the same list, so they are no news: passing 320 of them on, eight a
- * message, kept news that matters waiting.
+ * Adds entries that the platform lists; they are pinged in turn. Other entries
+ * read the same list, so these are not disseminated: 320 of them, eight per
+ * message, delayed urgent updates.
  */
 void members_seed(members_t *members, const member_info_t *infos, size_t count,
 		  pd_time_t now)
@@ -189,16 +199,19 @@
 	}
 }
 
-/* Notes which bundle this entry has in force, and tells a few peers at once. */
+/* Sets the generation of the bundle in force, and pushes it to a few peers. */
 void members_set_generation(members_t *members, uint64_t generation)
 {
 	members->generation = generation;
 	members->push_due = true;
-	/* Rare, so it need not wait for what was pushed before. */
+	/* New bundles are rare, so the push interval need not be observed. */
 	members->next_push = 0;
 }
 
-/* Says whether a leaving VM was told to nobody yet; those come first. */
+/*
+ * Returns whether there is a leaving VM that was not sent to anybody; such VMs
+ * are first in the list.
+ */
 bool members_has_unsent_leaving(const members_t *members)
 {
 	if (list_empty(&members->leaving))
@@ -206,7 +219,10 @@
 	return !LIST_ENTRY(members->leaving.next, leaving_t, node)->sent;
 }
 
-/* Notes that a VM leaves, once, and tells a few peers at once. */
+/*
+ * Announces that a VM leaves, and pushes that to a few peers at once. To be
+ * called once per VM.
+ */
 void members_announce_leaving(members_t *members, const char *vm_id,
 			      pd_time_t leaves_at)
 {
@@ -219,13 +235,14 @@
 	members->push_due = true;
 }
 
-/* Says whether a member is thought to run. */
+/* Returns whether a member is considered running. */
 bool member_is_up(const member_t *member)
 {
 	return member->info.state == MEMBER_ALIVE ||
 	       member->info.state == MEMBER_SUSPECT;
 }
 
+/* Orders members by descending rendezvous weight for KEY, then by id. */
 static gint compare_rendezvous_weight(gconstpointer a, gconstpointer b, gpointer key)
 {
 	const member_info_t *const *one = a;
@@ -239,10 +256,9 @@
 }
 
 /*
- * Returns up to COUNT other entries that are up, in the order in which
- * rendezvous hashing ranks them for KEY. Entries that know the same members get
- * the same order, but for themselves, who are left out. The array is the
- * caller's, the items are borrowed.
+ * Returns up to COUNT other running entries in the order of rendezvous hashing
+ * for KEY. Entries with the same members get the same order, except that each
+ * leaves out itself. The caller owns the array; its items are borrowed.
  */
 GPtrArray *members_rank(const members_t *members, const char *key, unsigned int count)
 {
@@ -260,7 +276,10 @@
 	return rank;
 }
 
-/* Asks ABOUT in the name of a third entry; the answer goes straight there. */
+/*
+ * Pings the member named in a ping request on behalf of the sender, to whom the
+ * ack goes directly.
+ */
 static void members_ping_for(members_t *members, const peer_msg_t *msg,
 			     pd_time_t now, list_node_t *actions)
 {
@@ -278,8 +297,9 @@
 }
 
 /*
- * Takes a ping, an ack or a ping request, with the news it carries. Leaving VMs
- * are not this part's business; the entry reads them from the message itself.
+ * Handles a ping, an ack or a ping request with its updates; appends replies to
+ * ACTIONS. Leaving VMs are handled by the entry, which reads them from the
+ * message itself.
  */
 void members_receive(members_t *members, const peer_msg_t *msg, pd_time_t now,
 		     list_node_t *actions)
--- a/core/members.h
+++ b/core/members.h
@@ -1,8 +1,8 @@
 /*
- * Which fellow entries are alive: a SWIM-like failure detector with suspicion
- * and incarnation numbers. Each entry pings one other a period, and news rides
- * along, so the cost of a node does not grow with the fleet. News that can't
- * wait (a VM that leaves, a new bundle) is pushed on at once to a few peers.
+ * Membership of the entries: a SWIM-like failure detector with suspicion and
+ * incarnation numbers. Each entry pings one other per period and updates are
+ * piggybacked, so the cost per node does not grow with the fleet. Urgent
+ * updates (a leaving VM, a new bundle) are also pushed at once to a few peers.
  */
 #ifndef PISTACHIO_MEMBERS_H
 #define PISTACHIO_MEMBERS_H
--- a/core/members_detect.c
+++ b/core/members_detect.c
@@ -1,4 +1,4 @@
-/* The SWIM-like failure detector: pings, suspicion, and urgent pushes. */
+/* The SWIM-like failure detector: pings, suspicion and urgent pushes. */
 #include <string.h>
 
 #include "core/members_state.h"
@@ -6,28 +6,33 @@
 #define PING_PERIOD (1 * PD_SEC)
 #define PING_TIMEOUT (300 * PD_MSEC)
 #define INDIRECT_PINGS 2
-#define MISSED_PINGS_MAX 5 /* unanswered in a row, a period each */
+#define MISSED_PINGS_MAX 5 /* in a row, one per period */
 #define DEAD_PING_PERIOD (10 * PD_SEC)
 /*
- * A member that left is forgotten after this long, when all have heard of it. A
- * dead one is kept for longer than regions lose each other, to be tried again.
+ * A member that left is removed after this time, when all have learned of it. A
+ * dead one is kept for longer than a partition between regions lasts, so that
+ * it is pinged again.
  */
 #define LEFT_RETENTION (300 * PD_SEC)
 #define DEAD_RETENTION (3600 * PD_SEC)
 /*
- * Urgent news goes to this many peers by each entry that hears it first: with
- * four, all but a few in a hundred have it after log4 of the fleet hops, and
- * the periodic pings reach the rest.
+ * Each entry that learns an urgent update first sends it to this many peers.
+ * With four, all but a few per cent have it after log4 of the fleet size hops,
+ * and the periodic pings reach the rest.
  */
 #define PUSH_FANOUT 4
 /*
- * When a zone's VMs leave at once, news comes in faster than a node may send. A
- * push each time would cost several times the 3 KB a second of a node's budget;
- * the first goes out at once, what comes after it is gathered for this long.
+ * Minimum time between pushes. When all VMs of a zone leave, updates arrive
+ * faster than a node may send. A push for each would cost several times the
+ * node's budget of 3 KB a second; the first is sent at once, later ones are
+ * batched.
  */
 #define PUSH_INTERVAL (500 * PD_MSEC)
 
-/* Returns up to COUNT members that are up, at random, without EXCEPT. */
+/*
+ * Returns up to COUNT random running members except EXCEPT, which may be NULL.
+ * The caller owns the array; its items are borrowed.
+ */
 static GPtrArray *members_sample(members_t *members, unsigned int count,
 				 const char *except)
 {
@@ -53,6 +58,7 @@
 	return sample;
 }
 
+/* Sends the pending updates to a few random members at once. */
 static void members_send_updates(members_t *members, pd_time_t now,
 				 list_node_t *actions)
 {
@@ -71,6 +77,7 @@
 	members->push_due = members_has_unsent_leaving(members);
 }
 
+/* Returns a member that this entry itself suspects, or NULL. */
 static member_t *members_find_suspect(const members_t *members)
 {
 	LIST_FOR_EACH (it, &members->list) {
@@ -83,8 +90,8 @@
 }
 
 /*
- * Takes the member that this entry suspects, or the next of a shuffled round, so
- * that none is long unpinged.
+ * Returns the next member to ping, or NULL: one that this entry suspects, or
+ * the next of a shuffled round, so that each is pinged regularly.
  */
 static member_t *members_next_target(members_t *members)
 {
@@ -117,6 +124,7 @@
 	}
 }
 
+/* Starts the ping of this period. */
 static void members_ping(members_t *members, pd_time_t now, list_node_t *actions)
 {
 	member_t *member = members_next_target(members);
@@ -135,9 +143,9 @@
 }
 
 /*
- * Two parts of the fleet that lost each other take each other for dead and send
- * each other nothing, so neither would notice that the link is back. One of the
- * dead is therefore tried now and then.
+ * Pings one random dead member from time to time. The two sides of a partition
+ * consider each other dead and send each other nothing, so otherwise neither
+ * would notice that the link is back.
  */
 static void members_ping_dead(members_t *members, pd_time_t now, list_node_t *actions)
 {
@@ -162,8 +170,8 @@
 }
 
 /*
- * A lost or slow direct path must not make a healthy member suspect, so two
- * others are asked to try before suspicion.
+ * Asks two other members to ping the target, since a lost or slow direct path
+ * must not make a healthy member suspect.
  */
 static void members_ping_indirectly(members_t *members, pd_time_t now,
 				    list_node_t *actions)
@@ -184,6 +192,7 @@
 	g_ptr_array_unref(helpers);
 }
 
+/* Sets the state of a member and disseminates it. */
 static void member_set_state(members_t *members, member_t *member,
 			     member_state_t state, pd_time_t now)
 {
@@ -193,11 +202,11 @@
 }
 
 /*
- * Ends a ping that nobody answered. The suspicion stays here: this entry asks
- * again each period, and only when MISSED_PINGS_MAX in a row stay unanswered does
- * it tell that the member is dead. Telling others of each suspicion, and taking
- * it back, filled every message at 320 members with 5 % of them lost; the
- * refutations came too late and living members were declared dead.
+ * Handles a ping without an ack. The suspicion is local: this entry pings the
+ * member again each period, and disseminates its death only after
+ * MISSED_PINGS_MAX unanswered pings in a row. Disseminating and refuting each
+ * suspicion filled every message at 320 members with 5 % loss; the refutations
+ * came too late and living members were declared dead.
  */
 static void members_time_out_ping(members_t *members, pd_time_t now)
 {
@@ -214,7 +223,7 @@
 	g_clear_pointer(&members->ping_target, g_free);
 }
 
-/* A member that was heard from directly is not suspect any more. */
+/* Clears the suspicion of a member after a message directly from it. */
 void members_mark_alive(members_t *members, const char *id)
 {
 	member_t *member = g_hash_table_lookup(members->by_id, id);
@@ -225,6 +234,7 @@
 	member->missed_pings = 0;
 }
 
+/* Returns whether a member that is not running is to be removed. */
 static gboolean member_has_expired(void *key, void *value, void *data)
 {
 	const member_t *member = value;
@@ -236,7 +246,7 @@
 	return !member_is_up(member) && *now - member->changed_at > retention;
 }
 
-/* Does what is due at NOW: pings, suspicions, pushes. */
+/* Sends the pings and updates that are due at NOW; appends them to ACTIONS. */
 void members_run(members_t *members, pd_time_t now, list_node_t *actions)
 {
 	if (members->push_due && now >= members->next_push)
--- a/core/members_msg.c
+++ b/core/members_msg.c
@@ -1,10 +1,11 @@
-/* Messages between members, and the news that rides on them. */
+/* Messages between members, with piggybacked updates. */
 #include "core/members_state.h"
 
 /*
- * Adds members that are news. Each goes behind the others once told: when a
- * fleet starts, or a zone goes, the first eight would else ride on every message
- * until they are worn out, and entries would not know of each other for minutes.
+ * Adds pending updates to a message. Each goes to the end of the queue once
+ * sent. Otherwise, when a fleet starts or a zone is lost, the first eight would
+ * be in every message until their sends are used up, and entries would not know
+ * of each other for minutes.
  */
 static void msg_add_updates(members_t *members, peer_msg_t *msg)
 {
@@ -18,7 +19,7 @@
 		member_info_t *update = &msg->news[msg->news_count++];
 
 		member_info_copy(update, &member->info);
-		/* A suspicion is this entry's own; others would pass it on. */
+		/* Suspicions are local; peers would disseminate them. */
 		if (update->state == MEMBER_SUSPECT)
 			update->state = MEMBER_ALIVE;
 		if (--member->sends_left > 0)
@@ -35,9 +36,10 @@
 }
 
 /*
- * Adds leaving VMs. What was told goes to the end: when a zone's VMs leave at
- * once, the first eight would else ride on every message until they are worn
- * out, and the last would be known everywhere only after a minute and more.
+ * Adds leaving VMs to a message. Those sent go to the end of the list.
+ * Otherwise, when all VMs of a zone leave, the first eight would be in every
+ * message until their sends are used up, and the last would be known everywhere
+ * only after more than a minute.
  */
 static void msg_add_leaving(members_t *members, peer_msg_t *msg, pd_time_t now)
 {
@@ -63,9 +65,10 @@
 }
 
 /*
- * Tells a member first that it is thought dead, if it is. It alone can
- * refute that, and it may have been unreachable while the news went round; a
- * living member would stay declared dead for good.
+ * Adds the death of the receiver, if it is considered dead, as the first
+ * update. Only the receiver can refute it, and it may have been unreachable
+ * while the update was disseminated; a living member would stay declared dead
+ * for good.
  */
 static void msg_add_death(members_t *members, peer_msg_t *msg, const char *to)
 {
@@ -76,7 +79,7 @@
 	member_info_copy(&msg->news[msg->news_count++], &member->info);
 }
 
-/* Returns a message for the member TO, with news; owned by the caller. */
+/* Returns a message for the member TO, with updates; the caller owns it. */
 peer_msg_t *members_create_msg(members_t *members, peer_msg_kind_t kind,
 			       uint64_t sequence, const char *to, pd_time_t now)
 {
@@ -91,7 +94,7 @@
 	return msg;
 }
 
-/* Appends a message to a member; takes MSG over. */
+/* Appends the sending of MSG to ACTIONS; takes ownership of MSG. */
 void members_send(const member_info_t *to, peer_msg_t *msg, list_node_t *actions)
 {
 	action_t *action = action_create(ACTION_PEER_SEND);
--- a/core/members_state.h
+++ b/core/members_state.h
@@ -1,4 +1,4 @@
-/* What the files of membership share. Private to them. */
+/* State shared by the membership's files. Internal to them. */
 #ifndef PISTACHIO_MEMBERS_STATE_H
 #define PISTACHIO_MEMBERS_STATE_H
 
@@ -7,11 +7,11 @@
 
 typedef struct member {
 	list_node_t node;
-	list_node_t update_node; /* of the news, if it is to be told */
+	list_node_t update_node; /* in members_t.updates if pending */
 	member_info_t info;
 	pd_time_t changed_at;
-	unsigned int sends_left; /* how often this news is still to be sent */
-	unsigned int missed_pings; /* pings in a row that it did not answer */
+	unsigned int sends_left; /* sends of the update that remain */
+	unsigned int missed_pings; /* pings in a row without an ack */
 } member_t;
 
 typedef struct leaving {
@@ -19,7 +19,7 @@
 	char *vm_id;
 	pd_time_t leaves_at;
 	unsigned int sends_left;
-	bool sent; /* to somebody */
+	bool sent; /* to at least one peer */
 } leaving_t;
 
 struct members {
@@ -28,17 +28,17 @@
 	uint64_t generation;
 	GHashTable *by_id; /* id -> member_t, owned */
 	list_node_t list;
-	list_node_t updates; /* members to tell of, next first */
+	list_node_t updates; /* members whose state is to be sent, next first */
 	list_node_t leaving;
-	GPtrArray *ping_round; /* ids still to be pinged this round, owned */
+	GPtrArray *ping_round; /* ids not yet pinged in this round, owned */
 	uint64_t sequence;
-	char *ping_target; /* id of the member asked now, or NULL */
+	char *ping_target; /* id of the member being pinged, or NULL */
 	pd_time_t ping_sent_at;
-	bool indirect_sent; /* others have been asked too */
+	bool indirect_sent; /* ping requests were sent to others */
 	pd_time_t next_ping;
-	pd_time_t next_dead_ping; /* of one of the dead */
-	bool push_due; /* urgent news waits */
-	pd_time_t next_push; /* not before */
+	pd_time_t next_dead_ping; /* of a dead member */
+	bool push_due; /* an urgent update is pending */
+	pd_time_t next_push; /* earliest time of the next push */
 };
 
 /* members.c */
--- a/tests/property/test_members.cc
+++ b/tests/property/test_members.cc
@@ -1,7 +1,7 @@
 /*
- * Fleets of membership machines under random loss, freezes, splits and deaths.
- * Whatever happened, once the network is whole again all live members must see
- * each other, and the dead must be known as dead, within a bound.
+ * Fleets of members under random loss, pauses, partitions and deaths. Once the
+ * network is whole again, all live members must see each other, and must see
+ * the dead as dead, within a bounded time.
  */
 #include <rapidcheck.h>
 
@@ -11,84 +11,84 @@
 
 namespace
 {
-/* A round of pings over the fleet, suspicion, and the spread of the news. */
-constexpr pd_time_t kBound = 60 * PD_SEC;
+/* A round of pings over the fleet, suspicion, and dissemination. */
+constexpr pd_time_t kConvergenceTime = 60 * PD_SEC;
 
-constexpr uint64_t kQuietBytes = 150; /* a node a second, on average */
+constexpr uint64_t kIdleBytesPerSecond = 150; /* per node, on average */
 
-unsigned int any_size()
+unsigned int random_size()
 {
 	return *rc::gen::inRange(3U, 16U);
 }
 
-void assert_all_seen(const gossip_t *gossip)
+void assert_converged(const gossip_t *gossip)
 {
 	for (unsigned int i = 0; i < gossip->size; i++) {
 		if (gossip->nodes[i].dead)
 			continue;
 		for (unsigned int k = 0; k < gossip->size; k++) {
-			member_state_t state;
+			member_state_t view;
 
 			if (i == k)
 				continue;
-			state = gossip_view(gossip, i, k);
+			view = gossip_view(gossip, i, k);
 			if (gossip->nodes[k].dead)
-				RC_ASSERT(state >= MEMBER_DEAD);
+				RC_ASSERT(view >= MEMBER_DEAD);
 			else
-				RC_ASSERT(state == MEMBER_ALIVE);
+				RC_ASSERT(view == MEMBER_ALIVE);
 		}
 	}
 }
 
 /*
- * A VM is paused by its host for a while and comes back, or a link loses much.
- * A member that stayed declared dead would get no news and no requests.
+ * A VM is paused by its host for a while, or a link loses many messages. A
+ * member that stayed declared dead would get no updates and no requests.
  */
-bool check_frozen()
+bool check_paused()
 {
 	return rc::check("a frozen member is seen alive again", [] {
 		gossip_t *gossip =
-			gossip_create(any_size(),
+			gossip_create(random_size(),
 				      *rc::gen::arbitrary<uint32_t>(), 0.05);
-		auto frozen = *rc::gen::inRange(0U, gossip->size);
+		auto paused = *rc::gen::inRange(0U, gossip->size);
 		auto seconds = *rc::gen::inRange(1, 400);
 
-		gossip->nodes[frozen].frozen_until = gossip->now + seconds * PD_SEC;
+		gossip->nodes[paused].frozen_until = gossip->now + seconds * PD_SEC;
 		gossip_run(gossip, seconds * PD_SEC);
 		gossip->loss = 0;
-		gossip_run(gossip, kBound);
-		assert_all_seen(gossip);
+		gossip_run(gossip, kConvergenceTime);
+		assert_converged(gossip);
 		gossip_destroy(gossip);
 	});
 }
 
 /*
- * Two regions lose each other for minutes and each takes the other for dead.
- * When the link is back they must find each other with no operator's help.
+ * Two regions are partitioned for minutes and each considers the other dead.
+ * When the link is back they must find each other without an operator.
  */
-bool check_split()
+bool check_partition()
 {
 	return rc::check("two halves find each other again", [] {
 		gossip_t *gossip =
-			gossip_create(any_size(),
+			gossip_create(random_size(),
 				      *rc::gen::arbitrary<uint32_t>(), 0);
 		auto seconds = *rc::gen::inRange(1, 400);
 
 		gossip->side = *rc::gen::inRange(1U, gossip->size);
 		gossip_run(gossip, seconds * PD_SEC);
 		gossip->side = 0;
-		gossip_run(gossip, kBound);
-		assert_all_seen(gossip);
+		gossip_run(gossip, kConvergenceTime);
+		assert_converged(gossip);
 		gossip_destroy(gossip);
 	});
 }
 
-/* Some die, some freeze, and a fifth of the messages is lost meanwhile. */
+/* Some members die, some are paused, and a fifth of the messages is lost. */
 bool check_deaths()
 {
 	return rc::check("the dead are found and the living kept", [] {
 		gossip_t *gossip =
-			gossip_create(any_size(),
+			gossip_create(random_size(),
 				      *rc::gen::arbitrary<uint32_t>(), 0.2);
 
 		for (unsigned int i = 1; i < gossip->size; i++) {
@@ -101,18 +101,18 @@
 		}
 		gossip_run(gossip, 10 * PD_SEC);
 		gossip->loss = 0;
-		gossip_run(gossip, kBound);
-		assert_all_seen(gossip);
+		gossip_run(gossip, kConvergenceTime);
+		assert_converged(gossip);
 		gossip_destroy(gossip);
 	});
 }
 
-/* A dead member's place is taken by a new process of the same name. */
+/* A dead member is replaced by a new process of the same name. */
 bool check_rejoin()
 {
 	return rc::check("a member that starts anew is seen alive", [] {
 		gossip_t *gossip =
-			gossip_create(any_size(),
+			gossip_create(random_size(),
 				      *rc::gen::arbitrary<uint32_t>(), 0);
 		auto index = *rc::gen::inRange(0U, gossip->size);
 
@@ -121,18 +121,20 @@
 		members_destroy(gossip->nodes[index].members);
 		gossip_join(gossip, index,
 			    gossip->nodes[index].info.incarnation + 1000000);
-		gossip_run(gossip, kBound);
-		assert_all_seen(gossip);
+		gossip_run(gossip, kConvergenceTime);
+		assert_converged(gossip);
 		gossip_destroy(gossip);
 	});
 }
 
-/* What is urgent reaches all within seconds though messages are lost. */
-bool check_news()
+/*
+ * Urgent updates reach all members within seconds although messages are lost.
+ */
+bool check_updates()
 {
 	return rc::check("news reaches every member", [] {
 		gossip_t *gossip =
-			gossip_create(any_size(),
+			gossip_create(random_size(),
 				      *rc::gen::arbitrary<uint32_t>(), 0.2);
 
 		gossip_run(gossip, *rc::gen::inRange(0, 3000) * PD_MSEC);
@@ -147,8 +149,9 @@
 }
 
 /*
- * A link that loses one message in twenty must take no healthy entry out: its
- * peers would hand it nothing and share out its accounts' limits.
+ * A link that loses one message in twenty must not remove a healthy entry: its
+ * peers would hand over nothing to it and divide its share of the accounts'
+ * limits among them.
  */
 bool check_no_false_deaths()
 {
@@ -167,7 +170,9 @@
 	});
 }
 
-/* What a node sends must not grow with the fleet, also after all start at once. */
+/*
+ * What a node sends must not grow with the fleet, even after all start at once.
+ */
 bool check_cost()
 {
 	return rc::check("a node's cost does not grow with the fleet", [] {
@@ -177,16 +182,17 @@
 
 		gossip_run(gossip, 20 * PD_SEC);
 		for (unsigned int i = 0; i < gossip->size; i++)
-			RC_ASSERT(gossip->nodes[i].bytes <= 20 * kQuietBytes * 2U);
+			RC_ASSERT(gossip->nodes[i].bytes <=
+				  20 * kIdleBytesPerSecond * 2U);
 		gossip_destroy(gossip);
 	});
 }
 } // namespace
 
-#define START_BOUND (30 * PD_SEC)
+#define START_CONVERGENCE_TIME (30 * PD_SEC)
 
-/* Starts every member anew, knowing only those that started before it. */
-static void start_in_turn(gossip_t *gossip)
+/* Restarts every member, knowing only those that started before it. */
+static void start_staggered(gossip_t *gossip)
 {
 	for (unsigned int i = 0; i < gossip->size; i++) {
 		gossip_node_t *node = &gossip->nodes[i];
@@ -200,19 +206,19 @@
 }
 
 /*
- * A fleet starts, one entry after the other, and each finds in the platform's
+ * A fleet starts one entry after the other, and each finds in the platform's
  * list only those before it. Until all know each other, accounts get more than
  * their limit and operators see a part of the fleet.
  */
-static bool check_start()
+static bool check_staggered_start()
 {
 	return rc::check("a fleet that starts in turn knows itself soon", [] {
 		auto size = *rc::gen::inRange<unsigned int>(2, 65);
 		auto seed = *rc::gen::arbitrary<uint32_t>();
 		gossip_t *gossip = gossip_create(size, seed, 0);
 
-		start_in_turn(gossip);
-		gossip_run(gossip, START_BOUND);
+		start_staggered(gossip);
+		gossip_run(gossip, START_CONVERGENCE_TIME);
 		for (unsigned int i = 0; i < size; i++)
 			RC_ASSERT(members_alive(gossip->nodes[i].members) == size);
 		gossip_destroy(gossip);
@@ -221,14 +227,14 @@
 
 int main()
 {
-	bool good = check_frozen();
-
-	good = check_split() && good;
-	good = check_deaths() && good;
-	good = check_rejoin() && good;
-	good = check_news() && good;
-	good = check_no_false_deaths() && good;
-	good = check_cost() && good;
-	good = check_start() && good;
-	return good ? 0 : 1;
+	bool passed = check_paused();
+
+	passed = check_partition() && passed;
+	passed = check_deaths() && passed;
+	passed = check_rejoin() && passed;
+	passed = check_updates() && passed;
+	passed = check_no_false_deaths() && passed;
+	passed = check_cost() && passed;
+	passed = check_staggered_start() && passed;
+	return passed ? 0 : 1;
 }
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -1,4 +1,7 @@
-/* What an entry makes of its fellows: which bundle they have, and when to ask. */
+/*
+ * How an entry uses what its peers report: which bundle they have, and when to
+ * pull it.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -21,7 +24,7 @@
 				.incarnation = 1 };
 }
 
-/* An entry that knows three fellows and has heard of none yet. */
+/* Creates an entry that knows three peers and has received no message yet. */
 static int setup(void **state)
 {
 	drive_t *drive = drive_create("entry-1", "zone-a", 7);
@@ -44,7 +47,8 @@
 	return 0;
 }
 
-static void hear(drive_t *drive, unsigned int peer, uint64_t generation)
+/* Delivers a ping of a peer that has bundle GENERATION in force. */
+static void receive_ping(drive_t *drive, unsigned int peer, uint64_t generation)
 {
 	peer_msg_t *msg = peer_msg_create(PEER_PING);
 	const member_info_t info = peer_info(peer);
@@ -57,6 +61,7 @@
 	peer_msg_destroy(msg);
 }
 
+/* Returns how many bundle pulls were sent, and clears the sent messages. */
 static unsigned int count_pulls(drive_t *drive)
 {
 	unsigned int pulls = 0;
@@ -70,17 +75,17 @@
 }
 
 /*
- * A fresh entry reads a stale bundle from the store, while its fellows have a
- * later one. Callers that it served at once would be judged by accounts and
+ * A new entry reads a stale bundle from the store, while its peers have a later
+ * one. If it served at once, callers would be subject to accounts and
  * priorities that operators have replaced.
  */
-static void test_a_stale_bundle_is_not_served(void **state)
+static void test_stale_bundle_is_not_served(void **state)
 {
 	drive_t *drive = *state;
 
 	drive_bundle(drive, 4);
 	assert_false(entry_is_ready(drive->entry));
-	hear(drive, 0, 5);
+	receive_ping(drive, 0, 5);
 	assert_int_equal(count_pulls(drive), 1);
 	drive_request(drive, TARGET_MODEL, "m", NULL);
 	assert_int_equal(drive_count(drive, ACTION_DISPATCH), 0);
@@ -88,23 +93,23 @@
 	assert_false(entry_is_ready(drive->entry));
 	drive_bundle(drive, 5);
 	assert_true(entry_is_ready(drive->entry));
-	/* Later rollouts find it serving, and do not stop it. */
-	hear(drive, 1, 6);
+	/* Later rollouts don't make an entry that serves unready. */
+	receive_ping(drive, 1, 6);
 	assert_true(entry_is_ready(drive->entry));
 }
 
-static void test_a_peer_that_agrees_makes_ready(void **state)
+static void test_entry_is_ready_once_a_peer_agrees(void **state)
 {
 	drive_t *drive = *state;
 
 	drive_bundle(drive, 4);
 	assert_false(entry_is_ready(drive->entry));
-	hear(drive, 0, 4);
+	receive_ping(drive, 0, 4);
 	assert_true(entry_is_ready(drive->entry));
 }
 
-/* All fellows have died with their zone; the one that is left must serve. */
-static void test_silent_peers_do_not_block(void **state)
+/* All peers have died with their zone; the remaining entry must serve. */
+static void test_entry_is_ready_without_peers(void **state)
 {
 	drive_t *drive = *state;
 
@@ -116,25 +121,25 @@
 }
 
 /*
- * The news of a rollout comes from several peers at once. Asking each for the
- * body would move it several times, 100 KB each.
+ * Several peers announce a rollout at once. Pulling the body from each would
+ * transfer 100 KB several times.
  */
-static void test_a_body_is_pulled_once(void **state)
+static void test_bundle_is_pulled_once(void **state)
 {
 	drive_t *drive = *state;
 
 	drive_bundle(drive, 4);
-	hear(drive, 0, 5);
-	hear(drive, 1, 5);
-	hear(drive, 2, 5);
+	receive_ping(drive, 0, 5);
+	receive_ping(drive, 1, 5);
+	receive_ping(drive, 2, 5);
 	assert_int_equal(count_pulls(drive), 1);
-	/* The one that was asked has died; the next is asked in a while. */
+	/* The peer that was asked has died; the next is asked after a delay. */
 	drive_tick(drive, 600 * PD_MSEC);
-	hear(drive, 1, 5);
+	receive_ping(drive, 1, 5);
 	assert_int_equal(count_pulls(drive), 1);
 }
 
-static void let_pass(drive_t *drive, int seconds)
+static void run_seconds(drive_t *drive, int seconds)
 {
 	for (int i = 0; i < seconds; i++) {
 		drive_tick(drive, 1 * PD_SEC);
@@ -143,20 +148,20 @@
 }
 
 /*
- * A region is out of reach for minutes, and its entries look dead from here.
- * Were their records deleted at once, both sides would delete each other's all
- * the time and operators would see half a fleet.
+ * A region is unreachable for minutes, and its entries look dead from here. If
+ * their records were deleted at once, both sides would keep deleting each
+ * other's and operators would see half a fleet.
  */
-static void test_the_dead_are_gone_only_after_long(void **state)
+static void test_dead_members_are_gone_after_delay(void **state)
 {
 	drive_t *drive = *state;
 
-	let_pass(drive, 120);
+	run_seconds(drive, 120);
 	assert_int_equal(entry_members_alive(drive->entry), 1);
 	assert_false(entry_member_is_gone(drive->entry, "peer-1"));
-	let_pass(drive, 600);
+	run_seconds(drive, 600);
 	assert_false(entry_member_is_gone(drive->entry, "peer-1"));
-	let_pass(drive, 600);
+	run_seconds(drive, 600);
 	assert_true(entry_member_is_gone(drive->entry, "peer-1"));
 	assert_false(entry_member_is_gone(drive->entry, "never heard of"));
 }
@@ -164,15 +169,15 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_a_stale_bundle_is_not_served,
+		cmocka_unit_test_setup_teardown(test_stale_bundle_is_not_served,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_peer_that_agrees_makes_ready,
+		cmocka_unit_test_setup_teardown(test_entry_is_ready_once_a_peer_agrees,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_silent_peers_do_not_block,
+		cmocka_unit_test_setup_teardown(test_entry_is_ready_without_peers,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_body_is_pulled_once,
+		cmocka_unit_test_setup_teardown(test_bundle_is_pulled_once,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_the_dead_are_gone_only_after_long,
+		cmocka_unit_test_setup_teardown(test_dead_members_are_gone_after_delay,
 						setup, teardown),
 	};
 
