--- a/bench/placement_cloud.c
+++ b/bench/placement_cloud.c
@@ -337,10 +337,10 @@
 					     .slots = offer->slots,
 					     .reclaimable = offer->reclaimable,
 					     .price = offer->price,
-					     .most = UINT32_MAX };
+					     .max = UINT32_MAX };
 	}
 	mix_choose(MIX_SWEEP, need, options, OFFERS);
 	for (unsigned int i = 0; i < OFFERS; i++)
-		price += options[i].want * (double)options[i].price / PRICE_UNIT;
+		price += options[i].desired * (double)options[i].price / PRICE_UNIT;
 	return price;
 }
--- a/bench/placement_world.c
+++ b/bench/placement_world.c
@@ -271,7 +271,7 @@
 			.slots = (unsigned int)ceil(day->load.unbounded),
 			.urgent = (unsigned int)ceil(day->load.unbounded *
 						     URGENT_SHARE),
-			.most_vms = UINT32_MAX,
+			.max_vms = UINT32_MAX,
 			.spare_zones = 1,
 			.reclaimable_percent = RECLAIMABLE_PERCENT,
 			.other_vms = CLOUD_SERVICE_VMS,
--- a/core/mix.c
+++ b/core/mix.c
@@ -1,6 +1,6 @@
 /*
  * Fills the need one VM at a time, each time with what is cheapest for a slot,
- * under a bound on a zone's slots and with a number of on-demand VMs first; and
+ * under a zone_slots_max on a zone's slots and with a number of on-demand VMs first; and
  * takes the best over some bounds and numbers. The sweep follows the search of
  * Verma, Cherkasova and Campbell ("Resource Provisioning Framework for MapReduce
  * Jobs with Performance Goals"): step through one resource, solve for the other,
@@ -18,16 +18,16 @@
  * would else have VMs swapped back and forth, each swap paid twice while the
  * new one starts, and streams moved for it.
  */
-#define KEEP_DISCOUNT 15
+#define KEEP_DISCOUNT_PERCENT 15
 
-/* How good a filling is; compared member by member, less is better. */
+/* How good a allocation is; compared member by member, less is better. */
 typedef struct score {
-	unsigned int missing; /* slots */
-	unsigned int exposed; /* urgent slots missing when zones are lost */
+	unsigned int missing_slots; /* slots */
+	unsigned int urgent_shortfall; /* urgent slots missing_slots when zones are lost */
 	int64_t cost;
 } score_t;
 
-typedef struct filling {
+typedef struct allocation {
 	const mix_need_t *need;
 	mix_option_t *options;
 	size_t count;
@@ -36,49 +36,49 @@
 	unsigned int vms;
 	unsigned int reclaimable;
 	int64_t cost;
-	unsigned int bound; /* of a zone's slots: nothing is added above it */
-	bool heeds_zones;
-	bool heeds_share;
+	unsigned int zone_slots_max; /* of a zone's slots: nothing is added above it */
+	bool respects_zone_loss;
+	bool respects_reclaimable_share;
 	bool only_on_demand;
-	bool small_first; /* the first on-demand VMs are the cheapest as such */
-} filling_t;
+	bool cheapest_vm_first; /* the first on-demand VMs are the cheapest as such */
+} allocation_t;
 
 static int64_t option_price(const mix_option_t *option)
 {
-	if (option->want < option->have)
-		return option->price * (100 - KEEP_DISCOUNT) / 100;
+	if (option->desired < option->current)
+		return option->price * (100 - KEEP_DISCOUNT_PERCENT) / 100;
 	return option->price;
 }
 
-static void filling_add(filling_t *filling, mix_option_t *option)
+static void allocation_add(allocation_t *allocation, mix_option_t *option)
 {
-	filling->cost += option_price(option);
-	option->want++;
-	filling->vms++;
-	filling->slots += option->slots;
-	filling->zone_slots[option->zone] += option->slots;
-	filling->reclaimable += option->reclaimable;
+	allocation->cost += option_price(option);
+	option->desired++;
+	allocation->vms++;
+	allocation->slots += option->slots;
+	allocation->zone_slots[option->zone] += option->slots;
+	allocation->reclaimable += option->reclaimable;
 }
 
 /* Returns the slots left when the fullest spare zones are lost. */
-static unsigned int filling_left(const filling_t *filling)
+static unsigned int allocation_slots_after_loss(const allocation_t *allocation)
 {
-	unsigned int left = filling->slots;
+	unsigned int left = allocation->slots;
 	bool lost[MIX_ZONES_MAX] = { false };
 
-	for (unsigned int n = 0; n < filling->need->spare_zones; n++) {
-		int worst = -1;
+	for (unsigned int n = 0; n < allocation->need->spare_zones; n++) {
+		int fullest = -1;
 
 		for (int i = 0; i < MIX_ZONES_MAX; i++) {
-			if (!lost[i] &&
-			    (worst < 0 || filling->zone_slots[i] >
-						  filling->zone_slots[worst]))
-				worst = i;
+			if (!lost[i] && (fullest < 0 ||
+					 allocation->zone_slots[i] >
+						 allocation->zone_slots[fullest]))
+				fullest = i;
 		}
-		if (worst < 0)
+		if (fullest < 0)
 			break;
-		lost[worst] = true;
-		left -= filling->zone_slots[worst];
+		lost[fullest] = true;
+		left -= allocation->zone_slots[fullest];
 	}
 	return left;
 }
@@ -88,171 +88,180 @@
 	return need > have ? need - have : 0;
 }
 
-static unsigned int filling_exposed(const filling_t *filling)
+static unsigned int allocation_urgent_shortfall(const allocation_t *allocation)
 {
-	if (!filling->heeds_zones)
+	if (!allocation->respects_zone_loss)
 		return 0;
-	return shortfall(filling->need->urgent, filling_left(filling));
+	return shortfall(allocation->need->urgent,
+			 allocation_slots_after_loss(allocation));
 }
 
-static unsigned int filling_gap(const filling_t *filling)
+static unsigned int allocation_shortfall(const allocation_t *allocation)
 {
-	unsigned int missing = shortfall(filling->need->slots, filling->slots);
+	unsigned int missing_slots =
+		shortfall(allocation->need->slots, allocation->slots);
 
-	return MAX(missing, filling_exposed(filling));
+	return MAX(missing_slots, allocation_urgent_shortfall(allocation));
 }
 
 /* Says whether one reclaimable VM more stays within their share of all VMs. */
-static bool filling_has_share(const filling_t *filling)
+static bool allocation_allows_reclaimable(const allocation_t *allocation)
 {
-	const mix_need_t *need = filling->need;
-	unsigned int reclaimable = filling->reclaimable + need->other_reclaimable;
-	unsigned int vms = filling->vms + need->other_vms;
+	const mix_need_t *need = allocation->need;
+	unsigned int reclaimable = allocation->reclaimable + need->other_reclaimable;
+	unsigned int vms = allocation->vms + need->other_vms;
 
-	return !filling->heeds_share ||
+	return !allocation->respects_reclaimable_share ||
 	       (reclaimable + 1) * 100 <= (vms + 1) * need->reclaimable_percent;
 }
 
-static bool filling_allows(const filling_t *filling, const mix_option_t *option)
+static bool allocation_allows(const allocation_t *allocation,
+			      const mix_option_t *option)
 {
-	if (option->want >= option->most ||
-	    filling->zone_slots[option->zone] >= filling->bound)
+	if (option->desired >= option->max ||
+	    allocation->zone_slots[option->zone] >= allocation->zone_slots_max)
 		return false;
 	if (!option->reclaimable)
 		return true;
-	return !filling->only_on_demand && filling_has_share(filling);
+	return !allocation->only_on_demand &&
+	       allocation_allows_reclaimable(allocation);
 }
 
 /*
- * Says whether A is the better buy for the gap: slots beyond it are worth
- * nothing, and with a gap of 1 the price alone counts. Of equals the one in the
+ * Says whether A is the better buy for the slots_needed: slots beyond it are worth
+ * nothing, and with a slots_needed of 1 the price alone counts. Of equals the one in the
  * emptier zone, so that VMs spread.
  */
-static bool is_better(const filling_t *filling, const mix_option_t *a,
-		      const mix_option_t *b, unsigned int gap)
+static bool is_better_buy(const allocation_t *allocation, const mix_option_t *a,
+			  const mix_option_t *b, unsigned int slots_needed)
 {
-	int64_t left = option_price(a) * (int64_t)MIN(b->slots, gap);
-	int64_t right = option_price(b) * (int64_t)MIN(a->slots, gap);
+	int64_t left = option_price(a) * (int64_t)MIN(b->slots, slots_needed);
+	int64_t right = option_price(b) * (int64_t)MIN(a->slots, slots_needed);
 
 	if (left != right)
 		return left < right;
-	return filling->zone_slots[a->zone] < filling->zone_slots[b->zone];
+	return allocation->zone_slots[a->zone] < allocation->zone_slots[b->zone];
 }
 
-static mix_option_t *filling_pick(const filling_t *filling, bool on_demand)
+static mix_option_t *allocation_pick_option(const allocation_t *allocation,
+					    bool on_demand)
 {
-	bool by_price = on_demand && filling->small_first;
-	unsigned int gap = by_price ? 1 : MAX(filling_gap(filling), 1);
+	bool by_price = on_demand && allocation->cheapest_vm_first;
+	unsigned int slots_needed =
+		by_price ? 1 : MAX(allocation_shortfall(allocation), 1);
 	mix_option_t *best = NULL;
 
-	for (size_t i = 0; i < filling->count; i++) {
-		mix_option_t *option = &filling->options[i];
+	for (size_t i = 0; i < allocation->count; i++) {
+		mix_option_t *option = &allocation->options[i];
 
-		if (!filling_allows(filling, option) ||
+		if (!allocation_allows(allocation, option) ||
 		    (on_demand && option->reclaimable))
 			continue;
-		if (!best || is_better(filling, option, best, gap))
+		if (!best || is_better_buy(allocation, option, best, slots_needed))
 			best = option;
 	}
 	return best;
 }
 
-static bool filling_is_done(const filling_t *filling)
+static bool allocation_is_complete(const allocation_t *allocation)
 {
-	return filling->vms >= filling->need->most_vms ||
-	       (filling->vms >= filling->need->least_vms && !filling_gap(filling));
+	return allocation->vms >= allocation->need->max_vms ||
+	       (allocation->vms >= allocation->need->min_vms &&
+		!allocation_shortfall(allocation));
 }
 
 /* Starts from what can't be given back. */
-static void filling_start(filling_t *filling, unsigned int bound)
+static void allocation_reset(allocation_t *allocation, unsigned int zone_slots_max)
 {
-	memset(filling->zone_slots, 0, sizeof(filling->zone_slots));
-	filling->slots = 0;
-	filling->vms = 0;
-	filling->reclaimable = 0;
-	filling->cost = 0;
-	filling->bound = bound;
-	for (size_t i = 0; i < filling->count; i++) {
-		filling->options[i].want = 0;
-		while (filling->options[i].want < filling->options[i].least)
-			filling_add(filling, &filling->options[i]);
+	memset(allocation->zone_slots, 0, sizeof(allocation->zone_slots));
+	allocation->slots = 0;
+	allocation->vms = 0;
+	allocation->reclaimable = 0;
+	allocation->cost = 0;
+	allocation->zone_slots_max = zone_slots_max;
+	for (size_t i = 0; i < allocation->count; i++) {
+		allocation->options[i].desired = 0;
+		while (allocation->options[i].desired < allocation->options[i].min)
+			allocation_add(allocation, &allocation->options[i]);
 	}
 }
 
-static score_t filling_run(filling_t *filling, unsigned int bound,
-			   unsigned int on_demand)
+static score_t allocation_fill(allocation_t *allocation,
+			       unsigned int zone_slots_max, unsigned int on_demand)
 {
 	score_t score;
 
-	filling_start(filling, bound);
-	while (!filling_is_done(filling)) {
-		bool first = filling->vms - filling->reclaimable < on_demand;
-		mix_option_t *option = filling_pick(filling, first);
+	allocation_reset(allocation, zone_slots_max);
+	while (!allocation_is_complete(allocation)) {
+		bool first = allocation->vms - allocation->reclaimable < on_demand;
+		mix_option_t *option = allocation_pick_option(allocation, first);
 
 		if (!option && first)
-			option = filling_pick(filling, false);
+			option = allocation_pick_option(allocation, false);
 		if (!option)
 			break;
-		filling_add(filling, option);
+		allocation_add(allocation, option);
 	}
-	score.missing = shortfall(filling->need->slots, filling->slots) +
-			shortfall(filling->need->least_vms, filling->vms);
-	score.exposed = filling_exposed(filling);
-	score.cost = filling->cost;
+	score.missing_slots =
+		shortfall(allocation->need->slots, allocation->slots) +
+		shortfall(allocation->need->min_vms, allocation->vms);
+	score.urgent_shortfall = allocation_urgent_shortfall(allocation);
+	score.cost = allocation->cost;
 	return score;
 }
 
 static bool score_is_less(const score_t *a, const score_t *b)
 {
-	if (a->missing != b->missing)
-		return a->missing < b->missing;
-	if (a->exposed != b->exposed)
-		return a->exposed < b->exposed;
+	if (a->missing_slots != b->missing_slots)
+		return a->missing_slots < b->missing_slots;
+	if (a->urgent_shortfall != b->urgent_shortfall)
+		return a->urgent_shortfall < b->urgent_shortfall;
 	return a->cost < b->cost;
 }
 
 typedef struct sweep {
 	score_t best;
-	unsigned int bound;
+	unsigned int zone_slots_max;
 	unsigned int on_demand;
-	bool small_first;
-	bool any;
+	bool cheapest_vm_first;
+	bool has_best;
 } sweep_t;
 
-static void sweep_try(sweep_t *sweep, filling_t *filling, unsigned int bound,
-		      unsigned int on_demand)
+static void sweep_try(sweep_t *sweep, allocation_t *allocation,
+		      unsigned int zone_slots_max, unsigned int on_demand)
 {
-	score_t score = filling_run(filling, bound, on_demand);
+	score_t score = allocation_fill(allocation, zone_slots_max, on_demand);
 
-	if (sweep->any && !score_is_less(&score, &sweep->best))
+	if (sweep->has_best && !score_is_less(&score, &sweep->best))
 		return;
-	sweep->any = true;
+	sweep->has_best = true;
 	sweep->best = score;
-	sweep->bound = bound;
+	sweep->zone_slots_max = zone_slots_max;
 	sweep->on_demand = on_demand;
-	sweep->small_first = filling->small_first;
+	sweep->cheapest_vm_first = allocation->cheapest_vm_first;
 }
 
 /* Tries numbers of on-demand VMs, up to all that the need would take. */
-static void sweep_on_demand(sweep_t *sweep, filling_t *filling, unsigned int bound)
+static void sweep_on_demand(sweep_t *sweep, allocation_t *allocation,
+			    unsigned int zone_slots_max)
 {
-	unsigned int most;
+	unsigned int on_demand_max;
 	unsigned int step;
 
-	filling_run(filling, bound, 0);
-	most = filling->vms;
-	step = MAX(1, (most + SWEEP_STEPS - 1) / SWEEP_STEPS);
+	allocation_fill(allocation, zone_slots_max, 0);
+	on_demand_max = allocation->vms;
+	step = MAX(1, (on_demand_max + SWEEP_STEPS - 1) / SWEEP_STEPS);
 	/*
 	 * The share of reclaimable VMs is one of VMs, not of slots: small ones
 	 * on demand make room for large reclaimable ones.
 	 */
-	for (unsigned int n = 0; n <= most; n += step) {
-		filling->small_first = false;
-		sweep_try(sweep, filling, bound, n);
-		filling->small_first = true;
-		sweep_try(sweep, filling, bound, n);
+	for (unsigned int n = 0; n <= on_demand_max; n += step) {
+		allocation->cheapest_vm_first = false;
+		sweep_try(sweep, allocation, zone_slots_max, n);
+		allocation->cheapest_vm_first = true;
+		sweep_try(sweep, allocation, zone_slots_max, n);
 	}
-	filling->small_first = false;
+	allocation->cheapest_vm_first = false;
 }
 
 static unsigned int count_zones(const mix_option_t *options, size_t count)
@@ -269,60 +278,63 @@
 
 static unsigned int max_slots(const mix_option_t *options, size_t count)
 {
-	unsigned int most = 1;
+	unsigned int largest = 1;
 
 	for (size_t i = 0; i < count; i++)
-		most = MAX(most, options[i].slots);
-	return most;
+		largest = MAX(largest, options[i].slots);
+	return largest;
 }
 
-static void sweep_bounds(sweep_t *sweep, filling_t *filling, bool even)
+static void sweep_zone_limits(sweep_t *sweep, allocation_t *allocation, bool even)
 {
-	const mix_need_t *need = filling->need;
-	unsigned int zones = count_zones(filling->options, filling->count);
-	unsigned int staying = MAX(1, zones - MIN(zones, need->spare_zones));
-	unsigned int vms =
-		need->least_vms * max_slots(filling->options, filling->count);
+	const mix_need_t *need = allocation->need;
+	unsigned int zones = count_zones(allocation->options, allocation->count);
+	unsigned int zones_after_loss =
+		MAX(1, zones - MIN(zones, need->spare_zones));
+	unsigned int vms = need->min_vms *
+			   max_slots(allocation->options, allocation->count);
 	unsigned int all = MAX(MAX(need->slots, need->urgent), vms);
 	unsigned int low = MAX(1, MAX((all + zones - 1) / zones,
-				      (need->urgent + staying - 1) / staying));
+				      (need->urgent + zones_after_loss - 1) /
+					      zones_after_loss));
 	unsigned int high = MAX(low, all);
 	unsigned int step = MAX(1, (high - low) / SWEEP_STEPS);
 
-	for (unsigned int bound = low; bound <= high; bound += step) {
-		sweep_on_demand(sweep, filling, bound);
+	for (unsigned int zone_slots_max = low; zone_slots_max <= high;
+	     zone_slots_max += step) {
+		sweep_on_demand(sweep, allocation, zone_slots_max);
 		if (even)
 			break;
 	}
-	/* With zones or classes refused only a loose bound may fit at all. */
-	if (sweep->best.missing)
-		sweep_on_demand(sweep, filling, UINT_MAX);
+	/* With zones or classes refused only a loose zone_slots_max may fit at all. */
+	if (sweep->best.missing_slots)
+		sweep_on_demand(sweep, allocation, UINT_MAX);
 }
 
 /* Sets the want of each option; nothing else in OPTIONS changes. */
 void mix_choose(mix_rule_t rule, const mix_need_t *need, mix_option_t *options,
 		size_t count)
 {
-	filling_t filling = { .need = need, .options = options, .count = count };
-	sweep_t sweep = { .any = false };
+	allocation_t allocation = { .need = need, .options = options, .count = count };
+	sweep_t sweep = { .has_best = false };
 
-	filling.heeds_zones = rule != MIX_CHEAPEST;
-	filling.heeds_share = rule != MIX_CHEAPEST;
+	allocation.respects_zone_loss = rule != MIX_CHEAPEST;
+	allocation.respects_reclaimable_share = rule != MIX_CHEAPEST;
 	switch (rule) {
 	case MIX_CHEAPEST:
-		sweep_try(&sweep, &filling, UINT_MAX, 0);
+		sweep_try(&sweep, &allocation, UINT_MAX, 0);
 		break;
 	case MIX_EVEN:
-		sweep_bounds(&sweep, &filling, true);
+		sweep_zone_limits(&sweep, &allocation, true);
 		break;
 	case MIX_ON_DEMAND:
-		filling.only_on_demand = true;
-		sweep_bounds(&sweep, &filling, false);
+		allocation.only_on_demand = true;
+		sweep_zone_limits(&sweep, &allocation, false);
 		break;
 	case MIX_SWEEP:
-		sweep_bounds(&sweep, &filling, false);
+		sweep_zone_limits(&sweep, &allocation, false);
 		break;
 	}
-	filling.small_first = sweep.small_first;
-	filling_run(&filling, sweep.bound, sweep.on_demand);
+	allocation.cheapest_vm_first = sweep.cheapest_vm_first;
+	allocation_fill(&allocation, sweep.zone_slots_max, sweep.on_demand);
 }
--- a/core/mix.h
+++ b/core/mix.h
@@ -23,8 +23,8 @@
 typedef struct mix_need {
 	unsigned int slots; /* requests side by side */
 	unsigned int urgent; /* of these, when spare_zones zones are lost */
-	unsigned int least_vms;
-	unsigned int most_vms;
+	unsigned int min_vms;
+	unsigned int max_vms;
 	unsigned int spare_zones;
 	unsigned int reclaimable_percent; /* of the VMs, at most */
 	unsigned int other_vms; /* of other targets; they count for the share */
@@ -37,10 +37,10 @@
 	unsigned int slots; /* of one VM, at least 1 */
 	bool reclaimable;
 	int64_t price;
-	unsigned int have;
-	unsigned int least; /* that can't be given back */
-	unsigned int most; /* that can be had */
-	unsigned int want; /* the answer */
+	unsigned int current;
+	unsigned int min; /* that can't be given back */
+	unsigned int max; /* that can be had */
+	unsigned int desired; /* the answer */
 } mix_option_t;
 
 void mix_choose(mix_rule_t rule, const mix_need_t *need, mix_option_t *options,
--- a/core/offers.c
+++ b/core/offers.c
@@ -10,42 +10,42 @@
 
 #include "core/mix.h"
 
-#define CLOSED_FIRST (5 * PD_SEC)
-#define CLOSED_MOST (120 * PD_SEC)
+#define BACKOFF_MIN (5 * PD_SEC)
+#define BACKOFF_MAX (120 * PD_SEC)
 #define ANY_CLASS "any"
 
-typedef struct row {
+typedef struct state {
 	offer_t offer;
-	pd_time_t closed_for; /* 0 since the last start that was granted */
-	pd_time_t open_at;
-} row_t;
+	pd_time_t backoff; /* 0 since the last start that was granted */
+	pd_time_t retry_at;
+} offer_state_t;
 
 struct offers {
 	const GPtrArray *zones; /* borrowed, of char * */
 	GRand *random; /* borrowed */
-	GArray *rows; /* of row_t */
+	GArray *states; /* of offer_state_t */
 };
 
-static void row_clear(void *data)
+static void state_clear(void *data)
 {
-	row_t *row = data;
+	offer_state_t *state = data;
 
-	g_free(row->offer.zone);
-	g_free(row->offer.machine_class);
+	g_free(state->offer.zone);
+	g_free(state->offer.machine_class);
 }
 
 static void offers_add(offers_t *offers, const offer_t *offer)
 {
-	row_t row = { .offer = *offer };
+	offer_state_t state = { .offer = *offer };
 
-	row.offer.zone = g_strdup(offer->zone);
-	row.offer.machine_class = g_strdup(offer->machine_class);
-	row.offer.slots = MAX(1, offer->slots);
-	g_array_append_val(offers->rows, row);
+	state.offer.zone = g_strdup(offer->zone);
+	state.offer.machine_class = g_strdup(offer->machine_class);
+	state.offer.slots = MAX(1, offer->slots);
+	g_array_append_val(offers->states, state);
 }
 
 /* Until prices are known each zone has both kinds, at one price. */
-static void offers_assume(offers_t *offers)
+static void offers_add_defaults(offers_t *offers)
 {
 	for (guint i = 0; i < offers->zones->len; i++) {
 		offer_t offer = { .zone = g_ptr_array_index(offers->zones, i),
@@ -65,9 +65,9 @@
 
 	offers->zones = zones;
 	offers->random = random;
-	offers->rows = g_array_new(FALSE, TRUE, sizeof(row_t));
-	g_array_set_clear_func(offers->rows, row_clear);
-	offers_assume(offers);
+	offers->states = g_array_new(FALSE, TRUE, sizeof(offer_state_t));
+	g_array_set_clear_func(offers->states, state_clear);
+	offers_add_defaults(offers);
 	return offers;
 }
 
@@ -76,31 +76,31 @@
 {
 	if (!offers)
 		return;
-	g_array_unref(offers->rows);
+	g_array_unref(offers->states);
 	g_free(offers);
 }
 
-static row_t *offers_row(const offers_t *offers, size_t index)
+static offer_state_t *offers_state(const offers_t *offers, size_t index)
 {
-	return &g_array_index(offers->rows, row_t, index);
+	return &g_array_index(offers->states, offer_state_t, index);
 }
 
-static row_t *offers_find(const offers_t *offers, const char *zone,
-			  const char *machine_class, bool reclaimable)
+static offer_state_t *offers_find(const offers_t *offers, const char *zone,
+				  const char *machine_class, bool reclaimable)
 {
-	for (guint i = 0; i < offers->rows->len; i++) {
-		row_t *row = offers_row(offers, i);
+	for (guint i = 0; i < offers->states->len; i++) {
+		offer_state_t *state = offers_state(offers, i);
 
-		if (row->offer.reclaimable == reclaimable &&
-		    !strcmp(row->offer.zone, zone) &&
-		    !strcmp(row->offer.machine_class, machine_class))
-			return row;
+		if (state->offer.reclaimable == reclaimable &&
+		    !strcmp(state->offer.zone, zone) &&
+		    !strcmp(state->offer.machine_class, machine_class))
+			return state;
 	}
 	return NULL;
 }
 
 /* Returns the zone's index among those to buy in, or -1. */
-int offers_zone(const offers_t *offers, const char *zone)
+int offers_zone_index(const offers_t *offers, const char *zone)
 {
 	for (guint i = 0; i < offers->zones->len && i < MIX_ZONES_MAX; i++) {
 		if (!strcmp(g_ptr_array_index(offers->zones, i), zone))
@@ -114,72 +114,73 @@
 {
 	offers_t old = *offers;
 
-	offers->rows = g_array_new(FALSE, TRUE, sizeof(row_t));
-	g_array_set_clear_func(offers->rows, row_clear);
+	offers->states = g_array_new(FALSE, TRUE, sizeof(offer_state_t));
+	g_array_set_clear_func(offers->states, state_clear);
 	for (size_t i = 0; i < count; i++) {
-		const row_t *before;
+		const offer_state_t *before;
 
-		if (offers_zone(offers, list[i].zone) < 0)
+		if (offers_zone_index(offers, list[i].zone) < 0)
 			continue;
 		offers_add(offers, &list[i]);
 		before = offers_find(&old, list[i].zone, list[i].machine_class,
 				     list[i].reclaimable);
 		if (before) {
-			row_t *row = offers_row(offers, offers->rows->len - 1);
+			offer_state_t *state =
+				offers_state(offers, offers->states->len - 1);
 
-			row->closed_for = before->closed_for;
-			row->open_at = before->open_at;
+			state->backoff = before->backoff;
+			state->retry_at = before->retry_at;
 		}
 	}
-	g_array_unref(old.rows);
-	if (offers->rows->len == 0)
-		offers_assume(offers);
+	g_array_unref(old.states);
+	if (offers->states->len == 0)
+		offers_add_defaults(offers);
 }
 
 /* Returns how many offers there are. */
 size_t offers_count(const offers_t *offers)
 {
-	return offers->rows->len;
+	return offers->states->len;
 }
 
 /* Returns an offer, borrowed until the next update. */
 const offer_t *offers_at(const offers_t *offers, size_t index)
 {
-	return &offers_row(offers, index)->offer;
+	return &offers_state(offers, index)->offer;
 }
 
 /* Says whether a start may be asked for now. */
-bool offers_is_open(const offers_t *offers, size_t index, pd_time_t now)
+bool offers_is_available(const offers_t *offers, size_t index, pd_time_t now)
 {
-	return now >= offers_row(offers, index)->open_at;
+	return now >= offers_state(offers, index)->retry_at;
 }
 
-static row_t *offers_of(offers_t *offers, const intent_t *intent)
+static offer_state_t *offers_find_for_intent(offers_t *offers, const intent_t *intent)
 {
 	return offers_find(offers, intent->zone, intent->machine_class,
 			   intent->reclaimable);
 }
 
 /* Notes that the cloud refused a start. */
-void offers_refused(offers_t *offers, const intent_t *intent, pd_time_t now)
+void offers_note_refusal(offers_t *offers, const intent_t *intent, pd_time_t now)
 {
-	row_t *row = offers_of(offers, intent);
+	offer_state_t *state = offers_find_for_intent(offers, intent);
 
 	/* Purchases that were under way together count as one refusal. */
-	if (!row || now < row->open_at)
+	if (!state || now < state->retry_at)
 		return;
-	row->closed_for = row->closed_for ? MIN(row->closed_for * 2, CLOSED_MOST)
-					  : CLOSED_FIRST;
-	row->open_at = now + row->closed_for / 2 +
-		       (pd_time_t)(g_rand_double(offers->random) *
-				   (double)row->closed_for);
+	state->backoff = state->backoff ? MIN(state->backoff * 2, BACKOFF_MAX)
+					: BACKOFF_MIN;
+	state->retry_at = now + state->backoff / 2 +
+			  (pd_time_t)(g_rand_double(offers->random) *
+				      (double)state->backoff);
 }
 
 /* Notes that the cloud granted a start. */
-void offers_granted(offers_t *offers, const intent_t *intent)
+void offers_note_grant(offers_t *offers, const intent_t *intent)
 {
-	row_t *row = offers_of(offers, intent);
+	offer_state_t *state = offers_find_for_intent(offers, intent);
 
-	if (row)
-		row->closed_for = 0;
+	if (state)
+		state->backoff = 0;
 }
--- a/core/orders.c
+++ b/core/orders.c
@@ -8,22 +8,22 @@
 #include "core/placer_state.h"
 
 /* A purchase that the cloud took may show in the list later than others. */
-#define GRANTED_LAG_MAX (60 * PD_SEC)
+#define GRANTED_LIST_LAG_MAX (60 * PD_SEC)
 /* An engine that drains is asked so often what it still has. */
-#define DRAIN_ASK_PERIOD (2 * PD_SEC)
+#define DRAIN_POLL_PERIOD (2 * PD_SEC)
 #define RELEASE_PERIOD (5 * PD_SEC)
 /* An engine that answers no order for so long has lost its streams already. */
-#define ENGINE_SILENT_MAX (300 * PD_SEC)
+#define ENGINE_SILENCE_MAX (300 * PD_SEC)
 
 typedef struct order {
 	char *tag;
-	pd_time_t since; /* when this process first saw the intent */
-	pd_time_t asked_at; /* of the latest order; 0: none by this process */
+	pd_time_t first_seen_at; /* when this process first saw the intent */
+	pd_time_t requested_at; /* of the latest order; 0: none by this process */
 	bool granted; /* the cloud took the purchase */
 	bool refused; /* nothing was bought */
-	pd_time_t drained_at; /* when the engine first said that it drains */
+	pd_time_t draining_since; /* when the engine first said that it drains */
 	bool idle; /* the engine drains and has nothing left */
-	bool closed; /* finished; its intent is to go */
+	bool finished; /* finished; its intent is to go */
 	bool recorded; /* its intent was in the record just looked at */
 } order_t;
 
@@ -55,7 +55,7 @@
 		return order;
 	order = g_new0(order_t, 1);
 	order->tag = g_strdup(tag);
-	order->since = placer->now;
+	order->first_seen_at = placer->now;
 	g_hash_table_insert(placer->orders, order->tag, order);
 	return order;
 }
@@ -83,19 +83,21 @@
  * cloud makes one VM of a tag; where it did not, both carry the tag, and the
  * second is released as one too many.
  */
-static void orders_purchase(placer_t *placer, const intent_t *intent, order_t *order)
+static void orders_run_purchase(placer_t *placer, const intent_t *intent,
+				order_t *order)
 {
-	pd_time_t lag = order->granted ? GRANTED_LAG_MAX : LIST_LAG_MAX;
+	pd_time_t lag = order->granted ? GRANTED_LIST_LAG_MAX : LIST_LAG_MAX;
 
-	if (placer_vm_of_tag(placer, intent->tag) || order->refused ||
-	    (order->asked_at && placer->now - order->asked_at >= lag)) {
-		order->closed = true;
+	if (placer_find_vm_by_tag(placer, intent->tag) || order->refused ||
+	    (order->requested_at && placer->now - order->requested_at >= lag)) {
+		order->finished = true;
 		return;
 	}
-	if (order->asked_at || (!is_own_tag(placer, intent->tag) &&
-				placer->now - order->since < LIST_LAG_MAX))
+	if (order->requested_at ||
+	    (!is_own_tag(placer, intent->tag) &&
+	     placer->now - order->first_seen_at < LIST_LAG_MAX))
 		return;
-	order->asked_at = placer->now;
+	order->requested_at = placer->now;
 	orders_buy(placer, intent);
 }
 
@@ -113,7 +115,7 @@
 	list_append(placer->actions, &action->node);
 }
 
-static void orders_give_back(placer_t *placer, const vm_t *vm)
+static void orders_release_vm(placer_t *placer, const vm_t *vm)
 {
 	placer_action_t *action = placer_action_create(PLACER_RELEASE);
 
@@ -131,18 +133,18 @@
 static bool is_drained(const placer_t *placer, const vm_t *vm, const order_t *order)
 {
 	const target_t *target = bundle_target(placer->bundle, vm->serves);
-	pd_time_t limit =
+	pd_time_t drain_time_max =
 		placer->bundle->drain_bound + (target ? target->timeout : 0);
-	pd_time_t silent = limit + ENGINE_SILENT_MAX;
+	pd_time_t silence_max = drain_time_max + ENGINE_SILENCE_MAX;
 
 	if (order->idle)
 		return true;
 	/* A plain service takes no orders; its calls end with their timeout. */
 	if (vm->role == VM_SERVICE)
-		silent = limit;
-	if (order->drained_at)
-		return placer->now - order->drained_at >= limit;
-	return placer->now - order->since >= silent;
+		silence_max = drain_time_max;
+	if (order->draining_since)
+		return placer->now - order->draining_since >= drain_time_max;
+	return placer->now - order->first_seen_at >= silence_max;
 }
 
 /*
@@ -151,28 +153,30 @@
  * be computed anew elsewhere. The order is repeated until then: an engine that
  * ignores fencing may have taken an old one in between.
  */
-static void orders_release(placer_t *placer, const intent_t *intent, order_t *order)
+static void orders_run_release(placer_t *placer, const intent_t *intent,
+			       order_t *order)
 {
-	const vm_t *vm = placer_vm(placer, intent->vm_id);
+	const vm_t *vm = placer_find_vm(placer, intent->vm_id);
 
 	if (!vm || vm->state == VM_LEAVING) {
-		order->closed = true;
+		order->finished = true;
 		return;
 	}
 	if (is_drained(placer, vm, order)) {
-		if (order->asked_at && placer->now - order->asked_at < RELEASE_PERIOD)
+		if (order->requested_at &&
+		    placer->now - order->requested_at < RELEASE_PERIOD)
 			return;
-		order->asked_at = placer->now;
-		orders_give_back(placer, vm);
+		order->requested_at = placer->now;
+		orders_release_vm(placer, vm);
 	} else if (vm->role == VM_MODEL &&
-		   (!order->asked_at ||
-		    placer->now - order->asked_at >= DRAIN_ASK_PERIOD)) {
-		order->asked_at = placer->now;
+		   (!order->requested_at ||
+		    placer->now - order->requested_at >= DRAIN_POLL_PERIOD)) {
+		order->requested_at = placer->now;
 		orders_drain(placer, vm);
 	}
 }
 
-static gboolean order_is_gone(void *key, void *value, void *ctx)
+static gboolean order_is_obsolete(void *key, void *value, void *ctx)
 {
 	order_t *order = value;
 	bool recorded = order->recorded;
@@ -194,18 +198,18 @@
 		order_t *order = orders_get(placer, intent->tag);
 
 		order->recorded = true;
-		if (!order->closed && intent->vm_id)
-			orders_release(placer, intent, order);
-		else if (!order->closed)
-			orders_purchase(placer, intent, order);
-		if (order->closed)
+		if (!order->finished && intent->vm_id)
+			orders_run_release(placer, intent, order);
+		else if (!order->finished)
+			orders_run_purchase(placer, intent, order);
+		if (order->finished)
 			lease_drop_intent(placer->lease, order->tag);
 	}
 	/*
 	 * An order is forgotten only when the record no longer has its intent:
 	 * if the write that drops it is lost, it must not be carried out again.
 	 */
-	g_hash_table_foreach_remove(placer->orders, order_is_gone, NULL);
+	g_hash_table_foreach_remove(placer->orders, order_is_obsolete, NULL);
 }
 
 static const intent_t *recorded_intent(const placer_t *placer, const char *tag)
@@ -220,7 +224,8 @@
 }
 
 /* Takes the cloud's answer to a purchase. */
-void orders_bought(placer_t *placer, const char *tag, store_status_t status)
+void orders_handle_purchase_reply(placer_t *placer, const char *tag,
+				  store_status_t status)
 {
 	order_t *order = g_hash_table_lookup(placer->orders, tag);
 	const intent_t *intent = recorded_intent(placer, tag);
@@ -230,14 +235,14 @@
 	order->granted = status == STORE_OK;
 	order->refused = status == STORE_DOWN;
 	if (intent && order->granted)
-		offers_granted(placer->offers, intent);
+		offers_note_grant(placer->offers, intent);
 	if (intent && order->refused)
-		offers_refused(placer->offers, intent, placer->now);
+		offers_note_refusal(placer->offers, intent, placer->now);
 }
 
 /* Takes an engine's answer to an order to drain. */
-void orders_engine(placer_t *placer, const char *vm_id, store_status_t status,
-		   unsigned int running)
+void orders_handle_engine_reply(placer_t *placer, const char *vm_id,
+				store_status_t status, unsigned int running)
 {
 	char *tag = orders_release_tag(vm_id);
 	order_t *order = g_hash_table_lookup(placer->orders, tag);
@@ -245,11 +250,11 @@
 	if (order) {
 		bool idle = status == STORE_OK && running == 0;
 
-		if (status == STORE_OK && !order->drained_at)
-			order->drained_at = placer->now;
+		if (status == STORE_OK && !order->draining_since)
+			order->draining_since = placer->now;
 		/* What follows an idle engine's answer need not wait. */
 		if (idle && !order->idle)
-			order->asked_at = 0;
+			order->requested_at = 0;
 		order->idle = idle;
 	}
 	g_free(tag);
--- a/core/placement.c
+++ b/core/placement.c
@@ -6,15 +6,15 @@
 
 #include "core/placer_state.h"
 
-#define DECIDE_PERIOD (10 * PD_SEC)
+#define PLACEMENT_PERIOD (10 * PD_SEC)
 
 /* One target's choice under way: the options and the offers behind them. */
 typedef struct choice {
 	const target_t *target;
 	mix_need_t need;
 	GArray *options; /* of mix_option_t */
-	GArray *indexes; /* of int: the offer of each, -1 for VMs of none */
-	bool unsettled; /* VMs are starting or on order */
+	GArray *offer_indexes; /* of int: the offer of each, -1 for VMs of none */
+	bool has_pending; /* VMs are starting or on order */
 } choice_t;
 
 static bool is_draining(const placer_t *placer, const vm_t *vm)
@@ -29,19 +29,19 @@
 	return false;
 }
 
-static bool is_wild(const char *machine_class)
+static bool is_any_class(const char *machine_class)
 {
 	return !strcmp(machine_class, "any");
 }
 
-static const char *target_class(const target_t *target)
+static const char *target_machine_class(const target_t *target)
 {
 	return target->machine_class ? target->machine_class : "any";
 }
 
-static bool classes_match(const char *a, const char *b)
+static bool machine_classes_match(const char *a, const char *b)
 {
-	return is_wild(a) || is_wild(b) || !strcmp(a, b);
+	return is_any_class(a) || is_any_class(b) || !strcmp(a, b);
 }
 
 static mix_option_t *choice_option(const choice_t *choice, guint index)
@@ -49,13 +49,13 @@
 	return &g_array_index(choice->options, mix_option_t, index);
 }
 
-static int choice_offer(const choice_t *choice, guint index)
+static int choice_offer_index(const choice_t *choice, guint index)
 {
-	return g_array_index(choice->indexes, int, index);
+	return g_array_index(choice->offer_indexes, int, index);
 }
 
 /* Returns the requests that a VM of the target runs, as its VMs show it. */
-static unsigned int seen_slots(const placer_t *placer, const target_t *target)
+static unsigned int observed_slots(const placer_t *placer, const target_t *target)
 {
 	for (guint i = 0; i < placer->vms->len; i++) {
 		const vm_t *vm = g_ptr_array_index(placer->vms, i);
@@ -69,7 +69,7 @@
 static void choice_add(choice_t *choice, mix_option_t option, int index)
 {
 	g_array_append_val(choice->options, option);
-	g_array_append_val(choice->indexes, index);
+	g_array_append_val(choice->offer_indexes, index);
 }
 
 static void choice_add_offers(choice_t *choice, const placer_t *placer)
@@ -79,49 +79,50 @@
 		mix_option_t option = { .slots = offer->slots,
 					.reclaimable = offer->reclaimable,
 					.price = offer->price };
-		bool open = offers_is_open(placer->offers, i, placer->now);
+		bool open = offers_is_available(placer->offers, i, placer->now);
 
-		if (!classes_match(offer->machine_class,
-				   target_class(choice->target)))
+		if (!machine_classes_match(offer->machine_class,
+					   target_machine_class(choice->target)))
 			continue;
-		if (is_wild(offer->machine_class))
-			option.slots = seen_slots(placer, choice->target);
-		option.zone =
-			(unsigned int)offers_zone(placer->offers, offer->zone);
-		option.most = open ? UINT32_MAX : 0;
+		if (is_any_class(offer->machine_class))
+			option.slots = observed_slots(placer, choice->target);
+		option.zone = (unsigned int)offers_zone_index(placer->offers,
+							      offer->zone);
+		option.max = open ? UINT32_MAX : 0;
 		choice_add(choice, option, (int)i);
 	}
 }
 
-static mix_option_t *choice_find(choice_t *choice, const placer_t *placer,
-				 const char *zone, const char *machine_class,
-				 bool reclaimable)
+static mix_option_t *choice_find_option(choice_t *choice,
+					const placer_t *placer, const char *zone,
+					const char *machine_class, bool reclaimable)
 {
 	for (guint i = 0; i < choice->options->len; i++) {
 		const offer_t *offer;
 
-		if (choice_offer(choice, i) < 0)
+		if (choice_offer_index(choice, i) < 0)
 			continue;
-		offer = offers_at(placer->offers, (size_t)choice_offer(choice, i));
+		offer = offers_at(placer->offers,
+				  (size_t)choice_offer_index(choice, i));
 		if (offer->reclaimable == reclaimable &&
 		    !strcmp(offer->zone, zone) &&
-		    classes_match(offer->machine_class, machine_class))
+		    machine_classes_match(offer->machine_class, machine_class))
 			return choice_option(choice, i);
 	}
 	return NULL;
 }
 
 /* VMs that are of no offer serve all the same, but can't be had or bought. */
-static void choice_add_other(choice_t *choice, const placer_t *placer,
-			     const vm_t *vm)
+static void choice_add_unlisted_vm(choice_t *choice, const placer_t *placer,
+				   const vm_t *vm)
 {
-	int zone = offers_zone(placer->offers, vm->zone);
+	int zone = offers_zone_index(placer->offers, vm->zone);
 	mix_option_t option = { .zone = zone < 0 ? MIX_ZONES_MAX - 1
 						 : (unsigned int)zone,
 				.slots = MAX(1, vm->slots),
 				.reclaimable = vm->reclaimable,
-				.have = 1,
-				.least = 1 };
+				.current = 1,
+				.min = 1 };
 
 	choice_add(choice, option, -1);
 }
@@ -135,16 +136,16 @@
 		if (vm->state == VM_LEAVING || is_draining(placer, vm) ||
 		    strcmp(vm->serves, choice->target->name))
 			continue;
-		choice->unsettled |= vm->state == VM_STARTING;
-		option = choice_find(choice, placer, vm->zone,
-				     vm->machine_class, vm->reclaimable);
+		choice->has_pending |= vm->state == VM_STARTING;
+		option = choice_find_option(choice, placer, vm->zone,
+					    vm->machine_class, vm->reclaimable);
 		if (!option) {
-			choice_add_other(choice, placer, vm);
+			choice_add_unlisted_vm(choice, placer, vm);
 			continue;
 		}
-		option->have++;
+		option->current++;
 		/* What operators put there is theirs. */
-		option->least += vm->tag == NULL;
+		option->min += vm->tag == NULL;
 	}
 }
 
@@ -157,17 +158,18 @@
 		mix_option_t *option;
 
 		if (intent->vm_id || strcmp(intent->target, choice->target->name) ||
-		    placer_vm_of_tag(placer, intent->tag))
+		    placer_find_vm_by_tag(placer, intent->tag))
 			continue;
-		choice->unsettled = true;
-		option = choice_find(choice, placer, intent->zone,
-				     intent->machine_class, intent->reclaimable);
+		choice->has_pending = true;
+		option = choice_find_option(choice, placer, intent->zone,
+					    intent->machine_class,
+					    intent->reclaimable);
 		if (option)
-			option->have++;
+			option->current++;
 	}
 }
 
-static unsigned int with_headroom(unsigned int requests, unsigned int percent)
+static unsigned int add_headroom(unsigned int requests, unsigned int percent)
 {
 	return (requests * (100 + percent) + 99) / 100;
 }
@@ -195,8 +197,8 @@
 	const bundle_t *bundle = placer->bundle;
 	const demand_window_t *window =
 		g_hash_table_lookup(placer->demand, target->name);
-	mix_need_t need = { .least_vms = target->workers,
-			    .most_vms = MAX(target->workers, target->most_workers),
+	mix_need_t need = { .min_vms = target->workers,
+			    .max_vms = MAX(target->workers, target->most_workers),
 			    .spare_zones = bundle->spare_zones,
 			    .reclaimable_percent = bundle->reclaimable_share };
 
@@ -206,8 +208,8 @@
 	if (target->most_workers && window) {
 		demand_peak_t peak = demand_window_peak(window);
 
-		need.slots = with_headroom(peak.requests, bundle->headroom);
-		need.urgent = with_headroom(peak.urgent, bundle->headroom);
+		need.slots = add_headroom(peak.requests, bundle->headroom);
+		need.urgent = add_headroom(peak.urgent, bundle->headroom);
 	}
 	return need;
 }
@@ -217,36 +219,36 @@
 {
 	choice->target = target;
 	choice->need = placement_need(placer, target);
-	choice->unsettled = false;
+	choice->has_pending = false;
 	choice->options = g_array_new(FALSE, FALSE, sizeof(mix_option_t));
-	choice->indexes = g_array_new(FALSE, FALSE, sizeof(int));
+	choice->offer_indexes = g_array_new(FALSE, FALSE, sizeof(int));
 	choice_add_offers(choice, placer);
 	choice_add_vms(choice, placer);
 	choice_add_intents(choice, placer);
 	for (guint i = 0; i < choice->options->len; i++) {
 		mix_option_t *option = choice_option(choice, i);
 
-		option->most = MAX(option->most, option->have);
+		option->max = MAX(option->max, option->current);
 	}
 }
 
 static void choice_clear(choice_t *choice)
 {
 	g_array_unref(choice->options);
-	g_array_unref(choice->indexes);
+	g_array_unref(choice->offer_indexes);
 }
 
 static bool placement_buy(placer_t *placer, const target_t *target,
 			  const offer_t *offer)
 {
-	bool wild = is_wild(offer->machine_class);
+	bool any_class = is_any_class(offer->machine_class);
 	intent_t intent = {
 		.tag = g_strdup_printf("%s/%" G_GUINT64_FORMAT, placer->id,
-				       ++placer->next_tag),
+				       ++placer->tag_counter),
 		.target = g_strdup(target->name),
 		.zone = g_strdup(offer->zone),
-		.machine_class = g_strdup(wild ? target_class(target)
-					       : offer->machine_class),
+		.machine_class = g_strdup(any_class ? target_machine_class(target)
+						    : offer->machine_class),
 		.reclaimable = offer->reclaimable,
 	};
 	bool added = lease_add_intent(placer->lease, &intent);
@@ -258,7 +260,7 @@
 			offer->reclaimable ? "reclaimable" : "on demand",
 			offer->price);
 
-		placer_decide(placer, offer->zone, reason);
+		placer_log_decision(placer, offer->zone, reason);
 		g_free(reason);
 	}
 	intent_clear(&intent);
@@ -275,7 +277,8 @@
 			    .reclaimable = vm->reclaimable };
 
 	if (lease_add_intent(placer->lease, &intent))
-		placer_decide(placer, vm->id, "drain and release: not needed");
+		placer_log_decision(placer, vm->id,
+				    "drain and release: not needed");
 	intent_clear(&intent);
 }
 
@@ -287,15 +290,15 @@
 
 		if (vm->state != VM_LIVE || !vm->tag || is_draining(placer, vm) ||
 		    strcmp(vm->serves, choice->target->name) ||
-		    choice_find(choice, placer, vm->zone, vm->machine_class,
-				vm->reclaimable) != option)
+		    choice_find_option(choice, placer, vm->zone, vm->machine_class,
+				       vm->reclaimable) != option)
 			continue;
 		placement_release(placer, vm);
 		surplus--;
 	}
 }
 
-static bool placement_buy_missing(placer_t *placer, choice_t *choice)
+static bool placement_buy_shortfall(placer_t *placer, choice_t *choice)
 {
 	bool any = false;
 
@@ -303,11 +306,12 @@
 		const mix_option_t *option = choice_option(choice, i);
 		const offer_t *offer;
 
-		if (option->want <= option->have)
+		if (option->desired <= option->current)
 			continue;
 		any = true;
-		offer = offers_at(placer->offers, (size_t)choice_offer(choice, i));
-		for (unsigned int n = option->have; n < option->want; n++) {
+		offer = offers_at(placer->offers,
+				  (size_t)choice_offer_index(choice, i));
+		for (unsigned int n = option->current; n < option->desired; n++) {
 			if (!placement_buy(placer, choice->target, offer))
 				return true;
 		}
@@ -320,7 +324,7 @@
  * anything given back: a VM that is to be replaced goes on until the one that
  * takes its place serves.
  */
-static void placement_balance(placer_t *placer, const target_t *target)
+static void placement_adjust(placer_t *placer, const target_t *target)
 {
 	choice_t choice;
 	mix_rule_t rule = target->most_workers ? placer->rule : MIX_EVEN;
@@ -328,19 +332,19 @@
 	choice_init(&choice, placer, target);
 	mix_choose(rule, &choice.need, (mix_option_t *)(void *)choice.options->data,
 		   choice.options->len);
-	if (!placement_buy_missing(placer, &choice) && !choice.unsettled) {
+	if (!placement_buy_shortfall(placer, &choice) && !choice.has_pending) {
 		for (guint i = 0; i < choice.options->len; i++) {
 			const mix_option_t *option = choice_option(&choice, i);
 
-			if (option->want < option->have)
+			if (option->desired < option->current)
 				release_surplus(placer, &choice, option,
-						option->have - option->want);
+						option->current - option->desired);
 		}
 	}
 	choice_clear(&choice);
 }
 
-static void placement_balance_all(placer_t *placer, priority_t priority)
+static void placement_adjust_all(placer_t *placer, priority_t priority)
 {
 	GHashTableIter it;
 	void *value;
@@ -351,16 +355,16 @@
 		bool placed = target->workers || target->most_workers;
 
 		if (placed && target->priority == priority)
-			placement_balance(placer, target);
+			placement_adjust(placer, target);
 	}
 }
 
 /* Notes what is to be bought or released; the lease must be settled. */
 void placement_run(placer_t *placer)
 {
-	if (placer->now < placer->decide_at)
+	if (placer->now < placer->next_placement_at)
 		return;
-	placer->decide_at = placer->now + DECIDE_PERIOD;
+	placer->next_placement_at = placer->now + PLACEMENT_PERIOD;
 	for (int i = 0; i < PRIORITIES; i++)
-		placement_balance_all(placer, (priority_t)i);
+		placement_adjust_all(placer, (priority_t)i);
 }
--- a/core/placer.c
+++ b/core/placer.c
@@ -61,7 +61,7 @@
 }
 
 /* Appends a line about a decision to the actions. */
-void placer_decide(placer_t *placer, const char *choice, const char *reason)
+void placer_log_decision(placer_t *placer, const char *choice, const char *reason)
 {
 	placer_action_t *action = placer_action_create(PLACER_DECISION);
 
@@ -74,7 +74,7 @@
 }
 
 /* Returns the listed VM of that id, borrowed, or NULL. */
-const vm_t *placer_vm(const placer_t *placer, const char *id)
+const vm_t *placer_find_vm(const placer_t *placer, const char *id)
 {
 	for (guint i = 0; i < placer->vms->len; i++) {
 		const vm_t *vm = g_ptr_array_index(placer->vms, i);
@@ -86,7 +86,7 @@
 }
 
 /* Returns the listed VM that was bought with that tag, borrowed, or NULL. */
-const vm_t *placer_vm_of_tag(const placer_t *placer, const char *tag)
+const vm_t *placer_find_vm_by_tag(const placer_t *placer, const char *tag)
 {
 	for (guint i = 0; i < placer->vms->len; i++) {
 		const vm_t *vm = g_ptr_array_index(placer->vms, i);
@@ -105,17 +105,17 @@
 {
 	/* A list from before a takeover would hide what others bought since. */
 	if (!lease_is_held(placer->lease, placer->now))
-		placer->listed = false;
-	if (lease_is_synced(placer->lease, placer->now) && placer->listed &&
-	    placer->bundle)
+		placer->vm_list_is_current = false;
+	if (lease_is_synced(placer->lease, placer->now) &&
+	    placer->vm_list_is_current && placer->bundle)
 		orders_run(placer);
-	if (lease_is_synced(placer->lease, placer->now) && placer->listed &&
-	    placer->bundle)
+	if (lease_is_synced(placer->lease, placer->now) &&
+	    placer->vm_list_is_current && placer->bundle)
 		placement_run(placer);
 	lease_run(placer->lease, placer->now, placer->actions);
 }
 
-static void placer_take_list(placer_t *placer, const vm_t *vms, size_t count)
+static void placer_update_vms(placer_t *placer, const vm_t *vms, size_t count)
 {
 	g_ptr_array_set_size(placer->vms, 0);
 	for (size_t i = 0; i < count; i++) {
@@ -124,13 +124,12 @@
 		vm_copy(copy, &vms[i]);
 		g_ptr_array_add(placer->vms, copy);
 	}
-	placer->listed = true;
+	placer->vm_list_is_current = true;
 	/* VMs may be gone: what to do about it need not wait. */
-	placer->decide_at = 0;
+	placer->next_placement_at = 0;
 }
 
-static void placer_take_demand(placer_t *placer, const demand_t *demands,
-			       size_t count)
+static void placer_add_demand(placer_t *placer, const demand_t *demands, size_t count)
 {
 	for (size_t i = 0; i < count; i++) {
 		demand_window_t *window =
@@ -159,7 +158,7 @@
 		lease_handle_reply(placer->lease, &event->lease, event->now);
 		break;
 	case PLACER_VM_LIST:
-		placer_take_list(placer, event->vm_list.vms, event->vm_list.count);
+		placer_update_vms(placer, event->vm_list.vms, event->vm_list.count);
 		break;
 	case PLACER_BUNDLE:
 		bundle_destroy(placer->bundle);
@@ -167,19 +166,21 @@
 		event->bundle = NULL;
 		break;
 	case PLACER_BOUGHT:
-		orders_bought(placer, event->bought.tag, event->bought.status);
+		orders_handle_purchase_reply(placer, event->bought.tag,
+					     event->bought.status);
 		break;
 	case PLACER_PRICES:
 		offers_update(placer->offers, event->prices.offers,
 			      event->prices.count);
 		break;
 	case PLACER_DEMAND:
-		placer_take_demand(placer, event->demand.demands,
-				   event->demand.count);
+		placer_add_demand(placer, event->demand.demands,
+				  event->demand.count);
 		break;
 	case PLACER_ENGINE:
-		orders_engine(placer, event->engine.vm_id, event->engine.status,
-			      event->engine.running);
+		orders_handle_engine_reply(placer, event->engine.vm_id,
+					   event->engine.status,
+					   event->engine.running);
 		break;
 	}
 	placer_run(placer);
--- a/core/placer_state.h
+++ b/core/placer_state.h
@@ -19,24 +19,25 @@
 	offers_t *offers;
 	bundle_t *bundle;
 	GPtrArray *vms; /* of vm_t *, the latest list */
-	bool listed;
+	bool vm_list_is_current;
 	GHashTable *orders; /* tag -> order_t, owned */
 	GHashTable *demand; /* target -> demand_window_t, owned */
-	uint64_t next_tag;
-	pd_time_t decide_at; /* when placement is looked at next */
+	uint64_t tag_counter;
+	pd_time_t next_placement_at; /* when placement is looked at next */
 	pd_time_t now;
 	list_node_t *actions;
 };
 
-void placer_decide(placer_t *placer, const char *choice, const char *reason);
-const vm_t *placer_vm(const placer_t *placer, const char *id);
-const vm_t *placer_vm_of_tag(const placer_t *placer, const char *tag);
+void placer_log_decision(placer_t *placer, const char *choice, const char *reason);
+const vm_t *placer_find_vm(const placer_t *placer, const char *id);
+const vm_t *placer_find_vm_by_tag(const placer_t *placer, const char *tag);
 
 GHashTable *orders_create(void);
 void orders_run(placer_t *placer);
-void orders_bought(placer_t *placer, const char *tag, store_status_t status);
-void orders_engine(placer_t *placer, const char *vm_id, store_status_t status,
-		   unsigned int running);
+void orders_handle_purchase_reply(placer_t *placer, const char *tag,
+				  store_status_t status);
+void orders_handle_engine_reply(placer_t *placer, const char *vm_id,
+				store_status_t status, unsigned int running);
 char *orders_release_tag(const char *vm_id);
 
 void placement_run(placer_t *placer);
--- a/tests/unit/test_mix.c
+++ b/tests/unit/test_mix.c
@@ -22,7 +22,7 @@
 					     .slots = 8,
 					     .reclaimable = i % 2 == 1,
 					     .price = i % 2 ? 30 : 100,
-					     .most = MANY };
+					     .max = MANY };
 	}
 }
 
@@ -30,7 +30,7 @@
 {
 	return (mix_need_t){ .slots = slots,
 			     .urgent = urgent,
-			     .most_vms = MANY,
+			     .max_vms = MANY,
 			     .spare_zones = 1,
 			     .reclaimable_percent = 59 };
 }
@@ -41,7 +41,7 @@
 
 	for (unsigned int i = 0; i < OPTIONS; i++) {
 		if (zone < 0 || options[i].zone == (unsigned int)zone)
-			slots += options[i].want * options[i].slots;
+			slots += options[i].desired * options[i].slots;
 	}
 	return slots;
 }
@@ -52,8 +52,8 @@
 	unsigned int all = 0;
 
 	for (unsigned int i = 0; i < OPTIONS; i++) {
-		all += options[i].want;
-		reclaimable += options[i].reclaimable ? options[i].want : 0;
+		all += options[i].desired;
+		reclaimable += options[i].reclaimable ? options[i].desired : 0;
 	}
 	assert_true(reclaimable * 100 <= all * percent);
 }
@@ -105,8 +105,8 @@
 
 	(void)state;
 	make_offers(options);
-	options[0].most = 0;
-	options[1].most = 0;
+	options[0].max = 0;
+	options[1].max = 0;
 	mix_choose(MIX_SWEEP, &need, options, OPTIONS);
 	assert_int_equal(slots_of(options, 0), 0);
 	assert_int_equal(slots_of(options, -1), 64);
@@ -126,36 +126,36 @@
 	make_offers(options);
 	mix_choose(MIX_SWEEP, &need, options, OPTIONS);
 	for (unsigned int i = 0; i < OPTIONS; i++) {
-		before[i] = options[i].want;
-		options[i].have = options[i].want;
+		before[i] = options[i].desired;
+		options[i].current = options[i].desired;
 		options[i].price = options[i].price * (i % 3 ? 100 : 110) / 100;
 	}
 	mix_choose(MIX_SWEEP, &need, options, OPTIONS);
 	for (unsigned int i = 0; i < OPTIONS; i++)
-		assert_int_equal(options[i].want, before[i]);
+		assert_int_equal(options[i].desired, before[i]);
 }
 
 /* Small VMs for a small need: slots beyond it are worth nothing. */
 static void test_a_small_need_takes_a_small_vm(void **state)
 {
 	mix_option_t options[2] = {
-		{ .slots = 16, .price = 150, .most = MANY },
-		{ .slots = 4, .price = 60, .most = MANY },
+		{ .slots = 16, .price = 150, .max = MANY },
+		{ .slots = 4, .price = 60, .max = MANY },
 	};
-	mix_need_t need = { .slots = 4, .most_vms = MANY, .reclaimable_percent = 100 };
+	mix_need_t need = { .slots = 4, .max_vms = MANY, .reclaimable_percent = 100 };
 
 	(void)state;
 	mix_choose(MIX_SWEEP, &need, options, 2);
-	assert_int_equal(options[0].want, 0);
-	assert_int_equal(options[1].want, 1);
+	assert_int_equal(options[0].desired, 0);
+	assert_int_equal(options[1].desired, 1);
 }
 
 /* A target that asks for a number of VMs gets it, spread over the zones. */
 static void test_a_fixed_number_is_spread(void **state)
 {
 	mix_option_t options[OPTIONS];
-	mix_need_t need = { .least_vms = 9,
-			    .most_vms = 9,
+	mix_need_t need = { .min_vms = 9,
+			    .max_vms = 9,
 			    .spare_zones = 1,
 			    .reclaimable_percent = 59 };
 
@@ -183,7 +183,7 @@
 	make_offers(options);
 	mix_choose(MIX_SWEEP, &need, options, OPTIONS);
 	for (unsigned int i = 0; i < OPTIONS; i += 2)
-		on_demand += options[i].want;
+		on_demand += options[i].desired;
 	assert_int_equal(slots_of(options, -1), 32);
 	assert_int_equal(on_demand, 0);
 }
