--- a/core/mix.c
+++ b/core/mix.c
@@ -1,29 +1,32 @@
 /*
- * Fills the need one VM at a time, each time with what is cheapest for a slot,
- * under a zone_slots_max on a zone's slots and with a number of on-demand VMs first; and
- * takes the best over some bounds and numbers. The sweep follows the search of
- * Verma, Cherkasova and Campbell ("Resource Provisioning Framework for MapReduce
- * Jobs with Performance Goals"): step through one resource, solve for the other,
- * keep the cheapest point that meets the goal.
+ * Allocates greedily, one VM at a time, the cheapest per slot first, under a
+ * limit on each zone's slots and with a number of on-demand VMs first; and
+ * takes the best result over several limits and numbers. The sweep follows the
+ * search of Verma, Cherkasova and Campbell ("Resource Provisioning Framework
+ * for MapReduce Jobs with Performance Goals"): step through one resource, solve
+ * for the other, keep the cheapest point that meets the goal.
  */
 #include "core/mix.h"
 
 #include <glib.h>
 #include <string.h>
 
-/* How many bounds, and how many numbers of on-demand VMs, are tried. */
+/* Number of zone limits, and of numbers of on-demand VMs, to try. */
 #define SWEEP_STEPS 16
 /*
- * A VM that runs already counts as so much cheaper, per cent. Prices that swing
- * would else have VMs swapped back and forth, each swap paid twice while the
- * new one starts, and streams moved for it.
+ * Discount on the price of existing VMs, in per cent. Without it price swings
+ * would have VMs swapped back and forth; each swap is paid twice while the new
+ * VM starts, and moves streams.
  */
 #define KEEP_DISCOUNT_PERCENT 15
 
-/* How good a allocation is; compared member by member, less is better. */
+/*
+ * The quality of an allocation. Compared field by field in this order; less is
+ * better.
+ */
 typedef struct score {
-	unsigned int missing_slots; /* slots */
-	unsigned int urgent_shortfall; /* urgent slots missing_slots when zones are lost */
+	unsigned int missing_slots; /* slots, plus VMs below min_vms */
+	unsigned int urgent_shortfall; /* urgent slots, when zones are lost */
 	int64_t cost;
 } score_t;
 
@@ -36,13 +39,14 @@
 	unsigned int vms;
 	unsigned int reclaimable;
 	int64_t cost;
-	unsigned int zone_slots_max; /* of a zone's slots: nothing is added above it */
+	unsigned int zone_slots_max; /* full zones get no more VMs */
 	bool respects_zone_loss;
 	bool respects_reclaimable_share;
 	bool only_on_demand;
-	bool cheapest_vm_first; /* the first on-demand VMs are the cheapest as such */
+	bool cheapest_vm_first; /* else by price per slot */
 } allocation_t;
 
+/* Returns the price of one more VM, with the discount if it exists already. */
 static int64_t option_price(const mix_option_t *option)
 {
 	if (option->desired < option->current)
@@ -50,6 +54,7 @@
 	return option->price;
 }
 
+/* Adds one VM of OPTION. */
 static void allocation_add(allocation_t *allocation, mix_option_t *option)
 {
 	allocation->cost += option_price(option);
@@ -60,7 +65,7 @@
 	allocation->reclaimable += option->reclaimable;
 }
 
-/* Returns the slots left when the fullest spare zones are lost. */
+/* Returns the slots that remain after losing the fullest spare_zones zones. */
 static unsigned int allocation_slots_after_loss(const allocation_t *allocation)
 {
 	unsigned int left = allocation->slots;
@@ -83,11 +88,13 @@
 	return left;
 }
 
+/* Returns by how much HAVE falls short of NEED; 0 if it does not. */
 static unsigned int shortfall(unsigned int need, unsigned int have)
 {
 	return need > have ? need - have : 0;
 }
 
+/* Returns the urgent slots that are missing after the loss of zones. */
 static unsigned int allocation_urgent_shortfall(const allocation_t *allocation)
 {
 	if (!allocation->respects_zone_loss)
@@ -96,6 +103,7 @@
 			 allocation_slots_after_loss(allocation));
 }
 
+/* Returns how many slots have to be added. */
 static unsigned int allocation_shortfall(const allocation_t *allocation)
 {
 	unsigned int missing_slots =
@@ -104,7 +112,9 @@
 	return MAX(missing_slots, allocation_urgent_shortfall(allocation));
 }
 
-/* Says whether one reclaimable VM more stays within their share of all VMs. */
+/*
+ * Returns whether one more reclaimable VM stays within their share of all VMs.
+ */
 static bool allocation_allows_reclaimable(const allocation_t *allocation)
 {
 	const mix_need_t *need = allocation->need;
@@ -115,6 +125,7 @@
 	       (reclaimable + 1) * 100 <= (vms + 1) * need->reclaimable_percent;
 }
 
+/* Returns whether one more VM of OPTION may be added. */
 static bool allocation_allows(const allocation_t *allocation,
 			      const mix_option_t *option)
 {
@@ -128,9 +139,9 @@
 }
 
 /*
- * Says whether A is the better buy for the slots_needed: slots beyond it are worth
- * nothing, and with a slots_needed of 1 the price alone counts. Of equals the one in the
- * emptier zone, so that VMs spread.
+ * Returns whether A is the better buy for SLOTS_NEEDED: slots beyond that have
+ * no value, so with 1 only the price counts. If both are equal, the one in the
+ * zone with fewer slots wins, so that VMs are spread.
  */
 static bool is_better_buy(const allocation_t *allocation, const mix_option_t *a,
 			  const mix_option_t *b, unsigned int slots_needed)
@@ -143,6 +154,9 @@
 	return allocation->zone_slots[a->zone] < allocation->zone_slots[b->zone];
 }
 
+/*
+ * Returns the best option to add, or NULL. ON_DEMAND excludes reclaimable ones.
+ */
 static mix_option_t *allocation_pick_option(const allocation_t *allocation,
 					    bool on_demand)
 {
@@ -163,6 +177,7 @@
 	return best;
 }
 
+/* Returns whether no VM has to, or may, be added. */
 static bool allocation_is_complete(const allocation_t *allocation)
 {
 	return allocation->vms >= allocation->need->max_vms ||
@@ -170,7 +185,7 @@
 		!allocation_shortfall(allocation));
 }
 
-/* Starts from what can't be given back. */
+/* Resets the allocation to the VMs that must be kept. */
 static void allocation_reset(allocation_t *allocation, unsigned int zone_slots_max)
 {
 	memset(allocation->zone_slots, 0, sizeof(allocation->zone_slots));
@@ -186,6 +201,10 @@
 	}
 }
 
+/*
+ * Allocates VMs, the first ON_DEMAND of them on demand; returns the score. Sets
+ * the desired number of each option.
+ */
 static score_t allocation_fill(allocation_t *allocation,
 			       unsigned int zone_slots_max, unsigned int on_demand)
 {
@@ -227,6 +246,9 @@
 	bool has_best;
 } sweep_t;
 
+/*
+ * Allocates with these parameters and keeps them if they are the best so far.
+ */
 static void sweep_try(sweep_t *sweep, allocation_t *allocation,
 		      unsigned int zone_slots_max, unsigned int on_demand)
 {
@@ -241,7 +263,7 @@
 	sweep->cheapest_vm_first = allocation->cheapest_vm_first;
 }
 
-/* Tries numbers of on-demand VMs, up to all that the need would take. */
+/* Tries several numbers of on-demand VMs, up to the number of VMs needed. */
 static void sweep_on_demand(sweep_t *sweep, allocation_t *allocation,
 			    unsigned int zone_slots_max)
 {
@@ -252,8 +274,8 @@
 	on_demand_max = allocation->vms;
 	step = MAX(1, (on_demand_max + SWEEP_STEPS - 1) / SWEEP_STEPS);
 	/*
-	 * The share of reclaimable VMs is one of VMs, not of slots: small ones
-	 * on demand make room for large reclaimable ones.
+	 * The share of reclaimable VMs counts VMs, not slots: small ones on
+	 * demand make room for large reclaimable ones.
 	 */
 	for (unsigned int n = 0; n <= on_demand_max; n += step) {
 		allocation->cheapest_vm_first = false;
@@ -264,6 +286,7 @@
 	allocation->cheapest_vm_first = false;
 }
 
+/* Returns the number of zones that have options, at least 1. */
 static unsigned int count_zones(const mix_option_t *options, size_t count)
 {
 	bool seen[MIX_ZONES_MAX] = { false };
@@ -276,6 +299,7 @@
 	return MAX(zones, 1);
 }
 
+/* Returns the largest number of slots of a VM, at least 1. */
 static unsigned int max_slots(const mix_option_t *options, size_t count)
 {
 	unsigned int largest = 1;
@@ -285,6 +309,10 @@
 	return largest;
 }
 
+/*
+ * Tries several limits of a zone's slots, from an even spread to no spread;
+ * with EVEN, the first only.
+ */
 static void sweep_zone_limits(sweep_t *sweep, allocation_t *allocation, bool even)
 {
 	const mix_need_t *need = allocation->need;
@@ -306,12 +334,15 @@
 		if (even)
 			break;
 	}
-	/* With zones or classes refused only a loose zone_slots_max may fit at all. */
+	/*
+	 * If zones or classes refuse starts, the limits tried may all be too
+	 * tight.
+	 */
 	if (sweep->best.missing_slots)
 		sweep_on_demand(sweep, allocation, UINT_MAX);
 }
 
-/* Sets the want of each option; nothing else in OPTIONS changes. */
+/* Sets the desired number of each option; nothing else in OPTIONS changes. */
 void mix_choose(mix_rule_t rule, const mix_need_t *need, mix_option_t *options,
 		size_t count)
 {
--- a/core/offers.c
+++ b/core/offers.c
@@ -1,8 +1,8 @@
 /*
- * Keeps the cloud's offers. A start that is refused closes its offer for a time
- * that doubles, up to a bound, with a random part: starts are refused for
- * minutes and in many zones at once, and asking all the time would use up the
- * cloud's rate, and meet every other customer who asks in the same moment.
+ * Keeps the cloud's offers. After a refused start an offer is not used for an
+ * exponential backoff with jitter. Refusals last minutes and affect many zones
+ * at once; permanent retries would use up the cloud's rate limit and coincide
+ * with those of all its other customers.
  */
 #include "core/offers.h"
 
@@ -16,7 +16,7 @@
 
 typedef struct state {
 	offer_t offer;
-	pd_time_t backoff; /* 0 since the last start that was granted */
+	pd_time_t backoff; /* 0 after a granted start */
 	pd_time_t retry_at;
 } offer_state_t;
 
@@ -34,6 +34,7 @@
 	g_free(state->offer.machine_class);
 }
 
+/* Appends a copy of OFFER. */
 static void offers_add(offers_t *offers, const offer_t *offer)
 {
 	offer_state_t state = { .offer = *offer };
@@ -44,7 +45,10 @@
 	g_array_append_val(offers->states, state);
 }
 
-/* Until prices are known each zone has both kinds, at one price. */
+/*
+ * Adds on-demand and reclaimable offers at one price for each zone, which are
+ * used until prices are known.
+ */
 static void offers_add_defaults(offers_t *offers)
 {
 	for (guint i = 0; i < offers->zones->len; i++) {
@@ -58,7 +62,10 @@
 	}
 }
 
-/* Returns offers for ZONES, which like RANDOM must outlive them. */
+/*
+ * Returns the offers for ZONES; the caller owns them. ZONES and RANDOM are
+ * borrowed and must outlive them.
+ */
 offers_t *offers_create(const GPtrArray *zones, GRand *random)
 {
 	offers_t *offers = g_new0(offers_t, 1);
@@ -85,6 +92,7 @@
 	return &g_array_index(offers->states, offer_state_t, index);
 }
 
+/* Returns the offer with these properties, borrowed, or NULL. */
 static offer_state_t *offers_find(const offers_t *offers, const char *zone,
 				  const char *machine_class, bool reclaimable)
 {
@@ -99,7 +107,7 @@
 	return NULL;
 }
 
-/* Returns the zone's index among those to buy in, or -1. */
+/* Returns the index of ZONE among the zones to buy in, or -1. */
 int offers_zone_index(const offers_t *offers, const char *zone)
 {
 	for (guint i = 0; i < offers->zones->len && i < MIX_ZONES_MAX; i++) {
@@ -109,7 +117,10 @@
 	return -1;
 }
 
-/* Takes a new list; what is known of refusals stays. Foreign zones are left out. */
+/*
+ * Replaces the offers and keeps their backoff. Offers in other zones are
+ * ignored.
+ */
 void offers_update(offers_t *offers, const offer_t *list, size_t count)
 {
 	offers_t old = *offers;
@@ -137,19 +148,19 @@
 		offers_add_defaults(offers);
 }
 
-/* Returns how many offers there are. */
+/* Returns the number of offers. */
 size_t offers_count(const offers_t *offers)
 {
 	return offers->states->len;
 }
 
-/* Returns an offer, borrowed until the next update. */
+/* Returns the offer at INDEX, borrowed until the next update. */
 const offer_t *offers_at(const offers_t *offers, size_t index)
 {
 	return &offers_state(offers, index)->offer;
 }
 
-/* Says whether a start may be asked for now. */
+/* Returns whether a start may be requested now. */
 bool offers_is_available(const offers_t *offers, size_t index, pd_time_t now)
 {
 	return now >= offers_state(offers, index)->retry_at;
@@ -161,12 +172,12 @@
 			   intent->reclaimable);
 }
 
-/* Notes that the cloud refused a start. */
+/* Records that the cloud refused a start, and sets or doubles the backoff. */
 void offers_note_refusal(offers_t *offers, const intent_t *intent, pd_time_t now)
 {
 	offer_state_t *state = offers_find_for_intent(offers, intent);
 
-	/* Purchases that were under way together count as one refusal. */
+	/* Concurrent purchases count as one refusal. */
 	if (!state || now < state->retry_at)
 		return;
 	state->backoff = state->backoff ? MIN(state->backoff * 2, BACKOFF_MAX)
@@ -176,7 +187,7 @@
 				      (double)state->backoff);
 }
 
-/* Notes that the cloud granted a start. */
+/* Records that the cloud granted a start, and resets the backoff. */
 void offers_note_grant(offers_t *offers, const intent_t *intent)
 {
 	offer_state_t *state = offers_find_for_intent(offers, intent);
--- a/core/offers.h
+++ b/core/offers.h
@@ -1,6 +1,6 @@
 /*
- * The cloud's offers: prices by zone and machine class, and which starts it
- * refused lately.
+ * The cloud's offers: prices by zone and machine class, with the backoff after
+ * refused starts.
  */
 #ifndef PISTACHIO_OFFERS_H
 #define PISTACHIO_OFFERS_H
--- a/core/orders.c
+++ b/core/orders.c
@@ -1,30 +1,32 @@
 /*
- * Carries out the intents that are on record. Each was written into the lease
- * object before its first order, and none is withdrawn, only finished: so a late
- * order of an earlier holder asks for nothing that the present one does not.
+ * Carries out the recorded intents. Each was written into the lease object
+ * before its first order, and none is withdrawn, only finished: so a late order
+ * of an earlier holder requests nothing that the present one does not.
  */
 #include <string.h>
 
 #include "core/placer_state.h"
 
-/* A purchase that the cloud took may show in the list later than others. */
+/* Longer lag for a purchase that the cloud granted: it may be listed late. */
 #define GRANTED_LIST_LAG_MAX (60 * PD_SEC)
-/* An engine that drains is asked so often what it still has. */
+/* Interval at which a draining engine is asked for its running requests. */
 #define DRAIN_POLL_PERIOD (2 * PD_SEC)
 #define RELEASE_PERIOD (5 * PD_SEC)
-/* An engine that answers no order for so long has lost its streams already. */
+/*
+ * An engine that answers no order for this time has lost its streams already.
+ */
 #define ENGINE_SILENCE_MAX (300 * PD_SEC)
 
 typedef struct order {
 	char *tag;
-	pd_time_t first_seen_at; /* when this process first saw the intent */
-	pd_time_t requested_at; /* of the latest order; 0: none by this process */
-	bool granted; /* the cloud took the purchase */
-	bool refused; /* nothing was bought */
-	pd_time_t draining_since; /* when the engine first said that it drains */
-	bool idle; /* the engine drains and has nothing left */
-	bool finished; /* finished; its intent is to go */
-	bool recorded; /* its intent was in the record just looked at */
+	pd_time_t first_seen_at; /* when this process first read the intent */
+	pd_time_t requested_at; /* of the latest order; 0: none */
+	bool granted; /* the cloud granted the purchase */
+	bool refused; /* the cloud refused the purchase */
+	pd_time_t draining_since; /* as first confirmed; 0: not yet */
+	bool idle; /* the engine drains and runs no requests */
+	bool finished; /* its intent is to be removed */
+	bool recorded; /* in the record at the latest run */
 } order_t;
 
 static void order_destroy(void *data)
@@ -35,18 +37,19 @@
 	g_free(order);
 }
 
-/* Returns a table for the orders under way. */
+/* Returns an empty table of orders by tag; the caller owns it. */
 GHashTable *orders_create(void)
 {
 	return g_hash_table_new_full(g_str_hash, g_str_equal, NULL, order_destroy);
 }
 
-/* Returns the tag of the one intent that releases a VM, owned by the caller. */
+/* Returns the tag of the intent that releases a VM; the caller owns it. */
 char *orders_release_tag(const char *vm_id)
 {
 	return g_strconcat("release-", vm_id, NULL);
 }
 
+/* Returns the order of TAG, borrowed; creates it if there is none. */
 static order_t *orders_get(placer_t *placer, const char *tag)
 {
 	order_t *order = g_hash_table_lookup(placer->orders, tag);
@@ -60,6 +63,7 @@
 	return order;
 }
 
+/* Returns whether this process created TAG. */
 static bool is_own_tag(const placer_t *placer, const char *tag)
 {
 	size_t len = strlen(placer->id);
@@ -67,6 +71,7 @@
 	return !strncmp(tag, placer->id, len) && tag[len] == '/';
 }
 
+/* Appends the purchase of INTENT to the actions. */
 static void orders_buy(placer_t *placer, const intent_t *intent)
 {
 	placer_action_t *action = placer_action_create(PLACER_BUY);
@@ -78,10 +83,10 @@
 }
 
 /*
- * Buys what an intent says. An intent of an earlier holder may have been bought
- * already, so its tag is looked for first, for as long as the list may lag. The
- * cloud makes one VM of a tag; where it did not, both carry the tag, and the
- * second is released as one too many.
+ * Carries on with a purchase. An intent of an earlier holder may have been
+ * carried out already, so its tag is first looked for in the VM list for as
+ * long as the list may lag. The cloud should start only one VM per tag; if it
+ * starts two, both carry the tag, and the second is released as surplus.
  */
 static void orders_run_purchase(placer_t *placer, const intent_t *intent,
 				order_t *order)
@@ -101,6 +106,7 @@
 	orders_buy(placer, intent);
 }
 
+/* Appends an order to drain to the actions. */
 static void orders_drain(placer_t *placer, const vm_t *vm)
 {
 	placer_action_t *action = placer_action_create(PLACER_ENGINE_ORDER);
@@ -115,6 +121,7 @@
 	list_append(placer->actions, &action->node);
 }
 
+/* Appends the release of VM to the actions. */
 static void orders_release_vm(placer_t *placer, const vm_t *vm)
 {
 	placer_action_t *action = placer_action_create(PLACER_RELEASE);
@@ -126,9 +133,10 @@
 }
 
 /*
- * Says whether no request that the VM took can still run. The time counts from
- * the engine's own word that it drains: an order may be lost, or late, and until
- * then the engine takes streams that the release would break.
+ * Returns whether no request that the VM accepted can still be running. The
+ * time counts from the engine's confirmation that it drains: an order may be
+ * lost or late, and until then the engine accepts streams that the release
+ * would break.
  */
 static bool is_drained(const placer_t *placer, const vm_t *vm, const order_t *order)
 {
@@ -139,7 +147,9 @@
 
 	if (order->idle)
 		return true;
-	/* A plain service takes no orders; its calls end with their timeout. */
+	/*
+	 * A plain service accepts no orders; its calls end with their timeout.
+	 */
 	if (vm->role == VM_SERVICE)
 		silence_max = drain_time_max;
 	if (order->draining_since)
@@ -148,10 +158,11 @@
 }
 
 /*
- * Drains a VM and gives it back once it has nothing left, or once no request
- * that it took may still run. Given back at once, its streams would break and
- * be computed anew elsewhere. The order is repeated until then: an engine that
- * ignores fencing may have taken an old one in between.
+ * Carries on with a release: drains the VM and releases it once it is idle, or
+ * once no request that it accepted can still be running. If it were released at
+ * once, its streams would break and be recomputed elsewhere. The order is
+ * repeated until then, since an engine that ignores fencing tokens may have
+ * obeyed an old one in between.
  */
 static void orders_run_release(placer_t *placer, const intent_t *intent,
 			       order_t *order)
@@ -176,6 +187,7 @@
 	}
 }
 
+/* Returns whether the record no longer has the order's intent. */
 static gboolean order_is_obsolete(void *key, void *value, void *ctx)
 {
 	order_t *order = value;
@@ -187,12 +199,15 @@
 	return !recorded;
 }
 
-/* Goes on with every intent of the record, which must be settled. */
+/* Carries on with every recorded intent. The lease must be synced. */
 void orders_run(placer_t *placer)
 {
 	const lease_record_t *record = lease_record(placer->lease);
 
-	/* Backwards, since dropping an intent moves the last into its place. */
+	/*
+	 * Backwards, since removing an intent moves the last one into its
+	 * place.
+	 */
 	for (unsigned int i = record->intent_count; i-- > 0;) {
 		const intent_t *intent = &record->intents[i];
 		order_t *order = orders_get(placer, intent->tag);
@@ -206,12 +221,14 @@
 			lease_drop_intent(placer->lease, order->tag);
 	}
 	/*
-	 * An order is forgotten only when the record no longer has its intent:
-	 * if the write that drops it is lost, it must not be carried out again.
+	 * An order is removed only after its intent is gone from the record: if
+	 * the write that removes the intent is lost, it must not be carried out
+	 * again.
 	 */
 	g_hash_table_foreach_remove(placer->orders, order_is_obsolete, NULL);
 }
 
+/* Returns the recorded intent with TAG, borrowed, or NULL. */
 static const intent_t *recorded_intent(const placer_t *placer, const char *tag)
 {
 	const lease_record_t *record = lease_record(placer->lease);
@@ -223,7 +240,10 @@
 	return NULL;
 }
 
-/* Takes the cloud's answer to a purchase. */
+/*
+ * Handles the cloud's reply to a purchase. STATUS is STORE_DOWN if it was
+ * refused.
+ */
 void orders_handle_purchase_reply(placer_t *placer, const char *tag,
 				  store_status_t status)
 {
@@ -240,7 +260,10 @@
 		offers_note_refusal(placer->offers, intent, placer->now);
 }
 
-/* Takes an engine's answer to an order to drain. */
+/*
+ * Handles an engine's reply to an order to drain. RUNNING is the number of
+ * requests that it still runs.
+ */
 void orders_handle_engine_reply(placer_t *placer, const char *vm_id,
 				store_status_t status, unsigned int running)
 {
@@ -252,7 +275,7 @@
 
 		if (status == STORE_OK && !order->draining_since)
 			order->draining_since = placer->now;
-		/* What follows an idle engine's answer need not wait. */
+		/* Release an idle engine's VM without delay. */
 		if (idle && !order->idle)
 			order->requested_at = 0;
 		order->idle = idle;
--- a/core/placement.c
+++ b/core/placement.c
@@ -1,6 +1,7 @@
 /*
- * Decides how many VMs of which offer each target should have, and notes the
- * difference to what there is as intents. placement-notes.md has the reasons.
+ * Decides how many VMs of which offer each target should have, and records the
+ * difference from the existing ones as intents. The reasons are in
+ * placement-notes.md.
  */
 #include <string.h>
 
@@ -8,15 +9,16 @@
 
 #define PLACEMENT_PERIOD (10 * PD_SEC)
 
-/* One target's choice under way: the options and the offers behind them. */
+/* The decision for one target: the options and the offers they stand for. */
 typedef struct choice {
 	const target_t *target;
 	mix_need_t need;
 	GArray *options; /* of mix_option_t */
-	GArray *offer_indexes; /* of int: the offer of each, -1 for VMs of none */
-	bool has_pending; /* VMs are starting or on order */
+	GArray *offer_indexes; /* of int; -1: no offer */
+	bool has_pending; /* VMs are starting or ordered */
 } choice_t;
 
+/* Returns whether an intent to release VM is recorded. */
 static bool is_draining(const placer_t *placer, const vm_t *vm)
 {
 	const lease_record_t *record = lease_record(placer->lease);
@@ -34,11 +36,13 @@
 	return !strcmp(machine_class, "any");
 }
 
+/* Returns the machine class that TARGET requires, or "any". */
 static const char *target_machine_class(const target_t *target)
 {
 	return target->machine_class ? target->machine_class : "any";
 }
 
+/* Returns whether two machine classes are equal or one of them is "any". */
 static bool machine_classes_match(const char *a, const char *b)
 {
 	return is_any_class(a) || is_any_class(b) || !strcmp(a, b);
@@ -54,7 +58,10 @@
 	return g_array_index(choice->offer_indexes, int, index);
 }
 
-/* Returns the requests that a VM of the target runs, as its VMs show it. */
+/*
+ * Returns the slots of a VM of the target, as reported for its VMs; 1 if it has
+ * none.
+ */
 static unsigned int observed_slots(const placer_t *placer, const target_t *target)
 {
 	for (guint i = 0; i < placer->vms->len; i++) {
@@ -72,6 +79,7 @@
 	g_array_append_val(choice->offer_indexes, index);
 }
 
+/* Adds the offers that fit the target as options. */
 static void choice_add_offers(choice_t *choice, const placer_t *placer)
 {
 	for (size_t i = 0; i < offers_count(placer->offers); i++) {
@@ -93,6 +101,7 @@
 	}
 }
 
+/* Returns the option of the matching offer, borrowed, or NULL. */
 static mix_option_t *choice_find_option(choice_t *choice,
 					const placer_t *placer, const char *zone,
 					const char *machine_class, bool reclaimable)
@@ -112,7 +121,10 @@
 	return NULL;
 }
 
-/* VMs that are of no offer serve all the same, but can't be had or bought. */
+/*
+ * Adds a VM that matches no offer. It counts, but can be neither bought nor
+ * released.
+ */
 static void choice_add_unlisted_vm(choice_t *choice, const placer_t *placer,
 				   const vm_t *vm)
 {
@@ -127,6 +139,7 @@
 	choice_add(choice, option, -1);
 }
 
+/* Counts the target's VMs that stay. */
 static void choice_add_vms(choice_t *choice, const placer_t *placer)
 {
 	for (guint i = 0; i < placer->vms->len; i++) {
@@ -144,11 +157,12 @@
 			continue;
 		}
 		option->current++;
-		/* What operators put there is theirs. */
+		/* VMs that operators started are not released. */
 		option->min += vm->tag == NULL;
 	}
 }
 
+/* Counts the purchases on record whose VMs are not listed yet. */
 static void choice_add_intents(choice_t *choice, const placer_t *placer)
 {
 	const lease_record_t *record = lease_record(placer->lease);
@@ -169,12 +183,16 @@
 	}
 }
 
+/* Returns REQUESTS plus PERCENT per cent, rounded up. */
 static unsigned int add_headroom(unsigned int requests, unsigned int percent)
 {
 	return (requests * (100 + percent) + 99) / 100;
 }
 
-/* Counts the VMs of other targets: the share in the bundle is one of all VMs. */
+/*
+ * Counts the VMs of other targets, since the bundle limits the share of
+ * reclaimable VMs among all VMs.
+ */
 static void need_count_others(mix_need_t *need, const placer_t *placer,
 			      const target_t *target)
 {
@@ -189,8 +207,9 @@
 }
 
 /*
- * A target with a fixed number of VMs gets that number, spread evenly; urgent
- * ones on demand alone. One with a range gets what demand asks for.
+ * Returns the requirements of a target. One with a fixed number of VMs gets
+ * that number, spread evenly, and on demand only if it is urgent. One with a
+ * range gets the VMs that its demand requires.
  */
 static mix_need_t placement_need(const placer_t *placer, const target_t *target)
 {
@@ -214,6 +233,7 @@
 	return need;
 }
 
+/* Collects the options of a target, with their current numbers of VMs. */
 static void choice_init(choice_t *choice, const placer_t *placer,
 			const target_t *target)
 {
@@ -238,6 +258,7 @@
 	g_array_unref(choice->offer_indexes);
 }
 
+/* Records an intent to buy one VM. Returns false if there is no room for it. */
 static bool placement_buy(placer_t *placer, const target_t *target,
 			  const offer_t *offer)
 {
@@ -267,6 +288,7 @@
 	return added;
 }
 
+/* Records an intent to drain and release VM. */
 static void placement_release(placer_t *placer, const vm_t *vm)
 {
 	intent_t intent = { .tag = orders_release_tag(vm->id),
@@ -282,6 +304,10 @@
 	intent_clear(&intent);
 }
 
+/*
+ * Releases up to SURPLUS live VMs of an option, but none that operators
+ * started.
+ */
 static void release_surplus(placer_t *placer, choice_t *choice,
 			    const mix_option_t *option, unsigned int surplus)
 {
@@ -298,6 +324,7 @@
 	}
 }
 
+/* Records intents for the missing VMs. Returns whether any were missing. */
 static bool placement_buy_shortfall(placer_t *placer, choice_t *choice)
 {
 	bool any = false;
@@ -320,9 +347,9 @@
 }
 
 /*
- * Buys what is missing. Only when nothing is missing, on order or starting is
- * anything given back: a VM that is to be replaced goes on until the one that
- * takes its place serves.
+ * Buys the missing VMs of a target. Releases VMs only if none are missing,
+ * ordered or starting, so that a VM which is to be replaced serves until its
+ * replacement does.
  */
 static void placement_adjust(placer_t *placer, const target_t *target)
 {
@@ -344,6 +371,7 @@
 	choice_clear(&choice);
 }
 
+/* Adjusts the VMs of all targets of one priority. */
 static void placement_adjust_all(placer_t *placer, priority_t priority)
 {
 	GHashTableIter it;
@@ -359,7 +387,10 @@
 	}
 }
 
-/* Notes what is to be bought or released; the lease must be settled. */
+/*
+ * Records the VMs to buy and to release as intents, once per placement period.
+ * The lease must be synced.
+ */
 void placement_run(placer_t *placer)
 {
 	if (placer->now < placer->next_placement_at)
--- a/core/placer.c
+++ b/core/placer.c
@@ -1,7 +1,7 @@
 /*
- * Takes the placer's events. While it holds the lease, and what the lease object
- * says is settled, it first goes on with the intents on record (orders.c), then
- * looks for what is missing or too much and notes new ones (placement.c).
+ * Handles the placer's events. While it holds the lease and the record is
+ * synced, it first carries on with the recorded intents (orders.c), then
+ * compares the VMs with the demand and records new intents (placement.c).
  */
 #include "core/placer.h"
 
@@ -16,7 +16,10 @@
 	g_free(data);
 }
 
-/* Returns a placer that holds no lease; CONFIG is copied. */
+/*
+ * Returns a placer that does not hold the lease; the caller owns it. CONFIG is
+ * copied.
+ */
 placer_t *placer_create(const placer_config_t *config)
 {
 	placer_t *placer = g_new0(placer_t, 1);
@@ -37,7 +40,7 @@
 	return placer;
 }
 
-/* Frees the placer; its lease lapses by itself. NULL is allowed. */
+/* Frees the placer; its lease expires by itself. NULL is allowed. */
 void placer_destroy(placer_t *placer)
 {
 	if (!placer)
@@ -54,13 +57,13 @@
 	g_free(placer);
 }
 
-/* Says whether this process holds the lease as of its last event. */
+/* Returns whether this process held the lease as of its last event. */
 bool placer_is_active(const placer_t *placer)
 {
 	return lease_is_held(placer->lease, placer->now);
 }
 
-/* Appends a line about a decision to the actions. */
+/* Appends a log entry about a decision to the actions. */
 void placer_log_decision(placer_t *placer, const char *choice, const char *reason)
 {
 	placer_action_t *action = placer_action_create(PLACER_DECISION);
@@ -73,7 +76,7 @@
 	list_append(placer->actions, &action->node);
 }
 
-/* Returns the listed VM of that id, borrowed, or NULL. */
+/* Returns the listed VM with that id, borrowed, or NULL. */
 const vm_t *placer_find_vm(const placer_t *placer, const char *id)
 {
 	for (guint i = 0; i < placer->vms->len; i++) {
@@ -85,7 +88,7 @@
 	return NULL;
 }
 
-/* Returns the listed VM that was bought with that tag, borrowed, or NULL. */
+/* Returns the listed VM that was bought with TAG, borrowed, or NULL. */
 const vm_t *placer_find_vm_by_tag(const placer_t *placer, const char *tag)
 {
 	for (guint i = 0; i < placer->vms->len; i++) {
@@ -98,12 +101,15 @@
 }
 
 /*
- * The lease must be settled for orders, and once more for new intents: orders
- * that end drop theirs from the record, which is then to be written first.
+ * Runs all parts. Whether the lease is synced is checked twice, because orders
+ * that finish remove their intents from the record, which has to be written
+ * before new intents are added.
  */
 static void placer_run(placer_t *placer)
 {
-	/* A list from before a takeover would hide what others bought since. */
+	/*
+	 * A list from before a takeover lacks the VMs that others bought since.
+	 */
 	if (!lease_is_held(placer->lease, placer->now))
 		placer->vm_list_is_current = false;
 	if (lease_is_synced(placer->lease, placer->now) &&
@@ -115,6 +121,7 @@
 	lease_run(placer->lease, placer->now, placer->actions);
 }
 
+/* Replaces the list of VMs with copies of VMS. */
 static void placer_update_vms(placer_t *placer, const vm_t *vms, size_t count)
 {
 	g_ptr_array_set_size(placer->vms, 0);
@@ -125,10 +132,11 @@
 		g_ptr_array_add(placer->vms, copy);
 	}
 	placer->vm_list_is_current = true;
-	/* VMs may be gone: what to do about it need not wait. */
+	/* VMs may be gone, so placement runs without delay. */
 	placer->next_placement_at = 0;
 }
 
+/* Adds reports of demand to the windows of their targets. */
 static void placer_add_demand(placer_t *placer, const demand_t *demands, size_t count)
 {
 	for (size_t i = 0; i < count; i++) {
@@ -145,7 +153,10 @@
 	}
 }
 
-/* Takes one event and appends to ACTIONS what follows; caller owns them. */
+/*
+ * Handles one event and appends the resulting actions to ACTIONS, whose items
+ * the caller owns.
+ */
 void placer_handle(placer_t *placer, placer_event_t *event, list_node_t *actions)
 {
 	placer->now = event->now;
--- a/core/placer.h
+++ b/core/placer.h
@@ -1,6 +1,6 @@
 /*
- * The core of one placer: keeps the VMs that demand and the bundle ask for, at
- * the least cost. It acts only while it holds the lease.
+ * The core of one placer: keeps the VMs that demand and the bundle require, at
+ * the lowest cost. It acts only while it holds the lease.
  */
 #ifndef PISTACHIO_PLACER_H
 #define PISTACHIO_PLACER_H
@@ -12,7 +12,7 @@
 
 typedef struct placer_config {
 	const char *id; /* unique to this process */
-	const char *const *zones; /* to buy in; ended by NULL */
+	const char *const *zones; /* to buy VMs in; NULL-terminated */
 	uint32_t seed;
 	mix_rule_t rule;
 } placer_config_t;
--- a/core/placer_event.c
+++ b/core/placer_event.c
@@ -1,7 +1,7 @@
-/* Making and freeing what the placer's messages own. */
+/* Creation and destruction of the placer's actions and of lease records. */
 #include "ports/placer_event.h"
 
-/* Copies FROM over TO, which must not own anything yet. */
+/* Copies FROM to TO, which must not own anything yet. */
 void intent_copy(intent_t *to, const intent_t *from)
 {
 	to->tag = g_strdup(from->tag);
@@ -22,13 +22,13 @@
 	g_free(intent->machine_class);
 }
 
-/* Returns an empty record, owned by the caller. */
+/* Returns an empty record; the caller owns it. */
 lease_record_t *lease_record_create(void)
 {
 	return g_new0(lease_record_t, 1);
 }
 
-/* Returns a deep copy, owned by the caller. */
+/* Returns a deep copy; the caller owns it. */
 lease_record_t *lease_record_copy(const lease_record_t *record)
 {
 	lease_record_t *copy = lease_record_create();
@@ -55,7 +55,7 @@
 	g_free(record);
 }
 
-/* Returns an action of that kind, else empty; the caller owns it. */
+/* Returns an action of that kind, otherwise zeroed; the caller owns it. */
 placer_action_t *placer_action_create(placer_action_kind_t kind)
 {
 	placer_action_t *action = g_new0(placer_action_t, 1);
@@ -65,7 +65,7 @@
 	return action;
 }
 
-/* Frees an action that is on no list, and all it owns. */
+/* Frees an action that is not linked into a list, and all it owns. */
 void placer_action_destroy(placer_action_t *action)
 {
 	switch (action->kind) {
--- a/core/placer_state.h
+++ b/core/placer_state.h
@@ -1,4 +1,4 @@
-/* What the modules of the placer's core share. */
+/* State shared by the modules of the placer's core. Internal to them. */
 #ifndef PISTACHIO_PLACER_STATE_H
 #define PISTACHIO_PLACER_STATE_H
 
@@ -7,7 +7,9 @@
 #include "core/offers.h"
 #include "core/placer.h"
 
-/* The list lags: a tag not seen in it for this long was not bought. */
+/*
+ * The VM list lags: a purchase whose tag is not listed after this time failed.
+ */
 #define LIST_LAG_MAX (15 * PD_SEC)
 
 struct placer {
@@ -18,12 +20,12 @@
 	lease_t *lease;
 	offers_t *offers;
 	bundle_t *bundle;
-	GPtrArray *vms; /* of vm_t *, the latest list */
+	GPtrArray *vms; /* of vm_t *, from the latest list */
 	bool vm_list_is_current;
 	GHashTable *orders; /* tag -> order_t, owned */
 	GHashTable *demand; /* target -> demand_window_t, owned */
 	uint64_t tag_counter;
-	pd_time_t next_placement_at; /* when placement is looked at next */
+	pd_time_t next_placement_at; /* when placement runs next */
 	pd_time_t now;
 	list_node_t *actions;
 };
