--- a/tests/property/test_placer.cc
+++ b/tests/property/test_placer.cc
@@ -1,9 +1,9 @@
 /*
  * Several placers buy and release VMs through a store and a cloud that lose
- * answers, are late, refuse and fail, while processes pause and die and VMs are
+ * replies, are late, refuse and fail, while processes pause and die and VMs are
  * reclaimed. Users pay for what is bought: every order must be on record before
- * it leaves, no VM may go while it has streams, and in the end there are as many
- * VMs as the bundle asks for, whatever happened.
+ * it is sent, no VM may be released while it has streams, and in the end there
+ * must be as many VMs as the bundle requires, whatever faults occurred.
  */
 #include <algorithm>
 #include <cstring>
@@ -18,7 +18,7 @@
 static const size_t PLACERS = 3;
 static const pd_time_t STEP = 100 * PD_MSEC;
 static const int STEPS = 3000;
-static const int CALM_STEPS = 3000;
+static const int FAULT_FREE_STEPS = 3000;
 static const pd_time_t TIMEOUT = 20 * PD_SEC;
 static const pd_time_t LIST_LAG = 2 * PD_SEC;
 static const char *const ZONES[] = { "a", "b", "c", NULL };
@@ -29,76 +29,77 @@
 	std::string zone;
 	bool reclaimable;
 	pd_time_t listed_at;
-	pd_time_t goes_at = 0; /* if reclaimed */
+	pd_time_t gone_at = 0; /* when it ends; 0: not known */
 	bool draining = false;
 	pd_time_t streams_until = 0;
 };
 
-/* An order or call, and its answer on the way back. */
+/* An order or a request to the store, then its reply. */
 struct message {
 	size_t from;
-	unsigned life;
+	unsigned incarnation;
 	placer_action_t *action;
-	pd_time_t arrives;
-	bool lost;
-	bool done = false;
+	pd_time_t arrives_at;
+	bool reply_lost;
+	bool handled = false;
 	placer_event_t event = {};
 };
 
 struct process {
 	placer_t *placer = nullptr;
-	unsigned life = 0;
-	pd_time_t offset = 0;
+	unsigned incarnation = 0;
+	pd_time_t clock_offset = 0;
 	pd_time_t paused_until = 0;
 	pd_time_t next_list = 0;
 };
 
-class world
+class simulation
 {
       public:
-	world(uint32_t seed) : random(g_rand_new_with_seed(seed))
+	simulation(uint32_t seed) : random(g_rand_new_with_seed(seed))
 	{
-		one_vm_a_tag = draw() < 0.5;
+		tags_are_idempotent = random_fraction() < 0.5;
 		for (auto &process : processes)
 			start(process);
 	}
 
-	~world()
+	~simulation()
 	{
 		for (auto &process : processes)
 			placer_destroy(process.placer);
 		for (auto &message : messages)
-			forget(message);
+			free_message(message);
 		g_rand_free(random);
 	}
 
-	world(const world &) = delete;
-	world &operator=(const world &) = delete;
+	simulation(const simulation &) = delete;
+	simulation &operator=(const simulation &) = delete;
 
-	void step(bool trouble)
+	void step(bool with_faults)
 	{
-		faults = trouble;
+		faults = with_faults;
 		now += STEP;
 		if (faults)
-			break_something();
+			inject_fault();
 		else
-			down_until = refused_until = 0;
+			down_until = refusing_until = 0;
 		vms.remove_if([this](const cloud_vm &vm) {
-			return vm.goes_at && now >= vm.goes_at;
+			return vm.gone_at && now >= vm.gone_at;
 		});
 		for (auto &message : messages) {
-			if (!message.done && message.arrives <= now)
+			if (!message.handled && message.arrives_at <= now)
 				apply(message);
 		}
 		for (size_t i = 0; i < PLACERS; i++)
 			run(i);
 		messages.remove_if([this](message &message) {
-			bool over = message.done &&
-				    (message.lost ||
-				     message.life != processes[message.from].life);
+			bool over = message.handled &&
+				    (message.reply_lost ||
+				     message.incarnation !=
+					     processes[message.from].incarnation);
 
 			if (over)
-				forget(message);
+				free_message(message);
 			return over;
 		});
 	}
@@ -107,14 +108,14 @@
 	{
 		workers = count;
 		for (auto &process : processes)
-			give_bundle(process);
+			send_bundle(process);
 	}
 
 	size_t serving() const
 	{
 		return (size_t)std::count_if(vms.begin(), vms.end(),
 					     [](const cloud_vm &vm) {
-						     return !vm.goes_at &&
+						     return !vm.gone_at &&
 							    !vm.draining;
 					     });
 	}
@@ -125,21 +126,21 @@
 	}
 
 	unsigned bought = 0;
-	unsigned bought_twice = 0;
+	unsigned duplicate_purchases = 0;
 	unsigned released = 0;
 
       private:
-	double draw()
+	double random_fraction()
 	{
 		return g_rand_double(random);
 	}
 
-	pd_time_t draw_time(pd_time_t most)
+	pd_time_t random_time(pd_time_t max)
 	{
-		return (pd_time_t)(draw() * (double)most);
+		return (pd_time_t)(random_fraction() * (double)max);
 	}
 
-	void give_bundle(process &process)
+	void send_bundle(process &process)
 	{
 		bundle_t *bundle = bundle_create();
 		target_t *target = bundle_add_target(bundle, TARGET_MODEL, "m");
@@ -163,35 +164,35 @@
 		config.seed = g_rand_int(random);
 		placer_destroy(process.placer);
 		process.placer = placer_create(&config);
-		process.life++;
-		process.offset = draw_time(1000 * PD_SEC);
-		give_bundle(process);
+		process.incarnation++;
+		process.clock_offset = random_time(1000 * PD_SEC);
+		send_bundle(process);
 	}
 
-	void break_something()
+	void inject_fault()
 	{
-		process &any = processes[(size_t)(draw() * PLACERS)];
-		double what = draw();
-
-		if (what < 0.002)
-			start(any);
-		else if (what < 0.006)
-			any.paused_until = now + draw_time(60 * PD_SEC);
-		else if (what < 0.008)
-			down_until = now + draw_time(20 * PD_SEC);
-		else if (what < 0.010)
-			refused_until = now + draw_time(60 * PD_SEC);
-		else if (what < 0.020)
+		process &victim = processes[(size_t)(random_fraction() * PLACERS)];
+		double choice = random_fraction();
+
+		if (choice < 0.002)
+			start(victim);
+		else if (choice < 0.006)
+			victim.paused_until = now + random_time(60 * PD_SEC);
+		else if (choice < 0.008)
+			down_until = now + random_time(20 * PD_SEC);
+		else if (choice < 0.010)
+			refusing_until = now + random_time(60 * PD_SEC);
+		else if (choice < 0.020)
 			reclaim(1);
-		else if (what < 0.021)
+		else if (choice < 0.021)
 			reclaim(3);
 	}
 
-	void reclaim(int most)
+	void reclaim(int max)
 	{
 		for (auto &vm : vms) {
-			if (most-- > 0 && !vm.goes_at)
-				vm.goes_at = now + 5 * PD_SEC;
+			if (max-- > 0 && !vm.gone_at)
+				vm.gone_at = now + 5 * PD_SEC;
 		}
 	}
 
@@ -200,12 +201,12 @@
 		message message = {};
 
 		message.from = from;
-		message.life = processes[from].life;
+		message.incarnation = processes[from].incarnation;
 		message.action = action;
-		message.arrives = now + 5 * PD_MSEC;
-		if (faults && draw() < 0.1)
-			message.arrives += draw_time(20 * PD_SEC);
-		message.lost = faults && draw() < 0.1;
+		message.arrives_at = now + 5 * PD_MSEC;
+		if (faults && random_fraction() < 0.1)
+			message.arrives_at += random_time(20 * PD_SEC);
+		message.reply_lost = faults && random_fraction() < 0.1;
 		messages.push_back(message);
 	}
 
@@ -214,16 +215,21 @@
 		list_node_t actions;
 		list_node_t *node;
 
-		event->now = now + process.offset;
+		event->now = now + process.clock_offset;
 		list_init(&actions);
 		placer_handle(process.placer, event, &actions);
 		while ((node = list_pop(&actions)))
-			take(process, LIST_ENTRY(node, placer_action_t, node),
-			     event->now);
+			check_and_send(process,
+				       LIST_ENTRY(node, placer_action_t, node),
+				       event->now);
 	}
 
-	/* What is ordered must be on record, and under a lease that holds. */
-	void take(const process &process, placer_action_t *action, pd_time_t clock)
+	/*
+	 * Sends an action. Checks that an order is on record, and that the
+	 * lease holds.
+	 */
+	void check_and_send(const process &process, placer_action_t *action,
+			    pd_time_t clock)
 	{
 		switch (action->kind) {
 		case PLACER_DECISION:
@@ -257,45 +263,46 @@
 		if (now < process.paused_until)
 			return;
 		for (auto &message : messages) {
-			if (message.from != i || !message.done ||
-			    message.lost || message.life != process.life)
+			if (message.from != i || !message.handled ||
+			    message.reply_lost ||
+			    message.incarnation != process.incarnation)
 				continue;
-			message.lost = true;
+			message.reply_lost = true;
 			handle(process, &message.event);
 		}
 		if (now >= process.next_list) {
 			process.next_list = now + PD_SEC;
-			give_list(process);
+			send_vm_list(process);
 		}
 		tick.kind = PLACER_TICK;
 		handle(process, &tick);
 	}
 
-	void give_list(process &process)
+	void send_vm_list(process &process)
 	{
-		std::vector<vm_t> rows;
+		std::vector<vm_t> listed_vms;
 		placer_event_t event = {};
 
 		for (auto &vm : vms) {
-			vm_t row = {};
+			vm_t listed_vm = {};
 
 			if (vm.listed_at > now)
 				continue;
-			row.id = (char *)vm.id.c_str();
-			row.tag = (char *)vm.tag.c_str();
-			row.zone = (char *)vm.zone.c_str();
-			row.machine_class = (char *)"any";
-			row.address = (char *)"127.0.0.1";
-			row.serves = (char *)"m";
-			row.role = VM_MODEL;
-			row.reclaimable = vm.reclaimable;
-			row.state = vm.goes_at ? VM_LEAVING : VM_LIVE;
-			row.slots = 8;
-			rows.push_back(row);
+			listed_vm.id = (char *)vm.id.c_str();
+			listed_vm.tag = (char *)vm.tag.c_str();
+			listed_vm.zone = (char *)vm.zone.c_str();
+			listed_vm.machine_class = (char *)"any";
+			listed_vm.address = (char *)"127.0.0.1";
+			listed_vm.serves = (char *)"m";
+			listed_vm.role = VM_MODEL;
+			listed_vm.reclaimable = vm.reclaimable;
+			listed_vm.state = vm.gone_at ? VM_LEAVING : VM_LIVE;
+			listed_vm.slots = 8;
+			listed_vms.push_back(listed_vm);
 		}
 		event.kind = PLACER_VM_LIST;
-		event.vm_list.vms = rows.data();
-		event.vm_list.count = rows.size();
+		event.vm_list.vms = listed_vms.data();
+		event.vm_list.count = listed_vms.size();
 		handle(process, &event);
 	}
 
@@ -308,7 +315,7 @@
 		return nullptr;
 	}
 
-	void buy(message &message)
+	void handle_purchase(message &message)
 	{
 		const intent_t *intent = &message.action->buy.intent;
 		bool known = tags.count(intent->tag) > 0;
@@ -316,21 +323,21 @@
 		message.event.kind = PLACER_BOUGHT;
 		message.event.bought.tag = intent->tag;
 		message.event.bought.status = STORE_OK;
-		if (known && one_vm_a_tag)
+		if (known && tags_are_idempotent)
 			return;
-		if (now < refused_until) {
+		if (now < refusing_until) {
 			message.event.bought.status = STORE_DOWN;
 			return;
 		}
 		tags.insert(intent->tag);
 		bought++;
-		bought_twice += known;
+		duplicate_purchases += known;
 		vms.push_back({ "vm-" + std::to_string(bought), intent->tag,
 				intent->zone, intent->reclaimable,
 				now + LIST_LAG, 0, false, now + TIMEOUT });
 	}
 
-	void engine(message &message)
+	void handle_engine_order(message &message)
 	{
 		cloud_vm *vm = find(message.action->engine.vm_id);
 
@@ -340,12 +347,12 @@
 		if (!vm)
 			return;
 		if (!vm->draining)
-			vm->streams_until = now + draw_time(TIMEOUT);
+			vm->streams_until = now + random_time(TIMEOUT);
 		vm->draining = true;
 		message.event.engine.running = now < vm->streams_until;
 	}
 
-	void release(message &message)
+	void handle_release(message &message)
 	{
 		cloud_vm *vm = find(message.action->release.vm_id);
 
@@ -354,42 +361,42 @@
 			return;
 		RC_ASSERT(vm->draining && now >= vm->streams_until);
 		released++;
-		vm->goes_at = now;
+		vm->gone_at = now;
 	}
 
 	void apply(message &message)
 	{
-		message.done = true;
+		message.handled = true;
 		switch (message.action->kind) {
 		case PLACER_BUY:
-			buy(message);
+			handle_purchase(message);
 			break;
 		case PLACER_RELEASE:
-			release(message);
+			handle_release(message);
 			break;
 		case PLACER_ENGINE_ORDER:
-			engine(message);
+			handle_engine_order(message);
 			break;
 		case PLACER_LEASE_READ:
 		case PLACER_LEASE_WRITE:
 			message.event.kind = PLACER_LEASE_REPLY;
 			message.event.lease =
 				store.apply(message.action, now < down_until);
-			note_recorded();
+			save_recorded_tags();
 			break;
 		case PLACER_DECISION:
 			break;
 		}
 	}
 
-	void note_recorded()
+	void save_recorded_tags()
 	{
 		for (unsigned i = 0;
 		     store.record && i < store.record->intent_count; i++)
 			recorded.insert(store.record->intents[i].tag);
 	}
 
-	static void forget(message &message)
+	static void free_message(message &message)
 	{
 		if (message.event.kind == PLACER_LEASE_REPLY)
 			lease_record_destroy(const_cast<lease_record_t *>(
@@ -401,15 +408,15 @@
 	std::vector<process> processes = std::vector<process>(PLACERS);
 	std::list<message> messages;
 	std::list<cloud_vm> vms;
-	std::set<std::string> tags; /* ever bought */
-	std::set<std::string> recorded; /* tags ever in the lease object */
+	std::set<std::string> tags; /* of all purchases */
+	std::set<std::string> recorded; /* tags seen in the lease object */
 	fake_store store;
 	pd_time_t now = PD_SEC;
 	pd_time_t down_until = 0;
-	pd_time_t refused_until = 0;
+	pd_time_t refusing_until = 0;
 	unsigned workers = 6;
 	unsigned started = 0;
-	bool one_vm_a_tag;
+	bool tags_are_idempotent;
 	bool faults = true;
 };
 
@@ -417,19 +424,20 @@
 {
 	return rc::check("orders are on record, and the count comes right", [] {
 		static const unsigned counts[] = { 6, 2, 8 };
-		world world(*rc::gen::arbitrary<uint32_t>());
+		simulation simulation(*rc::gen::arbitrary<uint32_t>());
 
 		for (int i = 0; i < STEPS; i++) {
 			if (i % (STEPS / 3) == 0)
-				world.set_workers(counts[i / (STEPS / 3)]);
-			world.step(true);
+				simulation.set_workers(counts[i / (STEPS / 3)]);
+			simulation.step(true);
 		}
-		for (int i = 0; i < CALM_STEPS; i++)
-			world.step(false);
-		RC_ASSERT(world.serving() == 8);
-		RC_ASSERT(world.count() == 8);
-		RC_CLASSIFY(world.bought_twice > 0, "a tag bought twice");
-		RC_CLASSIFY(world.released > 0, "a VM released");
+		for (int i = 0; i < FAULT_FREE_STEPS; i++)
+			simulation.step(false);
+		RC_ASSERT(simulation.serving() == 8);
+		RC_ASSERT(simulation.count() == 8);
+		RC_CLASSIFY(simulation.duplicate_purchases > 0,
+			    "a tag bought twice");
+		RC_CLASSIFY(simulation.released > 0, "a VM released");
 	});
 }
 
--- a/tests/unit/test_mix.c
+++ b/tests/unit/test_mix.c
@@ -1,4 +1,4 @@
-/* The choice of VMs, by hand-made offers. */
+/* Unit tests of the choice of VMs, with hand-made offers. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,9 +12,12 @@
 
 #define ZONES 4
 #define OPTIONS (ZONES * 2)
-#define MANY 1000
+#define UNLIMITED 1000
 
-/* In each zone, eight slots on demand for 100 or reclaimable for 30. */
+/*
+ * Fills OPTIONS: in each zone VMs of eight slots, on demand for 100 and
+ * reclaimable for 30.
+ */
 static void make_offers(mix_option_t *options)
 {
 	for (unsigned int i = 0; i < OPTIONS; i++) {
@@ -22,7 +25,7 @@
 					     .slots = 8,
 					     .reclaimable = i % 2 == 1,
 					     .price = i % 2 ? 30 : 100,
-					     .max = MANY };
+					     .max = UNLIMITED };
 	}
 }
 
@@ -30,12 +33,13 @@
 {
 	return (mix_need_t){ .slots = slots,
 			     .urgent = urgent,
-			     .max_vms = MANY,
+			     .max_vms = UNLIMITED,
 			     .spare_zones = 1,
 			     .reclaimable_percent = 59 };
 }
 
-static unsigned int slots_of(const mix_option_t *options, int zone)
+/* Returns the desired slots in ZONE; in all zones if it is negative. */
+static unsigned int zone_slots(const mix_option_t *options, int zone)
 {
 	unsigned int slots = 0;
 
@@ -46,7 +50,8 @@
 	return slots;
 }
 
-static void assert_shares(const mix_option_t *options, unsigned int percent)
+static void assert_reclaimable_share(const mix_option_t *options,
+				     unsigned int percent)
 {
 	unsigned int reclaimable = 0;
 	unsigned int all = 0;
@@ -59,10 +64,10 @@
 }
 
 /*
- * A whole zone is reclaimed at once. Urgent callers must not notice, so what
- * stays in the other zones has to be enough for them, whichever zone goes.
+ * A whole zone is reclaimed at once. Urgent callers must not notice it, so the
+ * slots in the other zones have to suffice for them, whichever zone is lost.
  */
-static void test_the_loss_of_a_zone_leaves_enough(void **state)
+static void test_zone_loss_leaves_urgent_slots(void **state)
 {
 	mix_option_t options[OPTIONS];
 
@@ -72,15 +77,16 @@
 
 		make_offers(options);
 		mix_choose(MIX_SWEEP, &need, options, OPTIONS);
-		assert_shares(options, 59);
+		assert_reclaimable_share(options, 59);
 		for (int zone = 0; zone < ZONES; zone++)
-			assert_true(slots_of(options, -1) - slots_of(options, zone) >=
+			assert_true(zone_slots(options, -1) -
+					    zone_slots(options, zone) >=
 				    slots);
 	}
 }
 
-/* The cheap zone is used more where urgent work leaves room for it. */
-static void test_cheap_zones_come_first(void **state)
+/* The cheap zone is used more as far as urgent work permits. */
+static void test_cheap_zone_is_preferred(void **state)
 {
 	mix_option_t options[OPTIONS];
 	mix_need_t need = make_need(80, 8);
@@ -90,15 +96,15 @@
 	options[0].price = 50;
 	options[1].price = 15;
 	mix_choose(MIX_SWEEP, &need, options, OPTIONS);
-	assert_int_equal(slots_of(options, -1), 80);
-	assert_true(slots_of(options, 0) >= 64);
+	assert_int_equal(zone_slots(options, -1), 80);
+	assert_true(zone_slots(options, 0) >= 64);
 }
 
 /*
- * Starts in one zone are refused for minutes. The VMs there stay, and the rest
- * is bought elsewhere.
+ * Starts in one zone are refused for minutes. VMs that exist there stay, and
+ * the rest is bought in other zones.
  */
-static void test_a_refused_zone_is_passed_over(void **state)
+static void test_zone_that_refuses_is_avoided(void **state)
 {
 	mix_option_t options[OPTIONS];
 	mix_need_t need = make_need(64, 0);
@@ -108,15 +114,15 @@
 	options[0].max = 0;
 	options[1].max = 0;
 	mix_choose(MIX_SWEEP, &need, options, OPTIONS);
-	assert_int_equal(slots_of(options, 0), 0);
-	assert_int_equal(slots_of(options, -1), 64);
+	assert_int_equal(zone_slots(options, 0), 0);
+	assert_int_equal(zone_slots(options, -1), 64);
 }
 
 /*
- * Prices swing by a tenth. Swapping a VM that runs for one a little cheaper
- * would be paid twice while the new one starts.
+ * Prices swing by a tenth. Replacing a running VM by one that is a little
+ * cheaper would be paid twice while the new one starts.
  */
-static void test_small_swings_move_nothing(void **state)
+static void test_small_price_swings_move_nothing(void **state)
 {
 	mix_option_t options[OPTIONS];
 	mix_need_t need = make_need(64, 16);
@@ -135,14 +141,16 @@
 		assert_int_equal(options[i].desired, before[i]);
 }
 
-/* Small VMs for a small need: slots beyond it are worth nothing. */
-static void test_a_small_need_takes_a_small_vm(void **state)
+/* A small need gets a small VM, as slots beyond the need have no value. */
+static void test_small_need_takes_small_vm(void **state)
 {
 	mix_option_t options[2] = {
-		{ .slots = 16, .price = 150, .max = MANY },
-		{ .slots = 4, .price = 60, .max = MANY },
+		{ .slots = 16, .price = 150, .max = UNLIMITED },
+		{ .slots = 4, .price = 60, .max = UNLIMITED },
 	};
-	mix_need_t need = { .slots = 4, .max_vms = MANY, .reclaimable_percent = 100 };
+	mix_need_t need = { .slots = 4,
+			    .max_vms = UNLIMITED,
+			    .reclaimable_percent = 100 };
 
 	(void)state;
 	mix_choose(MIX_SWEEP, &need, options, 2);
@@ -150,8 +158,8 @@
 	assert_int_equal(options[1].desired, 1);
 }
 
-/* A target that asks for a number of VMs gets it, spread over the zones. */
-static void test_a_fixed_number_is_spread(void **state)
+/* A target with a fixed number of VMs gets it, spread over the zones. */
+static void test_fixed_number_is_spread(void **state)
 {
 	mix_option_t options[OPTIONS];
 	mix_need_t need = { .min_vms = 9,
@@ -162,17 +170,17 @@
 	(void)state;
 	make_offers(options);
 	mix_choose(MIX_EVEN, &need, options, OPTIONS);
-	assert_int_equal(slots_of(options, -1), 72);
-	assert_shares(options, 59);
+	assert_int_equal(zone_slots(options, -1), 72);
+	assert_reclaimable_share(options, 59);
 	for (int zone = 0; zone < ZONES; zone++)
-		assert_true(slots_of(options, zone) >= 16);
+		assert_true(zone_slots(options, zone) >= 16);
 }
 
 /*
- * The share of reclaimable VMs is one of all VMs: what other targets have on
- * demand leaves room for it.
+ * The share of reclaimable VMs is one of all VMs: on-demand VMs of other
+ * targets leave room for reclaimable ones.
  */
-static void test_other_targets_count_for_the_share(void **state)
+static void test_other_targets_count_for_share(void **state)
 {
 	mix_option_t options[OPTIONS];
 	mix_need_t need = make_need(32, 8);
@@ -184,20 +192,20 @@
 	mix_choose(MIX_SWEEP, &need, options, OPTIONS);
 	for (unsigned int i = 0; i < OPTIONS; i += 2)
 		on_demand += options[i].desired;
-	assert_int_equal(slots_of(options, -1), 32);
+	assert_int_equal(zone_slots(options, -1), 32);
 	assert_int_equal(on_demand, 0);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_the_loss_of_a_zone_leaves_enough),
-		cmocka_unit_test(test_cheap_zones_come_first),
-		cmocka_unit_test(test_a_refused_zone_is_passed_over),
-		cmocka_unit_test(test_small_swings_move_nothing),
-		cmocka_unit_test(test_a_small_need_takes_a_small_vm),
-		cmocka_unit_test(test_a_fixed_number_is_spread),
-		cmocka_unit_test(test_other_targets_count_for_the_share),
+		cmocka_unit_test(test_zone_loss_leaves_urgent_slots),
+		cmocka_unit_test(test_cheap_zone_is_preferred),
+		cmocka_unit_test(test_zone_that_refuses_is_avoided),
+		cmocka_unit_test(test_small_price_swings_move_nothing),
+		cmocka_unit_test(test_small_need_takes_small_vm),
+		cmocka_unit_test(test_fixed_number_is_spread),
+		cmocka_unit_test(test_other_targets_count_for_share),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
