--- a/adapters/bundle_json.c
+++ b/adapters/bundle_json.c
@@ -321,11 +321,11 @@
 		read_integer(reader, limits, "claim_retention_s") * PD_SEC;
 	bundle->queue_limit =
 		(unsigned int)read_integer(reader, limits, "queue_limit");
-	bundle->reclaimable_share =
+	bundle->reclaimable_percent =
 		(unsigned int)read_integer(reader, limits, "reclaimable_percent");
 	bundle->spare_zones =
 		(unsigned int)read_integer(reader, limits, "spare_zones");
-	bundle->headroom =
+	bundle->headroom_percent =
 		(unsigned int)read_integer(reader, limits, "headroom_percent");
 }
 
--- a/bench/placement_world.c
+++ b/bench/placement_world.c
@@ -168,8 +168,8 @@
 	target->workers = 1;
 	target->most_workers = day->config->most_workers;
 	target->machine_class = g_strdup("any");
-	bundle->headroom = day->config->headroom;
-	bundle->reclaimable_share = RECLAIMABLE_PERCENT;
+	bundle->headroom_percent = day->config->headroom;
+	bundle->reclaimable_percent = RECLAIMABLE_PERCENT;
 	handle(day, &event);
 }
 
--- a/core/admission.c
+++ b/core/admission.c
@@ -17,7 +17,7 @@
 
 static double admission_share(entry_t *entry, const account_t *account)
 {
-	demand_asked(entry->demand, account->name, entry->now);
+	demand_record_request(entry->demand, account->name, entry->now);
 	return demand_share(entry->demand, account->name,
 			    members_alive(entry->members), entry->now);
 }
@@ -93,10 +93,11 @@
 	    request->priority == PRIORITY_URGENT)
 		return;
 	/* It is in the queue itself, which is not ahead of it. */
-	expected = predict_first_token(entry->predict, request->target.name,
-				       request->priority,
-				       entry->queued[request->priority] - 1,
-				       queue_slots(entry, request->priority));
+	expected =
+		predict_time_to_first_token(entry->predict, request->target.name,
+					    request->priority,
+					    entry->queued[request->priority] - 1,
+					    queue_slots(entry, request->priority));
 	if (expected > (pd_time_t)((double)target * MARGIN))
 		request_give_up(entry, request, REASON_QUEUE_FULL,
 				MAX(expected - target, RETRY_SOON));
--- a/core/attempt.c
+++ b/core/attempt.c
@@ -135,8 +135,9 @@
 	}
 	if (!request->first_at) {
 		request->first_at = entry->now;
-		predict_first(entry->predict, request->target.name,
-			      request->priority, entry->now - request->sent_at);
+		predict_record_first_token(entry->predict, request->target.name,
+					   request->priority,
+					   entry->now - request->sent_at);
 	}
 	if (request->offset >= request->resume_offset)
 		request_reply(entry, request, ACTION_TOKEN, event->data,
@@ -189,8 +190,9 @@
 	case UPSTREAM_END:
 		if (request->held)
 			request->held->ended = true;
-		predict_done(entry->predict, request->target.name,
-			     request->priority, entry->now - request->sent_at);
+		predict_record_completion(entry->predict, request->target.name,
+					  request->priority,
+					  entry->now - request->sent_at);
 		request_reply(entry, request, ACTION_END, NULL, 0, 0);
 		request_end(entry, request);
 		break;
--- a/core/bundle.c
+++ b/core/bundle.c
@@ -42,9 +42,9 @@
 	bundle->drain_bound = 2 * PD_SEC;
 	bundle->claim_retention = 24 * 3600 * PD_SEC;
 	bundle->queue_limit = 256;
-	bundle->reclaimable_share = 59;
+	bundle->reclaimable_percent = 59;
 	bundle->spare_zones = 1;
-	bundle->headroom = 30;
+	bundle->headroom_percent = 30;
 	return bundle;
 }
 
--- a/core/bundle.h
+++ b/core/bundle.h
@@ -56,9 +56,9 @@
 	pd_time_t drain_bound;
 	pd_time_t claim_retention;
 	unsigned int queue_limit; /* waiting requests per priority, an entry */
-	unsigned int reclaimable_share; /* per cent of VMs, at most */
+	unsigned int reclaimable_percent; /* per cent of VMs, at most */
 	unsigned int spare_zones; /* zones whose loss must not hurt */
-	unsigned int headroom; /* per cent of slots kept above demand */
+	unsigned int headroom_percent; /* per cent of slots kept above demand */
 } bundle_t;
 
 bundle_t *bundle_create(void);
--- a/core/demand.h
+++ b/core/demand.h
@@ -14,10 +14,10 @@
 
 demand_t *demand_create(void);
 void demand_destroy(demand_t *demand);
-void demand_asked(demand_t *demand, const char *account, pd_time_t now);
-void demand_heard(demand_t *demand, const peer_msg_t *msg, pd_time_t now);
+void demand_record_request(demand_t *demand, const char *account, pd_time_t now);
+void demand_record_peer(demand_t *demand, const peer_msg_t *msg, pd_time_t now);
 double demand_share(demand_t *demand, const char *account, unsigned int entries,
 		    pd_time_t now);
-void demand_fill(demand_t *demand, peer_msg_t *msg, pd_time_t now);
+void demand_add_to_msg(demand_t *demand, peer_msg_t *msg, pd_time_t now);
 
 #endif
--- a/core/demand_window.c
+++ b/core/demand_window.c
@@ -8,14 +8,14 @@
 
 #include <glib.h>
 
-#define BUCKET_SPAN (12 * PD_SEC)
+#define BUCKET_DURATION (12 * PD_SEC)
 /* A rise is measured over so long. */
-#define TREND_SPAN (60 * PD_SEC)
+#define TREND_DURATION (60 * PD_SEC)
 /*
  * A VM bought now serves after it has booted and loaded its weights. Demand that
  * rises goes on rising till then; without this every burst begins with a queue.
  */
-#define TREND_LEAD (120 * PD_SEC)
+#define TREND_HORIZON (120 * PD_SEC)
 
 /* Returns the oldest report within the span of a trend; there is one. */
 static const demand_report_t *trend_start(const demand_window_t *window,
@@ -23,12 +23,13 @@
 {
 	const demand_report_t *oldest = NULL;
 
-	for (unsigned int i = 0; i < DEMAND_RECENT; i++) {
-		const demand_report_t *report = &window->recent[i];
+	for (unsigned int i = 0; i < DEMAND_REPORTS; i++) {
+		const demand_report_t *report = &window->reports[i];
 
-		if (!report->at || now - report->at > TREND_SPAN)
+		if (!report->received_at ||
+		    now - report->received_at > TREND_DURATION)
 			continue;
-		if (!oldest || report->at < oldest->at)
+		if (!oldest || report->received_at < oldest->received_at)
 			oldest = report;
 	}
 	return oldest;
@@ -39,7 +40,7 @@
 {
 	if (to <= from)
 		return to;
-	return to + (unsigned int)((to - from) * TREND_LEAD / TREND_SPAN);
+	return to + (unsigned int)((to - from) * TREND_HORIZON / TREND_DURATION);
 }
 
 /* Adds a report of the requests in hand. */
@@ -49,16 +50,18 @@
 	const demand_report_t *before;
 	demand_peak_t *bucket;
 
-	if (!window->since || now - window->since >= BUCKET_SPAN) {
-		window->at = (window->at + 1) % DEMAND_BUCKETS;
-		window->buckets[window->at] = (demand_peak_t){ 0 };
-		window->since = now;
+	if (!window->bucket_started_at ||
+	    now - window->bucket_started_at >= BUCKET_DURATION) {
+		window->current_bucket =
+			(window->current_bucket + 1) % DEMAND_BUCKETS;
+		window->buckets[window->current_bucket] = (demand_peak_t){ 0 };
+		window->bucket_started_at = now;
 	}
-	window->recent[window->next_recent] =
+	window->reports[window->next_report] =
 		(demand_report_t){ now, { requests, urgent } };
-	window->next_recent = (window->next_recent + 1) % DEMAND_RECENT;
+	window->next_report = (window->next_report + 1) % DEMAND_REPORTS;
 	before = trend_start(window, now);
-	bucket = &window->buckets[window->at];
+	bucket = &window->buckets[window->current_bucket];
 	bucket->requests = MAX(bucket->requests,
 			       extrapolate(before->demand.requests, requests));
 	bucket->urgent =
--- a/core/demand_window.h
+++ b/core/demand_window.h
@@ -7,7 +7,7 @@
 #include "ports/clock.h"
 
 #define DEMAND_BUCKETS 10
-#define DEMAND_RECENT 8
+#define DEMAND_REPORTS 8
 
 typedef struct demand_peak {
 	unsigned int requests;
@@ -15,17 +15,17 @@
 } demand_peak_t;
 
 typedef struct demand_report {
-	pd_time_t at; /* 0: none */
+	pd_time_t received_at; /* 0: none */
 	demand_peak_t demand;
 } demand_report_t;
 
 /* All zero is a window that has seen nothing. */
 typedef struct demand_window {
 	demand_peak_t buckets[DEMAND_BUCKETS];
-	unsigned int at; /* the bucket in use */
-	pd_time_t since; /* when it was begun; 0: nothing seen */
-	demand_report_t recent[DEMAND_RECENT]; /* a ring */
-	unsigned int next_recent;
+	unsigned int current_bucket; /* index */
+	pd_time_t bucket_started_at; /* when it was begun; 0: nothing seen */
+	demand_report_t reports[DEMAND_REPORTS]; /* a ring */
+	unsigned int next_report;
 } demand_window_t;
 
 void demand_window_add(demand_window_t *window, unsigned int requests,
--- a/core/entry.c
+++ b/core/entry.c
@@ -278,7 +278,7 @@
 	for (unsigned int i = 0; i < msg->leaving_count; i++)
 		entry_vm_leaving(entry, msg->leaving[i].vm_id,
 				 msg->leaving[i].leaves_in);
-	demand_heard(entry->demand, msg, entry->now);
+	demand_record_peer(entry->demand, msg, entry->now);
 	members_receive(entry->members, msg, entry->now, entry->actions);
 	entry->peer_heard = true;
 	entry->peer_generation = MAX(entry->peer_generation, msg->generation);
@@ -316,7 +316,7 @@
 		msg = action->peer.msg;
 		if (msg->demand_count == 0 &&
 		    (msg->kind == PEER_PING || msg->kind == PEER_ACK))
-			demand_fill(entry->demand, msg, entry->now);
+			demand_add_to_msg(entry->demand, msg, entry->now);
 	}
 }
 
--- a/core/limits.c
+++ b/core/limits.c
@@ -8,11 +8,11 @@
  * two calls a second apart would then be refused though it is within its limit.
  * So each entry grants at least this many at once.
  */
-#define BURST_MIN 3.0
+#define BURST_MIN_REQUESTS 3.0
 
 typedef struct bucket {
 	double tokens;
-	pd_time_t filled_at;
+	pd_time_t refilled_at;
 } bucket_t;
 
 struct limits {
@@ -38,8 +38,8 @@
 	g_free(limits);
 }
 
-static bucket_t *limits_bucket(limits_t *limits, const account_t *account,
-			       double burst, pd_time_t now)
+static bucket_t *limits_get_bucket(limits_t *limits, const account_t *account,
+				   double burst, pd_time_t now)
 {
 	bucket_t *bucket = g_hash_table_lookup(limits->buckets, account->name);
 
@@ -47,7 +47,7 @@
 		return bucket;
 	bucket = g_new0(bucket_t, 1);
 	bucket->tokens = burst;
-	bucket->filled_at = now;
+	bucket->refilled_at = now;
 	g_hash_table_insert(limits->buckets, g_strdup(account->name), bucket);
 	return bucket;
 }
@@ -65,13 +65,13 @@
 bool limits_take(limits_t *limits, const account_t *account, double share,
 		 pd_time_t now, pd_time_t *retry_after)
 {
-	double burst = MAX(account->burst * sqrt(share), BURST_MIN);
+	double burst = MAX(account->burst * sqrt(share), BURST_MIN_REQUESTS);
 	double rate = account->requests_per_second * share;
-	bucket_t *bucket = limits_bucket(limits, account, burst, now);
-	double gained = rate * (double)(now - bucket->filled_at) / PD_SEC;
+	bucket_t *bucket = limits_get_bucket(limits, account, burst, now);
+	double refill = rate * (double)(now - bucket->refilled_at) / PD_SEC;
 
-	bucket->tokens = MIN(bucket->tokens + gained, burst);
-	bucket->filled_at = now;
+	bucket->tokens = MIN(bucket->tokens + refill, burst);
+	bucket->refilled_at = now;
 	if (bucket->tokens >= 1.0) {
 		bucket->tokens -= 1.0;
 		return true;
--- a/core/placement.c
+++ b/core/placement.c
@@ -219,7 +219,7 @@
 	mix_need_t need = { .min_vms = target->workers,
 			    .max_vms = MAX(target->workers, target->most_workers),
 			    .spare_zones = bundle->spare_zones,
-			    .reclaimable_percent = bundle->reclaimable_share };
+			    .reclaimable_percent = bundle->reclaimable_percent };
 
 	need_count_others(&need, placer, target);
 	if (!target->most_workers && target->priority == PRIORITY_URGENT)
@@ -227,8 +227,8 @@
 	if (target->most_workers && window) {
 		demand_peak_t peak = demand_window_peak(window);
 
-		need.slots = add_headroom(peak.requests, bundle->headroom);
-		need.urgent = add_headroom(peak.urgent, bundle->headroom);
+		need.slots = add_headroom(peak.requests, bundle->headroom_percent);
+		need.urgent = add_headroom(peak.urgent, bundle->headroom_percent);
 	}
 	return need;
 }
--- a/core/predict.c
+++ b/core/predict.c
@@ -1,22 +1,22 @@
-/* Smoothed times of each target, and the estimate made of them. */
+/* Smoothed latencies of each target, and the estimate made of them. */
 #include "core/predict.h"
 
-#define WEIGHT 0.05 /* of one request in the smoothed times */
+#define EWMA_WEIGHT 0.05 /* of one request in the smoothed latencies */
 /*
  * What is taken before anything is known. With nothing, an entry that starts
  * under overload would fill its queues in the first second, and all those
  * callers would be late.
  */
-#define FIRST_ASSUMED (100 * PD_MSEC)
-#define SLOT_ASSUMED (1 * PD_SEC)
+#define DEFAULT_FIRST_TOKEN_TIME (100 * PD_MSEC)
+#define DEFAULT_SERVICE_TIME (1 * PD_SEC)
 
-typedef struct times {
-	double first; /* from the dispatch to the first token */
-	double slot; /* from the dispatch to the end */
-} times_t;
+typedef struct latencies {
+	double first_token_time; /* from the dispatch to the first token */
+	double service_time; /* from the dispatch to the end */
+} latencies_t;
 
 struct predict {
-	GHashTable *targets; /* name -> times_t [PRIORITIES], owned */
+	GHashTable *targets; /* name -> latencies_t [PRIORITIES], owned */
 };
 
 /* Returns a predictor that knows nothing yet; the caller owns it. */
@@ -38,39 +38,41 @@
 	g_free(predict);
 }
 
-static times_t *predict_times(predict_t *predict, const char *target,
-			      priority_t priority)
+static latencies_t *predict_get_latencies(predict_t *predict, const char *target,
+					  priority_t priority)
 {
-	times_t *times = g_hash_table_lookup(predict->targets, target);
+	latencies_t *latencies = g_hash_table_lookup(predict->targets, target);
 
-	if (times)
-		return &times[priority];
-	times = g_new0(times_t, PRIORITIES);
+	if (latencies)
+		return &latencies[priority];
+	latencies = g_new0(latencies_t, PRIORITIES);
 	for (int i = 0; i < PRIORITIES; i++) {
-		times[i].first = FIRST_ASSUMED;
-		times[i].slot = SLOT_ASSUMED;
+		latencies[i].first_token_time = DEFAULT_FIRST_TOKEN_TIME;
+		latencies[i].service_time = DEFAULT_SERVICE_TIME;
 	}
-	g_hash_table_insert(predict->targets, g_strdup(target), times);
-	return &times[priority];
+	g_hash_table_insert(predict->targets, g_strdup(target), latencies);
+	return &latencies[priority];
 }
 
-static void smooth(double *value, pd_time_t span)
+static void update_ewma(double *value, pd_time_t duration)
 {
-	*value += WEIGHT * ((double)span - *value);
+	*value += EWMA_WEIGHT * ((double)duration - *value);
 }
 
 /* Learns from an attempt whose first token came SPAN after its dispatch. */
-void predict_first(predict_t *predict, const char *target, priority_t priority,
-		   pd_time_t span)
+void predict_record_first_token(predict_t *predict, const char *target,
+				priority_t priority, pd_time_t duration)
 {
-	smooth(&predict_times(predict, target, priority)->first, span);
+	update_ewma(&predict_get_latencies(predict, target, priority)->first_token_time,
+		    duration);
 }
 
 /* Learns from an attempt that held its slot for SPAN. */
-void predict_done(predict_t *predict, const char *target, priority_t priority,
-		  pd_time_t span)
+void predict_record_completion(predict_t *predict, const char *target,
+			       priority_t priority, pd_time_t duration)
 {
-	smooth(&predict_times(predict, target, priority)->slot, span);
+	update_ewma(&predict_get_latencies(predict, target, priority)->service_time,
+		    duration);
 }
 
 /*
@@ -79,11 +81,13 @@
  * this entry. So many it gets of engines that it shares with other entries and
  * with more urgent work, however much of those there is.
  */
-pd_time_t predict_first_token(predict_t *predict, const char *target,
-			      priority_t priority, unsigned int ahead, double slots)
+pd_time_t predict_time_to_first_token(predict_t *predict, const char *target,
+				      priority_t priority, unsigned int ahead,
+				      double slots)
 {
-	const times_t *times = predict_times(predict, target, priority);
+	const latencies_t *latencies =
+		predict_get_latencies(predict, target, priority);
 
-	return (pd_time_t)(times->first +
-			   times->slot * (ahead + 1) / MAX(slots, 1));
+	return (pd_time_t)(latencies->first_token_time +
+			   latencies->service_time * (ahead + 1) / MAX(slots, 1));
 }
--- a/core/predict.h
+++ b/core/predict.h
@@ -14,12 +14,12 @@
 
 predict_t *predict_create(void);
 void predict_destroy(predict_t *predict);
-void predict_first(predict_t *predict, const char *target, priority_t priority,
-		   pd_time_t span);
-void predict_done(predict_t *predict, const char *target, priority_t priority,
-		  pd_time_t span);
-pd_time_t predict_first_token(predict_t *predict, const char *target,
-			      priority_t priority, unsigned int ahead,
-			      double slots);
+void predict_record_first_token(predict_t *predict, const char *target,
+				priority_t priority, pd_time_t duration);
+void predict_record_completion(predict_t *predict, const char *target,
+			       priority_t priority, pd_time_t duration);
+pd_time_t predict_time_to_first_token(predict_t *predict, const char *target,
+				      priority_t priority, unsigned int ahead,
+				      double slots);
 
 #endif
--- a/tests/property/test_admission.cc
+++ b/tests/property/test_admission.cc
@@ -196,7 +196,7 @@
 	{
 		pd_time_t retry_after = 0;
 
-		demand_asked(one.demand, account.name, now);
+		demand_record_request(one.demand, account.name, now);
 		if (limits_take(one.limits, &account,
 				demand_share(one.demand, account.name, alive(), now),
 				now, &retry_after))
@@ -211,8 +211,8 @@
 		peer_msg_t *msg = peer_msg_create(PEER_PING);
 
 		msg->from.id = g_strdup(std::to_string(from).c_str());
-		demand_fill(entries[from].demand, msg, now);
-		demand_heard(entries[to].demand, msg, now);
+		demand_add_to_msg(entries[from].demand, msg, now);
+		demand_record_peer(entries[to].demand, msg, now);
 		peer_msg_destroy(msg);
 	}
 
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -11,7 +11,7 @@
 
 #define NOW (1000 * PD_SEC)
 
-static void test_a_refusal_says_when_to_come_back(void **state)
+static void test_refusal_sets_retry_after(void **state)
 {
 	limits_t *limits = limits_create();
 	account_t account = { .name = (char *)"a",
@@ -33,7 +33,7 @@
  * The bucket lacks less than a microsecond's worth. A Retry-After rounded to
  * nothing would tell the caller that coming back won't help.
  */
-static void test_retry_after_is_never_rounded_to_nothing(void **state)
+static void test_retry_after_is_never_rounded_to_zero(void **state)
 {
 	limits_t *limits = limits_create();
 	account_t account = { .name = (char *)"a",
@@ -49,7 +49,7 @@
 }
 
 /* An account that may ask nothing: no time to come back is right. */
-static void test_a_rate_of_nothing_gives_no_time(void **state)
+static void test_zero_rate_has_no_retry_after(void **state)
 {
 	limits_t *limits = limits_create();
 	account_t account = { .name = (char *)"a" };
@@ -65,9 +65,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_refusal_says_when_to_come_back),
-		cmocka_unit_test(test_retry_after_is_never_rounded_to_nothing),
-		cmocka_unit_test(test_a_rate_of_nothing_gives_no_time),
+		cmocka_unit_test(test_refusal_sets_retry_after),
+		cmocka_unit_test(test_retry_after_is_never_rounded_to_zero),
+		cmocka_unit_test(test_zero_rate_has_no_retry_after),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
