--- a/core/bundle.c
+++ b/core/bundle.c
@@ -1,4 +1,4 @@
-/* The bundle in memory: building one up, looking things up in it. */
+/* The bundle in memory: construction and lookups. */
 #include "core/bundle.h"
 
 #include <string.h>
@@ -28,7 +28,10 @@
 	g_free(account);
 }
 
-/* Returns an empty bundle with the documented defaults; the caller owns it. */
+/*
+ * Returns a bundle with the documented defaults and no targets or accounts; the
+ * caller owns it.
+ */
 bundle_t *bundle_create(void)
 {
 	bundle_t *bundle = g_new0(bundle_t, 1);
@@ -48,7 +51,7 @@
 	return bundle;
 }
 
-/* Frees a bundle and all in it; NULL is allowed. */
+/* Frees a bundle with its targets and accounts; NULL is allowed. */
 void bundle_destroy(bundle_t *bundle)
 {
 	if (!bundle)
@@ -59,7 +62,10 @@
 	g_free(bundle);
 }
 
-/* Adds a model or service with defaults; the bundle owns what is returned. */
+/*
+ * Adds a model or service with defaults, replacing one of that name; returns
+ * it, borrowed.
+ */
 target_t *bundle_add_target(bundle_t *bundle, target_kind_t kind, const char *name)
 {
 	target_t *target = g_new0(target_t, 1);
@@ -73,7 +79,10 @@
 	return target;
 }
 
-/* Adds a client account with no rights; the bundle owns what is returned. */
+/*
+ * Adds a client account with default limits that may call no target, replacing
+ * one with that key; returns it, borrowed.
+ */
 account_t *bundle_add_account(bundle_t *bundle, const char *name,
 			      const char *key_hash)
 {
@@ -88,19 +97,19 @@
 	return account;
 }
 
-/* Returns the model or service of that name, borrowed, or NULL. */
+/* Returns the model or service with that name, borrowed, or NULL. */
 const target_t *bundle_target(const bundle_t *bundle, const char *name)
 {
 	return g_hash_table_lookup(bundle->targets, name);
 }
 
-/* Returns the account that holds the key of that hash, borrowed, or NULL. */
+/* Returns the account whose key has that hash, borrowed, or NULL. */
 const account_t *bundle_account(const bundle_t *bundle, const char *key_hash)
 {
 	return g_hash_table_lookup(bundle->accounts, key_hash);
 }
 
-/* Says whether the account may call the model or service of that name. */
+/* Returns whether the account may call the model or service with that name. */
 bool account_allows(const account_t *account, const char *target)
 {
 	for (guint i = 0; i < account->allowed->len; i++) {
@@ -110,14 +119,14 @@
 	return false;
 }
 
-/* Returns the name of a priority as bundles spell it. */
+/* Returns the name of a priority as used in bundles. */
 const char *priority_name(priority_t priority)
 {
 	g_assert(priority >= PRIORITY_URGENT && priority < PRIORITIES);
 	return priority_names[priority];
 }
 
-/* Reads a priority's name; returns -1 if there is none of that name. */
+/* Parses the name of a priority. Returns 0, or -1 if the name is unknown. */
 int priority_parse(const char *name, priority_t *priority)
 {
 	for (int i = 0; i < PRIORITIES; i++) {
--- a/core/bundle.h
+++ b/core/bundle.h
@@ -1,7 +1,8 @@
 /*
- * The bundle: what operators sign and roll out. It names models, services,
- * client accounts, priorities and the limits that all programs go by. A bundle
- * does not change once it is in force; a new one takes its place.
+ * The bundle: the configuration that operators sign and roll out. It contains
+ * models, services, client accounts, priorities and the limits that apply to
+ * all programs. A bundle is immutable once it is in force; a new one replaces
+ * it.
  */
 #ifndef PISTACHIO_BUNDLE_H
 #define PISTACHIO_BUNDLE_H
@@ -13,7 +14,7 @@
 #include "core/error.h"
 #include "ports/clock.h"
 
-/* In the order in which waiting work is taken. */
+/* In the order in which queued requests are dispatched. */
 typedef enum priority {
 	PRIORITY_URGENT,
 	PRIORITY_NORMAL,
@@ -21,7 +22,7 @@
 	PRIORITIES
 } priority_t;
 
-/* What an upstream kind serves: a language model or a plain service. */
+/* What an upstream serves: a language model or a plain service. */
 typedef enum target_kind { TARGET_MODEL, TARGET_SERVICE } target_kind_t;
 
 typedef struct target {
@@ -29,25 +30,25 @@
 	char *name;
 	priority_t priority;
 	bool repeatable; /* always true for a model */
-	bool checks_fencing; /* the upstream refuses an old fencing number */
-	pd_time_t timeout; /* the longest wait for a whole answer */
-	unsigned int workers; /* VMs to keep; 0: not placed by the system */
-	unsigned int most_workers; /* VMs at most, by demand; 0: no more */
+	bool checks_fencing; /* the upstream rejects an old fencing token */
+	pd_time_t timeout; /* maximum time for a complete answer */
+	unsigned int workers; /* VMs to keep; 0: not managed by the placer */
+	unsigned int most_workers; /* upper limit by demand; 0: fixed number */
 	char *machine_class; /* of those VMs */
 } target_t;
 
 typedef struct account {
 	char *name;
-	char *key_hash; /* lower-case hex of the key's BLAKE2b-256 */
+	char *key_hash; /* BLAKE2b-256 of the key, lower-case hex */
 	double requests_per_second;
 	double burst;
-	bool has_priority; /* else its requests have their target's */
+	bool has_priority; /* false: its requests have the target's */
 	priority_t priority;
-	GPtrArray *allowed; /* of char *, names of targets */
+	GPtrArray *allowed; /* names of targets, of char * */
 } account_t;
 
 typedef struct bundle {
-	uint64_t generation; /* grows with each rollout, starts at 1 */
+	uint64_t generation; /* increases with each rollout, from 1 */
 	char *name;
 	GHashTable *targets; /* name -> target_t */
 	GHashTable *accounts; /* key hash -> account_t */
@@ -55,10 +56,10 @@
 	pd_time_t token_gap_target;
 	pd_time_t drain_bound;
 	pd_time_t claim_retention;
-	unsigned int queue_limit; /* waiting requests per priority, an entry */
-	unsigned int reclaimable_percent; /* per cent of VMs, at most */
-	unsigned int spare_zones; /* zones whose loss must not hurt */
-	unsigned int headroom_percent; /* per cent of slots kept above demand */
+	unsigned int queue_limit; /* queued requests per priority and entry */
+	unsigned int reclaimable_percent; /* maximum share of VMs */
+	unsigned int spare_zones; /* zones whose loss must be tolerated */
+	unsigned int headroom_percent; /* slots to keep above the demand */
 } bundle_t;
 
 bundle_t *bundle_create(void);
--- a/core/demand.c
+++ b/core/demand.c
@@ -1,30 +1,33 @@
-/* Demand counted here, and what the latest pings of peer_rates said of theirs. */
+/*
+ * Request rates measured locally, and those reported in the latest pings of
+ * peers.
+ */
 #include "core/demand.h"
 
 #include <math.h>
 #include <string.h>
 
 #define RATE_WINDOW (1 * PD_SEC)
-#define EWMA_WEIGHT 0.2 /* of the latest window */
+#define EWMA_WEIGHT 0.2 /* weight of the latest window in the average */
 /*
- * What a peer said is used for this long. Pings go round, so with six entries
- * each is peer_count every few seconds; with hundreds, this holds a sample of them.
+ * How long a peer's report is used. With six entries each peer's ping arrives
+ * every few seconds; with hundreds, these are a sample of them.
  */
 #define PEER_DEMAND_MAX_AGE (15 * PD_SEC)
 #define PEERS_MAX 64
-#define SHARE_RISE_TIME \
-	(20 * PD_SEC) /* in which a step comes near a larger one */
+/* Time constants of a share that rises or falls. */
+#define SHARE_RISE_TIME (20 * PD_SEC)
 #define SHARE_FALL_TIME (5 * PD_SEC)
 
-typedef struct local {
-	unsigned int count; /* in the window under way */
+typedef struct local_demand {
+	unsigned int count; /* requests in the current window */
 	pd_time_t window_start;
 	double rate; /* per second */
-	double share; /* that is granted now; 0: not yet known */
+	double share; /* currently granted; 0: not yet known */
 	pd_time_t share_updated_at;
 } local_demand_t;
 
-typedef struct peer {
+typedef struct peer_demand {
 	pd_time_t received_at;
 	account_demand_t demand[PEER_NEWS_MAX];
 	unsigned int count;
@@ -70,7 +73,7 @@
 	g_free(demand);
 }
 
-/* Closes the window if it is over. */
+/* Updates the rate if the window has ended. */
 static void local_demand_update_rate(local_demand_t *local, pd_time_t now)
 {
 	double seconds = (double)(now - local->window_start) / PD_SEC;
@@ -83,7 +86,7 @@
 	local->window_start = now;
 }
 
-/* Counts one request of the account, whether it is granted or not. */
+/* Counts one request of the account, whether or not it is granted. */
 void demand_record_request(demand_t *demand, const char *account, pd_time_t now)
 {
 	local_demand_t *local = g_hash_table_lookup(demand->local, account);
@@ -97,6 +100,7 @@
 	local_demand_update_rate(local, now);
 }
 
+/* Returns whether the report of a peer is too old. */
 static gboolean peer_demand_has_expired(void *key, void *value, void *data)
 {
 	const peer_demand_t *peer = value;
@@ -106,7 +110,10 @@
 	return *now - peer->received_at > PEER_DEMAND_MAX_AGE;
 }
 
-/* Takes what a peer's heartbeat says of its local demand. */
+/*
+ * Stores the demand that a peer reports in its heartbeat. Reports of more than
+ * PEERS_MAX peers are dropped.
+ */
 void demand_record_peer(demand_t *demand, const peer_msg_t *msg, pd_time_t now)
 {
 	peer_demand_t *peer;
@@ -132,6 +139,7 @@
 	peer->count = msg->demand_count;
 }
 
+/* Returns the rate of an account at a peer, in requests per second. */
 static double peer_demand_rate(const peer_demand_t *peer, const char *account)
 {
 	for (unsigned int i = 0; i < peer->count; i++) {
@@ -141,7 +149,7 @@
 	return 0;
 }
 
-/* Returns the step that follows from the demands known now. */
+/* Returns the share that corresponds to the rates currently known. */
 static double proportional_share(const demand_t *demand, const char *account,
 				 double own_rate, unsigned int entries,
 				 pd_time_t now)
@@ -164,17 +172,18 @@
 }
 
 /*
- * Returns the step, 0 to 1, of the account's limit that this entry may grant,
- * of ENTRIES that are alive. The demand of entries not peer_count lately is taken as
- * the mean of those peer_count. An equal step each would refuse callers of an
- * account that uses few entries, though it is within its limit.
+ * Returns the share, 0 to 1, of the account's limit that this entry may grant,
+ * if ENTRIES are alive. The rate at entries without a recent report is taken as
+ * the mean of those with one. Equal shares would refuse callers of an account
+ * that uses few entries, although it is within its limit.
  *
- * News of peer_rates' demand is seconds old. When an account's calls begin
- * everywhere at once, each entry thinks itself the only one; if each took the
- * whole limit, the account would get it as often as there are entries, seen as
- * a flood let through. So a step rises from the equal one slowly, by the time
- * news has gone round, and falls faster. It does not fall at once: counts of a
- * few calls a second swing, and the parts would all be too small.
+ * Reports are seconds old. When an account's calls begin everywhere at once,
+ * each entry considers itself the only one. If each granted the whole limit,
+ * the account would get it as many times as there are entries, and the flood
+ * would be let through. So a share rises slowly from the equal one, over the
+ * time that reports take to go round, and falls faster. It does not fall at
+ * once: rates of a few calls a second fluctuate, and all shares would be too
+ * small.
  */
 double demand_share(demand_t *demand, const char *account, unsigned int entries,
 		    pd_time_t now)
@@ -194,7 +203,9 @@
 		local->share = equal;
 		local->share_updated_at = now;
 	}
-	/* After a pause it falls by the whole pause, but rises by one window. */
+	/*
+	 * After a pause it falls by the whole pause, but rises by one window.
+	 */
 	step = target_share > local->share
 		       ? (double)MIN(now - local->share_updated_at, RATE_WINDOW) /
 				 SHARE_RISE_TIME
@@ -204,7 +215,7 @@
 	return local->share;
 }
 
-/* Puts the largest demands seen here into a heartbeat. */
+/* Adds the largest local rates to a heartbeat. */
 void demand_add_to_msg(demand_t *demand, peer_msg_t *msg, pd_time_t now)
 {
 	GHashTableIter it;
--- a/core/demand.h
+++ b/core/demand.h
@@ -1,5 +1,5 @@
 /*
- * What each account asks of this entry and of its fellows, from which follows
+ * The demand of each account at this entry and at its peers, from which follows
  * the share of the account's limit that this entry may grant.
  */
 #ifndef PISTACHIO_DEMAND_H
--- a/core/demand_window.c
+++ b/core/demand_window.c
@@ -1,23 +1,27 @@
 /*
- * Keeps the peaks of some spans of time. VMs are given back by the peak of them
- * all, so a dip between two bursts gives back nothing that the next one needs.
- * Spans end only when a report comes: a placer that hears nothing keeps what it
- * has, for silence is no sign of idleness.
+ * Keeps the peaks of several time buckets. VMs are released by the peak of all
+ * buckets, so a dip between two bursts releases nothing that the next burst
+ * needs. Buckets end only when a report arrives: a placer that gets no reports
+ * keeps its VMs, since missing reports don't indicate low demand.
  */
 #include "core/demand_window.h"
 
 #include <glib.h>
 
 #define BUCKET_DURATION (12 * PD_SEC)
-/* A rise is measured over so long. */
+/* Time over which a rise is measured. */
 #define TREND_DURATION (60 * PD_SEC)
 /*
- * A VM bought now serves after it has booted and loaded its weights. Demand that
- * rises goes on rising till then; without this every burst begins with a queue.
+ * Time until a VM bought now serves, after it has booted and loaded its
+ * weights. Rising demand is extrapolated until then; otherwise every burst
+ * begins with a queue.
  */
 #define TREND_HORIZON (120 * PD_SEC)
 
-/* Returns the oldest report within the span of a trend; there is one. */
+/*
+ * Returns the oldest report within the duration of a trend, borrowed. The
+ * newest report must be recent.
+ */
 static const demand_report_t *trend_start(const demand_window_t *window,
 					  pd_time_t now)
 {
@@ -35,7 +39,7 @@
 	return oldest;
 }
 
-/* Returns where a number that rose will be when a VM bought now serves. */
+/* Returns TO plus the rise that is expected until a VM bought now serves. */
 static unsigned int extrapolate(unsigned int from, unsigned int to)
 {
 	if (to <= from)
@@ -43,7 +47,7 @@
 	return to + (unsigned int)((to - from) * TREND_HORIZON / TREND_DURATION);
 }
 
-/* Adds a report of the requests in hand. */
+/* Adds a report of the current requests, and the urgent ones of them. */
 void demand_window_add(demand_window_t *window, unsigned int requests,
 		       unsigned int urgent, pd_time_t now)
 {
@@ -68,7 +72,7 @@
 		MAX(bucket->urgent, extrapolate(before->demand.urgent, urgent));
 }
 
-/* Returns the most seen in the window, each number for itself. */
+/* Returns the peak of each number over all buckets. */
 demand_peak_t demand_window_peak(const demand_window_t *window)
 {
 	demand_peak_t peak = { 0 };
--- a/core/demand_window.h
+++ b/core/demand_window.h
@@ -1,4 +1,4 @@
-/* The demand for one target over the last minutes, and where it is heading. */
+/* The demand for one target over the last two minutes, and its trend. */
 #ifndef PISTACHIO_DEMAND_WINDOW_H
 #define PISTACHIO_DEMAND_WINDOW_H
 
@@ -19,12 +19,12 @@
 	demand_peak_t demand;
 } demand_report_t;
 
-/* All zero is a window that has seen nothing. */
+/* A zeroed window is an empty one. */
 typedef struct demand_window {
 	demand_peak_t buckets[DEMAND_BUCKETS];
 	unsigned int current_bucket; /* index */
-	pd_time_t bucket_started_at; /* when it was begun; 0: nothing seen */
-	demand_report_t reports[DEMAND_REPORTS]; /* a ring */
+	pd_time_t bucket_started_at; /* 0: no reports yet */
+	demand_report_t reports[DEMAND_REPORTS]; /* ring buffer */
 	unsigned int next_report;
 } demand_window_t;
 
--- a/core/error.c
+++ b/core/error.c
@@ -1,4 +1,4 @@
-/* The error struct: how it is set, wrapped and named. */
+/* Setting, wrapping and naming errors. */
 #include "core/error.h"
 
 #include <glib.h>
@@ -19,7 +19,7 @@
 	[PD_ERROR_DENIED] = "denied",
 };
 
-/* Empties ERR, so that a later pd_error_wrap() finds no old cause. */
+/* Resets ERR, so that a later pd_error_wrap() finds no old cause. */
 void pd_error_clear(pd_error_t *err)
 {
 	err->kind = PD_ERROR_NONE;
@@ -28,8 +28,8 @@
 }
 
 /*
- * Fills ERR with a kind and a formatted context, cut to fit. Returns -1, so
- * that a caller can return the call itself.
+ * Sets ERR to a kind and a formatted context, truncated to fit. Returns -1, so
+ * that callers can return the result of the call.
  */
 int pd_error_set(pd_error_t *err, pd_error_kind_t kind, const char *format, ...)
 {
@@ -44,8 +44,8 @@
 }
 
 /*
- * Puts a kind and context over the error already in ERR, which becomes the
- * cause: its kind is kept and its context follows the new one. Returns -1.
+ * Wraps the error in ERR with a kind and a formatted context. The kind in ERR
+ * becomes the cause, and its context is appended to the new one. Returns -1.
  */
 int pd_error_wrap(pd_error_t *err, pd_error_kind_t kind, const char *format, ...)
 {
@@ -63,7 +63,7 @@
 	return -1;
 }
 
-/* Returns the fixed name of a kind, as logs and --json output show it. */
+/* Returns the name of a kind as it appears in logs and --json output. */
 const char *pd_error_kind_name(pd_error_kind_t kind)
 {
 	g_assert(kind >= PD_ERROR_NONE && kind < PD_ERROR_KINDS);
--- a/core/hash.c
+++ b/core/hash.c
@@ -1,4 +1,4 @@
-/* Hashes of strings and of pairs of strings, by xxHash. */
+/* Hashes of strings, pairs of strings and numbers, by xxHash. */
 #include "core/hash.h"
 
 #include <string.h>
@@ -16,13 +16,15 @@
 	return hash_bytes(text, strlen(text));
 }
 
-/* Returns the weight of A for B, as rendezvous hashing ranks them. */
+/* Returns the weight of A for B in rendezvous hashing. */
 uint64_t hash_pair(const char *a, const char *b)
 {
 	return XXH64(b, strlen(b), hash_string(a));
 }
 
-/* Returns the hash of a number, every bit of which changes about half of it. */
+/*
+ * Returns the 64-bit hash of a number; similar numbers have unrelated hashes.
+ */
 uint64_t hash_number(uint64_t value)
 {
 	return XXH64(&value, sizeof(value), 0);
--- a/core/hash.h
+++ b/core/hash.h
@@ -1,6 +1,6 @@
 /*
- * The hash behind rendezvous hashing, shards and seeds. It is xxHash, and the
- * same on every machine, so that all entries agree without talking.
+ * Hash functions for rendezvous hashing, shards and seeds. They are xxHash and
+ * the same on every machine, so that all entries agree without communication.
  */
 #ifndef PISTACHIO_HASH_H
 #define PISTACHIO_HASH_H
--- a/core/limits.c
+++ b/core/limits.c
@@ -1,12 +1,12 @@
-/* Token buckets of the client accounts. */
+/* Token buckets of client accounts. */
 #include "core/limits.h"
 
 #include <math.h>
 
 /*
- * A small account's burst, split over the entries, is less than one request;
- * two calls a second apart would then be refused though it is within its limit.
- * So each entry grants at least this many at once.
+ * Smallest burst of an entry, in requests. A small account's burst divided by
+ * the entries is less than one request; two calls a second apart would be
+ * refused although the account is within its limit.
  */
 #define BURST_MIN_REQUESTS 3.0
 
@@ -38,6 +38,10 @@
 	g_free(limits);
 }
 
+/*
+ * Returns the bucket of the account, borrowed; creates a full one if there is
+ * none.
+ */
 static bucket_t *limits_get_bucket(limits_t *limits, const account_t *account,
 				   double burst, pd_time_t now)
 {
@@ -53,14 +57,15 @@
 }
 
 /*
- * Takes one request from the account's bucket, of which this entry holds the
- * SHARE (0 to 1) of the rate. The swing of random arrivals shrinks by the root of
- * their number, so by that the burst is split; split evenly, it would refuse
- * callers of an account within its limit. In sum the burst is then at most the
- * account's times the root of the entries.
+ * Takes one request from the account's bucket, for which this entry has the
+ * SHARE (0 to 1) of the rate. The burst is scaled by the square root of the
+ * share, since the fluctuation of random arrivals grows with the root of their
+ * number; scaled by the share itself, it would refuse callers of an account
+ * within its limit. The sum of the bursts is then at most the account's burst
+ * times the root of the number of entries.
  *
- * Returns false if the bucket is empty, and then sets RETRY_AFTER to the time
- * until it holds a request again; 0 if it never will.
+ * Returns false if the bucket is empty, and sets RETRY_AFTER to the time until
+ * it holds a request again; 0 if it never will.
  */
 bool limits_take(limits_t *limits, const account_t *account, double share,
 		 pd_time_t now, pd_time_t *retry_after)
@@ -77,10 +82,10 @@
 		return true;
 	}
 	if (rate <= 0) {
-		*retry_after = 0; /* coming back won't help */
+		*retry_after = 0; /* retrying won't help */
 		return false;
 	}
-	/* At least something: none would say that coming back won't help. */
+	/* 0 would mean that retrying won't help. */
 	*retry_after = MAX((pd_time_t)((1.0 - bucket->tokens) / rate * PD_SEC),
 			   PD_MSEC);
 	return false;
--- a/core/limits.h
+++ b/core/limits.h
@@ -1,6 +1,6 @@
 /*
- * The share of each account's request rate that this entry may grant, as a
- * token bucket for each account.
+ * Rate limits of accounts: one token bucket per account for the share of its
+ * rate that this entry may grant.
  */
 #ifndef PISTACHIO_LIMITS_H
 #define PISTACHIO_LIMITS_H
--- a/core/list.h
+++ b/core/list.h
@@ -1,7 +1,7 @@
 /*
- * A doubly linked intrusive list. A node lives inside the structure it links,
- * so linking allocates nothing and unlinking needs no search. An empty list is
- * a head that points to itself.
+ * A doubly linked intrusive list. A node is part of the structure that it
+ * links, so linking allocates nothing and unlinking needs no search. The head
+ * of an empty list points to itself.
  */
 #ifndef PISTACHIO_LIST_H
 #define PISTACHIO_LIST_H
@@ -20,22 +20,25 @@
 #define LIST_FOR_EACH(it, head) \
 	for (list_node_t *it = (head)->next; it != (head); it = it->next)
 
-/* As LIST_FOR_EACH, and the body may unlink the node it is at. */
+/* Like LIST_FOR_EACH, but the body may unlink the current node. */
 #define LIST_FOR_EACH_SAFE(it, head)                                \
 	for (list_node_t *it = (head)->next, *it##_next = it->next; \
 	     it != (head); it = it##_next, it##_next = it->next)
 
+/* Initializes an empty list, or a node that is not linked. */
 static inline void list_init(list_node_t *head)
 {
 	head->prev = head;
 	head->next = head;
 }
 
+/* Returns whether the list is empty. */
 static inline bool list_empty(const list_node_t *head)
 {
 	return head->next == head;
 }
 
+/* Appends a node, which must not be linked into a list. */
 static inline void list_append(list_node_t *head, list_node_t *node)
 {
 	node->prev = head->prev;
@@ -44,7 +47,7 @@
 	head->prev = node;
 }
 
-/* Unlinks a node and leaves it as a list of its own, so twice is harmless. */
+/* Unlinks a node and initializes it, so unlinking it twice is harmless. */
 static inline void list_remove(list_node_t *node)
 {
 	node->prev->next = node->next;
@@ -52,7 +55,7 @@
 	list_init(node);
 }
 
-/* Unlinks and returns the first node, or NULL if the list is empty. */
+/* Unlinks the first node and returns it, or NULL if the list is empty. */
 static inline list_node_t *list_pop(list_node_t *head)
 {
 	list_node_t *node = head->next;
--- a/core/offers.c
+++ b/core/offers.c
@@ -14,7 +14,7 @@
 #define BACKOFF_MAX (120 * PD_SEC)
 #define ANY_CLASS "any"
 
-typedef struct state {
+typedef struct offer_state {
 	offer_t offer;
 	pd_time_t backoff; /* 0 after a granted start */
 	pd_time_t retry_at;
--- a/core/predict.c
+++ b/core/predict.c
@@ -1,25 +1,25 @@
-/* Smoothed latencies of each target, and the estimate made of them. */
+/* Smoothed latencies of each target, and the prediction from them. */
 #include "core/predict.h"
 
-#define EWMA_WEIGHT 0.05 /* of one request in the smoothed latencies */
+#define EWMA_WEIGHT 0.05 /* weight of one request in the average */
 /*
- * What is taken before anything is known. With nothing, an entry that starts
- * under overload would fill its queues in the first second, and all those
- * callers would be late.
+ * Values used before any request was measured. Without them, an entry that
+ * starts under overload would fill its queues in the first second, and all
+ * those callers would be late.
  */
 #define DEFAULT_FIRST_TOKEN_TIME (100 * PD_MSEC)
 #define DEFAULT_SERVICE_TIME (1 * PD_SEC)
 
 typedef struct latencies {
-	double first_token_time; /* from the dispatch to the first token */
-	double service_time; /* from the dispatch to the end */
+	double first_token_time; /* dispatch to the first token */
+	double service_time; /* dispatch to the end */
 } latencies_t;
 
 struct predict {
 	GHashTable *targets; /* name -> latencies_t [PRIORITIES], owned */
 };
 
-/* Returns a predictor that knows nothing yet; the caller owns it. */
+/* Returns a predictor without measurements; the caller owns it. */
 predict_t *predict_create(void)
 {
 	predict_t *predict = g_new0(predict_t, 1);
@@ -38,6 +38,10 @@
 	g_free(predict);
 }
 
+/*
+ * Returns the latencies of a target and priority, borrowed; creates them with
+ * the default values if there are none.
+ */
 static latencies_t *predict_get_latencies(predict_t *predict, const char *target,
 					  priority_t priority)
 {
@@ -54,12 +58,13 @@
 	return &latencies[priority];
 }
 
+/* Adds DURATION to the exponentially weighted moving average VALUE. */
 static void update_ewma(double *value, pd_time_t duration)
 {
 	*value += EWMA_WEIGHT * ((double)duration - *value);
 }
 
-/* Learns from an attempt whose first token came SPAN after its dispatch. */
+/* Records an attempt whose first token came DURATION after its dispatch. */
 void predict_record_first_token(predict_t *predict, const char *target,
 				priority_t priority, pd_time_t duration)
 {
@@ -67,7 +72,7 @@
 		    duration);
 }
 
-/* Learns from an attempt that held its slot for SPAN. */
+/* Records an attempt that occupied its slot for DURATION. */
 void predict_record_completion(predict_t *predict, const char *target,
 			       priority_t priority, pd_time_t duration)
 {
@@ -76,10 +81,10 @@
 }
 
 /*
- * Returns the expected time to the first token of a request with AHEAD others of
- * its priority before it, where work of that priority has SLOTS under way from
- * this entry. So many it gets of engines that it shares with other entries and
- * with more urgent work, however much of those there is.
+ * Returns the expected time to the first token of a request with AHEAD others
+ * of its priority queued before it, if this entry has SLOTS requests of that
+ * priority running. That number is what the entry currently gets of engines
+ * that it shares with other entries and with more urgent work.
  */
 pd_time_t predict_time_to_first_token(predict_t *predict, const char *target,
 				      priority_t priority, unsigned int ahead,
--- a/core/predict.h
+++ b/core/predict.h
@@ -1,6 +1,6 @@
 /*
- * How long a request that must wait will probably wait for its first token, from
- * what lately happened to requests for the same target.
+ * Predicts the time to the first token of a queued request, from the recent
+ * latencies of requests for the same target.
  */
 #ifndef PISTACHIO_PREDICT_H
 #define PISTACHIO_PREDICT_H
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -1,4 +1,4 @@
-/* Token buckets of accounts. */
+/* Unit tests of the token buckets of accounts. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -30,8 +30,8 @@
 }
 
 /*
- * The bucket lacks less than a microsecond's worth. A Retry-After rounded to
- * nothing would tell the caller that coming back won't help.
+ * The bucket lacks less than a microsecond's worth of tokens. A Retry-After
+ * rounded to zero would tell the caller that retrying won't help.
  */
 static void test_retry_after_is_never_rounded_to_zero(void **state)
 {
@@ -48,7 +48,7 @@
 	limits_destroy(limits);
 }
 
-/* An account that may ask nothing: no time to come back is right. */
+/* An account without a rate gets no time to retry. */
 static void test_zero_rate_has_no_retry_after(void **state)
 {
 	limits_t *limits = limits_create();
