--- a/tests/property/test_claims.cc
+++ b/tests/property/test_claims.cc
@@ -30,10 +30,11 @@
 static constexpr int CASES = 10000;
 static constexpr double HISTORY_LENGTH_SCALE = 4; /* up to 400 steps per case */
 
-enum class State {
-	REQUESTED, /* its claim has been requested */
+/* The right of an attempt to run its call, as its entry knows it. */
+enum class Right {
+	ASKED, /* its claim has been requested */
 	ACQUIRED, /* may run now, or has run */
-	COMPLETED, /* ran, and its entry requested to record that */
+	DONE, /* ran, and its entry requested to record that */
 	RELEASED, /* never ran and never will */
 	REFUSED, /* told that another has the claim, or its answer */
 	LOST /* its entry died while the claim was requested */
@@ -43,7 +44,7 @@
 	unsigned int entry;
 	std::string key;
 	std::string nonce;
-	State state = State::REQUESTED;
+	Right right = Right::ASKED;
 	claim_outcome_t outcome = CLAIM_UNAVAILABLE;
 	std::string answer; /* as it was told, or as it ran */
 	bool completion_lost = false; /* its entry died: perhaps not recorded */
@@ -194,14 +195,14 @@
 	Attempt &attempt = attempts.at(result->ticket);
 
 	/* An attempt has one outcome, and none after it was released. */
-	RC_ASSERT(attempt.state == State::REQUESTED);
+	RC_ASSERT(attempt.right == Right::ASKED);
 	attempt.outcome = result->outcome;
 	if (result->outcome == CLAIM_WON)
-		attempt.state = State::ACQUIRED;
+		attempt.right = Right::ACQUIRED;
 	else if (result->outcome == CLAIM_UNAVAILABLE)
-		attempt.state = State::RELEASED;
+		attempt.right = Right::RELEASED;
 	else
-		attempt.state = State::REFUSED;
+		attempt.right = Right::REFUSED;
 	if (result->answer)
 		attempt.answer = result->answer;
 }
@@ -232,8 +233,8 @@
 	for (auto &attempt : attempts) {
 		if (attempt.entry != entry)
 			continue;
-		if (attempt.state == State::REQUESTED)
-			attempt.state = State::LOST;
+		if (attempt.right == Right::ASKED)
+			attempt.right = Right::LOST;
 		attempt.completion_lost = true;
 	}
 	for (auto &message : messages) {
@@ -251,14 +252,14 @@
 
 	if (attempt.completion_lost || nodes[attempt.entry].paused)
 		return;
-	if (attempt.state == State::ACQUIRED && runs) {
-		attempt.state = State::COMPLETED;
+	if (attempt.right == Right::ACQUIRED && runs) {
+		attempt.right = Right::DONE;
 		attempt.answer = "answer to " + attempt.nonce;
 		claims_complete(claims, attempt.key.c_str(), attempt.nonce.c_str(),
 				200, attempt.answer.c_str(), now);
-	} else if (attempt.state == State::ACQUIRED ||
-		   attempt.state == State::REQUESTED) {
-		attempt.state = State::RELEASED;
+	} else if (attempt.right == Right::ACQUIRED ||
+		   attempt.right == Right::ASKED) {
+		attempt.right = Right::RELEASED;
 		claims_release(claims, attempt.key.c_str(),
 			       attempt.nonce.c_str(), now);
 	}
@@ -371,8 +372,8 @@
 	const Attempt *found = nullptr;
 
 	for (const auto &attempt : attempts) {
-		if (attempt.key != key || (attempt.state != State::ACQUIRED &&
-					   attempt.state != State::COMPLETED))
+		if (attempt.key != key || (attempt.right != Right::ACQUIRED &&
+					   attempt.right != Right::DONE))
 			continue;
 		RC_ASSERT(found == nullptr);
 		found = &attempt;
@@ -416,7 +417,7 @@
 		bool idle = true;
 
 		for (auto &attempt : attempts) {
-			if (attempt.state == State::ACQUIRED)
+			if (attempt.right == Right::ACQUIRED)
 				finish_attempt(attempt, true);
 		}
 		for (size_t count = messages.size(); count > 0; count--) {
@@ -429,12 +430,12 @@
 			idle = idle && claims_is_idle(nodes[i].claims);
 		}
 		for (const auto &attempt : attempts)
-			idle = idle && (attempt.state != State::ACQUIRED ||
+			idle = idle && (attempt.right != Right::ACQUIRED ||
 					attempt.completion_lost);
 		if (idle)
 			return;
 	}
-	RC_FAIL("the claims do not become idle");
+	RC_FAIL("the machines never come to rest");
 }
 
 /* After the repair, retries each key once at each entry. */
@@ -444,7 +445,7 @@
 		const std::string &key = key_name(i / ENTRIES);
 		const Attempt *before = holder(key);
 		std::string answer = before ? before->answer : "";
-		bool recorded = before && before->state == State::COMPLETED &&
+		bool recorded = before && before->right == Right::DONE &&
 				!before->completion_lost;
 		bool lost = false;
 
@@ -459,7 +460,7 @@
 			RC_ASSERT(attempts[ticket].answer == answer);
 		} else if (!before && !lost) {
 			/* Nothing ran and no entry died: the key is free. */
-			RC_ASSERT(attempts[ticket].state == State::COMPLETED);
+			RC_ASSERT(attempts[ticket].right == Right::DONE);
 		}
 		check_invariants();
 	}
--- a/tests/property/test_lease.cc
+++ b/tests/property/test_lease.cc
@@ -47,10 +47,10 @@
 	}
 };
 
-class simulation
+class world
 {
       public:
-	simulation(uint32_t seed) : random(g_rand_new_with_seed(seed))
+	world(uint32_t seed) : random(g_rand_new_with_seed(seed))
 	{
 		for (auto &process : processes) {
 			process.clock_rate = 1 + (random_fraction() - 0.5) * 0.02;
@@ -60,7 +60,7 @@
 		}
 	}
 
-	~simulation()
+	~world()
 	{
 		for (auto &process : processes)
 			lease_destroy(process.lease);
@@ -69,8 +69,8 @@
 		g_rand_free(random);
 	}
 
-	simulation(const simulation &) = delete;
-	simulation &operator=(const simulation &) = delete;
+	world(const world &) = delete;
+	world &operator=(const world &) = delete;
 
 	void step(bool faults)
 	{
@@ -88,7 +88,7 @@
 	 * Returns how many processes consider themselves the holder. Paused
 	 * ones count: they act as the holder when they resume.
 	 */
-	size_t holders() const
+	size_t believers() const
 	{
 		return (size_t)std::count_if(
 			processes.begin(), processes.end(),
@@ -102,7 +102,7 @@
 		return store.takeovers;
 	}
 
-	unsigned lost_replies = 0;
+	unsigned lost = 0;
 	unsigned requests = 0;
 
       private:
@@ -205,9 +205,8 @@
 	{
 		message.handled = true;
 		message.reply = store.apply(message.request, now < down_until);
-		lost_replies += message.reply_lost &&
-				message.reply.status == STORE_OK &&
-				message.request->kind == PLACER_LEASE_WRITE;
+		lost += message.reply_lost && message.reply.status == STORE_OK &&
+			message.request->kind == PLACER_LEASE_WRITE;
 	}
 
 	static void free_message(message &message)
@@ -229,29 +228,28 @@
 static bool check_one_holder()
 {
 	return rc::check("at most one placer believes it holds the lease", [] {
-		simulation simulation(*rc::gen::arbitrary<uint32_t>());
+		world world(*rc::gen::arbitrary<uint32_t>());
 
 		for (int i = 0; i < STEPS; i++) {
-			simulation.step(true);
-			RC_ASSERT(simulation.holders() <= 1);
+			world.step(true);
+			RC_ASSERT(world.believers() <= 1);
 		}
-		RC_CLASSIFY(simulation.takeovers() > 2,
+		RC_CLASSIFY(world.takeovers() > 2,
 			    "taken over more than twice");
-		RC_CLASSIFY(simulation.lost_replies > 0,
-			    "an answer was lost after a write");
+		RC_CLASSIFY(world.lost > 0, "an answer was lost after a write");
 	});
 }
 
 static bool check_recovers()
 {
 	return rc::check("after the faults one placer holds the lease", [] {
-		simulation simulation(*rc::gen::arbitrary<uint32_t>());
+		world world(*rc::gen::arbitrary<uint32_t>());
 
 		for (int i = 0; i < STEPS; i++)
-			simulation.step(true);
+			world.step(true);
 		for (int i = 0; i < FAULT_FREE_STEPS; i++)
-			simulation.step(false);
-		RC_ASSERT(simulation.holders() == 1);
+			world.step(false);
+		RC_ASSERT(world.believers() == 1);
 	});
 }
 
--- a/tests/property/test_members.cc
+++ b/tests/property/test_members.cc
@@ -14,7 +14,7 @@
 /* A round of pings over the fleet, suspicion, and dissemination. */
 constexpr pd_time_t kConvergenceTime = 60 * PD_SEC;
 
-constexpr uint64_t kIdleBytesPerSecond = 150; /* per node, on average */
+constexpr uint64_t kQuietBytes = 150; /* per node, on average */
 
 unsigned int random_size()
 {
@@ -27,15 +27,15 @@
 		if (gossip->nodes[i].dead)
 			continue;
 		for (unsigned int k = 0; k < gossip->size; k++) {
-			member_state_t view;
+			member_state_t state;
 
 			if (i == k)
 				continue;
-			view = gossip_view(gossip, i, k);
+			state = gossip_view(gossip, i, k);
 			if (gossip->nodes[k].dead)
-				RC_ASSERT(view >= MEMBER_DEAD);
+				RC_ASSERT(state >= MEMBER_DEAD);
 			else
-				RC_ASSERT(view == MEMBER_ALIVE);
+				RC_ASSERT(state == MEMBER_ALIVE);
 		}
 	}
 }
@@ -44,7 +44,7 @@
  * A VM is paused by its host for a while, or a link loses many messages. A
  * member that stayed declared dead would get no updates and no requests.
  */
-bool check_paused()
+bool check_frozen()
 {
 	return rc::check("a frozen member is seen alive again", [] {
 		gossip_t *gossip =
@@ -66,7 +66,7 @@
  * Two regions are partitioned for minutes and each considers the other dead.
  * When the link is back they must find each other without an operator.
  */
-bool check_partition()
+bool check_split()
 {
 	return rc::check("two halves find each other again", [] {
 		gossip_t *gossip =
@@ -130,7 +130,7 @@
 /*
  * Urgent updates reach all members within seconds although messages are lost.
  */
-bool check_updates()
+bool check_news()
 {
 	return rc::check("news reaches every member", [] {
 		gossip_t *gossip =
@@ -182,8 +182,7 @@
 
 		gossip_run(gossip, 20 * PD_SEC);
 		for (unsigned int i = 0; i < gossip->size; i++)
-			RC_ASSERT(gossip->nodes[i].bytes <=
-				  20 * kIdleBytesPerSecond * 2U);
+			RC_ASSERT(gossip->nodes[i].bytes <= 20 * kQuietBytes * 2U);
 		gossip_destroy(gossip);
 	});
 }
@@ -210,7 +209,7 @@
  * list only those before it. Until all know each other, accounts get more than
  * their limit and operators see a part of the fleet.
  */
-static bool check_staggered_start()
+static bool check_start()
 {
 	return rc::check("a fleet that starts in turn knows itself soon", [] {
 		auto size = *rc::gen::inRange<unsigned int>(2, 65);
@@ -227,14 +226,14 @@
 
 int main()
 {
-	bool passed = check_paused();
+	bool passed = check_frozen();
 
-	passed = check_partition() && passed;
+	passed = check_split() && passed;
 	passed = check_deaths() && passed;
 	passed = check_rejoin() && passed;
-	passed = check_updates() && passed;
+	passed = check_news() && passed;
 	passed = check_no_false_deaths() && passed;
 	passed = check_cost() && passed;
-	passed = check_staggered_start() && passed;
+	passed = check_start() && passed;
 	return passed ? 0 : 1;
 }
--- a/tests/property/test_placer.cc
+++ b/tests/property/test_placer.cc
@@ -53,17 +53,17 @@
 	pd_time_t next_list = 0;
 };
 
-class simulation
+class world
 {
       public:
-	simulation(uint32_t seed) : random(g_rand_new_with_seed(seed))
+	world(uint32_t seed) : random(g_rand_new_with_seed(seed))
 	{
 		tags_are_idempotent = random_fraction() < 0.5;
 		for (auto &process : processes)
 			start(process);
 	}
 
-	~simulation()
+	~world()
 	{
 		for (auto &process : processes)
 			placer_destroy(process.placer);
@@ -72,8 +72,8 @@
 		g_rand_free(random);
 	}
 
-	simulation(const simulation &) = delete;
-	simulation &operator=(const simulation &) = delete;
+	world(const world &) = delete;
+	world &operator=(const world &) = delete;
 
 	void step(bool with_faults)
 	{
@@ -126,7 +126,7 @@
 	}
 
 	unsigned bought = 0;
-	unsigned duplicate_purchases = 0;
+	unsigned bought_twice = 0;
 	unsigned released = 0;
 
       private:
@@ -331,7 +331,7 @@
 		}
 		tags.insert(intent->tag);
 		bought++;
-		duplicate_purchases += known;
+		bought_twice += known;
 		vms.push_back({ "vm-" + std::to_string(bought), intent->tag,
 				intent->zone, intent->reclaimable,
 				now + LIST_LAG, 0, false, now + TIMEOUT });
@@ -424,20 +424,19 @@
 {
 	return rc::check("orders are on record, and the count comes right", [] {
 		static const unsigned counts[] = { 6, 2, 8 };
-		simulation simulation(*rc::gen::arbitrary<uint32_t>());
+		world world(*rc::gen::arbitrary<uint32_t>());
 
 		for (int i = 0; i < STEPS; i++) {
 			if (i % (STEPS / 3) == 0)
-				simulation.set_workers(counts[i / (STEPS / 3)]);
-			simulation.step(true);
+				world.set_workers(counts[i / (STEPS / 3)]);
+			world.step(true);
 		}
 		for (int i = 0; i < FAULT_FREE_STEPS; i++)
-			simulation.step(false);
-		RC_ASSERT(simulation.serving() == 8);
-		RC_ASSERT(simulation.count() == 8);
-		RC_CLASSIFY(simulation.duplicate_purchases > 0,
-			    "a tag bought twice");
-		RC_CLASSIFY(simulation.released > 0, "a VM released");
+			world.step(false);
+		RC_ASSERT(world.serving() == 8);
+		RC_ASSERT(world.count() == 8);
+		RC_CLASSIFY(world.bought_twice > 0, "a tag bought twice");
+		RC_CLASSIFY(world.released > 0, "a VM released");
 	});
 }
 
