--- a/core/bundle.c
+++ b/core/bundle.c
@@ -9,6 +9,7 @@
 	[PRIORITY_BATCH] = "batch",
 };
 
+/* Frees a target; value destructor of the table. */
 static void target_destroy(void *data)
 {
 	target_t *target = data;
@@ -18,6 +19,7 @@
 	g_free(target);
 }
 
+/* Frees an account; value destructor of the table. */
 static void account_destroy(void *data)
 {
 	account_t *account = data;
--- a/core/claim_table.c
+++ b/core/claim_table.c
@@ -7,6 +7,7 @@
 #define ESCAPED_CONTROL_BYTES 6 /* \u0000 */
 #define ESCAPED_QUOTE_BYTES 2
 
+/* Frees a record; value destructor of the table. */
 static void claim_destroy(void *data)
 {
 	claim_t *claim = data;
@@ -78,6 +79,7 @@
 	return claim;
 }
 
+/* Returns whether a record was made before the time in DATA. */
 static gboolean claim_is_older(void *key, void *value, void *data)
 {
 	const claim_t *claim = value;
--- a/core/demand.c
+++ b/core/demand.c
@@ -38,6 +38,7 @@
 	GHashTable *peers; /* entry id -> peer_demand_t, owned */
 };
 
+/* Removes the accounts of a report. */
 static void peer_demand_clear(peer_demand_t *peer)
 {
 	for (unsigned int i = 0; i < peer->count; i++)
@@ -45,6 +46,7 @@
 	peer->count = 0;
 }
 
+/* Frees a report; value destructor of the table. */
 static void peer_demand_destroy(void *data)
 {
 	peer_demand_clear(data);
--- a/core/lease.c
+++ b/core/lease.c
@@ -194,11 +194,13 @@
 		lease->next_at = now;
 }
 
+/* Returns whether the record, which must be known, names this process. */
 static bool lease_is_ours(const lease_t *lease)
 {
 	return !g_strcmp0(lease->record->holder, lease->holder);
 }
 
+/* Returns whether the record, which must be known, names no holder. */
 static bool lease_is_free(const lease_t *lease)
 {
 	const char *holder = lease->record->holder;
--- a/core/members.c
+++ b/core/members.c
@@ -9,6 +9,7 @@
 #define SENDS_PER_LOG2 3 /* times log2 of the number of members */
 #define DEAD_REMOVAL_DELAY (900 * PD_SEC) /* then it counts as removed */
 
+/* Unlinks and frees a member; value destructor of the table. */
 static void member_destroy(void *data)
 {
 	member_t *member = data;
--- a/core/members_msg.c
+++ b/core/members_msg.c
@@ -29,6 +29,7 @@
 		list_append(&members->updates, node);
 }
 
+/* Frees a leaving VM that is not linked into a list. */
 static void leaving_destroy(leaving_t *leaving)
 {
 	g_free(leaving->vm_id);
--- a/core/mix.c
+++ b/core/mix.c
@@ -229,6 +229,7 @@
 	return score;
 }
 
+/* Returns whether A is better than B. */
 static bool score_is_less(const score_t *a, const score_t *b)
 {
 	if (a->missing_slots != b->missing_slots)
--- a/core/offers.c
+++ b/core/offers.c
@@ -26,6 +26,7 @@
 	GArray *states; /* of offer_state_t */
 };
 
+/* Frees the strings of an offer; clear function of the array. */
 static void state_clear(void *data)
 {
 	offer_state_t *state = data;
@@ -87,6 +88,7 @@
 	g_free(offers);
 }
 
+/* Returns the state of the offer at INDEX, borrowed until the next update. */
 static offer_state_t *offers_state(const offers_t *offers, size_t index)
 {
 	return &g_array_index(offers->states, offer_state_t, index);
@@ -166,6 +168,7 @@
 	return now >= offers_state(offers, index)->retry_at;
 }
 
+/* Returns the offer that INTENT buys, borrowed, or NULL. */
 static offer_state_t *offers_find_for_intent(offers_t *offers, const intent_t *intent)
 {
 	return offers_find(offers, intent->zone, intent->machine_class,
--- a/core/orders.c
+++ b/core/orders.c
@@ -29,6 +29,7 @@
 	bool recorded; /* in the record at the latest run */
 } order_t;
 
+/* Frees an order; value destructor of the table. */
 static void order_destroy(void *data)
 {
 	order_t *order = data;
--- a/core/placement.c
+++ b/core/placement.c
@@ -31,6 +31,7 @@
 	return false;
 }
 
+/* Returns whether a machine class stands for all. */
 static bool is_any_class(const char *machine_class)
 {
 	return !strcmp(machine_class, "any");
@@ -48,11 +49,13 @@
 	return is_any_class(a) || is_any_class(b) || !strcmp(a, b);
 }
 
+/* Returns the option at INDEX, borrowed until the next one is added. */
 static mix_option_t *choice_option(const choice_t *choice, guint index)
 {
 	return &g_array_index(choice->options, mix_option_t, index);
 }
 
+/* Returns the index of the offer of the option at INDEX, or -1. */
 static int choice_offer_index(const choice_t *choice, guint index)
 {
 	return g_array_index(choice->offer_indexes, int, index);
@@ -73,6 +76,7 @@
 	return 1;
 }
 
+/* Appends an option, with the index of its offer. */
 static void choice_add(choice_t *choice, mix_option_t option, int index)
 {
 	g_array_append_val(choice->options, option);
@@ -252,6 +256,7 @@
 	}
 }
 
+/* Frees what the choice owns, not the choice itself. */
 static void choice_clear(choice_t *choice)
 {
 	g_array_unref(choice->options);
--- a/core/placer.c
+++ b/core/placer.c
@@ -10,6 +10,7 @@
 #include "core/placer_state.h"
 #include "core/upstreams.h"
 
+/* Frees a VM; element destructor of the list. */
 static void vm_destroy(void *data)
 {
 	vm_clear(data);
--- a/tests/unit/test_claims.c
+++ b/tests/unit/test_claims.c
@@ -15,6 +15,10 @@
 
 #define WALL 1700000000
 
+/*
+ * Runs the claims and drops the results. Returns the first action, owned by the
+ * caller, or NULL.
+ */
 static action_t *run_once(claims_t *claims, pd_time_t now)
 {
 	list_node_t actions;
@@ -81,6 +85,7 @@
 	return table;
 }
 
+/* Returns the size in bytes of the table as it is written. */
 static size_t encoded_size(const claim_table_t *table)
 {
 	char *text = claim_table_encode(table);
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -11,6 +11,7 @@
 
 #define NOW (1000 * PD_SEC)
 
+/* A refused caller is told when the bucket will hold a request again. */
 static void test_refusal_sets_retry_after(void **state)
 {
 	limits_t *limits = limits_create();
--- a/tests/unit/test_members.c
+++ b/tests/unit/test_members.c
@@ -98,6 +98,7 @@
 	assert_true(entry_is_ready(drive->entry));
 }
 
+/* An entry becomes ready when a peer has the same generation in force. */
 static void test_entry_is_ready_once_a_peer_agrees(void **state)
 {
 	drive_t *drive = *state;
@@ -139,6 +140,7 @@
 	assert_int_equal(count_pulls(drive), 1);
 }
 
+/* Lets time pass in steps of a second. */
 static void run_seconds(drive_t *drive, int seconds)
 {
 	for (int i = 0; i < seconds; i++) {
--- a/tests/unit/test_mix.c
+++ b/tests/unit/test_mix.c
@@ -50,6 +50,7 @@
 	return slots;
 }
 
+/* Asserts that at most PERCENT per cent of the VMs are reclaimable. */
 static void assert_reclaimable_share(const mix_option_t *options,
 				     unsigned int percent)
 {
--- a/tests/unit/test_placer.c
+++ b/tests/unit/test_placer.c
@@ -29,6 +29,7 @@
 
 static void handle(fixture_t *fixture, placer_event_t *event);
 
+/* Grants each lease write; a read finds no record. */
 static void reply_to_lease(fixture_t *fixture, const placer_action_t *action)
 {
 	placer_event_t event = { .kind = PLACER_LEASE_REPLY,
@@ -41,6 +42,7 @@
 	handle(fixture, &event);
 }
 
+/* Grants a purchase and adds its VM, unless the cloud refuses it. */
 static void reply_to_purchase(fixture_t *fixture, const intent_t *intent)
 {
 	bool refused = fixture->refuse_starts &&
@@ -109,6 +111,7 @@
 	}
 }
 
+/* Lets time pass in ticks of 200 ms, with a VM list every second. */
 static void run_seconds(fixture_t *fixture, unsigned int seconds)
 {
 	for (unsigned int i = 0; i < seconds * 5; i++) {
@@ -126,6 +129,7 @@
 	}
 }
 
+/* Sends a bundle that asks for a fixed number of VMs. */
 static void set_workers(fixture_t *fixture, unsigned int workers)
 {
 	bundle_t *bundle = bundle_create();
