--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -12,7 +12,7 @@
 #include "core/forward/scale_plan.h"
 #include "platform/wire.h"
 
-#define PART "duties"
+#define LOG_COMPONENT "duties"
 #define LEASE_NAME "duties"
 #define STORE_TIMEOUT_MS 1500
 #define CLOUD_TIMEOUT_MS 1500
@@ -74,14 +74,14 @@
 		record = wire_lease_read(reply->body, reply->len,
 					 &answer.version, &err);
 		if (!record) {
-			log_error(PART, "lease", &err);
+			log_error(LOG_COMPONENT, "lease", &err);
 			answer.status = STORE_UNKNOWN;
 		}
 	}
 	if (answer.status == STORE_CONFLICT)
-		log_line(G_LOG_LEVEL_INFO, PART, "lease write conflicted");
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "lease write conflicted");
 	if (answer.status == STORE_DOWN || answer.status == STORE_UNKNOWN)
-		log_line(G_LOG_LEVEL_WARNING, PART,
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 			 "lease call failed status=%d", reply->status);
 	answer.record = record;
 	lease_reply(duties->lease, &answer, gateway_now());
@@ -155,14 +155,14 @@
 		duties->acts_from = now + wait_before_acts(duties);
 		/* What was planned under an earlier lease is no longer so. */
 		g_hash_table_remove_all(duties->plans);
-		log_line(G_LOG_LEVEL_INFO, PART, "holder=self fence=%" PRIu64,
-			 fence);
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
+			 "holder=self fence=%" PRIu64, fence);
 		if (!gateway_checkpoint_written_at(duties->gateway->checkpoint))
 			gateway_checkpoint_read_record(duties->gateway->checkpoint);
 	}
 	if (duties->held && !lease_is_held(duties->lease, now)) {
 		duties->held = false;
-		log_line(G_LOG_LEVEL_WARNING, PART,
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 			 "holder=lost fence=%" PRIu64, duties->fence);
 	}
 	duties->held |= held;
@@ -244,7 +244,7 @@
  */
 void gateway_duties_resume(gateway_duties_t *duties)
 {
-	log_line(G_LOG_LEVEL_INFO, PART, "resume: led before the start");
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "resume: led before the start");
 	duties->resumes = true;
 	lease_resume(duties->lease, gateway_now());
 }
--- a/adapters/gateway/duties_note.c
+++ b/adapters/gateway/duties_note.c
@@ -8,7 +8,7 @@
 #include "adapters/json.h"
 #include "adapters/log_glib.h"
 
-#define PART "duties"
+#define LOG_COMPONENT "duties"
 
 /* Returns a note that says nothing; the caller owns it. */
 duties_note_t *duties_note_create(void)
@@ -78,7 +78,7 @@
 		return note;
 	root = json_parse(text, strlen(text), &err);
 	if (!root) {
-		log_error(PART, "note", &err);
+		log_error(LOG_COMPONENT, "note", &err);
 		return note;
 	}
 	report = json_string_or(root, "report", NULL);
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -4,7 +4,7 @@
 #include "core/forward/scale_plan.h"
 #include "platform/wire.h"
 
-#define PART "duties"
+#define LOG_COMPONENT "duties"
 /* How often the fleet's size is thought over, and an order is tried again. */
 #define PLAN_PERIOD (200 * PD_MSEC)
 #define ORDER_RETRY (1500 * PD_MSEC)
@@ -100,7 +100,7 @@
 	order->out = false;
 	order->answered = true;
 	order->next_at = now + ORDER_RETRY;
-	log_line(G_LOG_LEVEL_INFO, PART,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "order service=%s zone=%s reclaimable=%d wanted=%u status=%d",
 		 order->service, order->zone, order->reclaimable, order->asked,
 		 reply->status);
@@ -127,7 +127,7 @@
 
 	order->out = true;
 	order->asked = order->wanted;
-	log_line(G_LOG_LEVEL_INFO, PART,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "ask service=%s zone=%s reclaimable=%d wanted=%u before=%u "
 		 "need=%.2f load=%.2f rate=%.0f shortage=%d",
 		 order->service, order->zone, order->reclaimable, order->wanted,
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -8,7 +8,7 @@
 #include "core/forward/usage_gap.h"
 #include "platform/wire.h"
 
-#define PART "duties"
+#define LOG_COMPONENT "duties"
 #define REPORT_RETRY (500 * PD_MSEC)
 /* A report waits so long for the record at most. */
 #define COUNTS_WAIT (700 * PD_MSEC)
@@ -18,8 +18,9 @@
 	gateway_duties_t *duties = ctx;
 
 	duties->reporting = false;
-	log_line(G_LOG_LEVEL_INFO, PART, "usage window=%" PRId64 " status=%d",
-		 duties->sent, reply->status);
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
+		 "usage window=%" PRId64 " status=%d", duties->sent,
+		 reply->status);
 	/* A report that is refused for what it says is not sent again. */
 	if (reply->status >= 200 && reply->status < 500 && reply->status != 429)
 		duties->reported = duties->sent;
@@ -70,7 +71,7 @@
 				 add_lost, &lost);
 	if (!lost.sum)
 		return;
-	log_line(G_LOG_LEVEL_INFO, PART,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "usage in_flight window=%" PRId64 " requests=%" PRIu64, window,
 		 lost.sum);
 	metrics_add(gateway->metrics, "gateway_usage_in_flight_total",
@@ -163,7 +164,7 @@
 
 	if (!missing)
 		return;
-	log_line(G_LOG_LEVEL_WARNING, PART,
+	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 		 "usage gap window=%" PRId64 " ms=%" PRId64 " from_ms=%" PRId64
 		 " to_ms=%" PRId64,
 		 window, missing, gap.from / PD_MSEC, gap.to / PD_MSEC);
@@ -177,7 +178,7 @@
 {
 	gateway_t *gateway = duties->gateway;
 
-	log_line(G_LOG_LEVEL_WARNING, PART,
+	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 		 "usage open window=%" PRId64 " open=%" PRIu64
 		 " counted=%" PRIu64,
 		 window, coverage->open, coverage->counted);
@@ -201,7 +202,7 @@
 	if (waits != duties->counts_open) {
 		duties->counts_open = waits;
 		duties->counts_asked_at = 0;
-		log_line(G_LOG_LEVEL_INFO, PART,
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 			 "usage waits=%d window=%" PRId64 " open=%" PRIu64
 			 " counted=%" PRIu64,
 			 waits, window, coverage.open, coverage.counted);
--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -7,7 +7,7 @@
 #include "core/forward/store_feed.h"
 #include "platform/wire.h"
 
-#define PART "store"
+#define LOG_COMPONENT "store"
 /* Lines about spoiled entries in each such time. */
 #define SPOILED_TOLD 5
 #define SPOILED_PERIOD (10 * PD_SEC)
@@ -71,7 +71,7 @@
 		if (text)
 			gateway_take_config(gateway, text, "store");
 		else
-			log_line(G_LOG_LEVEL_WARNING, PART,
+			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 				 "dropped a configuration: no object");
 		g_free(text);
 	}
@@ -92,7 +92,7 @@
 		feed->spoiled_told = 0;
 	}
 	if (feed->spoiled_told++ < SPOILED_TOLD)
-		log_error(PART, id, err);
+		log_error(LOG_COMPONENT, id, err);
 }
 
 static void apply_upstream(feed_t *feed, const wire_page_t *page, size_t i)
@@ -198,7 +198,7 @@
 {
 	if (before || !store_feed_is_lost(feed->calls))
 		return;
-	log_line(G_LOG_LEVEL_WARNING, PART,
+	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 		 "lost=%s status=%d revision=%" G_GUINT64_FORMAT, feed->name,
 		 status, feed->revision);
 }
@@ -232,13 +232,13 @@
 {
 	if (!store_feed_is_lost(feed->calls))
 		return;
-	log_line(G_LOG_LEVEL_INFO, PART, "regained=%s", feed->name);
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "regained=%s", feed->name);
 }
 
 static void feed_relist(feed_t *feed)
 {
-	log_line(G_LOG_LEVEL_INFO, PART, "relist=%s reason=\"history gone\"",
-		 feed->name);
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
+		 "relist=%s reason=\"history gone\"", feed->name);
 	store_feed_relist(feed->calls, gateway_now());
 	g_clear_pointer(&feed->after, g_free);
 }
@@ -259,7 +259,7 @@
 	}
 	page = wire_page_read(reply->body, reply->len, &err);
 	if (!page) {
-		log_error(PART, feed->name, &err);
+		log_error(LOG_COMPONENT, feed->name, &err);
 		feed_failed(feed, reply->status);
 		return;
 	}
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -20,7 +20,7 @@
 #include "core/forward/shed.h"
 #include "platform/wire.h"
 
-#define PART "gateway"
+#define LOG_COMPONENT "gateway"
 /* Timeouts are kept to this; each wake-up costs some processor time. */
 #define TICK_MS 20
 #define BACKLOG 512
@@ -140,14 +140,14 @@
 	forward_config_t *config = wire_config_read(text, strlen(text), &err);
 
 	if (!config) {
-		log_error(PART, "configuration", &err);
+		log_error(LOG_COMPONENT, "configuration", &err);
 		return false;
 	}
 	if (gateway->config && config->version <= gateway->config->version) {
 		forward_config_unref(config);
 		return false;
 	}
-	log_line(G_LOG_LEVEL_INFO, PART,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "config=%" G_GUINT64_FORMAT " before=%" G_GUINT64_FORMAT
 		 " source=%s routes=%u services=%u accounts=%u",
 		 config->version, gateway->config ? gateway->config->version : 0,
@@ -255,7 +255,7 @@
 	open = !list_empty(&gateway->callers) || http1_is_draining();
 	if (open && since < grace - STOP_MARGIN)
 		return;
-	log_line(G_LOG_LEVEL_INFO, PART, "stopped open=%d", open);
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stopped open=%d", open);
 	log_buffer_flush(now);
 	uv_stop(gateway->loop);
 }
@@ -303,7 +303,7 @@
 	clock_steps_t steps = time_vote_run(gateway->vote, gateway_wall(), now);
 
 	if (steps.own || steps.fleet)
-		log_line(G_LOG_LEVEL_WARNING, PART,
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 			 "clock own_step_ms=%" PRId64 " fleet_step_ms=%" PRId64
 			 " own_off_ms=%" PRId64,
 			 steps.own / PD_MSEC, steps.fleet / PD_MSEC,
@@ -400,7 +400,7 @@
 	if (rc != 0)
 		return pd_error_set(err, PD_ERROR_IO, "listen on %s: %s",
 				    address, uv_strerror(rc));
-	log_line(G_LOG_LEVEL_INFO, PART, "listen %s=%u", what,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "listen %s=%u", what,
 		 ntohs(addr.sin_port));
 	return 0;
 }
@@ -482,8 +482,9 @@
 	uv_timer_init(loop, &gateway->tick);
 	gateway->tick.data = gateway;
 	uv_timer_start(&gateway->tick, on_tick, 1, TICK_MS);
-	log_line(G_LOG_LEVEL_INFO, PART, "start node=%s zone=%s callers=%s",
-		 settings->node_id, settings->node_zone, settings->callers_listen);
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
+		 "start node=%s zone=%s callers=%s", settings->node_id,
+		 settings->node_zone, settings->callers_listen);
 	return gateway;
 }
 
@@ -530,6 +531,6 @@
 	if (gateway->stop_at)
 		return;
 	gateway->stop_at = gateway_now();
-	log_line(G_LOG_LEVEL_INFO, PART, "stop grace_s=%.1f",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stop grace_s=%.1f",
 		 gateway->settings->stop_grace_s);
 }
--- a/adapters/gateway/reload.c
+++ b/adapters/gateway/reload.c
@@ -10,7 +10,7 @@
 #include "adapters/gateway/peers.h"
 #include "adapters/log_glib.h"
 
-#define PART "settings"
+#define LOG_COMPONENT "settings"
 /* The file may change without a signal; a look at it costs one system call. */
 #define LOOK_PERIOD (2 * PD_SEC)
 
@@ -42,7 +42,7 @@
 	uint16_t port = 0;
 
 	if (!gateway_split_address(address, &host, &port)) {
-		log_line(G_LOG_LEVEL_WARNING, PART,
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 			 "address=%s ignored: expected address:port", address);
 		return;
 	}
@@ -87,13 +87,15 @@
 		if (setting_same(row, gateway->settings, other))
 			continue;
 		if (is_fixed(row->key)) {
-			log_line(G_LOG_LEVEL_WARNING,
-				 PART, "key=%s changed=no reason=\"read at start only\"",
+			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
+				 "key=%s changed=no reason=\"read at start "
+				 "only\"",
 				 row->key);
 			continue;
 		}
 		setting_swap(row, gateway->settings, other);
-		log_line(G_LOG_LEVEL_INFO, PART, "key=%s changed=yes", row->key);
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "key=%s changed=yes",
+			 row->key);
 		put_in_force(gateway, row);
 		taken++;
 	}
@@ -114,10 +116,10 @@
 	gateway->settings_stamp = file_stamp(gateway->settings_path);
 	other = gateway_settings_read(gateway->settings_path, &err);
 	if (!other) {
-		log_error(PART, "reload", &err);
+		log_error(LOG_COMPONENT, "reload", &err);
 		return;
 	}
-	log_line(G_LOG_LEVEL_INFO, PART, "reload path=%s keys=%u",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "reload path=%s keys=%u",
 		 gateway->settings_path, take_changes(gateway, other));
 	gateway_settings_destroy(other);
 }
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -7,7 +7,7 @@
 #include "core/forward/engine_cost.h"
 #include "platform/wire.h"
 
-#define PART "request"
+#define LOG_COMPONENT "request"
 /* With less time left, another upstream could not answer. */
 #define TIME_LEFT_MIN (15 * PD_MSEC)
 /* Upstreams that one request reaches at most, those that turn it away too. */
@@ -177,7 +177,7 @@
 	if (request->events)
 		event_stream_drop_partial(request->events);
 	if (attempt_allowed(request, end)) {
-		log_line(G_LOG_LEVEL_INFO, PART,
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 			 "id=%s retry=%u reason=\"%s\" upstream=%s",
 			 request->call->id ? request->call->id : "-",
 			 request->sends, reason,
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -6,7 +6,7 @@
 #include "adapters/log_glib.h"
 #include "platform/wire.h"
 
-#define PART "request"
+#define LOG_COMPONENT "request"
 
 static void request_free(gateway_request_t *request)
 {
@@ -54,7 +54,7 @@
 	const gateway_t *gateway = request->gateway;
 	pd_time_t now = gateway_now();
 
-	log_line(G_LOG_LEVEL_INFO, PART,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "id=%s route=%s service=%s account=%s status=%d "
 		 "reason=\"%s\" upstream=%s sends=%u ran=%u events=%u "
 		 "tokens=%.0f "
