--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -551,7 +551,7 @@
 	     !object_writer_is_regular(counts->writer))) {
 		gateway_requests_note_flight(gateway);
 		text = usage_table_write(gateway->usage, gateway->inflight,
-					 gateway_first_window_due(gateway));
+					 gateway_first_due_window(gateway));
 		stored_write(counts, text, now);
 		g_free(text);
 	}
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -128,7 +128,7 @@
 			   const duties_note_t *note, int64_t ended)
 {
 	const gateway_t *gateway = duties->gateway;
-	int64_t due = gateway_first_window_due(gateway);
+	int64_t due = gateway_first_due_window(gateway);
 
 	if (note->report)
 		return MAX(note->window + 1, due);
@@ -138,7 +138,7 @@
 /* Returns the last window that may be reported if its counts are COMPLETE. */
 static int64_t last_window(const gateway_t *gateway, bool complete, pd_time_t now)
 {
-	pd_time_t due = gateway_report_due(gateway);
+	pd_time_t due = gateway_report_delay_max(gateway);
 	pd_time_t wall = time_vote_wall(gateway->vote, now);
 
 	return (wall - usage_report_delay(complete, due)) /
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -35,7 +35,7 @@
  */
 #define STOP_ADMIT (2600 * PD_MSEC)
 /* Windows of usage that are held beyond those due: clocks of peers differ. */
-#define WINDOWS_SPARE 2
+#define SPARE_USAGE_WINDOWS 2
 /* What is left before the process is killed, for the last bytes to leave. */
 #define STOP_MARGIN (400 * PD_MSEC)
 
@@ -52,7 +52,7 @@
 }
 
 /* Returns this VM's time of day. */
-pd_time_t gateway_wall(void)
+pd_time_t gateway_wall_time(void)
 {
 	struct timespec now;
 
@@ -80,13 +80,13 @@
 }
 
 /* Returns how long after the end of a usage window its report is due. */
-pd_time_t gateway_report_due(const gateway_t *gateway)
+pd_time_t gateway_report_delay_max(const gateway_t *gateway)
 {
 	return (pd_time_t)(gateway->settings->usage_due_s * PD_SEC);
 }
 
 /* Returns the number of the usage window that it is by the fleet's clocks. */
-int64_t gateway_window(const gateway_t *gateway)
+int64_t gateway_current_window(const gateway_t *gateway)
 {
 	pd_time_t wall = time_vote_wall(gateway->vote, gateway_now());
 
@@ -94,11 +94,11 @@
 }
 
 /* Returns the first usage window whose report is not overdue yet. */
-int64_t gateway_first_window_due(const gateway_t *gateway)
+int64_t gateway_first_due_window(const gateway_t *gateway)
 {
-	return gateway_window(gateway) -
+	return gateway_current_window(gateway) -
 	       usage_windows_due(gateway_window_length(gateway),
-				 gateway_report_due(gateway)) +
+				 gateway_report_delay_max(gateway)) +
 	       1;
 }
 
@@ -266,15 +266,15 @@
 }
 
 /* Drops counts of old windows, also in gateways that never report. */
-static void forget_old_usage(gateway_t *gateway)
+static void prune_usage(gateway_t *gateway)
 {
-	int64_t window = gateway_window(gateway);
+	int64_t window = gateway_current_window(gateway);
 	int64_t first;
 
-	if (window == gateway->usage_window)
+	if (window == gateway->usage_pruned_window)
 		return;
-	gateway->usage_window = window;
-	first = gateway_first_window_due(gateway) - WINDOWS_SPARE;
+	gateway->usage_pruned_window = window;
+	first = gateway_first_due_window(gateway) - SPARE_USAGE_WINDOWS;
 	usage_forget(gateway->usage, first);
 	usage_watermarks_forget(gateway->watermarks, first);
 	usage_inflight_forget(gateway->inflight, first);
@@ -300,7 +300,8 @@
 /* Reads the own clock and counts the votes on the time of day. */
 static void run_vote(gateway_t *gateway, pd_time_t now)
 {
-	clock_steps_t steps = time_vote_run(gateway->vote, gateway_wall(), now);
+	clock_steps_t steps =
+		time_vote_run(gateway->vote, gateway_wall_time(), now);
 
 	if (steps.own || steps.fleet)
 		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
@@ -322,7 +323,7 @@
 	/* First, as it tells a start how large the fleet is. */
 	gateway_checkpoint_run(gateway->checkpoint, now);
 	fleet_feed_run(gateway->feed, now);
-	forget_old_usage(gateway);
+	prune_usage(gateway);
 	gateway_requests_run(gateway, now);
 	callers_run(gateway, now);
 	upstream_links_run(gateway, now);
--- a/adapters/gateway/gateway_state.h
+++ b/adapters/gateway/gateway_state.h
@@ -43,7 +43,7 @@
 	usage_watermarks_t *watermarks; /* of the starts that count usage */
 	usage_inflight_t *inflight; /* requests of all gateways' starts */
 	bool flight_changed; /* since what this gateway has in flight was noted */
-	int64_t usage_window; /* that it was when old counts were dropped last */
+	int64_t usage_pruned_window; /* that it was when old counts were dropped last */
 	work_rate_t *work;
 	GHashTable *sheds; /* service -> shed_t */
 	time_vote_t *vote;
@@ -72,12 +72,12 @@
 } gateway_t;
 
 pd_time_t gateway_now(void);
-pd_time_t gateway_wall(void);
+pd_time_t gateway_wall_time(void);
 pd_time_t gateway_jitter(const gateway_t *gateway, pd_time_t most);
 pd_time_t gateway_window_length(const gateway_t *gateway);
-pd_time_t gateway_report_due(const gateway_t *gateway);
-int64_t gateway_window(const gateway_t *gateway);
-int64_t gateway_first_window_due(const gateway_t *gateway);
+pd_time_t gateway_report_delay_max(const gateway_t *gateway);
+int64_t gateway_current_window(const gateway_t *gateway);
+int64_t gateway_first_due_window(const gateway_t *gateway);
 unsigned int gateway_count(const gateway_t *gateway);
 double gateway_engine_rate(const gateway_t *gateway, const char *service);
 bool gateway_admits_long(const gateway_t *gateway);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -174,7 +174,7 @@
 static void pack_usages(msgpack_sbuffer *out, msgpack_packer *packer,
 			const gateway_t *gateway)
 {
-	int64_t from = gateway_first_window_due(gateway);
+	int64_t from = gateway_first_due_window(gateway);
 	list_writer_t writer;
 
 	list_writer_init(&writer);
@@ -360,7 +360,8 @@
 	msgpack_pack_uint16(&packer, peers->zone);
 	msgpack_pack_uint64(&packer, (uint64_t)time_vote_own_step_age(vote, now));
 	if (full)
-		msgpack_pack_int64(&packer, gateway_window(peers->gateway) - 1);
+		msgpack_pack_int64(&packer,
+				   gateway_current_window(peers->gateway) - 1);
 	else
 		msgpack_pack_nil(&packer);
 }
--- a/adapters/gateway/request_flight.c
+++ b/adapters/gateway/request_flight.c
@@ -36,7 +36,7 @@
 	flight->told = gateway_now();
 	flight->booted = time_vote_wall(gateway->vote, flight->told) - flight->told;
 	flight->begun = gateway->started_at;
-	flight->window = gateway_window(gateway);
+	flight->window = gateway_current_window(gateway);
 	g_hash_table_iter_init(&iter, counts);
 	while (g_hash_table_iter_next(&iter, &account, &count))
 		usage_flight_add(flight, account,
