--- a/adapters/gateway/caller.c
+++ b/adapters/gateway/caller.c
@@ -111,7 +111,7 @@
 /* Says whether the connection stays after the answer in progress. */
 bool caller_keeps(const caller_t *caller)
 {
-	return caller->keep && !caller->gateway->stop_at;
+	return caller->keep && !caller->gateway->stop_requested_at;
 }
 
 /* Ends the request in progress, whose answer was written whole. */
@@ -119,7 +119,7 @@
 {
 	caller->request = NULL;
 	caller->since = gateway_now();
-	if (!caller->keep || caller->gateway->stop_at || caller->reading) {
+	if (!caller->keep || caller->gateway->stop_requested_at || caller->reading) {
 		http1_close_when_sent(caller->conn);
 		caller_free(caller);
 		return;
--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -230,7 +230,7 @@
 {
 	gateway_peers_t *peers = duties->gateway->peers;
 
-	if (duties->gateway->stop_at)
+	if (duties->gateway->stop_requested_at)
 		return duties->fence &&
 		       lease_fence(duties->lease) <= duties->fence &&
 		       !gateway_peers_has_holder_after(peers, duties->fence);
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -214,7 +214,7 @@
 {
 	const forward_config_t *config = duties->gateway->config;
 
-	if (!config || !duties->gateway->upstreams_known || now < duties->plan_at)
+	if (!config || !duties->gateway->upstreams_listed || now < duties->plan_at)
 		return;
 	duties->plan_at = now + PLAN_PERIOD;
 	for (guint i = 0; i < config->services->len; i++) {
--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -166,7 +166,7 @@
 		return;
 	forward_upstreams_end_listing(gateway->upstreams, feed->listed_at,
 				      gateway_now());
-	gateway->upstreams_known = true;
+	gateway->upstreams_listed = true;
 }
 
 static void feed_take(feed_t *feed, const wire_page_t *page)
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -117,17 +117,17 @@
 }
 
 /* Says whether enough is known to serve callers. */
-bool gateway_is_set_up(const gateway_t *gateway)
+bool gateway_is_initialized(const gateway_t *gateway)
 {
 	return gateway->config &&
-	       (gateway->upstreams_usable || gateway->upstreams_known) &&
+	       (gateway->upstreams_usable || gateway->upstreams_listed) &&
 	       gateway_checkpoint_is_settled(gateway->checkpoint, gateway_now());
 }
 
 /* Says whether callers may be sent here. */
 bool gateway_is_ready(const gateway_t *gateway)
 {
-	return gateway_is_set_up(gateway) && !gateway->stop_at;
+	return gateway_is_initialized(gateway) && !gateway->stop_requested_at;
 }
 
 /*
@@ -232,15 +232,16 @@
 }
 
 /* Says whether a request that may take seconds can still be taken. */
-bool gateway_admits_long(const gateway_t *gateway)
+bool gateway_accepts_long_requests(const gateway_t *gateway)
 {
-	return !gateway->stop_at || gateway_now() - gateway->stop_at < STOP_ADMIT;
+	return !gateway->stop_requested_at ||
+	       gateway_now() - gateway->stop_requested_at < STOP_ADMIT;
 }
 
 static void stop_step(gateway_t *gateway, pd_time_t now)
 {
 	pd_time_t grace = (pd_time_t)(gateway->settings->stop_grace_s * PD_SEC);
-	pd_time_t since = now - gateway->stop_at;
+	pd_time_t since = now - gateway->stop_requested_at;
 	bool open;
 
 	if (since >= STOP_ADMIT)
@@ -289,7 +290,8 @@
 {
 	const forward_config_t *config = gateway->config;
 
-	if (!gateway_is_set_up(gateway) || gateway->limits_version == config->version)
+	if (!gateway_is_initialized(gateway) ||
+	    gateway->limits_version == config->version)
 		return;
 	gateway->limits_version = config->version;
 	for (guint i = 0; i < config->accounts->len; i++)
@@ -336,7 +338,7 @@
 	gateway_duties_run(gateway->duties, now);
 	gateway_reload_run(gateway, now);
 	log_buffer_flush(now);
-	if (gateway->stop_at)
+	if (gateway->stop_requested_at)
 		stop_step(gateway, now);
 }
 
@@ -445,7 +447,7 @@
 	token_limits_seed(gateway->limits, g_rand_int(gateway->random));
 	list_init(&gateway->callers);
 	list_init(&gateway->requests);
-	list_init(&gateway->starting);
+	list_init(&gateway->startup_queue);
 	for (int i = 0; i < GATEWAY_RANKS; i++)
 		list_init(&gateway->queues[i]);
 }
@@ -529,9 +531,9 @@
 /* Begins to stop: callers are turned away, what is in progress ends. */
 void gateway_stop(gateway_t *gateway)
 {
-	if (gateway->stop_at)
+	if (gateway->stop_requested_at)
 		return;
-	gateway->stop_at = gateway_now();
+	gateway->stop_requested_at = gateway_now();
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stop grace_s=%.1f",
 		 gateway->settings->stop_grace_s);
 }
--- a/adapters/gateway/gateway.h
+++ b/adapters/gateway/gateway.h
@@ -12,7 +12,7 @@
 			  pd_error_t *err);
 void gateway_stop(gateway_t *gateway);
 void gateway_gauges(gateway_t *gateway);
-bool gateway_is_set_up(const gateway_t *gateway);
+bool gateway_is_initialized(const gateway_t *gateway);
 bool gateway_is_ready(const gateway_t *gateway);
 bool gateway_take_config(gateway_t *gateway, const char *text, const char *source);
 void gateway_store_answered(gateway_t *gateway, pd_time_t at);
--- a/adapters/gateway/gateway_state.h
+++ b/adapters/gateway/gateway_state.h
@@ -33,7 +33,7 @@
 	int64_t settings_stamp; /* of the file when it was read last */
 	forward_config_t *config; /* NULL: none yet */
 	char *config_text; /* as the platform gave it, for peers */
-	bool upstreams_known; /* a whole listing was read, here or by a peer */
+	bool upstreams_listed; /* a whole listing was read, here or by a peer */
 	bool upstreams_usable; /* a page of a listing was read */
 	forward_upstreams_t *upstreams;
 	token_limits_t *limits;
@@ -62,12 +62,12 @@
 	pd_time_t links_at; /* when idle links are looked at next */
 	list_node_t callers; /* connections */
 	list_node_t requests; /* all in progress */
-	list_node_t starting; /* requests that wait until this start is set up */
+	list_node_t startup_queue; /* requests that wait until this start is set up */
 	list_node_t queues[GATEWAY_RANKS]; /* those that wait for room */
 	unsigned int queued;
 	size_t body_bytes; /* of all requests in progress */
 	pd_time_t started_at;
-	pd_time_t stop_at; /* when the order to stop came; 0: it has not */
+	pd_time_t stop_requested_at; /* when the order to stop came; 0: it has not */
 	bool listening;
 } gateway_t;
 
@@ -80,7 +80,7 @@
 int64_t gateway_first_due_window(const gateway_t *gateway);
 unsigned int gateway_count(const gateway_t *gateway);
 double gateway_engine_rate(const gateway_t *gateway, const char *service);
-bool gateway_admits_long(const gateway_t *gateway);
+bool gateway_accepts_long_requests(const gateway_t *gateway);
 bool gateway_split_address(const char *address, char **host, uint16_t *port);
 
 #endif
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -31,7 +31,7 @@
 {
 	uint64_t digest = 1;
 
-	if (!peers->gateway->upstreams_known)
+	if (!peers->gateway->upstreams_listed)
 		return 0;
 	for (unsigned int i = 0; i < FORWARD_BUCKETS; i++)
 		digest += forward_upstreams_digest(peers->gateway->upstreams, i);
@@ -461,7 +461,7 @@
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	pack_fetch_head(&packer, peers, what);
-	if ((what & FETCH_UPSTREAMS) && peers->gateway->upstreams_known)
+	if ((what & FETCH_UPSTREAMS) && peers->gateway->upstreams_listed)
 		pack_digests(&packer, peers);
 	else
 		msgpack_pack_nil(&packer);
@@ -598,7 +598,7 @@
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
-	if (!peers->gateway->upstreams_known)
+	if (!peers->gateway->upstreams_listed)
 		return;
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
--- a/adapters/gateway/peer_rank.c
+++ b/adapters/gateway/peer_rank.c
@@ -164,7 +164,7 @@
 
 	return gateway_peers_go_first(peers) ||
 	       now - peers->store_heard_at > peers_store_stale(peers, now) ||
-	       !peers->gateway->config || !peers->gateway->upstreams_known;
+	       !peers->gateway->config || !peers->gateway->upstreams_listed;
 }
 
 /*
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -238,7 +238,7 @@
 		peers->differs_since = 0;
 	else if (!peers->differs_since)
 		peers->differs_since = now;
-	if (!differing || (peers->gateway->upstreams_known &&
+	if (!differing || (peers->gateway->upstreams_listed &&
 			   now - peers->differs_since < DIFFERS_MIN))
 		return false;
 	if (now - peers->fetched_upstreams_at < peers->fetch_pause)
@@ -567,7 +567,7 @@
 	for (uint32_t i = 0; i < count; i++)
 		take_upstream(peers, &items[i], unknown);
 	if (msgpack_field_number(&fields[2]))
-		peers->gateway->upstreams_known = true;
+		peers->gateway->upstreams_listed = true;
 	if (unknown->len)
 		peers_send_fetch_marked(peers, peer, unknown);
 	g_array_unref(unknown);
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -159,16 +159,17 @@
 				       "no configuration yet");
 		return;
 	}
-	list_append(&gateway->starting, &request->wait);
+	list_append(&gateway->startup_queue, &request->wait);
 	gateway->queued++;
 }
 
 /* Decides on the requests that came before this start was set up. */
 static void starting_run(gateway_t *gateway, pd_time_t now)
 {
-	if (!gateway_is_set_up(gateway) && now - gateway->started_at <= START_WAIT)
+	if (!gateway_is_initialized(gateway) &&
+	    now - gateway->started_at <= START_WAIT)
 		return;
-	LIST_FOR_EACH_SAFE (it, &gateway->starting) {
+	LIST_FOR_EACH_SAFE (it, &gateway->startup_queue) {
 		gateway_request_t *request =
 			LIST_ENTRY(it, gateway_request_t, wait);
 
@@ -189,7 +190,7 @@
 		gateway_request_refuse(request, 413, 0, "body over the limit");
 		return;
 	}
-	if (!gateway_is_set_up(gateway)) {
+	if (!gateway_is_initialized(gateway)) {
 		request_await_start(request);
 		return;
 	}
@@ -212,7 +213,7 @@
 	if (!request_identify(request))
 		return;
 	if (request->route->kind == FORWARD_STREAM &&
-	    !gateway_admits_long(gateway)) {
+	    !gateway_accepts_long_requests(gateway)) {
 		gateway_request_refuse(request, 503, RETRY_AFTER_STOPPING,
 				       "stopping");
 		return;
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -85,7 +85,7 @@
 		pair->gateways[i] =
 			gateway_create(&pair->loop, &pair->settings[i], &err);
 		assert_non_null(pair->gateways[i]);
-		pair->gateways[i]->upstreams_known = true;
+		pair->gateways[i]->upstreams_listed = true;
 	}
 	*state = pair;
 	return 0;
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -92,7 +92,7 @@
 		forward_upstreams_apply(gateway->upstreams, &listing);
 		forward_upstreams_find(gateway->upstreams, listing.id)->running = i;
 	}
-	gateway->upstreams_known = true;
+	gateway->upstreams_listed = true;
 	usage_add(gateway->usage, 3, "mill");
 	work_rate_add(gateway->work, "s", 1000);
 }
