--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -69,7 +69,7 @@
 			continue;
 		text = wire_page_spec(page, i);
 		if (text)
-			gateway_take_config(gateway, text, "store");
+			gateway_apply_config(gateway, text, "store");
 		else
 			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 				 "dropped a configuration: no object");
@@ -125,7 +125,7 @@
 		news = forward_upstreams_apply(gateway->upstreams, &listing);
 	}
 	if (news)
-		gateway_upstream_news(gateway, id, "store");
+		gateway_upstream_changed(gateway, id, "store");
 }
 
 /*
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -134,7 +134,7 @@
  * Takes a configuration if it is newer than the one in force, and tells the
  * peers. SOURCE says who brought it. Returns whether it was newer.
  */
-bool gateway_take_config(gateway_t *gateway, const char *text, const char *source)
+bool gateway_apply_config(gateway_t *gateway, const char *text, const char *source)
 {
 	pd_error_t err;
 	forward_config_t *config = wire_config_read(text, strlen(text), &err);
@@ -210,7 +210,7 @@
 }
 
 /* Logs what became known of an upstream and passes it on to the peers. */
-void gateway_upstream_news(gateway_t *gateway, const char *id, const char *source)
+void gateway_upstream_changed(gateway_t *gateway, const char *id, const char *source)
 {
 	static const char *const stages[] = {
 		[FORWARD_SERVING] = "serving",
@@ -263,7 +263,7 @@
 
 static void on_lapsed(void *ctx, const char *id)
 {
-	gateway_upstream_news(ctx, id, "lapse");
+	gateway_upstream_changed(ctx, id, "lapse");
 }
 
 /* Drops counts of old windows, also in gateways that never report. */
@@ -511,7 +511,7 @@
 }
 
 /* Sets the gauges to how things stand, for whoever reads the metrics now. */
-void gateway_gauges(gateway_t *gateway)
+void gateway_update_gauges(gateway_t *gateway)
 {
 	metrics_t *metrics = gateway->metrics;
 
--- a/adapters/gateway/gateway.h
+++ b/adapters/gateway/gateway.h
@@ -11,12 +11,13 @@
 gateway_t *gateway_create(uv_loop_t *loop, gateway_settings_t *settings,
 			  pd_error_t *err);
 void gateway_stop(gateway_t *gateway);
-void gateway_gauges(gateway_t *gateway);
+void gateway_update_gauges(gateway_t *gateway);
 bool gateway_is_initialized(const gateway_t *gateway);
 bool gateway_is_ready(const gateway_t *gateway);
-bool gateway_take_config(gateway_t *gateway, const char *text, const char *source);
+bool gateway_apply_config(gateway_t *gateway, const char *text, const char *source);
 void gateway_store_answered(gateway_t *gateway, pd_time_t at);
 void gateway_store_failed(gateway_t *gateway, pd_time_t sent_at);
-void gateway_upstream_news(gateway_t *gateway, const char *id, const char *source);
+void gateway_upstream_changed(gateway_t *gateway, const char *id,
+			      const char *source);
 
 #endif
--- a/adapters/gateway/health.c
+++ b/adapters/gateway/health.c
@@ -55,7 +55,7 @@
 	} else if (!strcmp(path, METRICS_PATH)) {
 		char *text;
 
-		gateway_gauges(visitor->gateway);
+		gateway_update_gauges(visitor->gateway);
 		text = metrics_text(visitor->gateway->metrics);
 
 		visitor_answer(visitor, 200, text);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -448,7 +448,7 @@
 
 	if (!text)
 		return -1;
-	gateway_take_config(peers->gateway, text, "peer");
+	gateway_apply_config(peers->gateway, text, "peer");
 	g_free(text);
 	return 0;
 }
@@ -502,7 +502,7 @@
 	}
 	if (forward_upstreams_restage(gateway->upstreams, upstream, &change,
 				      gateway_now()))
-		gateway_upstream_news(gateway, upstream->id, "peer");
+		gateway_upstream_changed(gateway, upstream->id, "peer");
 }
 
 /* Takes one upstream that a peer knows of. */
@@ -546,7 +546,7 @@
 		news = forward_upstreams_apply(gateway->upstreams, &listing);
 	/* Passed on, as a peer may reach some that the sender does not. */
 	if (news)
-		gateway_upstream_news(gateway, listing.id, "peer");
+		gateway_upstream_changed(gateway, listing.id, "peer");
 done:
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
 		g_free(texts[i]);
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -104,7 +104,7 @@
 					    .revision = revision };
 
 	assert_true(forward_upstreams_apply(gateway->upstreams, &listing));
-	gateway_upstream_news(gateway, id, "test");
+	gateway_upstream_changed(gateway, id, "test");
 }
 
 static const forward_upstream_t *known(const gateway_t *gateway, const char *id)
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -77,7 +77,7 @@
 /* Gives the gateway something to tell, so that its messages have all parts. */
 static void gateway_fill(gateway_t *gateway)
 {
-	gateway_take_config(gateway, config_text, "test");
+	gateway_apply_config(gateway, config_text, "test");
 	for (unsigned int i = 0; i < 4; i++) {
 		std::string id = "u" + std::to_string(i);
 		forward_listing_t listing = {};
