--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -439,7 +439,7 @@
 					       (GDestroyNotify)shed_destroy);
 	gateway->watermarks = usage_watermarks_create();
 	gateway->inflight = usage_inflight_create();
-	gateway->flight_changed = true;
+	gateway->in_flight_changed = true;
 	gateway->vote = time_vote_create();
 	run_vote(gateway, gateway->started_at);
 	gateway->metrics = metrics_create();
@@ -482,9 +482,9 @@
 	gateway->usage = usage_create(gateway_peers_incarnation(gateway->peers));
 	gateway->feed = fleet_feed_create(gateway);
 	gateway->duties = gateway_duties_create(gateway);
-	uv_timer_init(loop, &gateway->tick);
-	gateway->tick.data = gateway;
-	uv_timer_start(&gateway->tick, on_tick, 1, TICK_MS);
+	uv_timer_init(loop, &gateway->timer);
+	gateway->timer.data = gateway;
+	uv_timer_start(&gateway->timer, on_tick, 1, TICK_MS);
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "start node=%s zone=%s callers=%s", settings->node_id,
 		 settings->node_zone, settings->callers_listen);
--- a/adapters/gateway/gateway_state.h
+++ b/adapters/gateway/gateway_state.h
@@ -29,7 +29,7 @@
 	uv_loop_t *loop;
 	const char *settings_path; /* NULL: they are not read again */
 	gateway_settings_t *settings;
-	pd_time_t settings_at; /* when the file is looked at next */
+	pd_time_t settings_check_at; /* when the file is looked at next */
 	int64_t settings_stamp; /* of the file when it was read last */
 	forward_config_t *config; /* NULL: none yet */
 	char *config_text; /* as the platform gave it, for peers */
@@ -42,7 +42,7 @@
 	usage_t *usage;
 	usage_watermarks_t *watermarks; /* of the starts that count usage */
 	usage_inflight_t *inflight; /* requests of all gateways' starts */
-	bool flight_changed; /* since what this gateway has in flight was noted */
+	bool in_flight_changed; /* since what this gateway has in flight was noted */
 	int64_t usage_pruned_window; /* that it was when old counts were dropped last */
 	work_rate_t *work;
 	GHashTable *sheds; /* service -> shed_t */
@@ -58,8 +58,8 @@
 	GRand *random;
 	uv_tcp_t callers_listener;
 	uv_tcp_t health_listener;
-	uv_timer_t tick;
-	pd_time_t links_at; /* when idle links are looked at next */
+	uv_timer_t timer;
+	pd_time_t links_check_at; /* when idle links are looked at next */
 	list_node_t callers; /* connections */
 	list_node_t requests; /* all in progress */
 	list_node_t startup_queue; /* requests that wait until this start is set up */
--- a/adapters/gateway/reload.c
+++ b/adapters/gateway/reload.c
@@ -129,9 +129,9 @@
 {
 	int64_t stamp;
 
-	if (!gateway->settings_path || now < gateway->settings_at)
+	if (!gateway->settings_path || now < gateway->settings_check_at)
 		return;
-	gateway->settings_at = now + LOOK_PERIOD;
+	gateway->settings_check_at = now + LOOK_PERIOD;
 	stamp = file_stamp(gateway->settings_path);
 	if (!gateway->settings_stamp)
 		gateway->settings_stamp = stamp;
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -42,7 +42,8 @@
 void gateway_request_attempt_forget(gateway_request_t *request)
 {
 	attempt_uncount(request);
-	request->gateway->flight_changed |= request->sent_at && !request->counted;
+	request->gateway->in_flight_changed |= request->sent_at &&
+					       !request->counted;
 	if (request->upstream)
 		forward_upstream_unref(request->upstream);
 	request->upstream = NULL;
--- a/adapters/gateway/request_flight.c
+++ b/adapters/gateway/request_flight.c
@@ -53,9 +53,9 @@
  */
 const usage_flight_t *gateway_requests_note_flight(gateway_t *gateway)
 {
-	if (gateway->flight_changed)
+	if (gateway->in_flight_changed)
 		usage_inflight_take(gateway->inflight, flight_now(gateway));
-	gateway->flight_changed = false;
+	gateway->in_flight_changed = false;
 	return usage_inflight_find(gateway->inflight,
 				   usage_own_start(gateway->usage));
 }
--- a/adapters/gateway/upstream_link.c
+++ b/adapters/gateway/upstream_link.c
@@ -196,9 +196,9 @@
 /* Closes links that were idle for long, and those of upstreams that left. */
 void upstream_links_run(gateway_t *gateway, pd_time_t now)
 {
-	if (now < gateway->links_at)
+	if (now < gateway->links_check_at)
 		return;
-	gateway->links_at = now + LINKS_PERIOD;
+	gateway->links_check_at = now + LINKS_PERIOD;
 	LIST_FOR_EACH (it, forward_upstreams_list(gateway->upstreams)) {
 		forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
