--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -23,21 +23,21 @@
 #define LOG_COMPONENT "gateway"
 /* Timeouts are kept to this; each wake-up costs some processor time. */
 #define TICK_MS 20
-#define BACKLOG 512
+#define LISTEN_BACKLOG 512
 /*
  * After the order to stop the balancer needs two questions, a second apart, to
  * turn new callers away, and connections in the making arrive after that.
  */
-#define STOP_LISTEN (4 * PD_SEC)
+#define STOP_LISTEN_TIME (4 * PD_SEC)
 /*
  * From then on new requests that may take long are refused, as they might not
  * end before the process does. By then the balancer sends callers elsewhere.
  */
-#define STOP_ADMIT (2600 * PD_MSEC)
+#define STOP_ACCEPT_LONG_TIME (2600 * PD_MSEC)
 /* Windows of usage that are held beyond those due: clocks of peers differ. */
 #define SPARE_USAGE_WINDOWS 2
 /* What is left before the process is killed, for the last bytes to leave. */
-#define STOP_MARGIN (400 * PD_MSEC)
+#define KILL_MARGIN (400 * PD_MSEC)
 
 /*
  * Returns the steady time. It counts the time in which the VM is suspended, in
@@ -162,7 +162,7 @@
 }
 
 /* Has entries that lapsed in an outage of the store get time to come back after it. */
-static void follow_outage(gateway_t *gateway, pd_time_t before)
+static void apply_outage_end(gateway_t *gateway, pd_time_t before)
 {
 	pd_time_t end = store_outage_end(gateway->outage);
 
@@ -179,7 +179,7 @@
 	pd_time_t before = store_outage_end(gateway->outage);
 
 	store_outage_answered(gateway->outage, at);
-	follow_outage(gateway, before);
+	apply_outage_end(gateway, before);
 }
 
 /* Takes that the store did not serve a call that was made at SENT_AT. */
@@ -188,21 +188,21 @@
 	pd_time_t before = store_outage_end(gateway->outage);
 
 	store_outage_failed(gateway->outage, sent_at, gateway_now());
-	follow_outage(gateway, before);
+	apply_outage_end(gateway, before);
 }
 
 /* Returns whether a call with that status was served, if not as it was hoped. */
-static bool was_served(int status)
+static bool store_has_served(int status)
 {
 	return status && status != 429 && status < 500;
 }
 
-static void on_store_ended(void *ctx, int status, uint64_t elapsed_ms)
+static void on_store_call_done(void *ctx, int status, uint64_t elapsed_ms)
 {
 	gateway_t *gateway = ctx;
 	pd_time_t now = gateway_now();
 
-	if (was_served(status))
+	if (store_has_served(status))
 		gateway_store_answered(gateway, now);
 	else
 		gateway_store_failed(gateway,
@@ -235,18 +235,18 @@
 bool gateway_accepts_long_requests(const gateway_t *gateway)
 {
 	return !gateway->stop_requested_at ||
-	       gateway_now() - gateway->stop_requested_at < STOP_ADMIT;
+	       gateway_now() - gateway->stop_requested_at < STOP_ACCEPT_LONG_TIME;
 }
 
-static void stop_step(gateway_t *gateway, pd_time_t now)
+static void run_shutdown(gateway_t *gateway, pd_time_t now)
 {
 	pd_time_t grace = (pd_time_t)(gateway->settings->stop_grace_s * PD_SEC);
 	pd_time_t since = now - gateway->stop_requested_at;
 	bool open;
 
-	if (since >= STOP_ADMIT)
+	if (since >= STOP_ACCEPT_LONG_TIME)
 		callers_close_idle(gateway, now);
-	if (since < STOP_LISTEN)
+	if (since < STOP_LISTEN_TIME)
 		return;
 	if (gateway->listening) {
 		gateway->listening = false;
@@ -254,14 +254,14 @@
 	}
 	/* Callers left have a request in progress, or one that is being read. */
 	open = !list_empty(&gateway->callers) || http1_is_draining();
-	if (open && since < grace - STOP_MARGIN)
+	if (open && since < grace - KILL_MARGIN)
 		return;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stopped open=%d", open);
 	log_buffer_flush(now);
 	uv_stop(gateway->loop);
 }
 
-static void on_lapsed(void *ctx, const char *id)
+static void on_registration_expired(void *ctx, const char *id)
 {
 	gateway_upstream_changed(ctx, id, "lapse");
 }
@@ -286,7 +286,7 @@
  * yet, as others go by this gateway's levels. Not before the record was read: a
  * bucket that is there keeps its level.
  */
-static void know_accounts(gateway_t *gateway, pd_time_t now)
+static void create_account_buckets(gateway_t *gateway, pd_time_t now)
 {
 	const forward_config_t *config = gateway->config;
 
@@ -300,7 +300,7 @@
 }
 
 /* Reads the own clock and counts the votes on the time of day. */
-static void run_vote(gateway_t *gateway, pd_time_t now)
+static void run_time_vote(gateway_t *gateway, pd_time_t now)
 {
 	clock_steps_t steps =
 		time_vote_run(gateway->vote, gateway_wall_time(), now);
@@ -320,8 +320,9 @@
 	gateway_t *gateway = timer->data;
 	pd_time_t now = gateway_now();
 
-	run_vote(gateway, now);
-	forward_upstreams_run(gateway->upstreams, now, on_lapsed, gateway);
+	run_time_vote(gateway, now);
+	forward_upstreams_run(gateway->upstreams, now, on_registration_expired,
+			      gateway);
 	/* First, as it tells a start how large the fleet is. */
 	gateway_checkpoint_run(gateway->checkpoint, now);
 	fleet_feed_run(gateway->feed, now);
@@ -330,7 +331,7 @@
 	callers_run(gateway, now);
 	upstream_links_run(gateway, now);
 	gateway_peers_run(gateway->peers, now);
-	know_accounts(gateway, now);
+	create_account_buckets(gateway, now);
 	token_limits_set_entries(gateway->limits, gateway_count(gateway));
 	token_limits_set_lag(gateway->limits,
 			     gateway_peers_lag(gateway->peers, now));
@@ -339,7 +340,7 @@
 	gateway_reload_run(gateway, now);
 	log_buffer_flush(now);
 	if (gateway->stop_requested_at)
-		stop_step(gateway, now);
+		run_shutdown(gateway, now);
 }
 
 static void on_caller(uv_stream_t *listener, int status)
@@ -348,7 +349,7 @@
 		caller_accept(listener->data, listener);
 }
 
-static void on_visitor(uv_stream_t *listener, int status)
+static void on_health_connection(uv_stream_t *listener, int status)
 {
 	if (status == 0)
 		health_accept(listener->data, listener);
@@ -369,8 +370,8 @@
 	return true;
 }
 
-static int split_setting(const char *address, char **host, uint16_t *port,
-			 pd_error_t *err)
+static int split_address_setting(const char *address, char **host,
+				 uint16_t *port, pd_error_t *err)
 {
 	if (gateway_split_address(address, host, port))
 		return 0;
@@ -388,7 +389,7 @@
 	uint16_t port = 0;
 	int rc;
 
-	if (split_setting(address, &host, &port, err) < 0)
+	if (split_address_setting(address, &host, &port, err) < 0)
 		return -1;
 	uv_tcp_init(gateway->loop, listener);
 	listener->data = gateway;
@@ -396,7 +397,8 @@
 	if (rc == 0)
 		rc = uv_tcp_bind(listener, (struct sockaddr *)&addr, 0);
 	if (rc == 0)
-		rc = uv_listen((uv_stream_t *)listener, BACKLOG, on_connection);
+		rc = uv_listen((uv_stream_t *)listener, LISTEN_BACKLOG,
+			       on_connection);
 	if (rc == 0)
 		rc = uv_tcp_getsockname(listener, (struct sockaddr *)&addr, &len);
 	g_free(host);
@@ -408,21 +410,21 @@
 	return 0;
 }
 
-static http1_client_t *client_for(gateway_t *gateway, const char *address,
-				  pd_error_t *err)
+static http1_client_t *create_client(gateway_t *gateway, const char *address,
+				     pd_error_t *err)
 {
 	http1_client_t *client;
 	char *host = NULL;
 	uint16_t port = 0;
 
-	if (split_setting(address, &host, &port, err) < 0)
+	if (split_address_setting(address, &host, &port, err) < 0)
 		return NULL;
 	client = http1_client_create(gateway->loop, host, port);
 	g_free(host);
 	return client;
 }
 
-static void create_decisions(gateway_t *gateway)
+static void create_forwarding_state(gateway_t *gateway)
 {
 	const gateway_settings_t *settings = gateway->settings;
 	const retry_limits_t retries = gateway_settings_retries(settings);
@@ -441,7 +443,7 @@
 	gateway->inflight = usage_inflight_create();
 	gateway->in_flight_changed = true;
 	gateway->vote = time_vote_create();
-	run_vote(gateway, gateway->started_at);
+	run_time_vote(gateway, gateway->started_at);
 	gateway->metrics = metrics_create();
 	gateway->random = g_rand_new();
 	token_limits_seed(gateway->limits, g_rand_int(gateway->random));
@@ -464,19 +466,19 @@
 	gateway->loop = loop;
 	gateway->settings = settings;
 	gateway->started_at = gateway_now();
-	create_decisions(gateway);
-	gateway->store = client_for(gateway, settings->store_address, err);
-	gateway->cloud = client_for(gateway, settings->cloud_address, err);
+	create_forwarding_state(gateway);
+	gateway->store = create_client(gateway, settings->store_address, err);
+	gateway->cloud = create_client(gateway, settings->cloud_address, err);
 	if (!gateway->store || !gateway->cloud)
 		return NULL;
-	http1_client_observe(gateway->store, on_store_ended, gateway);
+	http1_client_observe(gateway->store, on_store_call_done, gateway);
 	gateway->checkpoint = gateway_checkpoint_create(gateway);
 	gateway->peers = gateway_peers_create(gateway, err);
 	if (!gateway->peers ||
 	    listen_on(gateway, &gateway->callers_listener, "callers",
 		      settings->callers_listen, on_caller, err) < 0 ||
 	    listen_on(gateway, &gateway->health_listener, "health",
-		      settings->health_listen, on_visitor, err) < 0)
+		      settings->health_listen, on_health_connection, err) < 0)
 		return NULL;
 	gateway->listening = true;
 	gateway->usage = usage_create(gateway_peers_incarnation(gateway->peers));
