--- a/adapters/gateway/reload.c
+++ b/adapters/gateway/reload.c
@@ -12,10 +12,10 @@
 
 #define LOG_COMPONENT "settings"
 /* The file may change without a signal; a look at it costs one system call. */
-#define LOOK_PERIOD (2 * PD_SEC)
+#define CHECK_PERIOD (2 * PD_SEC)
 
 /* Says whether a key is only read at start: who and where this process is. */
-static bool is_fixed(const char *key)
+static bool is_read_at_start_only(const char *key)
 {
 	static const char *const fixed[] = {
 		"node.id",	 "node.zone",	 "node.start", "callers.listen",
@@ -36,7 +36,7 @@
 	       seen.st_mtim.tv_nsec + seen.st_size;
 }
 
-static void move_client(http1_client_t *client, const char *address)
+static void set_client_address(http1_client_t *client, const char *address)
 {
 	char *host = NULL;
 	uint16_t port = 0;
@@ -51,14 +51,14 @@
 }
 
 /* Has the parts of the gateway that hold copies of settings take them anew. */
-static void put_in_force(gateway_t *gateway, const setting_t *setting)
+static void apply_setting(gateway_t *gateway, const setting_t *setting)
 {
 	const gateway_settings_t *settings = gateway->settings;
 
 	if (!strcmp(setting->key, "store.address"))
-		move_client(gateway->store, settings->store_address);
+		set_client_address(gateway->store, settings->store_address);
 	else if (!strcmp(setting->key, "cloud.address"))
-		move_client(gateway->cloud, settings->cloud_address);
+		set_client_address(gateway->cloud, settings->cloud_address);
 	else if (!strcmp(setting->key, "peers.seeds"))
 		gateway_peers_take_seeds(gateway->peers);
 	else if (g_str_has_prefix(setting->key, "retry.")) {
@@ -76,7 +76,7 @@
  * Exchanges what differs, but for what is fixed; OTHER has the old values then.
  * Returns how many keys were taken over.
  */
-static unsigned int take_changes(gateway_t *gateway, gateway_settings_t *other)
+static unsigned int apply_changes(gateway_t *gateway, gateway_settings_t *other)
 {
 	const setting_table_t *table = gateway_settings_table();
 	unsigned int taken = 0;
@@ -86,7 +86,7 @@
 
 		if (setting_same(row, gateway->settings, other))
 			continue;
-		if (is_fixed(row->key)) {
+		if (is_read_at_start_only(row->key)) {
 			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 				 "key=%s changed=no reason=\"read at start "
 				 "only\"",
@@ -96,7 +96,7 @@
 		setting_swap(row, gateway->settings, other);
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "key=%s changed=yes",
 			 row->key);
-		put_in_force(gateway, row);
+		apply_setting(gateway, row);
 		taken++;
 	}
 	return taken;
@@ -120,7 +120,7 @@
 		return;
 	}
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "reload path=%s keys=%u",
-		 gateway->settings_path, take_changes(gateway, other));
+		 gateway->settings_path, apply_changes(gateway, other));
 	gateway_settings_destroy(other);
 }
 
@@ -131,7 +131,7 @@
 
 	if (!gateway->settings_path || now < gateway->settings_check_at)
 		return;
-	gateway->settings_check_at = now + LOOK_PERIOD;
+	gateway->settings_check_at = now + CHECK_PERIOD;
 	stamp = file_stamp(gateway->settings_path);
 	if (!gateway->settings_stamp)
 		gateway->settings_stamp = stamp;
