--- a/adapters/gateway/health.c
+++ b/adapters/gateway/health.c
@@ -8,20 +8,20 @@
 
 #define METRICS_PATH "/metrics"
 
-typedef struct visitor {
+typedef struct client {
 	gateway_t *gateway;
 	http1_t *conn;
 	char *path;
-	bool keep;
-} visitor_t;
+	bool keep_alive;
+} health_client_t;
 
 static void on_head(void *ctx, const http1_head_t *head)
 {
-	visitor_t *visitor = ctx;
+	health_client_t *client = ctx;
 
-	g_free(visitor->path);
-	visitor->path = g_strdup(head->target);
-	visitor->keep = head->keep_alive;
+	g_free(client->path);
+	client->path = g_strdup(head->target);
+	client->keep_alive = head->keep_alive;
 }
 
 static void on_body(void *ctx, const char *data, size_t len)
@@ -31,52 +31,52 @@
 	(void)len;
 }
 
-static void visitor_answer(visitor_t *visitor, int status, const char *body)
+static void client_respond(health_client_t *client, int status, const char *body)
 {
 	char *text =
 		g_strdup_printf("HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\n"
 				"Content-Length: %zu\r\n%s\r\n%s",
 				status, http1_reason(status), strlen(body),
-				visitor->keep ? "" : "Connection: close\r\n",
+				client->keep_alive ? "" : "Connection: close\r\n",
 				body);
 
-	http1_write(visitor->conn, text, strlen(text));
+	http1_write(client->conn, text, strlen(text));
 	g_free(text);
 }
 
 static void on_message(void *ctx)
 {
-	visitor_t *visitor = ctx;
-	const char *path = visitor->path ? visitor->path : "";
+	health_client_t *client = ctx;
+	const char *path = client->path ? client->path : "";
 
 	if (!strcmp(path, wire_ready_path())) {
-		visitor_answer(visitor,
-			       gateway_is_ready(visitor->gateway) ? 200 : 503, "");
+		client_respond(client,
+			       gateway_is_ready(client->gateway) ? 200 : 503, "");
 	} else if (!strcmp(path, METRICS_PATH)) {
 		char *text;
 
-		gateway_update_gauges(visitor->gateway);
-		text = metrics_text(visitor->gateway->metrics);
+		gateway_update_gauges(client->gateway);
+		text = metrics_text(client->gateway->metrics);
 
-		visitor_answer(visitor, 200, text);
+		client_respond(client, 200, text);
 		g_free(text);
 	} else {
-		visitor_answer(visitor, 404, "");
+		client_respond(client, 404, "");
 	}
-	if (visitor->keep)
+	if (client->keep_alive)
 		return;
-	http1_close_when_sent(visitor->conn);
-	g_free(visitor->path);
-	g_free(visitor);
+	http1_close_when_sent(client->conn);
+	g_free(client->path);
+	g_free(client);
 }
 
 static void on_end(void *ctx, http1_end_t end)
 {
-	visitor_t *visitor = ctx;
+	health_client_t *client = ctx;
 
 	(void)end;
-	g_free(visitor->path);
-	g_free(visitor);
+	g_free(client->path);
+	g_free(client);
 }
 
 static void on_connected(void *ctx)
@@ -89,12 +89,12 @@
 {
 	static const http1_events_t events = { on_connected, on_head, on_body,
 					       on_message, on_end };
-	visitor_t *visitor = g_new0(visitor_t, 1);
+	health_client_t *client = g_new0(health_client_t, 1);
 
-	visitor->gateway = gateway;
-	visitor->conn = http1_create(gateway->loop, HTTP1_SERVER, &events, visitor);
-	if (http1_accept(visitor->conn, listener) < 0) {
-		http1_close(visitor->conn);
-		g_free(visitor);
+	client->gateway = gateway;
+	client->conn = http1_create(gateway->loop, HTTP1_SERVER, &events, client);
+	if (http1_accept(client->conn, listener) < 0) {
+		http1_close(client->conn);
+		g_free(client);
 	}
 }
