--- a/adapters/gateway/caller.c
+++ b/adapters/gateway/caller.c
@@ -10,20 +10,20 @@
  */
 #define IDLE_MARGIN (2 * PD_SEC)
 /* How long a stopping process waits for the first request of a connection. */
-#define FIRST_REQUEST_TIME PD_SEC
+#define FIRST_REQUEST_TIMEOUT PD_SEC
 /* Answers that a caller does not read are kept up to so many bytes. */
-#define UNREAD_MAX (4 * 1024 * 1024)
+#define UNSENT_BYTES_MAX (4 * 1024 * 1024)
 
 struct caller {
 	list_node_t node;
 	gateway_t *gateway;
 	http1_t *conn;
 	gateway_request_t *request; /* NULL: none in progress */
-	bool used; /* a request has come on the connection */
-	bool keep; /* the connection serves further requests */
-	pd_time_t since; /* when something last came of a request, or the last ended */
-	pd_time_t head_since; /* a head has been coming in since; 0: none is */
-	bool reading; /* a request's head or body is on its way */
+	bool has_sent_request; /* a request has come on the connection */
+	bool keep_alive; /* the connection serves further requests */
+	pd_time_t last_active_at; /* when something last came of a request, or the last ended */
+	pd_time_t head_started_at; /* a head has been coming in since; 0: none is */
+	bool reading_request; /* a request's head or body is on its way */
 };
 
 static void caller_free(caller_t *caller)
@@ -38,10 +38,10 @@
 	const char *expect =
 		header_find(head->headers, head->header_count, "Expect");
 
-	caller->used = true;
-	caller->keep = head->keep_alive;
-	caller->reading = true;
-	caller->since = gateway_now();
+	caller->has_sent_request = true;
+	caller->keep_alive = head->keep_alive;
+	caller->reading_request = true;
+	caller->last_active_at = gateway_now();
 	if (expect && head->has_body)
 		caller_write(caller, "HTTP/1.1 100 Continue\r\n\r\n", 25);
 	caller->request = gateway_request_create(caller->gateway, caller, head);
@@ -51,16 +51,16 @@
 {
 	caller_t *caller = ctx;
 
-	caller->since = gateway_now();
+	caller->last_active_at = gateway_now();
 	if (caller->request && !gateway_request_add_body(caller->request, data, len))
-		caller->keep = false;
+		caller->keep_alive = false;
 }
 
 static void on_message(void *ctx)
 {
 	caller_t *caller = ctx;
 
-	caller->reading = false;
+	caller->reading_request = false;
 	if (!caller->request)
 		return;
 	http1_hold(caller->conn);
@@ -91,7 +91,7 @@
 	caller_t *caller = g_new0(caller_t, 1);
 
 	caller->gateway = gateway;
-	caller->since = gateway_now();
+	caller->last_active_at = gateway_now();
 	caller->conn = http1_create(gateway->loop, HTTP1_SERVER, &events, caller);
 	list_append(&gateway->callers, &caller->node);
 	if (gateway->config)
@@ -109,17 +109,18 @@
 }
 
 /* Says whether the connection stays after the answer in progress. */
-bool caller_keeps(const caller_t *caller)
+bool caller_keeps_alive(const caller_t *caller)
 {
-	return caller->keep && !caller->gateway->stop_requested_at;
+	return caller->keep_alive && !caller->gateway->stop_requested_at;
 }
 
 /* Ends the request in progress, whose answer was written whole. */
-void caller_answered(caller_t *caller)
+void caller_response_done(caller_t *caller)
 {
 	caller->request = NULL;
-	caller->since = gateway_now();
-	if (!caller->keep || caller->gateway->stop_requested_at || caller->reading) {
+	caller->last_active_at = gateway_now();
+	if (!caller->keep_alive || caller->gateway->stop_requested_at ||
+	    caller->reading_request) {
 		http1_close_when_sent(caller->conn);
 		caller_free(caller);
 		return;
@@ -135,7 +136,7 @@
 	caller_free(caller);
 }
 
-static void caller_timeout(caller_t *caller)
+static void caller_close_timed_out(caller_t *caller)
 {
 	static const char late[] = "HTTP/1.1 408 Request Timeout\r\n"
 				   "Content-Length: 0\r\n"
@@ -155,30 +156,30 @@
  * Says whether a head has been coming in for too long. Callers that send one byte
  * after the other would hold connections for as long as they like.
  */
-static bool head_is_late(caller_t *caller, pd_time_t now)
+static bool head_timed_out(caller_t *caller, pd_time_t now)
 {
 	const forward_config_t *config = caller->gateway->config;
 
-	if (!http1_in_message(caller->conn) || caller->reading) {
-		caller->head_since = 0;
+	if (!http1_in_message(caller->conn) || caller->reading_request) {
+		caller->head_started_at = 0;
 		return false;
 	}
-	if (!caller->head_since)
-		caller->head_since = now;
+	if (!caller->head_started_at)
+		caller->head_started_at = now;
 	return config->head_timeout > 0 &&
-	       now - caller->head_since > config->head_timeout;
+	       now - caller->head_started_at > config->head_timeout;
 }
 
 /* Says whether the connection is idle, or slow to send, for too long. */
-static bool caller_is_late(caller_t *caller, pd_time_t now)
+static bool caller_timed_out(caller_t *caller, pd_time_t now)
 {
 	const forward_config_t *config = caller->gateway->config;
 
-	if (now - caller->since > config->idle_timeout + IDLE_MARGIN)
+	if (now - caller->last_active_at > config->idle_timeout + IDLE_MARGIN)
 		return true;
 	if (caller->request)
 		return gateway_request_is_overdue(caller->request, now);
-	return head_is_late(caller, now);
+	return head_timed_out(caller, now);
 }
 
 /* Closes connections that are idle, or slow to send, for too long. */
@@ -189,16 +190,16 @@
 	LIST_FOR_EACH_SAFE (it, &gateway->callers) {
 		caller_t *caller = LIST_ENTRY(it, caller_t, node);
 
-		if (caller->request && !caller->reading) {
-			if (http1_unsent(caller->conn) > UNREAD_MAX) {
+		if (caller->request && !caller->reading_request) {
+			if (http1_unsent(caller->conn) > UNSENT_BYTES_MAX) {
 				gateway_request_abandon(caller->request,
 							"answer not read");
 				caller_abort(caller);
 			}
 			continue;
 		}
-		if (caller_is_late(caller, now))
-			caller_timeout(caller);
+		if (caller_timed_out(caller, now))
+			caller_close_timed_out(caller);
 	}
 }
 
@@ -210,7 +211,8 @@
 {
 	if (caller->request || http1_in_message(caller->conn))
 		return true;
-	return !caller->used && now - caller->since < FIRST_REQUEST_TIME;
+	return !caller->has_sent_request &&
+	       now - caller->last_active_at < FIRST_REQUEST_TIMEOUT;
 }
 
 /* Closes the connections on which nothing is in progress. */
--- a/adapters/gateway/caller.h
+++ b/adapters/gateway/caller.h
@@ -8,8 +8,8 @@
 
 void caller_accept(gateway_t *gateway, uv_stream_t *listener);
 void caller_write(caller_t *caller, const char *data, size_t len);
-bool caller_keeps(const caller_t *caller);
-void caller_answered(caller_t *caller);
+bool caller_keeps_alive(const caller_t *caller);
+void caller_response_done(caller_t *caller);
 void caller_abort(caller_t *caller);
 void callers_run(gateway_t *gateway, pd_time_t now);
 void callers_close_idle(gateway_t *gateway, pd_time_t now);
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -78,7 +78,7 @@
 	else
 		g_string_append_printf(out, "Content-Length: %" G_GINT64_FORMAT "\r\n",
 				       length);
-	if (!caller_keeps(request->caller))
+	if (!caller_keeps_alive(request->caller))
 		g_string_append(out, "Connection: close\r\n");
 	g_string_append(out, "\r\n");
 	if (length > 0)
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -114,7 +114,7 @@
 	g_string_printf(out, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\n", status,
 			http1_reason(status));
 	wire_refusal_headers(out, request->call, retry_after);
-	if (!caller_keeps(caller))
+	if (!caller_keeps_alive(caller))
 		g_string_append(out, "Connection: close\r\n");
 	g_string_append(out, "\r\n");
 	caller_write(caller, out->str, out->len);
@@ -123,7 +123,7 @@
 	request_count(request, reason);
 	request_refund(request);
 	request_free(request);
-	caller_answered(caller);
+	caller_response_done(caller);
 }
 
 /* The final answer when no upstream gave one; not run only if that is known. */
@@ -185,5 +185,5 @@
 	log_end(request, request->status, "answered");
 	request_count(request, request->status < 400 ? "answered" : "failed");
 	request_free(request);
-	caller_answered(caller);
+	caller_response_done(caller);
 }
