--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -287,7 +287,8 @@
 	if (!request->upstream)
 		return false;
 	if (!request->sent_at)
-		return request->link && !upstream_link_is_up(request->link) &&
+		return request->link &&
+		       !upstream_link_is_connected(request->link) &&
 		       now - request->begun_at > CONNECT_MAX;
 	if (request->route->kind != FORWARD_SAFE || !request->route->goal ||
 	    request->runs + 1 >= request->route->upstreams_max)
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -162,7 +162,7 @@
 	if (!request->link)
 		return;
 	if (request->answer_keeps)
-		upstream_link_keep(request->link, request->idle_timeout);
+		upstream_link_release(request->link, request->idle_timeout);
 	else
 		upstream_link_close(request->link);
 	request->link = NULL;
@@ -183,7 +183,7 @@
 
 	if (request->skipping) {
 		request->skipping = false;
-		upstream_link_await(request->link);
+		upstream_link_expect_response(request->link);
 		return;
 	}
 	attempt_keep_link(request);
@@ -233,6 +233,6 @@
 				     reasons[end]);
 }
 
-const upstream_link_user_t gateway_request_link_user = { on_connected, on_head,
-							 on_body, on_message,
-							 on_end };
+const upstream_link_callbacks_t gateway_request_link_callbacks = {
+	on_connected, on_head, on_body, on_message, on_end
+};
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -242,13 +242,14 @@
 	forward_upstream_sent(upstream, request->call, now);
 	request->link = upstream_link_open(request->gateway, upstream,
 					   !gateway_request_may_repeat(request),
-					   &gateway_request_link_user, request);
+					   &gateway_request_link_callbacks,
+					   request);
 	if (!request->link) {
 		gateway_request_attempt_over(request, ATTEMPT_UNSENT,
 					     "no connection");
 		return;
 	}
-	if (upstream_link_is_up(request->link))
+	if (upstream_link_is_connected(request->link))
 		gateway_request_send(request);
 }
 
--- a/adapters/gateway/request_state.h
+++ b/adapters/gateway/request_state.h
@@ -78,7 +78,7 @@
 	event_stream_t *events;
 };
 
-extern const upstream_link_user_t gateway_request_link_user;
+extern const upstream_link_callbacks_t gateway_request_link_callbacks;
 
 void gateway_request_attempt_forget(gateway_request_t *request);
 void gateway_request_count_usage(gateway_request_t *request);
--- a/adapters/gateway/upstream_link.c
+++ b/adapters/gateway/upstream_link.c
@@ -6,22 +6,22 @@
  * seconds, or not at all if that is under one. A request that crosses the close
  * is reset and may have run, so a link is used only well before.
  */
-#define IDLE_PART 0.6
-#define IDLE_UNSTATED (250 * PD_MSEC)
+#define IDLE_FRACTION 0.6
+#define IDLE_DEFAULT (250 * PD_MSEC)
 #define IDLE_MAX (8 * PD_SEC)
 /* Idle links are looked at this often: a walk over all upstreams. */
-#define LINKS_PERIOD (100 * PD_MSEC)
+#define LINKS_CHECK_PERIOD (100 * PD_MSEC)
 /* For requests that may not be repeated, a link must have been used lately. */
-#define YOUNG_MAX (500 * PD_MSEC)
+#define RECENT_USE_MAX (500 * PD_MSEC)
 
 struct upstream_link {
 	list_node_t node; /* in the upstream's idle links */
 	http1_t *conn;
 	forward_upstream_t *upstream;
-	unsigned int start; /* of the upstream, to which it was opened */
-	const upstream_link_user_t *user; /* NULL: idle */
+	unsigned int upstream_incarnation; /* of the upstream, to which it was opened */
+	const upstream_link_callbacks_t *callbacks; /* NULL: idle */
 	void *ctx;
-	bool up;
+	bool connected;
 	pd_time_t idle_since;
 	pd_time_t idle_until;
 };
@@ -45,48 +45,48 @@
 {
 	upstream_link_t *link = ctx;
 
-	link->up = true;
-	if (link->user)
-		link->user->on_connected(link->ctx);
+	link->connected = true;
+	if (link->callbacks)
+		link->callbacks->on_connected(link->ctx);
 }
 
 static void on_head(void *ctx, const http1_head_t *head)
 {
 	upstream_link_t *link = ctx;
 
-	if (link->user)
-		link->user->on_head(link->ctx, head);
+	if (link->callbacks)
+		link->callbacks->on_head(link->ctx, head);
 }
 
 static void on_body(void *ctx, const char *data, size_t len)
 {
 	upstream_link_t *link = ctx;
 
-	if (link->user)
-		link->user->on_body(link->ctx, data, len);
+	if (link->callbacks)
+		link->callbacks->on_body(link->ctx, data, len);
 }
 
 static void on_message(void *ctx)
 {
 	upstream_link_t *link = ctx;
 
-	if (link->user)
-		link->user->on_message(link->ctx);
+	if (link->callbacks)
+		link->callbacks->on_message(link->ctx);
 }
 
 /* An idle link that ends, or says something that nobody asked, is just gone. */
 static void on_end(void *ctx, http1_end_t end)
 {
 	upstream_link_t *link = ctx;
-	const upstream_link_user_t *user = link->user;
-	void *user_ctx = link->ctx;
+	const upstream_link_callbacks_t *callbacks = link->callbacks;
+	void *callbacks_ctx = link->ctx;
 
 	link_free(link);
-	if (user)
-		user->on_end(user_ctx, end);
+	if (callbacks)
+		callbacks->on_end(callbacks_ctx, end);
 }
 
-static upstream_link_t *take_idle(forward_upstream_t *upstream, bool young)
+static upstream_link_t *take_idle(forward_upstream_t *upstream, bool recently_used)
 {
 	pd_time_t now = gateway_now();
 	list_node_t *last = upstream->idle_links.prev;
@@ -95,8 +95,9 @@
 	if (last == &upstream->idle_links)
 		return NULL;
 	link = LIST_ENTRY(last, upstream_link_t, node);
-	if (now >= link->idle_until || link->start != upstream->starts ||
-	    (young && now - link->idle_since >= YOUNG_MAX))
+	if (now >= link->idle_until ||
+	    link->upstream_incarnation != upstream->starts ||
+	    (recently_used && now - link->idle_since >= RECENT_USE_MAX))
 		return NULL;
 	list_remove(&link->node);
 	return link;
@@ -110,7 +111,7 @@
 
 	list_init(&link->node);
 	link->upstream = forward_upstream_ref(upstream);
-	link->start = upstream->starts;
+	link->upstream_incarnation = upstream->starts;
 	upstream->connections++;
 	link->conn = http1_create(gateway->loop, HTTP1_CLIENT, &events, link);
 	if (http1_connect(link->conn, upstream->address, upstream->port) < 0) {
@@ -126,24 +127,26 @@
  * be opened.
  */
 upstream_link_t *upstream_link_open(gateway_t *gateway,
-				    forward_upstream_t *upstream, bool young,
-				    const upstream_link_user_t *user, void *ctx)
+				    forward_upstream_t *upstream,
+				    bool recently_used,
+				    const upstream_link_callbacks_t *callbacks,
+				    void *ctx)
 {
-	upstream_link_t *link = take_idle(upstream, young);
+	upstream_link_t *link = take_idle(upstream, recently_used);
 
 	if (!link)
 		link = open_new(gateway, upstream);
 	if (!link)
 		return NULL;
-	link->user = user;
+	link->callbacks = callbacks;
 	link->ctx = ctx;
 	return link;
 }
 
 /* Says whether the link is connected. */
-bool upstream_link_is_up(const upstream_link_t *link)
+bool upstream_link_is_connected(const upstream_link_t *link)
 {
-	return link->up;
+	return link->connected;
 }
 
 /* Sends a request, whose answer is then awaited. */
@@ -164,7 +167,7 @@
 }
 
 /* Awaits one more answer, after one that was not the request's. */
-void upstream_link_await(upstream_link_t *link)
+void upstream_link_expect_response(upstream_link_t *link)
 {
 	http1_expect_message(link->conn, false);
 }
@@ -174,19 +177,20 @@
  * no more, and one that answered before it had read the request would take the
  * rest of it for the next.
  */
-void upstream_link_keep(upstream_link_t *link, pd_time_t idle_timeout)
+void upstream_link_release(upstream_link_t *link, pd_time_t idle_timeout)
 {
 	pd_time_t now = gateway_now();
-	pd_time_t idle = IDLE_UNSTATED;
+	pd_time_t idle = IDLE_DEFAULT;
 
 	if (http1_unsent(link->conn) || !forward_upstream_serves(link->upstream) ||
-	    link->start != link->upstream->starts) {
+	    link->upstream_incarnation != link->upstream->starts) {
 		upstream_link_close(link);
 		return;
 	}
 	if (idle_timeout > 0)
-		idle = MIN((pd_time_t)((double)idle_timeout * IDLE_PART), IDLE_MAX);
-	link->user = NULL;
+		idle = MIN((pd_time_t)((double)idle_timeout * IDLE_FRACTION),
+			   IDLE_MAX);
+	link->callbacks = NULL;
 	link->ctx = NULL;
 	link->idle_since = now;
 	link->idle_until = now + idle;
@@ -198,7 +202,7 @@
 {
 	if (now < gateway->links_check_at)
 		return;
-	gateway->links_check_at = now + LINKS_PERIOD;
+	gateway->links_check_at = now + LINKS_CHECK_PERIOD;
 	LIST_FOR_EACH (it, forward_upstreams_list(gateway->upstreams)) {
 		forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
@@ -208,7 +212,8 @@
 			upstream_link_t *link =
 				LIST_ENTRY(idle, upstream_link_t, node);
 
-			if (leaving || link->start != upstream->starts ||
+			if (leaving ||
+			    link->upstream_incarnation != upstream->starts ||
 			    now >= link->idle_until)
 				upstream_link_close(link);
 		}
--- a/adapters/gateway/upstream_link.h
+++ b/adapters/gateway/upstream_link.h
@@ -7,22 +7,24 @@
 typedef struct upstream_link upstream_link_t;
 
 /* Who uses a link hears of it; after on_end the link is gone. */
-typedef struct upstream_link_user {
+typedef struct upstream_link_callbacks {
 	void (*on_connected)(void *ctx);
 	void (*on_head)(void *ctx, const http1_head_t *head);
 	void (*on_body)(void *ctx, const char *data, size_t len);
 	void (*on_message)(void *ctx);
 	void (*on_end)(void *ctx, http1_end_t end);
-} upstream_link_user_t;
+} upstream_link_callbacks_t;
 
 upstream_link_t *upstream_link_open(gateway_t *gateway,
-				    forward_upstream_t *upstream, bool young,
-				    const upstream_link_user_t *user, void *ctx);
-bool upstream_link_is_up(const upstream_link_t *link);
+				    forward_upstream_t *upstream,
+				    bool recently_used,
+				    const upstream_link_callbacks_t *callbacks,
+				    void *ctx);
+bool upstream_link_is_connected(const upstream_link_t *link);
 void upstream_link_send(upstream_link_t *link, const GString *head,
 			const GByteArray *body, bool to_head);
-void upstream_link_await(upstream_link_t *link);
-void upstream_link_keep(upstream_link_t *link, pd_time_t idle_timeout);
+void upstream_link_expect_response(upstream_link_t *link);
+void upstream_link_release(upstream_link_t *link, pd_time_t idle_timeout);
 void upstream_link_close(upstream_link_t *link);
 void upstream_links_run(gateway_t *gateway, pd_time_t now);
 
