--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -266,7 +266,7 @@
  */
 static void watch_store(gateway_duties_t *duties, pd_time_t now)
 {
-	bool serves = fleet_feed_is_back(duties->gateway->feed);
+	bool serves = fleet_feed_is_store_reachable(duties->gateway->feed);
 
 	if (serves && !duties->store_serves)
 		lease_hurry(duties->lease, now);
--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -9,19 +9,19 @@
 
 #define LOG_COMPONENT "store"
 /* Lines about spoiled entries in each such time. */
-#define SPOILED_TOLD 5
-#define SPOILED_PERIOD (10 * PD_SEC)
+#define INVALID_LOGGED_MAX 5
+#define INVALID_LOG_PERIOD (10 * PD_SEC)
 
 typedef struct feed {
 	fleet_feed_t *fleet;
 	wire_kind_t kind;
 	const char *name;
 	uint64_t revision; /* to watch from */
-	uint64_t listed_at; /* revision of the listing's first page */
-	char *after; /* the last name of the page before; NULL: the first */
-	store_feed_t *calls; /* when to make the next */
-	pd_time_t spoiled_at; /* when such entries were begun to be told */
-	unsigned int spoiled_told; /* since then */
+	uint64_t list_revision; /* revision of the listing's first page */
+	char *page_after; /* the last name of the page before; NULL: the first */
+	store_feed_t *schedule; /* when to make the next */
+	pd_time_t invalid_since; /* when such entries were begun to be told */
+	unsigned int invalid_logged; /* since then */
 } feed_t;
 
 struct fleet_feed {
@@ -38,7 +38,7 @@
 	feed->fleet = fleet;
 	feed->kind = kind;
 	feed->name = name;
-	feed->calls = store_feed_create(fleet->gateway->random);
+	feed->schedule = store_feed_create(fleet->gateway->random);
 }
 
 /* Starts to read both kinds; the caller owns the feed. */
@@ -53,9 +53,9 @@
 }
 
 /* Says whether the store answered the last call for the upstreams. */
-bool fleet_feed_is_back(const fleet_feed_t *feed)
+bool fleet_feed_is_store_reachable(const fleet_feed_t *feed)
 {
-	return !store_feed_is_lost(feed->upstreams.calls);
+	return !store_feed_is_lost(feed->upstreams.schedule);
 }
 
 static void apply_config(feed_t *feed, const wire_page_t *page)
@@ -81,17 +81,17 @@
  * Notes an entry that can't be used. Others may write many of them, again and
  * again, so few are told one by one.
  */
-static void feed_spoiled(feed_t *feed, const char *id, const pd_error_t *err)
+static void log_invalid_entry(feed_t *feed, const char *id, const pd_error_t *err)
 {
 	pd_time_t now = gateway_now();
 
 	metrics_add(feed->fleet->gateway->metrics,
 		    "gateway_spoiled_entries_total", 1);
-	if (now - feed->spoiled_at > SPOILED_PERIOD) {
-		feed->spoiled_at = now;
-		feed->spoiled_told = 0;
+	if (now - feed->invalid_since > INVALID_LOG_PERIOD) {
+		feed->invalid_since = now;
+		feed->invalid_logged = 0;
 	}
-	if (feed->spoiled_told++ < SPOILED_TOLD)
+	if (feed->invalid_logged++ < INVALID_LOGGED_MAX)
 		log_error(LOG_COMPONENT, id, err);
 }
 
@@ -100,7 +100,7 @@
 	gateway_t *gateway = feed->fleet->gateway;
 	const char *id = wire_page_name(page, i);
 	forward_listing_t listing;
-	bool news = false;
+	bool changed = false;
 	pd_error_t err;
 
 	if (wire_page_is_gone(page, i)) {
@@ -111,20 +111,20 @@
 		 * may be in the same page, and would count as older than its
 		 * end. The whole fleet was lost that way after an outage.
 		 */
-		news = forward_upstreams_remove(gateway->upstreams, id,
-						wire_page_object_revision(page, i),
-						gateway_now());
+		changed = forward_upstreams_remove(gateway->upstreams, id,
+						   wire_page_object_revision(page, i),
+						   gateway_now());
 	} else if (wire_page_upstream(page, i, &listing, &err) < 0) {
-		feed_spoiled(feed, id, &err);
+		log_invalid_entry(feed, id, &err);
 		/* What stood there before no longer does. */
 		if (forward_upstreams_find(gateway->upstreams, id))
-			news = forward_upstreams_remove(
+			changed = forward_upstreams_remove(
 				gateway->upstreams, id,
 				wire_page_object_revision(page, i), gateway_now());
 	} else {
-		news = forward_upstreams_apply(gateway->upstreams, &listing);
+		changed = forward_upstreams_apply(gateway->upstreams, &listing);
 	}
-	if (news)
+	if (changed)
 		gateway_upstream_changed(gateway, id, "store");
 }
 
@@ -155,48 +155,48 @@
 	}
 }
 
-static void feed_listed(feed_t *feed)
+static void feed_end_listing(feed_t *feed)
 {
 	gateway_t *gateway = feed->fleet->gateway;
 
-	store_feed_listed(feed->calls, gateway_now());
-	feed->revision = feed->listed_at;
-	g_clear_pointer(&feed->after, g_free);
+	store_feed_listed(feed->schedule, gateway_now());
+	feed->revision = feed->list_revision;
+	g_clear_pointer(&feed->page_after, g_free);
 	if (feed->kind != WIRE_UPSTREAMS)
 		return;
-	forward_upstreams_end_listing(gateway->upstreams, feed->listed_at,
+	forward_upstreams_end_listing(gateway->upstreams, feed->list_revision,
 				      gateway_now());
 	gateway->upstreams_listed = true;
 }
 
-static void feed_take(feed_t *feed, const wire_page_t *page)
+static void feed_apply_page(feed_t *feed, const wire_page_t *page)
 {
 	size_t count = wire_page_count(page);
 
-	if (!store_feed_is_listing(feed->calls)) {
+	if (!store_feed_is_listing(feed->schedule)) {
 		feed_apply(feed, page);
 		feed->revision = wire_page_revision(page);
 		return;
 	}
-	if (!feed->after) {
-		feed->listed_at = wire_page_revision(page);
+	if (!feed->page_after) {
+		feed->list_revision = wire_page_revision(page);
 		if (feed->kind == WIRE_UPSTREAMS)
 			forward_upstreams_begin_listing(
 				feed->fleet->gateway->upstreams);
 	}
 	feed_apply(feed, page);
 	if (!wire_page_has_more(page) || !count) {
-		feed_listed(feed);
+		feed_end_listing(feed);
 		return;
 	}
-	g_free(feed->after);
-	feed->after = g_strdup(wire_page_name(page, count - 1));
+	g_free(feed->page_after);
+	feed->page_after = g_strdup(wire_page_name(page, count - 1));
 }
 
 /* Logs that the store is lost, if it was not before. */
-static void feed_lost(const feed_t *feed, bool before, int status)
+static void log_store_lost(const feed_t *feed, bool before, int status)
 {
-	if (before || !store_feed_is_lost(feed->calls))
+	if (before || !store_feed_is_lost(feed->schedule))
 		return;
 	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 		 "lost=%s status=%d revision=%" G_GUINT64_FORMAT, feed->name,
@@ -218,19 +218,19 @@
 	};
 }
 
-static void feed_failed(feed_t *feed, int status)
+static void feed_handle_failure(feed_t *feed, int status)
 {
 	pd_time_t now = gateway_now();
 	const store_feed_fleet_t fleet = feed_fleet(feed, now);
-	bool before = store_feed_is_lost(feed->calls);
+	bool before = store_feed_is_lost(feed->schedule);
 
-	store_feed_failed(feed->calls, &fleet, now);
-	feed_lost(feed, before, status);
+	store_feed_failed(feed->schedule, &fleet, now);
+	log_store_lost(feed, before, status);
 }
 
-static void feed_regained(feed_t *feed)
+static void log_store_regained(feed_t *feed)
 {
-	if (!store_feed_is_lost(feed->calls))
+	if (!store_feed_is_lost(feed->schedule))
 		return;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "regained=%s", feed->name);
 }
@@ -239,11 +239,11 @@
 {
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "relist=%s reason=\"history gone\"", feed->name);
-	store_feed_relist(feed->calls, gateway_now());
-	g_clear_pointer(&feed->after, g_free);
+	store_feed_relist(feed->schedule, gateway_now());
+	g_clear_pointer(&feed->page_after, g_free);
 }
 
-static void feed_replied(void *ctx, const http1_reply_t *reply)
+static void on_feed_reply(void *ctx, const http1_reply_t *reply)
 {
 	feed_t *feed = ctx;
 	wire_page_t *page;
@@ -254,34 +254,34 @@
 		return;
 	}
 	if (reply->status != 200) {
-		feed_failed(feed, reply->status);
+		feed_handle_failure(feed, reply->status);
 		return;
 	}
 	page = wire_page_read(reply->body, reply->len, &err);
 	if (!page) {
 		log_error(LOG_COMPONENT, feed->name, &err);
-		feed_failed(feed, reply->status);
+		feed_handle_failure(feed, reply->status);
 		return;
 	}
-	feed_regained(feed);
-	store_feed_answered(feed->calls, gateway_now());
+	log_store_regained(feed);
+	store_feed_answered(feed->schedule, gateway_now());
 	gateway_peers_store_heard(feed->fleet->gateway->peers);
-	feed_take(feed, page);
+	feed_apply_page(feed, page);
 	wire_page_destroy(page);
 	feed_run(feed, gateway_now());
 }
 
-static void feed_ask(feed_t *feed, const store_ask_t *due)
+static void feed_call(feed_t *feed, const store_ask_t *due)
 {
 	char *path =
 		due->kind == STORE_ASK_LIST
-			? wire_list_path(feed->kind, feed->after)
+			? wire_list_path(feed->kind, feed->page_after)
 			: wire_watch_path(feed->kind, feed->revision, due->wait);
 	http1_ask_t ask = {
 		.method = "GET",
 		.path = path,
 		.timeout_ms = (uint64_t)(due->timeout / PD_MSEC),
-		.on_reply = feed_replied,
+		.on_reply = on_feed_reply,
 		.ctx = feed,
 	};
 
@@ -291,24 +291,24 @@
 
 static void feed_run(feed_t *feed, pd_time_t now)
 {
-	bool before = store_feed_is_lost(feed->calls);
+	bool before = store_feed_is_lost(feed->schedule);
 	store_feed_fleet_t fleet;
 	store_ask_t due;
 
-	if (store_feed_is_calling(feed->calls))
+	if (store_feed_is_calling(feed->schedule))
 		return;
 	fleet = feed_fleet(feed, now);
-	due = store_feed_run(feed->calls, &fleet, now);
+	due = store_feed_run(feed->schedule, &fleet, now);
 	/* The calls of the one that watches for this gateway failed. */
-	if (!before && store_feed_is_lost(feed->calls))
+	if (!before && store_feed_is_lost(feed->schedule))
 		gateway_store_failed(feed->fleet->gateway, now);
-	feed_lost(feed, before, 0);
+	log_store_lost(feed, before, 0);
 	switch (due.kind) {
 	case STORE_ASK_NONE:
 		break;
 	case STORE_ASK_LIST:
 	case STORE_ASK_WATCH:
-		feed_ask(feed, &due);
+		feed_call(feed, &due);
 		break;
 	}
 }
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -522,7 +522,7 @@
 	metrics_gauge(metrics, "gateway_upstreams_serving", count_serving(gateway));
 	metrics_gauge(metrics, "gateway_peers", gateway_count(gateway) - 1.0);
 	metrics_gauge(metrics, "gateway_store_serves",
-		      fleet_feed_is_back(gateway->feed));
+		      fleet_feed_is_store_reachable(gateway->feed));
 	metrics_gauge(metrics, "gateway_requests_open",
 		      count_nodes(&gateway->requests));
 	metrics_gauge(metrics, "gateway_requests_queued", gateway->queued);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -276,7 +276,7 @@
 {
 	unsigned int flags = 0;
 
-	if (fleet_feed_is_back(peers->gateway->feed))
+	if (fleet_feed_is_store_reachable(peers->gateway->feed))
 		flags |= STATE_FLAG_HAS_STORE;
 	if (peers->strong)
 		flags |= STATE_FLAG_STRONG;
