--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -50,7 +50,7 @@
 	request->body = g_byte_array_new();
 	request->answer_head = g_string_new(NULL);
 	request->answer = g_byte_array_new();
-	request->arrived = gateway_now();
+	request->arrived_at = gateway_now();
 	list_init(&request->wait);
 	list_append(&gateway->requests, &request->node);
 	return request;
@@ -75,7 +75,7 @@
 bool gateway_request_is_overdue(const gateway_request_t *request, pd_time_t now)
 {
 	return request->call->patience > 0 &&
-	       now - request->arrived > request->call->patience;
+	       now - request->arrived_at > request->call->patience;
 }
 
 static double request_amount(const gateway_request_t *request)
@@ -146,7 +146,7 @@
 
 	if (request->call->patience > 0)
 		allowed = MIN(allowed, request->call->patience);
-	request->deadline = request->arrived + allowed;
+	request->deadline = request->arrived_at + allowed;
 }
 
 /* Lets a request wait until this start is set up, if that can't be long. */
@@ -244,7 +244,7 @@
 }
 
 /* How long a request may wait for room. */
-static pd_time_t queue_time(const gateway_request_t *request)
+static pd_time_t queue_time_max(const gateway_request_t *request)
 {
 	pd_time_t part = (pd_time_t)((double)request->route->goal * QUEUE_PART);
 
@@ -274,7 +274,7 @@
 							"no upstream left");
 				continue;
 			}
-			if (now - request->read_at > queue_time(request))
+			if (now - request->read_at > queue_time_max(request))
 				gateway_request_give_up(request, RETRY_AFTER_FULL,
 							"no room in time");
 		}
@@ -289,7 +289,7 @@
 	if (!request->sent_at)
 		return request->link &&
 		       !upstream_link_is_connected(request->link) &&
-		       now - request->begun_at > CONNECT_MAX;
+		       now - request->attempt_started_at > CONNECT_MAX;
 	if (request->route->kind != FORWARD_SAFE || !request->route->goal ||
 	    request->runs + 1 >= request->route->upstreams_max)
 		return false;
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -129,7 +129,8 @@
 		gateway_request_begun(request);
 		metrics_time(request->gateway->metrics, "gateway_first_event_ms",
 			     "route", request->route->name,
-			     (double)(gateway_now() - request->arrived) / PD_MSEC);
+			     (double)(gateway_now() - request->arrived_at) /
+				     PD_MSEC);
 	}
 	stream_pass(request);
 }
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -229,7 +229,7 @@
 	request->start = upstream->starts;
 	request->tried[request->tried_count++] = g_strdup(upstream->id);
 	request->sends++;
-	request->begun_at = now;
+	request->attempt_started_at = now;
 	request->sent_at = 0;
 	request->skipping = false;
 	if (request->state != REQUEST_STREAMING)
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -68,14 +68,14 @@
 				      : "-",
 		 request->sends, request->runs,
 		 request->events ? request->events->count : 0, request->taken,
-		 (double)(now - request->arrived) / PD_MSEC,
+		 (double)(now - request->arrived_at) / PD_MSEC,
 		 request->config ? request->config->version : 0, gateway->queued);
 }
 
 static void request_count(const gateway_request_t *request, const char *what)
 {
 	metrics_t *metrics = request->gateway->metrics;
-	pd_time_t took = gateway_now() - request->arrived;
+	pd_time_t took = gateway_now() - request->arrived_at;
 
 	metrics_count(metrics, "gateway_requests_total", "outcome", what);
 	metrics_time(metrics, "gateway_request_ms", "route",
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -74,15 +74,15 @@
 /* Notes that the first event came, in time or late. */
 void gateway_request_begun(gateway_request_t *request)
 {
-	gateway_request_judge(request, gateway_now() - request->arrived >
+	gateway_request_judge(request, gateway_now() - request->arrived_at >
 					       late_after(request));
 }
 
 /* Notes a first event that is overdue; it need not come for that. */
 void gateway_request_watch(gateway_request_t *request, pd_time_t now)
 {
-	if (!request->judged && request->route->has_prompt &&
-	    request->route->goal && now - request->arrived > late_after(request))
+	if (!request->judged && request->route->has_prompt && request->route->goal &&
+	    now - request->arrived_at > late_after(request))
 		gateway_request_judge(request, true);
 }
 
--- a/adapters/gateway/request_state.h
+++ b/adapters/gateway/request_state.h
@@ -48,7 +48,7 @@
 	const char *service;
 	int rank;
 	double taken; /* out of the account's limit */
-	pd_time_t arrived;
+	pd_time_t arrived_at;
 	pd_time_t read_at; /* when it was read whole */
 	pd_time_t deadline; /* for the final answer */
 	unsigned int sends;
@@ -62,7 +62,7 @@
 	forward_upstream_t *upstream;
 	unsigned int start; /* of the upstream, that the attempt is made at */
 	upstream_link_t *link;
-	pd_time_t begun_at;
+	pd_time_t attempt_started_at;
 	pd_time_t sent_at; /* 0: nothing was sent yet */
 	double reading; /* prompt tokens noted at the upstream */
 	bool reads_alone; /* the upstream had nothing else to read */
