--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -114,7 +114,7 @@
 	amount = request_amount(request);
 	if (token_limits_take(request->gateway->limits, request->account,
 			      amount, request->read_at, &verdict)) {
-		request->taken = amount;
+		request->charged = amount;
 		return true;
 	}
 	log_line(G_LOG_LEVEL_INFO, "limit",
@@ -291,7 +291,7 @@
 		       !upstream_link_is_connected(request->link) &&
 		       now - request->attempt_started_at > CONNECT_MAX;
 	if (request->route->kind != FORWARD_SAFE || !request->route->goal ||
-	    request->runs + 1 >= request->route->upstreams_max)
+	    request->possible_runs + 1 >= request->route->upstreams_max)
 		return false;
 	return now - request->sent_at >
 	       (pd_time_t)((double)request->route->goal * SILENCE_GOALS);
@@ -333,7 +333,7 @@
 	}
 	if (request->link) {
 		if (request->sent_at)
-			request->runs++;
+			request->possible_runs++;
 		upstream_link_close(request->link);
 		request->link = NULL;
 	}
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -211,7 +211,7 @@
 	}
 	forward_upstream_answered(request->upstream);
 	gateway_request_attempt_forget(request);
-	request->runs++;
+	request->possible_runs++;
 	gateway_request_finish(request);
 }
 
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -11,7 +11,7 @@
 /* With less time left, another upstream could not answer. */
 #define TIME_LEFT_MIN (15 * PD_MSEC)
 /* Upstreams that one request reaches at most, those that turn it away too. */
-#define ARRIVALS_MAX 4
+#define DELIVERIES_MAX 4
 /* A plain upstream queues a few requests more than it has places. */
 #define PLAIN_OVERFILL 2.5
 #define ENGINE_OVERFILL 1.0
@@ -84,7 +84,7 @@
 		send.resume_after = request->events->last_id;
 	wire_call_write(head, call, &send);
 	request->sent_at = now;
-	request->arrivals++;
+	request->deliveries++;
 	if (request->state != REQUEST_STREAMING)
 		request->state = REQUEST_SENT;
 	request->gateway->in_flight_changed = true;
@@ -112,7 +112,7 @@
 {
 	pd_time_t now = gateway_now();
 
-	if (request->arrivals >= ARRIVALS_MAX ||
+	if (request->deliveries >= DELIVERIES_MAX ||
 	    request->tried_count >= FORWARD_TRIED_MAX ||
 	    request->deadline - now < TIME_LEFT_MIN)
 		return false;
@@ -124,7 +124,7 @@
 	case ATTEMPT_LOST:
 	case ATTEMPT_FAILED:
 		if (!gateway_request_may_repeat(request) ||
-		    request->runs >= request->route->upstreams_max)
+		    request->possible_runs >= request->route->upstreams_max)
 			return false;
 		break;
 	}
@@ -168,7 +168,7 @@
 	bool streaming = request->state == REQUEST_STREAMING;
 
 	if (end == ATTEMPT_LOST || end == ATTEMPT_FAILED) {
-		request->runs++;
+		request->possible_runs++;
 		gateway_request_count_usage(request);
 	}
 	attempt_judge(request, end);
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -43,7 +43,7 @@
 {
 	attempt_uncount(request);
 	request->gateway->in_flight_changed |= request->sent_at &&
-					       !request->counted;
+					       !request->usage_counted;
 	if (request->upstream)
 		forward_upstream_unref(request->upstream);
 	request->upstream = NULL;
@@ -66,8 +66,8 @@
 		 request->account ? request->account->name : "-", status, reason,
 		 request->tried_count ? request->tried[request->tried_count - 1]
 				      : "-",
-		 request->sends, request->runs,
-		 request->events ? request->events->count : 0, request->taken,
+		 request->sends, request->possible_runs,
+		 request->events ? request->events->count : 0, request->charged,
 		 (double)(now - request->arrived_at) / PD_MSEC,
 		 request->config ? request->config->version : 0, gateway->queued);
 }
@@ -86,10 +86,10 @@
 /* Gives the account back what it did not use: the request has not run. */
 static void request_refund(gateway_request_t *request)
 {
-	if (request->account && request->taken > 0 && !request->runs)
+	if (request->account && request->charged > 0 && !request->possible_runs)
 		token_limits_return(request->gateway->limits,
-				    request->account->name, request->taken);
-	request->taken = 0;
+				    request->account->name, request->charged);
+	request->charged = 0;
 }
 
 /* Counts the request in the usage, once however often it is sent. */
@@ -97,9 +97,9 @@
 {
 	gateway_t *gateway = request->gateway;
 
-	if (request->counted || !request->account)
+	if (request->usage_counted || !request->account)
 		return;
-	request->counted = true;
+	request->usage_counted = true;
 	usage_add(gateway->usage, gateway_current_window(gateway),
 		  request->account->name);
 }
@@ -132,7 +132,7 @@
 {
 	bool late = gateway_now() >= request->deadline;
 
-	if (!request->runs)
+	if (!request->possible_runs)
 		gateway_request_refuse(request, 503, retry_after, reason);
 	else
 		gateway_request_refuse(request, late ? 504 : 502, 0, reason);
@@ -156,7 +156,7 @@
 void gateway_request_abandon(gateway_request_t *request, const char *reason)
 {
 	if (request->state >= REQUEST_SENT)
-		request->runs++;
+		request->possible_runs++;
 	gateway_request_drop(request, reason);
 }
 
--- a/adapters/gateway/request_flight.c
+++ b/adapters/gateway/request_flight.c
@@ -14,7 +14,7 @@
 		char *account;
 		guint count;
 
-		if (request->state != REQUEST_SENT || request->counted ||
+		if (request->state != REQUEST_SENT || request->usage_counted ||
 		    !request->account)
 			continue;
 		account = request->account->name;
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -65,9 +65,9 @@
 /* Notes how the request's first send went, once. */
 void gateway_request_judge(gateway_request_t *request, bool pressed)
 {
-	if (request->judged || !request->route->has_prompt)
+	if (request->outcome_recorded || !request->route->has_prompt)
 		return;
-	request->judged = true;
+	request->outcome_recorded = true;
 	shed_outcome(shed_of(request->gateway, request->service), pressed);
 }
 
@@ -81,8 +81,8 @@
 /* Notes a first event that is overdue; it need not come for that. */
 void gateway_request_watch(gateway_request_t *request, pd_time_t now)
 {
-	if (!request->judged && request->route->has_prompt && request->route->goal &&
-	    now - request->arrived_at > late_after(request))
+	if (!request->outcome_recorded && request->route->has_prompt &&
+	    request->route->goal && now - request->arrived_at > late_after(request))
 		gateway_request_judge(request, true);
 }
 
--- a/adapters/gateway/request_state.h
+++ b/adapters/gateway/request_state.h
@@ -47,15 +47,15 @@
 	const forward_account_t *account; /* NULL: of nobody */
 	const char *service;
 	int rank;
-	double taken; /* out of the account's limit */
+	double charged; /* out of the account's limit */
 	pd_time_t arrived_at;
 	pd_time_t read_at; /* when it was read whole */
 	pd_time_t deadline; /* for the final answer */
 	unsigned int sends;
-	unsigned int arrivals; /* sends that reached an upstream */
-	unsigned int runs; /* sends that may have run */
-	bool counted; /* in the usage */
-	bool judged; /* its first send's outcome was noted */
+	unsigned int deliveries; /* sends that reached an upstream */
+	unsigned int possible_runs; /* sends that may have run */
+	bool usage_counted; /* in the usage */
+	bool outcome_recorded; /* its first send's outcome was noted */
 	char *tried[FORWARD_TRIED_MAX];
 	unsigned int tried_count;
 	/* The attempt in progress. */
