--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -116,15 +116,16 @@
 		request->events = event_stream_create();
 	if (!event_stream_feed(request->events, data, len))
 		return;
-	if (request->reading > 0) {
+	if (request->prefill_tokens > 0) {
 		/* The first event: the prompt was read. */
-		if (request->reads_alone)
+		if (request->prefills_alone)
 			engine_speeds_seen(forward_upstreams_speeds(
 						   request->gateway->upstreams),
-					   request->service, request->reading,
+					   request->service,
+					   request->prefill_tokens,
 					   gateway_now() - request->sent_at);
-		request->upstream->reading -= request->reading;
-		request->reading = 0;
+		request->upstream->reading -= request->prefill_tokens;
+		request->prefill_tokens = 0;
 		forward_upstream_answered(request->upstream);
 		gateway_request_begun(request);
 		metrics_time(request->gateway->metrics, "gateway_first_event_ms",
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -16,7 +16,7 @@
 #define PLAIN_OVERFILL 2.5
 #define ENGINE_OVERFILL 1.0
 /* The part of a prompt that may be shared if it is to tell an engine's speed. */
-#define SHARED_LITTLE 0.3
+#define SHARED_PROMPT_MAX 0.3
 /* In larger fleets than this, loads of peers are known late: see upstreams.c. */
 #define SAMPLE_FLEET 12
 #define SAMPLE 1
@@ -204,15 +204,15 @@
 	double output =
 		call->output_tokens * engine_tokens(rate, ENGINE_OUTPUT_TIME);
 
-	request->reading = unread;
+	request->prefill_tokens = unread;
 	/*
 	 * A prompt tells how fast its engine reads only if nothing else is read
 	 * there, and if it shares little: whether shared parts are still held
 	 * there, or were read for another entry, is not known.
 	 */
-	request->reads_alone =
-		forward_upstream_reading(request->upstream) < 1 &&
-		forward_call_shared(call) <= call->prompt_tokens * SHARED_LITTLE;
+	request->prefills_alone = forward_upstream_reading(request->upstream) < 1 &&
+				  forward_call_shared(call) <=
+					  call->prompt_tokens * SHARED_PROMPT_MAX;
 	work_rate_add(request->gateway->work, request->service, unread + output);
 }
 
@@ -238,7 +238,7 @@
 	if (request->route->has_prompt)
 		attempt_add_work(request, pick->unread);
 	upstream->running++;
-	upstream->reading += request->reading;
+	upstream->reading += request->prefill_tokens;
 	forward_upstream_sent(upstream, request->call, now);
 	request->link = upstream_link_open(request->gateway, upstream,
 					   !gateway_request_may_repeat(request),
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -34,8 +34,8 @@
 	if (!upstream)
 		return;
 	upstream->running--;
-	upstream->reading -= request->reading;
-	request->reading = 0;
+	upstream->reading -= request->prefill_tokens;
+	request->prefill_tokens = 0;
 }
 
 /* Ends the attempt's part in the upstream's counts; its link is not closed. */
--- a/adapters/gateway/request_state.h
+++ b/adapters/gateway/request_state.h
@@ -64,8 +64,8 @@
 	upstream_link_t *link;
 	pd_time_t attempt_started_at;
 	pd_time_t sent_at; /* 0: nothing was sent yet */
-	double reading; /* prompt tokens noted at the upstream */
-	bool reads_alone; /* the upstream had nothing else to read */
+	double prefill_tokens; /* prompt tokens noted at the upstream */
+	bool prefills_alone; /* the upstream had nothing else to read */
 	bool skipping; /* the answer that comes in is of another request */
 	int status;
 	bool rejected;
