--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -51,7 +51,7 @@
 	request->answer_head = g_string_new(NULL);
 	request->answer = g_byte_array_new();
 	request->arrived_at = gateway_now();
-	list_init(&request->wait);
+	list_init(&request->queue_node);
 	list_append(&gateway->requests, &request->node);
 	return request;
 }
@@ -159,7 +159,7 @@
 				       "no configuration yet");
 		return;
 	}
-	list_append(&gateway->startup_queue, &request->wait);
+	list_append(&gateway->startup_queue, &request->queue_node);
 	gateway->queued++;
 }
 
@@ -171,9 +171,9 @@
 		return;
 	LIST_FOR_EACH_SAFE (it, &gateway->startup_queue) {
 		gateway_request_t *request =
-			LIST_ENTRY(it, gateway_request_t, wait);
+			LIST_ENTRY(it, gateway_request_t, queue_node);
 
-		list_remove(&request->wait);
+		list_remove(&request->queue_node);
 		gateway->queued--;
 		gateway_request_start(request);
 	}
@@ -239,7 +239,7 @@
 	gateway_t *gateway = request->gateway;
 
 	request->state = REQUEST_QUEUED;
-	list_append(&gateway->queues[request->rank], &request->wait);
+	list_append(&gateway->queues[request->rank], &request->queue_node);
 	gateway->queued++;
 }
 
@@ -257,12 +257,12 @@
 	for (int rank = 0; rank < GATEWAY_RANKS && gateway->queued; rank++) {
 		LIST_FOR_EACH_SAFE (it, &gateway->queues[rank]) {
 			gateway_request_t *request =
-				LIST_ENTRY(it, gateway_request_t, wait);
+				LIST_ENTRY(it, gateway_request_t, queue_node);
 			forward_pick_t pick;
 
 			switch (gateway_request_choose(request, &pick)) {
 			case FORWARD_CHOSEN:
-				list_remove(&request->wait);
+				list_remove(&request->queue_node);
 				gateway->queued--;
 				gateway_request_attempt(request, &pick);
 				continue;
@@ -305,7 +305,7 @@
 static bool attempt_is_orphaned(const gateway_request_t *request)
 {
 	return request->upstream && request->link &&
-	       request->start != request->upstream->starts;
+	       request->upstream_incarnation != request->upstream->starts;
 }
 
 /* Returns whether an attempt still connects to an upstream that has left since. */
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -226,7 +226,7 @@
 	if (request->sends)
 		metrics_add(request->gateway->metrics, "gateway_resends_total", 1);
 	request->upstream = forward_upstream_ref(upstream);
-	request->start = upstream->starts;
+	request->upstream_incarnation = upstream->starts;
 	request->tried[request->tried_count++] = g_strdup(upstream->id);
 	request->sends++;
 	request->attempt_started_at = now;
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -11,9 +11,9 @@
 static void request_free(gateway_request_t *request)
 {
 	list_remove(&request->node);
-	if (!list_empty(&request->wait))
+	if (!list_empty(&request->queue_node))
 		request->gateway->queued--;
-	list_remove(&request->wait);
+	list_remove(&request->queue_node);
 	request->gateway->body_bytes -= request->body->len;
 	forward_call_destroy(request->call);
 	forward_config_unref(request->config);
--- a/adapters/gateway/request_state.h
+++ b/adapters/gateway/request_state.h
@@ -34,7 +34,7 @@
 
 struct gateway_request {
 	list_node_t node;
-	list_node_t wait; /* in a queue */
+	list_node_t queue_node; /* in a queue */
 	gateway_t *gateway;
 	caller_t *caller; /* NULL: it left */
 	forward_call_t *call;
@@ -60,7 +60,7 @@
 	unsigned int tried_count;
 	/* The attempt in progress. */
 	forward_upstream_t *upstream;
-	unsigned int start; /* of the upstream, that the attempt is made at */
+	unsigned int upstream_incarnation; /* of the upstream, that the attempt is made at */
 	upstream_link_t *link;
 	pd_time_t attempt_started_at;
 	pd_time_t sent_at; /* 0: nothing was sent yet */
