--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -48,8 +48,8 @@
 				       head->headers, head->header_count);
 	request->has_body = head->has_body;
 	request->body = g_byte_array_new();
-	request->answer_head = g_string_new(NULL);
-	request->answer = g_byte_array_new();
+	request->response_headers = g_string_new(NULL);
+	request->response_body = g_byte_array_new();
 	request->arrived_at = gateway_now();
 	list_init(&request->queue_node);
 	list_append(&gateway->requests, &request->node);
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -6,7 +6,7 @@
 #include "platform/wire.h"
 
 /* An answer of a plain call is kept whole up to so many bytes. */
-#define ANSWER_MAX (16 * 1024 * 1024)
+#define RESPONSE_BYTES_MAX (16 * 1024 * 1024)
 
 static void on_connected(void *ctx)
 {
@@ -14,13 +14,13 @@
 }
 
 /* An answer's header lines are passed on but for those of the connection. */
-static void keep_headers(gateway_request_t *request, const http1_head_t *head)
+static void store_headers(gateway_request_t *request, const http1_head_t *head)
 {
-	g_string_truncate(request->answer_head, 0);
+	g_string_truncate(request->response_headers, 0);
 	for (size_t i = 0; i < head->header_count; i++) {
 		if (wire_answer_passes(head->headers, head->header_count, i))
-			g_string_append_printf(request->answer_head, "%s: %s\r\n",
-					       head->headers[i].name,
+			g_string_append_printf(request->response_headers,
+					       "%s: %s\r\n", head->headers[i].name,
 					       head->headers[i].value);
 	}
 }
@@ -44,35 +44,36 @@
 	 * the next request's is due. Passed on, a caller would get another
 	 * caller's answer. The call's id tells them apart.
 	 */
-	request->skipping = answer.call_id && request->call->id &&
-			    strcmp(answer.call_id, request->call->id) != 0;
-	if (request->skipping)
+	request->skipping_response = answer.call_id && request->call->id &&
+				     strcmp(answer.call_id, request->call->id) != 0;
+	if (request->skipping_response)
 		return;
 	request->status = head->status;
 	request->rejected = answer.not_run || head->status == 421;
 	request->sealed = answer.sealed;
 	request->idle_timeout = answer.idle_timeout;
-	request->answer_keeps = head->keep_alive && !head->ends_with_connection;
+	request->response_keep_alive = head->keep_alive &&
+				       !head->ends_with_connection;
 	request->is_stream = head->status == 200 &&
 			     request->route->kind == FORWARD_STREAM &&
 			     is_event_stream(head);
 	if (request->state == REQUEST_STREAMING)
 		return;
-	request->state = REQUEST_ANSWERED;
-	keep_headers(request, head);
+	request->state = REQUEST_HEAD_RECEIVED;
+	store_headers(request, head);
 	if (!request->rejected)
 		gateway_request_count_usage(request);
 }
 
 /* Writes the head of an answer; LENGTH under 0: it comes in chunks. */
-void gateway_request_answer_begin(gateway_request_t *request, gint64 length)
+void gateway_request_begin_response(gateway_request_t *request, gint64 length)
 {
-	GString *out = g_string_sized_new(request->answer_head->len + 128);
+	GString *out = g_string_sized_new(request->response_headers->len + 128);
 
 	g_string_printf(out, "HTTP/1.1 %d %s\r\n", request->status,
 			http1_reason(request->status));
-	g_string_append_len(out, request->answer_head->str,
-			    (gssize)request->answer_head->len);
+	g_string_append_len(out, request->response_headers->str,
+			    (gssize)request->response_headers->len);
 	if (length < 0)
 		g_string_append(out, "Transfer-Encoding: chunked\r\n");
 	else
@@ -82,14 +83,14 @@
 		g_string_append(out, "Connection: close\r\n");
 	g_string_append(out, "\r\n");
 	if (length > 0)
-		g_string_append_len(out, (const char *)request->answer->data,
+		g_string_append_len(out, (const char *)request->response_body->data,
 				    (gssize)length);
 	caller_write(request->caller, out->str, out->len);
 	g_string_free(out, TRUE);
 }
 
 /* Sends the whole events that have come as one chunk. */
-static void stream_pass(gateway_request_t *request)
+static void stream_forward_events(gateway_request_t *request)
 {
 	event_stream_t *events = request->events;
 	GString *out;
@@ -97,7 +98,7 @@
 	if (!events->whole)
 		return;
 	if (request->state != REQUEST_STREAMING) {
-		gateway_request_answer_begin(request, -1);
+		gateway_request_begin_response(request, -1);
 		request->state = REQUEST_STREAMING;
 	}
 	out = g_string_sized_new(events->whole + 16);
@@ -133,14 +134,14 @@
 			     (double)(gateway_now() - request->arrived_at) /
 				     PD_MSEC);
 	}
-	stream_pass(request);
+	stream_forward_events(request);
 }
 
 static void on_body(void *ctx, const char *data, size_t len)
 {
 	gateway_request_t *request = ctx;
 
-	if (request->skipping)
+	if (request->skipping_response)
 		return;
 	if (request->is_stream) {
 		stream_body(request, data, len);
@@ -148,22 +149,23 @@
 	}
 	if (request->state == REQUEST_STREAMING)
 		return; /* a refusal to resume; its body is of no use */
-	if (request->answer->len + len > ANSWER_MAX) {
+	if (request->response_body->len + len > RESPONSE_BYTES_MAX) {
 		upstream_link_close(request->link);
 		request->link = NULL;
 		gateway_request_attempt_over(request, ATTEMPT_LOST,
 					     "answer too large");
 		return;
 	}
-	g_byte_array_append(request->answer, (const guint8 *)data, (guint)len);
+	g_byte_array_append(request->response_body, (const guint8 *)data,
+			    (guint)len);
 }
 
 /* Lets the attempt's link serve another request, or closes it. */
-static void attempt_keep_link(gateway_request_t *request)
+static void attempt_release_link(gateway_request_t *request)
 {
 	if (!request->link)
 		return;
-	if (request->answer_keeps)
+	if (request->response_keep_alive)
 		upstream_link_release(request->link, request->idle_timeout);
 	else
 		upstream_link_close(request->link);
@@ -171,7 +173,7 @@
 }
 
 /* A stream that ended in the middle of an event was cut, whatever it says. */
-static bool answer_is_whole(const gateway_request_t *request)
+static bool response_is_complete(const gateway_request_t *request)
 {
 	if (!request->is_stream)
 		return true;
@@ -183,12 +185,12 @@
 {
 	gateway_request_t *request = ctx;
 
-	if (request->skipping) {
-		request->skipping = false;
+	if (request->skipping_response) {
+		request->skipping_response = false;
 		upstream_link_expect_response(request->link);
 		return;
 	}
-	attempt_keep_link(request);
+	attempt_release_link(request);
 	if (request->rejected) {
 		gateway_request_attempt_over(request, ATTEMPT_REJECTED,
 					     "upstream rejected");
@@ -199,7 +201,7 @@
 					     "not resumed");
 		return;
 	}
-	if (!answer_is_whole(request) ||
+	if (!response_is_complete(request) ||
 	    (request->status < 300 && !request->sealed)) {
 		gateway_request_attempt_over(request, ATTEMPT_LOST,
 					     "answer not whole");
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -231,10 +231,10 @@
 	request->sends++;
 	request->attempt_started_at = now;
 	request->sent_at = 0;
-	request->skipping = false;
+	request->skipping_response = false;
 	if (request->state != REQUEST_STREAMING)
 		request->state = REQUEST_CONNECTING;
-	g_byte_array_set_size(request->answer, 0);
+	g_byte_array_set_size(request->response_body, 0);
 	if (request->route->has_prompt)
 		attempt_add_work(request, pick->unread);
 	upstream->running++;
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -18,8 +18,8 @@
 	forward_call_destroy(request->call);
 	forward_config_unref(request->config);
 	g_byte_array_unref(request->body);
-	g_byte_array_unref(request->answer);
-	g_string_free(request->answer_head, TRUE);
+	g_byte_array_unref(request->response_body);
+	g_string_free(request->response_headers, TRUE);
 	event_stream_destroy(request->events);
 	for (unsigned int i = 0; i < request->tried_count; i++)
 		g_free(request->tried[i]);
@@ -181,7 +181,8 @@
 	if (request->state == REQUEST_STREAMING)
 		caller_write(caller, "0\r\n\r\n", 5);
 	else
-		gateway_request_answer_begin(request, request->answer->len);
+		gateway_request_begin_response(request,
+					       request->response_body->len);
 	log_end(request, request->status, "answered");
 	request_count(request, request->status < 400 ? "answered" : "failed");
 	request_free(request);
--- a/adapters/gateway/request_state.h
+++ b/adapters/gateway/request_state.h
@@ -19,7 +19,7 @@
 	REQUEST_QUEUED,
 	REQUEST_CONNECTING, /* an upstream is chosen, nothing was sent */
 	REQUEST_SENT, /* bytes may have left; no answer yet */
-	REQUEST_ANSWERED, /* an answer's head came; the caller has nothing */
+	REQUEST_HEAD_RECEIVED, /* an answer's head came; the caller has nothing */
 	REQUEST_STREAMING, /* the caller has a part of the answer */
 	REQUEST_ENDED
 } request_state_t;
@@ -66,15 +66,15 @@
 	pd_time_t sent_at; /* 0: nothing was sent yet */
 	double prefill_tokens; /* prompt tokens noted at the upstream */
 	bool prefills_alone; /* the upstream had nothing else to read */
-	bool skipping; /* the answer that comes in is of another request */
+	bool skipping_response; /* the answer that comes in is of another request */
 	int status;
 	bool rejected;
 	bool sealed;
 	bool is_stream;
-	bool answer_keeps;
+	bool response_keep_alive;
 	pd_time_t idle_timeout;
-	GString *answer_head; /* header lines to pass on */
-	GByteArray *answer;
+	GString *response_headers; /* header lines to pass on */
+	GByteArray *response_body;
 	event_stream_t *events;
 };
 
@@ -98,7 +98,7 @@
 void gateway_request_attempt(gateway_request_t *request,
 			     const forward_pick_t *pick);
 void gateway_request_try(gateway_request_t *request);
-void gateway_request_answer_begin(gateway_request_t *request, gint64 length);
+void gateway_request_begin_response(gateway_request_t *request, gint64 length);
 void gateway_request_queue(gateway_request_t *request);
 bool gateway_request_let_in(gateway_request_t *request);
 void gateway_request_judge(gateway_request_t *request, bool pressed);
