--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -78,7 +78,7 @@
 	       now - request->arrived_at > request->call->patience;
 }
 
-static double request_amount(const gateway_request_t *request)
+static double request_cost(const gateway_request_t *request)
 {
 	const forward_account_t *account = request->account;
 
@@ -90,7 +90,7 @@
 }
 
 /* Finds whose request it is. False: it was refused. */
-static bool request_identify(gateway_request_t *request)
+static bool request_authenticate(gateway_request_t *request)
 {
 	const forward_config_t *config = request->config;
 	const char *key = request->call->api_key;
@@ -104,14 +104,14 @@
 	return false;
 }
 
-static bool request_within_limit(gateway_request_t *request)
+static bool request_charge(gateway_request_t *request)
 {
 	token_verdict_t verdict;
 	double amount;
 
 	if (!request->account)
 		return true;
-	amount = request_amount(request);
+	amount = request_cost(request);
 	if (token_limits_take(request->gateway->limits, request->account,
 			      amount, request->read_at, &verdict)) {
 		request->charged = amount;
@@ -150,7 +150,7 @@
 }
 
 /* Lets a request wait until this start is set up, if that can't be long. */
-static void request_await_start(gateway_request_t *request)
+static void request_await_startup(gateway_request_t *request)
 {
 	gateway_t *gateway = request->gateway;
 
@@ -164,7 +164,7 @@
 }
 
 /* Decides on the requests that came before this start was set up. */
-static void starting_run(gateway_t *gateway, pd_time_t now)
+static void startup_queue_run(gateway_t *gateway, pd_time_t now)
 {
 	if (!gateway_is_initialized(gateway) &&
 	    now - gateway->started_at <= START_WAIT)
@@ -191,7 +191,7 @@
 		return;
 	}
 	if (!gateway_is_initialized(gateway)) {
-		request_await_start(request);
+		request_await_startup(request);
 		return;
 	}
 	if (gateway->body_bytes > BODIES_MAX) {
@@ -210,7 +210,7 @@
 		gateway_request_refuse(request, 404, 0, "no route");
 		return;
 	}
-	if (!request_identify(request))
+	if (!request_authenticate(request))
 		return;
 	if (request->route->kind == FORWARD_STREAM &&
 	    !gateway_accepts_long_requests(gateway)) {
@@ -227,14 +227,14 @@
 				       "route without a service");
 		return;
 	}
-	if (!request_within_limit(request) || !gateway_request_let_in(request))
+	if (!request_charge(request) || !gateway_request_admit(request))
 		return;
 	retry_windows_first(gateway->retries, request->service, request->read_at);
-	gateway_request_try(request);
+	gateway_request_dispatch(request);
 }
 
 /* Lets a request wait for room, behind others of its rank. */
-void gateway_request_queue(gateway_request_t *request)
+void gateway_request_enqueue(gateway_request_t *request)
 {
 	gateway_t *gateway = request->gateway;
 
@@ -346,7 +346,7 @@
 void gateway_requests_run(gateway_t *gateway, pd_time_t now)
 {
 	gateway_sheds_run(gateway, now);
-	starting_run(gateway, now);
+	startup_queue_run(gateway, now);
 	queues_run(gateway, now);
 	LIST_FOR_EACH_SAFE (it, &gateway->requests) {
 		gateway_request_t *request =
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -94,7 +94,7 @@
 }
 
 /* Says whether a request that may have run may be sent to another upstream. */
-bool gateway_request_may_repeat(const gateway_request_t *request)
+bool gateway_request_is_retryable(const gateway_request_t *request)
 {
 	switch (request->route->kind) {
 	case FORWARD_SAFE:
@@ -123,7 +123,7 @@
 		break;
 	case ATTEMPT_UNKNOWN:
 	case ATTEMPT_FAILED:
-		if (!gateway_request_may_repeat(request) ||
+		if (!gateway_request_is_retryable(request) ||
 		    request->possible_runs >= request->route->upstreams_max)
 			return false;
 		break;
@@ -183,7 +183,7 @@
 			 request->call->id ? request->call->id : "-",
 			 request->sends, reason,
 			 request->tried[request->tried_count - 1]);
-		gateway_request_try(request);
+		gateway_request_dispatch(request);
 		return;
 	}
 	if (streaming) {
@@ -242,10 +242,10 @@
 	upstream->running++;
 	upstream->reading += request->prefill_tokens;
 	forward_upstream_sent(upstream, request->call, now);
-	request->link = upstream_link_open(request->gateway, upstream,
-					   !gateway_request_may_repeat(request),
-					   &gateway_request_link_callbacks,
-					   request);
+	request->link =
+		upstream_link_open(request->gateway, upstream,
+				   !gateway_request_is_retryable(request),
+				   &gateway_request_link_callbacks, request);
 	if (!request->link) {
 		gateway_request_end_attempt(request, ATTEMPT_UNSENT,
 					    "no connection");
@@ -256,7 +256,7 @@
 }
 
 /* Sends a request to the best upstream, queues it, or ends it. */
-void gateway_request_try(gateway_request_t *request)
+void gateway_request_dispatch(gateway_request_t *request)
 {
 	forward_pick_t pick;
 
@@ -267,7 +267,7 @@
 	case FORWARD_ALL_FULL:
 		if (request->state == REQUEST_STREAMING)
 			break;
-		gateway_request_queue(request);
+		gateway_request_enqueue(request);
 		return;
 	case FORWARD_NONE_LEFT:
 		break;
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -35,7 +35,7 @@
 }
 
 /* Says whether a request is let in; if not, it was refused. */
-bool gateway_request_let_in(gateway_request_t *request)
+bool gateway_request_admit(gateway_request_t *request)
 {
 	gateway_t *gateway = request->gateway;
 	double work = unshared_work(request);
--- a/adapters/gateway/request_state.h
+++ b/adapters/gateway/request_state.h
@@ -92,15 +92,15 @@
 forward_choice_t gateway_request_choose(gateway_request_t *request,
 					forward_pick_t *pick);
 void gateway_request_send(gateway_request_t *request);
-bool gateway_request_may_repeat(const gateway_request_t *request);
+bool gateway_request_is_retryable(const gateway_request_t *request);
 void gateway_request_end_attempt(gateway_request_t *request,
 				 attempt_outcome_t end, const char *reason);
 void gateway_request_start_attempt(gateway_request_t *request,
 				   const forward_pick_t *pick);
-void gateway_request_try(gateway_request_t *request);
+void gateway_request_dispatch(gateway_request_t *request);
 void gateway_request_begin_response(gateway_request_t *request, gint64 length);
-void gateway_request_queue(gateway_request_t *request);
-bool gateway_request_let_in(gateway_request_t *request);
+void gateway_request_enqueue(gateway_request_t *request);
+bool gateway_request_admit(gateway_request_t *request);
 void gateway_request_judge(gateway_request_t *request, bool pressed);
 void gateway_request_begun(gateway_request_t *request);
 void gateway_request_watch(gateway_request_t *request, pd_time_t now);
