--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -100,7 +100,7 @@
 	request->account = key ? forward_config_account(config, key) : NULL;
 	if (request->account || request->route->open)
 		return true;
-	gateway_request_refuse(request, 401, 0, "unknown key");
+	gateway_request_respond_error(request, 401, 0, "unknown key");
 	return false;
 }
 
@@ -124,8 +124,8 @@
 		 request->call->id ? request->call->id : "-",
 		 request->account->name, amount, verdict.needed, verdict.level,
 		 request->account->rate, gateway_count(request->gateway));
-	gateway_request_refuse(request, 429, verdict.retry_after,
-			       "over the account's limit");
+	gateway_request_respond_error(request, 429, verdict.retry_after,
+				      "over the account's limit");
 	return false;
 }
 
@@ -155,8 +155,8 @@
 	gateway_t *gateway = request->gateway;
 
 	if (request->read_at - gateway->started_at > START_WAIT) {
-		gateway_request_refuse(request, 503, RETRY_AFTER_NO_CONFIG,
-				       "no configuration yet");
+		gateway_request_respond_error(request, 503, RETRY_AFTER_NO_CONFIG,
+					      "no configuration yet");
 		return;
 	}
 	list_append(&gateway->startup_queue, &request->queue_node);
@@ -187,7 +187,8 @@
 
 	request->read_at = gateway_now();
 	if (request->too_large) {
-		gateway_request_refuse(request, 413, 0, "body over the limit");
+		gateway_request_respond_error(request, 413, 0,
+					      "body over the limit");
 		return;
 	}
 	if (!gateway_is_initialized(gateway)) {
@@ -195,27 +196,27 @@
 		return;
 	}
 	if (gateway->body_bytes > BODIES_MAX) {
-		gateway_request_refuse(request, 503, RETRY_AFTER_FULL,
-				       "no memory for bodies");
+		gateway_request_respond_error(request, 503, RETRY_AFTER_FULL,
+					      "no memory for bodies");
 		return;
 	}
 	request->config = forward_config_ref(gateway->config);
 	if (!call->host) {
-		gateway_request_refuse(request, 400, 0, "no host");
+		gateway_request_respond_error(request, 400, 0, "no host");
 		return;
 	}
 	request->route =
 		forward_config_route(request->config, call->host, call->target);
 	if (!request->route) {
-		gateway_request_refuse(request, 404, 0, "no route");
+		gateway_request_respond_error(request, 404, 0, "no route");
 		return;
 	}
 	if (!request_authenticate(request))
 		return;
 	if (request->route->kind == FORWARD_STREAM &&
 	    !gateway_accepts_long_requests(gateway)) {
-		gateway_request_refuse(request, 503, RETRY_AFTER_STOPPING,
-				       "stopping");
+		gateway_request_respond_error(request, 503,
+					      RETRY_AFTER_STOPPING, "stopping");
 		return;
 	}
 	request_set_deadline(request);
@@ -223,8 +224,8 @@
 	request->service = forward_route_service(request->route,
 						 g_rand_double(gateway->random));
 	if (!request->service) {
-		gateway_request_refuse(request, 503, RETRY_AFTER_NO_UPSTREAM,
-				       "route without a service");
+		gateway_request_respond_error(request, 503, RETRY_AFTER_NO_UPSTREAM,
+					      "route without a service");
 		return;
 	}
 	if (!request_charge(request) || !gateway_request_admit(request))
@@ -329,7 +330,7 @@
 static void request_expire(gateway_request_t *request)
 {
 	if (request->state == REQUEST_STREAMING) {
-		gateway_request_cut(request, "timeout");
+		gateway_request_abort_stream(request, "timeout");
 		return;
 	}
 	if (request->link) {
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -187,7 +187,7 @@
 		return;
 	}
 	if (streaming) {
-		gateway_request_cut(request, reason);
+		gateway_request_abort_stream(request, reason);
 		return;
 	}
 	if (outcome == ATTEMPT_FAILED && request->sealed) {
@@ -273,7 +273,8 @@
 		break;
 	}
 	if (request->state == REQUEST_STREAMING) {
-		gateway_request_cut(request, "no upstream left to resume");
+		gateway_request_abort_stream(request,
+					     "no upstream left to resume");
 		return;
 	}
 	gateway_request_give_up(request, RETRY_AFTER_NO_UPSTREAM,
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -72,7 +72,8 @@
 		 request->config ? request->config->version : 0, gateway->queued);
 }
 
-static void request_count(const gateway_request_t *request, const char *what)
+static void record_request_metrics(const gateway_request_t *request,
+				   const char *what)
 {
 	metrics_t *metrics = request->gateway->metrics;
 	pd_time_t took = gateway_now() - request->arrived_at;
@@ -105,8 +106,8 @@
 }
 
 /* Answers with a status of the gateway's own; ends the request. */
-void gateway_request_refuse(gateway_request_t *request, int status,
-			    pd_time_t retry_after, const char *reason)
+void gateway_request_respond_error(gateway_request_t *request, int status,
+				   pd_time_t retry_after, const char *reason)
 {
 	caller_t *caller = request->caller;
 	GString *out = g_string_new(NULL);
@@ -120,7 +121,7 @@
 	caller_write(caller, out->str, out->len);
 	g_string_free(out, TRUE);
 	log_end(request, status, reason);
-	request_count(request, reason);
+	record_request_metrics(request, reason);
 	request_refund(request);
 	request_free(request);
 	caller_response_done(caller);
@@ -133,9 +134,9 @@
 	bool late = gateway_now() >= request->deadline;
 
 	if (!request->possible_runs)
-		gateway_request_refuse(request, 503, retry_after, reason);
+		gateway_request_respond_error(request, 503, retry_after, reason);
 	else
-		gateway_request_refuse(request, late ? 504 : 502, 0, reason);
+		gateway_request_respond_error(request, late ? 504 : 502, 0, reason);
 }
 
 /* Ends a request without an answer to its caller, who left or must see a cut. */
@@ -147,7 +148,7 @@
 	}
 	gateway_request_clear_attempt(request);
 	log_end(request, 0, reason);
-	request_count(request, reason);
+	record_request_metrics(request, reason);
 	request_refund(request);
 	request_free(request);
 }
@@ -165,7 +166,7 @@
  * connection is closed without the answer's end, so that the part does not look
  * like the whole.
  */
-void gateway_request_cut(gateway_request_t *request, const char *reason)
+void gateway_request_abort_stream(gateway_request_t *request, const char *reason)
 {
 	caller_t *caller = request->caller;
 
@@ -184,7 +185,8 @@
 		gateway_request_begin_response(request,
 					       request->response_body->len);
 	log_end(request, request->status, "answered");
-	request_count(request, request->status < 400 ? "answered" : "failed");
+	record_request_metrics(request,
+			       request->status < 400 ? "answered" : "failed");
 	request_free(request);
 	caller_response_done(caller);
 }
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -49,7 +49,7 @@
 			g_rand_double(gateway->random)))
 		return true;
 	work_rate_add_away(gateway->work, request->service, work);
-	gateway_request_refuse(request, 503, retry_after, "engines pressed");
+	gateway_request_respond_error(request, 503, retry_after, "engines pressed");
 	return false;
 }
 
--- a/adapters/gateway/request_state.h
+++ b/adapters/gateway/request_state.h
@@ -82,12 +82,12 @@
 
 void gateway_request_clear_attempt(gateway_request_t *request);
 void gateway_request_count_usage(gateway_request_t *request);
-void gateway_request_refuse(gateway_request_t *request, int status,
-			    pd_time_t retry_after, const char *reason);
+void gateway_request_respond_error(gateway_request_t *request, int status,
+				   pd_time_t retry_after, const char *reason);
 void gateway_request_give_up(gateway_request_t *request, pd_time_t retry_after,
 			     const char *reason);
 void gateway_request_drop(gateway_request_t *request, const char *reason);
-void gateway_request_cut(gateway_request_t *request, const char *reason);
+void gateway_request_abort_stream(gateway_request_t *request, const char *reason);
 void gateway_request_finish(gateway_request_t *request);
 forward_choice_t gateway_request_choose(gateway_request_t *request,
 					forward_pick_t *pick);
