--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -355,7 +355,7 @@
 
 		if (request->state == REQUEST_READING)
 			continue;
-		gateway_request_watch(request, now);
+		gateway_request_check_first_event(request, now);
 		if (now >= request->deadline)
 			request_expire(request);
 		else if (attempt_upstream_restarted(request))
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -128,7 +128,7 @@
 		request->upstream->reading -= request->prefill_tokens;
 		request->prefill_tokens = 0;
 		forward_upstream_answered(request->upstream);
-		gateway_request_begun(request);
+		gateway_request_record_first_event(request);
 		metrics_time(request->gateway->metrics, "gateway_first_event_ms",
 			     "route", request->route->name,
 			     (double)(gateway_now() - request->arrived_at) /
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -151,7 +151,7 @@
 			forward_upstream_unreachable(request->upstream, now);
 		else
 			forward_upstream_rejected(request->upstream, now);
-		gateway_request_judge(request, true);
+		gateway_request_record_outcome(request, true);
 		break;
 	case ATTEMPT_FAILED:
 		forward_upstream_answered(request->upstream);
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -13,7 +13,7 @@
 #define RETRY_MIN (400 * PD_MSEC)
 #define RETRY_MAX (3 * PD_SEC)
 
-static shed_t *shed_of(gateway_t *gateway, const char *service)
+static shed_t *get_shed(gateway_t *gateway, const char *service)
 {
 	shed_t *shed = g_hash_table_lookup(gateway->sheds, service);
 
@@ -45,8 +45,8 @@
 
 	if (!request->route->has_prompt)
 		return true;
-	if (shed_admits(shed_of(gateway, request->service), request->rank, work,
-			g_rand_double(gateway->random)))
+	if (shed_admits(get_shed(gateway, request->service), request->rank,
+			work, g_rand_double(gateway->random)))
 		return true;
 	work_rate_add_away(gateway->work, request->service, work);
 	gateway_request_respond_error(request, 503, retry_after, "engines pressed");
@@ -54,7 +54,7 @@
 }
 
 /* How long after its arrival the request's first event is late. */
-static pd_time_t late_after(const gateway_request_t *request)
+static pd_time_t first_event_time_max(const gateway_request_t *request)
 {
 	double reading = request->call->prompt_tokens * (double)PD_SEC /
 			 gateway_engine_rate(request->gateway, request->service);
@@ -63,27 +63,29 @@
 }
 
 /* Notes how the request's first send went, once. */
-void gateway_request_judge(gateway_request_t *request, bool pressed)
+void gateway_request_record_outcome(gateway_request_t *request, bool pressed)
 {
 	if (request->outcome_recorded || !request->route->has_prompt)
 		return;
 	request->outcome_recorded = true;
-	shed_outcome(shed_of(request->gateway, request->service), pressed);
+	shed_outcome(get_shed(request->gateway, request->service), pressed);
 }
 
 /* Notes that the first event came, in time or late. */
-void gateway_request_begun(gateway_request_t *request)
+void gateway_request_record_first_event(gateway_request_t *request)
 {
-	gateway_request_judge(request, gateway_now() - request->arrived_at >
-					       late_after(request));
+	gateway_request_record_outcome(request,
+				       gateway_now() - request->arrived_at >
+					       first_event_time_max(request));
 }
 
 /* Notes a first event that is overdue; it need not come for that. */
-void gateway_request_watch(gateway_request_t *request, pd_time_t now)
+void gateway_request_check_first_event(gateway_request_t *request, pd_time_t now)
 {
 	if (!request->outcome_recorded && request->route->has_prompt &&
-	    request->route->goal && now - request->arrived_at > late_after(request))
-		gateway_request_judge(request, true);
+	    request->route->goal &&
+	    now - request->arrived_at > first_event_time_max(request))
+		gateway_request_record_outcome(request, true);
 }
 
 /* Lets time pass. */
