--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -6,24 +6,24 @@
 #include "platform/wire.h"
 
 /* A connection to an upstream takes a few milliseconds, or a lost packet more. */
-#define CONNECT_MAX (400 * PD_MSEC)
+#define CONNECT_TIMEOUT (400 * PD_MSEC)
 /*
  * A plain call that may be repeated and is not answered by so many times its
  * aim is sent to another upstream; the slowest sound ones take some five times
  * the mean work, which is well under the aim.
  */
-#define SILENCE_GOALS 2.5
+#define RESPONSE_TIMEOUT_GOALS 2.5
 /* Bodies of all requests in progress; beyond, requests are refused. */
-#define BODIES_MAX (64 * 1024 * 1024)
+#define BODY_BYTES_MAX (64 * 1024 * 1024)
 /*
  * A request waits for room no longer than this part of its aim: later, even a
  * free place would be of little use, and its caller could have come back.
  */
-#define QUEUE_PART 0.5
-#define QUEUE_MIN (100 * PD_MSEC)
+#define QUEUE_GOAL_FRACTION 0.5
+#define QUEUE_TIME_MIN (100 * PD_MSEC)
 /* Priorities that are told apart: of accounts, and of routes in each of these. */
 #define ACCOUNT_RANKS 3
-#define RANKS_OF_ACCOUNT (GATEWAY_RANKS / ACCOUNT_RANKS)
+#define RANKS_PER_ACCOUNT (GATEWAY_RANKS / ACCOUNT_RANKS)
 /* Another gateway takes the caller at once. */
 #define RETRY_AFTER_STOPPING (20 * PD_MSEC)
 #define RETRY_AFTER_NO_CONFIG (500 * PD_MSEC)
@@ -34,7 +34,7 @@
  * after each kill of all in fleets of 63 to 83. Whoever has still not read all by
  * then does not know when it will, and refuses at once.
  */
-#define START_WAIT (250 * PD_MSEC)
+#define STARTUP_WAIT_MAX (250 * PD_MSEC)
 
 /* Begins a request whose head was read; it owns itself until it is answered. */
 gateway_request_t *gateway_request_create(gateway_t *gateway, caller_t *caller,
@@ -132,11 +132,11 @@
 /* Orders requests by their account's priority, and by the route's among these. */
 static int request_rank(const gateway_request_t *request)
 {
-	int rank = CLAMP(request->route->priority, 0, RANKS_OF_ACCOUNT - 1);
+	int rank = CLAMP(request->route->priority, 0, RANKS_PER_ACCOUNT - 1);
 
 	if (request->account && request->account->priority != FORWARD_PRIORITY_UNSET)
 		rank += CLAMP(request->account->priority, 0, ACCOUNT_RANKS - 1) *
-			RANKS_OF_ACCOUNT;
+			RANKS_PER_ACCOUNT;
 	return rank;
 }
 
@@ -154,7 +154,7 @@
 {
 	gateway_t *gateway = request->gateway;
 
-	if (request->read_at - gateway->started_at > START_WAIT) {
+	if (request->read_at - gateway->started_at > STARTUP_WAIT_MAX) {
 		gateway_request_respond_error(request, 503, RETRY_AFTER_NO_CONFIG,
 					      "no configuration yet");
 		return;
@@ -167,7 +167,7 @@
 static void startup_queue_run(gateway_t *gateway, pd_time_t now)
 {
 	if (!gateway_is_initialized(gateway) &&
-	    now - gateway->started_at <= START_WAIT)
+	    now - gateway->started_at <= STARTUP_WAIT_MAX)
 		return;
 	LIST_FOR_EACH_SAFE (it, &gateway->startup_queue) {
 		gateway_request_t *request =
@@ -195,7 +195,7 @@
 		request_await_startup(request);
 		return;
 	}
-	if (gateway->body_bytes > BODIES_MAX) {
+	if (gateway->body_bytes > BODY_BYTES_MAX) {
 		gateway_request_respond_error(request, 503, RETRY_AFTER_FULL,
 					      "no memory for bodies");
 		return;
@@ -247,9 +247,10 @@
 /* How long a request may wait for room. */
 static pd_time_t queue_time_max(const gateway_request_t *request)
 {
-	pd_time_t part = (pd_time_t)((double)request->route->goal * QUEUE_PART);
+	pd_time_t part =
+		(pd_time_t)((double)request->route->goal * QUEUE_GOAL_FRACTION);
 
-	return MAX(part, QUEUE_MIN);
+	return MAX(part, QUEUE_TIME_MIN);
 }
 
 /* Sends what waits, the most urgent first, as far as there is room. */
@@ -290,12 +291,12 @@
 	if (!request->sent_at)
 		return request->link &&
 		       !upstream_link_is_connected(request->link) &&
-		       now - request->attempt_started_at > CONNECT_MAX;
+		       now - request->attempt_started_at > CONNECT_TIMEOUT;
 	if (request->route->kind != FORWARD_SAFE || !request->route->goal ||
 	    request->possible_runs + 1 >= request->route->upstreams_max)
 		return false;
 	return now - request->sent_at >
-	       (pd_time_t)((double)request->route->goal * SILENCE_GOALS);
+	       (pd_time_t)((double)request->route->goal * RESPONSE_TIMEOUT_GOALS);
 }
 
 /*
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -18,21 +18,21 @@
 /* The part of a prompt that may be shared if it is to tell an engine's speed. */
 #define SHARED_PROMPT_MAX 0.3
 /* In larger fleets than this, loads of peers are known late: see upstreams.c. */
-#define SAMPLE_FLEET 12
-#define SAMPLE 1
+#define SAMPLING_FLEET_SIZE 12
+#define SAMPLE_SIZE 1
 /* The connection limit is for all entries; uneven ones need some room. */
-#define CONNECTION_SHARE 1.3
+#define CONNECTION_HEADROOM 1.3
 
-static unsigned int connection_cap(const gateway_request_t *request,
-				   unsigned int entries)
+static unsigned int connections_max(const gateway_request_t *request,
+				    unsigned int entries)
 {
 	const forward_service_t *service =
 		forward_config_service(request->config, request->service);
 
 	if (!service || !service->connections_max)
 		return 0;
-	return MAX((unsigned int)(service->connections_max * CONNECTION_SHARE /
-				  entries),
+	return MAX((unsigned int)(service->connections_max *
+				  CONNECTION_HEADROOM / entries),
 		   1);
 }
 
@@ -52,8 +52,8 @@
 		.has_prompt = request->route->has_prompt,
 		.overfill = request->route->has_prompt ? ENGINE_OVERFILL
 						       : PLAIN_OVERFILL,
-		.connections_max = connection_cap(request, entries),
-		.sample = entries > SAMPLE_FLEET ? SAMPLE : 0,
+		.connections_max = connections_max(request, entries),
+		.sample = entries > SAMPLING_FLEET_SIZE ? SAMPLE_SIZE : 0,
 		.random = gateway->random,
 		.tried_count = request->tried_count,
 	};
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -9,9 +9,9 @@
  * When callers may come back: by then a shortage of some seconds is less, and
  * callers wait no longer than a third of the time that they have left.
  */
-#define RETRY_PART 0.3
-#define RETRY_MIN (400 * PD_MSEC)
-#define RETRY_MAX (3 * PD_SEC)
+#define RETRY_AFTER_FRACTION 0.3
+#define RETRY_AFTER_MIN (400 * PD_MSEC)
+#define RETRY_AFTER_MAX (3 * PD_SEC)
 
 static shed_t *get_shed(gateway_t *gateway, const char *service)
 {
@@ -40,8 +40,9 @@
 	gateway_t *gateway = request->gateway;
 	double work = unshared_work(request);
 	pd_time_t left = request->deadline - gateway_now();
-	pd_time_t retry_after = CLAMP((pd_time_t)((double)left * RETRY_PART),
-				      RETRY_MIN, RETRY_MAX);
+	pd_time_t retry_after =
+		CLAMP((pd_time_t)((double)left * RETRY_AFTER_FRACTION),
+		      RETRY_AFTER_MIN, RETRY_AFTER_MAX);
 
 	if (!request->route->has_prompt)
 		return true;
