--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -152,7 +152,7 @@
 
 	if (held && fence != duties->fence) {
 		duties->fence = fence;
-		duties->acts_from = now + wait_before_acts(duties);
+		duties->act_not_before = now + wait_before_acts(duties);
 		/* What was planned under an earlier lease is no longer so. */
 		g_hash_table_remove_all(duties->plans);
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
@@ -170,7 +170,7 @@
 
 static bool may_act(const gateway_duties_t *duties, pd_time_t now)
 {
-	return lease_is_held(duties->lease, now) && now >= duties->acts_from &&
+	return lease_is_held(duties->lease, now) && now >= duties->act_not_before &&
 	       lease_fence(duties->lease) == duties->fence;
 }
 
@@ -190,13 +190,13 @@
 {
 	const char *text = duties_noted_text(duties);
 
-	if (!duties->note || g_strcmp0(text, duties->note_text)) {
-		duties_note_destroy(duties->note);
-		g_free(duties->note_text);
-		duties->note = duties_note_read(text);
-		duties->note_text = g_strdup(text);
+	if (!duties->lease_note || g_strcmp0(text, duties->lease_note_text)) {
+		duties_note_destroy(duties->lease_note);
+		g_free(duties->lease_note_text);
+		duties->lease_note = duties_note_read(text);
+		duties->lease_note_text = g_strdup(text);
 	}
-	return duties->note;
+	return duties->lease_note;
 }
 
 /* Posts under the fence of the lease held; PATH and BODY are borrowed. */
@@ -234,7 +234,7 @@
 		return duties->fence &&
 		       lease_fence(duties->lease) <= duties->fence &&
 		       !gateway_peers_has_holder_after(peers, duties->fence);
-	return duties->resumes || gateway_peers_stand_for_duties(peers);
+	return duties->resuming || gateway_peers_stand_for_duties(peers);
 }
 
 /*
@@ -245,7 +245,7 @@
 void gateway_duties_resume(gateway_duties_t *duties)
 {
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "resume: led before the start");
-	duties->resumes = true;
+	duties->resuming = true;
 	lease_resume(duties->lease, gateway_now());
 }
 
@@ -256,7 +256,7 @@
 
 	if (record && record->holder &&
 	    strcmp(record->holder, duties->gateway->settings->node_id))
-		duties->resumes = false;
+		duties->resuming = false;
 }
 
 /*
@@ -268,9 +268,9 @@
 {
 	bool serves = fleet_feed_is_store_reachable(duties->gateway->feed);
 
-	if (serves && !duties->store_serves)
+	if (serves && !duties->store_reachable)
 		lease_hurry(duties->lease, now);
-	duties->store_serves = serves;
+	duties->store_reachable = serves;
 }
 
 /* Renews or takes the lease, and does what is due if it is held. */
--- a/adapters/gateway/duties_state.h
+++ b/adapters/gateway/duties_state.h
@@ -11,21 +11,21 @@
 	lease_t *lease;
 	store_op_t op; /* of the call that is out */
 	uint64_t fence; /* last seen as held */
-	pd_time_t acts_from; /* a new holder waits until then */
+	pd_time_t act_not_before; /* a new holder waits until then */
 	bool held;
-	bool resumes; /* this VM led before all gateways were killed */
-	bool store_serves; /* as seen last */
-	int64_t reported; /* the last window that the platform took */
-	int64_t sent; /* the window of the report that is out */
-	bool reporting; /* a report is out */
+	bool resuming; /* this VM led before all gateways were killed */
+	bool store_reachable; /* as seen last */
+	int64_t reported_window; /* the last window that the platform took */
+	int64_t sent_window; /* the window of the report that is out */
+	bool report_in_flight; /* a report is out */
 	pd_time_t report_at;
 	pd_time_t counts_asked_at; /* for a report; 0: not yet */
-	bool counts_open; /* the next report waits for gateways' counts */
+	bool waiting_for_counts; /* the next report waits for gateways' counts */
 	GHashTable *plans; /* service -> scale_plan_t */
 	GHashTable *orders; /* "service zone kind" -> order_t */
 	pd_time_t plan_at;
-	duties_note_t *note; /* of the lease's record, as read last */
-	char *note_text;
+	duties_note_t *lease_note; /* of the lease's record, as read last */
+	char *lease_note_text;
 };
 
 const char *duties_noted_text(const gateway_duties_t *duties);
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -17,21 +17,21 @@
 {
 	gateway_duties_t *duties = ctx;
 
-	duties->reporting = false;
+	duties->report_in_flight = false;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
-		 "usage window=%" PRId64 " status=%d", duties->sent,
+		 "usage window=%" PRId64 " status=%d", duties->sent_window,
 		 reply->status);
 	/* A report that is refused for what it says is not sent again. */
 	if (reply->status >= 200 && reply->status < 500 && reply->status != 429)
-		duties->reported = duties->sent;
+		duties->reported_window = duties->sent_window;
 	else
 		duties->report_at = gateway_now() + REPORT_RETRY;
 }
 
 static void send_report(gateway_duties_t *duties, const duties_note_t *note)
 {
-	duties->reporting = true;
-	duties->sent = note->window;
+	duties->report_in_flight = true;
+	duties->sent_window = note->window;
 	duties_post(duties, wire_usage_path(), note->report, report_replied,
 		    duties);
 }
@@ -199,8 +199,8 @@
 	bool complete = usage_coverage_is_complete(&coverage);
 	bool waits = !complete && window > last_window(gateway, false, now);
 
-	if (waits != duties->counts_open) {
-		duties->counts_open = waits;
+	if (waits != duties->waiting_for_counts) {
+		duties->waiting_for_counts = waits;
 		duties->counts_asked_at = 0;
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 			 "usage waits=%d window=%" PRId64 " open=%" PRIu64
@@ -220,11 +220,11 @@
 	int64_t window;
 	const duties_note_t *note;
 
-	if (duties->reporting || now < duties->report_at ||
+	if (duties->report_in_flight || now < duties->report_at ||
 	    !lease_is_settled(duties->lease, now))
 		return;
 	note = duties_noted(duties);
-	if (note->report && duties->reported < note->window) {
+	if (note->report && duties->reported_window < note->window) {
 		send_report(duties, note);
 		return;
 	}
