--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -17,7 +17,7 @@
 #define STORE_TIMEOUT_MS 1500
 #define CLOUD_TIMEOUT_MS 1500
 /* Ticks, and clocks that run unevenly, between a holder and the next. */
-#define CALLS_MARGIN (300 * PD_MSEC)
+#define TAKEOVER_MARGIN (300 * PD_MSEC)
 
 /*
  * A holder that dies must be followed before a window's report is overdue, ten
@@ -45,7 +45,7 @@
 	return duties;
 }
 
-static store_status_t status_of(const http1_reply_t *reply)
+static store_status_t store_status(const http1_reply_t *reply)
 {
 	switch (reply->status) {
 	case 200:
@@ -63,10 +63,10 @@
 	}
 }
 
-static void lease_replied(void *ctx, const http1_reply_t *reply)
+static void on_lease_reply(void *ctx, const http1_reply_t *reply)
 {
 	gateway_duties_t *duties = ctx;
-	lease_reply_t answer = { .op = duties->op, .status = status_of(reply) };
+	lease_reply_t answer = { .op = duties->op, .status = store_status(reply) };
 	lease_record_t *record = NULL;
 	pd_error_t err;
 
@@ -103,7 +103,7 @@
 		.path = path,
 		.body = body,
 		.timeout_ms = STORE_TIMEOUT_MS,
-		.on_reply = lease_replied,
+		.on_reply = on_lease_reply,
 		.ctx = duties,
 	};
 
@@ -113,7 +113,7 @@
 	g_free(body);
 }
 
-static void lease_step(gateway_duties_t *duties, pd_time_t now)
+static void run_lease(gateway_duties_t *duties, pd_time_t now)
 {
 	list_node_t actions;
 	list_node_t *node;
@@ -135,24 +135,24 @@
  * And no holder may act, lose the duties and act again within the configured gap:
  * it gets them back TAKEOVER after another had them, at the earliest.
  */
-static pd_time_t wait_before_acts(const gateway_duties_t *duties)
+static pd_time_t takeover_delay(const gateway_duties_t *duties)
 {
 	pd_time_t gap = duties->gateway->settings->lease_gap_ms * PD_MSEC;
 	pd_time_t calls = CLOUD_TIMEOUT_MS * PD_MSEC -
-			  (timing.takeover - timing.term) + CALLS_MARGIN;
+			  (timing.takeover - timing.term) + TAKEOVER_MARGIN;
 
-	return MAX(calls, gap + CALLS_MARGIN - timing.takeover);
+	return MAX(calls, gap + TAKEOVER_MARGIN - timing.takeover);
 }
 
 /* Notes when the lease is won or lost. */
-static void follow_lease(gateway_duties_t *duties, pd_time_t now)
+static void update_holder(gateway_duties_t *duties, pd_time_t now)
 {
 	bool held = lease_is_settled(duties->lease, now);
 	uint64_t fence = lease_fence(duties->lease);
 
 	if (held && fence != duties->fence) {
 		duties->fence = fence;
-		duties->act_not_before = now + wait_before_acts(duties);
+		duties->act_not_before = now + takeover_delay(duties);
 		/* What was planned under an earlier lease is no longer so. */
 		g_hash_table_remove_all(duties->plans);
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
@@ -168,14 +168,14 @@
 	duties->held |= held;
 }
 
-static bool may_act(const gateway_duties_t *duties, pd_time_t now)
+static bool is_acting(const gateway_duties_t *duties, pd_time_t now)
 {
 	return lease_is_held(duties->lease, now) && now >= duties->act_not_before &&
 	       lease_fence(duties->lease) == duties->fence;
 }
 
 /* Returns the text of what the lease's record notes, borrowed; NULL: none. */
-const char *duties_noted_text(const gateway_duties_t *duties)
+const char *duties_lease_note_text(const gateway_duties_t *duties)
 {
 	const lease_record_t *record = lease_record(duties->lease);
 
@@ -186,9 +186,9 @@
  * Returns what the lease's record notes, borrowed until the record changes. It is
  * asked for at every tick, and read only when it is another one.
  */
-const duties_note_t *duties_noted(gateway_duties_t *duties)
+const duties_note_t *duties_lease_note(gateway_duties_t *duties)
 {
-	const char *text = duties_noted_text(duties);
+	const char *text = duties_lease_note_text(duties);
 
 	if (!duties->lease_note || g_strcmp0(text, duties->lease_note_text)) {
 		duties_note_destroy(duties->lease_note);
@@ -250,7 +250,7 @@
 }
 
 /* Another one has taken the lease since. */
-static void end_resuming(gateway_duties_t *duties)
+static void check_resuming(gateway_duties_t *duties)
 {
 	const lease_record_t *record = lease_record(duties->lease);
 
@@ -264,7 +264,7 @@
  * failed read, which is up to five seconds, the last holder went on that much later
  * than it could, and a report that was due in an outage came late.
  */
-static void watch_store(gateway_duties_t *duties, pd_time_t now)
+static void check_store(gateway_duties_t *duties, pd_time_t now)
 {
 	bool serves = fleet_feed_is_store_reachable(duties->gateway->feed);
 
@@ -278,16 +278,16 @@
 {
 	if (!gateway_duties_may_hold(duties))
 		return;
-	watch_store(duties, now);
+	check_store(duties, now);
 	if (gateway_peers_holder_is_silent(duties->gateway->peers, now))
 		lease_hurry(duties->lease, now);
-	lease_step(duties, now);
-	end_resuming(duties);
-	follow_lease(duties, now);
+	run_lease(duties, now);
+	check_resuming(duties);
+	update_holder(duties, now);
 	gateway_peers_hold_duties(duties->gateway->peers,
 				  lease_is_held(duties->lease, now),
 				  lease_fence(duties->lease));
-	if (!may_act(duties, now))
+	if (!is_acting(duties, now))
 		return;
 	duties_run_usage(duties, now);
 	duties_run_scale(duties, now);
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -50,7 +50,7 @@
 
 	if (!lease_is_settled(duties->lease, now))
 		return;
-	note = duties_note_read(duties_noted_text(duties));
+	note = duties_note_read(duties_lease_note_text(duties));
 	duties_note_needs(duties, note);
 	text = duties_note_write(note);
 	lease_update_note(duties->lease, text, now);
@@ -84,7 +84,7 @@
 
 	if (!plan) {
 		plan = scale_plan_create();
-		scale_plan_restore(plan, duties_note_need(duties_noted(duties),
+		scale_plan_restore(plan, duties_note_need(duties_lease_note(duties),
 							  service));
 		g_hash_table_insert(duties->plans, g_strdup(service), plan);
 	}
--- a/adapters/gateway/duties_state.h
+++ b/adapters/gateway/duties_state.h
@@ -28,8 +28,8 @@
 	char *lease_note_text;
 };
 
-const char *duties_noted_text(const gateway_duties_t *duties);
-const duties_note_t *duties_noted(gateway_duties_t *duties);
+const char *duties_lease_note_text(const gateway_duties_t *duties);
+const duties_note_t *duties_lease_note(gateway_duties_t *duties);
 void duties_note_needs(gateway_duties_t *duties, duties_note_t *note);
 void duties_post(const gateway_duties_t *duties, const char *path,
 		 const char *body, http1_replied_t on_reply, void *ctx);
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -86,7 +86,7 @@
 {
 	GHashTable *counts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	duties_note_t *note = duties_note_read(duties_noted_text(duties));
+	duties_note_t *note = duties_note_read(duties_lease_note_text(duties));
 	char *report;
 	char *text;
 
@@ -223,7 +223,7 @@
 	if (duties->report_in_flight || now < duties->report_at ||
 	    !lease_is_settled(duties->lease, now))
 		return;
-	note = duties_noted(duties);
+	note = duties_lease_note(duties);
 	if (note->report && duties->reported_window < note->window) {
 		send_report(duties, note);
 		return;
