--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -193,7 +193,7 @@
 	if (!duties->lease_note || g_strcmp0(text, duties->lease_note_text)) {
 		duties_note_destroy(duties->lease_note);
 		g_free(duties->lease_note_text);
-		duties->lease_note = duties_note_read(text);
+		duties->lease_note = duties_note_parse(text);
 		duties->lease_note_text = g_strdup(text);
 	}
 	return duties->lease_note;
--- a/adapters/gateway/duties_note.c
+++ b/adapters/gateway/duties_note.c
@@ -41,7 +41,8 @@
 }
 
 /* Sets the load that a service's fleet is planned for; what is none is left out. */
-void duties_note_set_need(duties_note_t *note, const char *service, double need)
+void duties_note_set_need(duties_note_t *note, const char *service,
+				  double need)
 {
 	double *value;
 
@@ -65,7 +66,7 @@
  * can't be read counts as such as well: the windows in it are then reported anew,
  * which the platform refuses if they were reported otherwise before.
  */
-duties_note_t *duties_note_read(const char *text)
+duties_note_t *duties_note_parse(const char *text)
 {
 	duties_note_t *note = duties_note_create();
 	json_t *root;
@@ -86,13 +87,14 @@
 		duties_note_set_report(note, json_integer_or(root, "window", 0),
 				       report);
 	json_object_foreach(json_object_get(root, "needs"), service, need)
-		duties_note_set_need(note, service, json_number_value(need));
+		duties_note_set_need(note, service,
+					     json_number_value(need));
 	json_decref(root);
 	return note;
 }
 
 /* Returns the note as text, owned by the caller. */
-char *duties_note_write(const duties_note_t *note)
+char *duties_note_format(const duties_note_t *note)
 {
 	json_t *root = json_object();
 	json_t *needs = json_object();
--- a/adapters/gateway/duties_note.h
+++ b/adapters/gateway/duties_note.h
@@ -15,12 +15,13 @@
 } duties_note_t;
 
 duties_note_t *duties_note_create(void);
-duties_note_t *duties_note_read(const char *text);
+duties_note_t *duties_note_parse(const char *text);
 void duties_note_destroy(duties_note_t *note);
 void duties_note_set_report(duties_note_t *note, int64_t window,
 			    const char *report);
-void duties_note_set_need(duties_note_t *note, const char *service, double need);
+void duties_note_set_need(duties_note_t *note, const char *service,
+				  double need);
 double duties_note_need(const duties_note_t *note, const char *service);
-char *duties_note_write(const duties_note_t *note);
+char *duties_note_format(const duties_note_t *note);
 
 #endif
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -17,18 +17,18 @@
 	char *service;
 	char *zone;
 	bool reclaimable;
-	unsigned int wanted;
-	unsigned int ordered; /* taken by the platform */
+	unsigned int target;
+	unsigned int accepted; /* taken by the platform */
 	bool confirmed; /* since this process holds the lease */
-	bool out; /* a call is on its way */
+	bool in_flight; /* a call is on its way */
 	bool answered; /* by the platform, to this process */
-	unsigned int asked;
+	unsigned int requested;
 	pd_time_t next_at;
-	pd_time_t taken_at; /* when the last order was taken */
+	pd_time_t accepted_at; /* when the last order was taken */
 } order_t;
 
 /* Adds the loads that the fleets are planned for at present. */
-void duties_note_needs(gateway_duties_t *duties, duties_note_t *note)
+void duties_add_needs(gateway_duties_t *duties, duties_note_t *note)
 {
 	GHashTableIter iter;
 	gpointer service;
@@ -36,30 +36,31 @@
 
 	g_hash_table_iter_init(&iter, duties->plans);
 	while (g_hash_table_iter_next(&iter, &service, &plan))
-		duties_note_set_need(note, service, scale_plan_basis(plan)->need);
+		duties_note_set_need(note, service,
+					     scale_plan_basis(plan)->need);
 }
 
 /*
  * Has the next renewal write what the fleets are planned for, so that a leader that
  * follows in a shortage keeps the on-demand upstreams.
  */
-static void keep_needs(gateway_duties_t *duties, pd_time_t now)
+static void save_needs(gateway_duties_t *duties, pd_time_t now)
 {
 	duties_note_t *note;
 	char *text;
 
 	if (!lease_is_settled(duties->lease, now))
 		return;
-	note = duties_note_read(duties_lease_note_text(duties));
-	duties_note_needs(duties, note);
-	text = duties_note_write(note);
+	note = duties_note_parse(duties_lease_note_text(duties));
+	duties_add_needs(duties, note);
+	text = duties_note_format(note);
 	lease_update_note(duties->lease, text, now);
 	g_free(text);
 	duties_note_destroy(note);
 }
 
-static order_t *duties_order(gateway_duties_t *duties, const char *service,
-			     const char *zone, bool reclaimable)
+static order_t *get_order(gateway_duties_t *duties, const char *service,
+			  const char *zone, bool reclaimable)
 {
 	char *key = g_strdup_printf("%s %s %d", service, zone, reclaimable);
 	order_t *order = g_hash_table_lookup(duties->orders, key);
@@ -78,41 +79,42 @@
 }
 
 /* Returns the plan of a service; each has its own load and shortages. */
-static scale_plan_t *duties_plan(gateway_duties_t *duties, const char *service)
+static scale_plan_t *get_plan(gateway_duties_t *duties, const char *service)
 {
 	scale_plan_t *plan = g_hash_table_lookup(duties->plans, service);
 
 	if (!plan) {
 		plan = scale_plan_create();
-		scale_plan_restore(plan, duties_note_need(duties_lease_note(duties),
-							  service));
+		scale_plan_restore(plan,
+				   duties_note_need(duties_lease_note(duties),
+							    service));
 		g_hash_table_insert(duties->plans, g_strdup(service), plan);
 	}
 	return plan;
 }
 
-static void order_replied(void *ctx, const http1_reply_t *reply)
+static void on_order_reply(void *ctx, const http1_reply_t *reply)
 {
 	order_t *order = ctx;
 	gateway_duties_t *duties = order->duties;
 	pd_time_t now = gateway_now();
 
-	order->out = false;
+	order->in_flight = false;
 	order->answered = true;
 	order->next_at = now + ORDER_RETRY;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "order service=%s zone=%s reclaimable=%d wanted=%u status=%d",
-		 order->service, order->zone, order->reclaimable, order->asked,
-		 reply->status);
+		 order->service, order->zone, order->reclaimable,
+		 order->requested, reply->status);
 	if (reply->status == 200) {
-		order->ordered = order->asked;
+		order->accepted = order->requested;
 		order->confirmed = true;
-		order->taken_at = now;
+		order->accepted_at = now;
 		if (order->reclaimable)
-			scale_plan_granted(duties_plan(duties, order->service),
-					   order->zone, order->asked, now);
+			scale_plan_granted(get_plan(duties, order->service),
+					   order->zone, order->requested, now);
 	} else if (reply->status == 409) {
-		scale_plan_refused(duties_plan(duties, order->service),
+		scale_plan_refused(get_plan(duties, order->service),
 				   order->zone, now);
 		duties->plan_at = now; /* lasting ones start late enough */
 	}
@@ -121,19 +123,19 @@
 static void order_send(order_t *order)
 {
 	const scale_basis_t *basis =
-		scale_plan_basis(duties_plan(order->duties, order->service));
+		scale_plan_basis(get_plan(order->duties, order->service));
 	char *body = wire_scale_write(order->service, order->zone,
-				      order->wanted, order->reclaimable);
+				      order->target, order->reclaimable);
 
-	order->out = true;
-	order->asked = order->wanted;
+	order->in_flight = true;
+	order->requested = order->target;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "ask service=%s zone=%s reclaimable=%d wanted=%u before=%u "
 		 "need=%.2f load=%.2f rate=%.0f shortage=%d",
-		 order->service, order->zone, order->reclaimable, order->wanted,
-		 order->ordered, basis->need, basis->load, basis->rate,
+		 order->service, order->zone, order->reclaimable, order->target,
+		 order->accepted, basis->need, basis->load, basis->rate,
 		 basis->shortage);
-	duties_post(order->duties, wire_scale_path(), body, order_replied, order);
+	duties_post(order->duties, wire_scale_path(), body, on_order_reply, order);
 	g_free(body);
 }
 
@@ -143,17 +145,17 @@
  * back by itself.
  */
 static void order_run(order_t *order, const forward_service_t *service,
-		      unsigned int wanted, pd_time_t now)
+		      unsigned int target, pd_time_t now)
 {
 	unsigned int serving = scale_plan_serving(order->duties->gateway->upstreams,
 						  order->service, order->zone,
 						  order->reclaimable);
-	bool late = serving < wanted &&
-		    now - order->taken_at > service->boot_time + BOOT_MARGIN;
+	bool late = serving < target &&
+		    now - order->accepted_at > service->boot_time + BOOT_MARGIN;
 
-	order->wanted = wanted;
-	if (order->out || now < order->next_at ||
-	    (order->confirmed && order->ordered == wanted && !late))
+	order->target = target;
+	if (order->in_flight || now < order->next_at ||
+	    (order->confirmed && order->accepted == target && !late))
 		return;
 	order_send(order);
 }
@@ -162,16 +164,16 @@
  * Orders the reclaimable upstreams of a service. Returns whether the platform has
  * answered to all of these orders since this process leads.
  */
-static bool order_reclaimable(gateway_duties_t *duties,
-			      const forward_service_t *service,
-			      const scale_zone_t *zones, unsigned int count,
-			      pd_time_t now)
+static bool run_reclaimable_orders(gateway_duties_t *duties,
+				   const forward_service_t *service,
+				   const scale_zone_t *zones,
+				   unsigned int count, pd_time_t now)
 {
 	bool answered = true;
 
 	for (unsigned int i = 0; i < count; i++) {
 		order_t *order =
-			duties_order(duties, service->name, zones[i].zone, true);
+			get_order(duties, service->name, zones[i].zone, true);
 
 		order_run(order, service, zones[i].reclaimable, now);
 		answered &= order->answered;
@@ -193,7 +195,7 @@
 				? engine_speeds_rate(speeds, service->name)
 				: 0,
 	};
-	unsigned int count = scale_plan_make(duties_plan(duties, service->name),
+	unsigned int count = scale_plan_make(get_plan(duties, service->name),
 					     service, gateway->upstreams,
 					     &demand, now, zones);
 
@@ -202,10 +204,10 @@
 	 * known from the answers. Ordered before, those of the last leader would be
 	 * given up and ordered anew.
 	 */
-	if (!order_reclaimable(duties, service, zones, count, now))
+	if (!run_reclaimable_orders(duties, service, zones, count, now))
 		return;
 	for (unsigned int i = 0; i < count; i++)
-		order_run(duties_order(duties, service->name, zones[i].zone, false),
+		order_run(get_order(duties, service->name, zones[i].zone, false),
 			  service, zones[i].lasting, now);
 }
 
@@ -224,5 +226,5 @@
 		if (service->scaled)
 			scale_service(duties, service, now);
 	}
-	keep_needs(duties, now);
+	save_needs(duties, now);
 }
--- a/adapters/gateway/duties_state.h
+++ b/adapters/gateway/duties_state.h
@@ -30,7 +30,7 @@
 
 const char *duties_lease_note_text(const gateway_duties_t *duties);
 const duties_note_t *duties_lease_note(gateway_duties_t *duties);
-void duties_note_needs(gateway_duties_t *duties, duties_note_t *note);
+void duties_add_needs(gateway_duties_t *duties, duties_note_t *note);
 void duties_post(const gateway_duties_t *duties, const char *path,
 		 const char *body, http1_replied_t on_reply, void *ctx);
 void duties_run_usage(gateway_duties_t *duties, pd_time_t now);
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -11,9 +11,9 @@
 #define LOG_COMPONENT "duties"
 #define REPORT_RETRY (500 * PD_MSEC)
 /* A report waits so long for the record at most. */
-#define COUNTS_WAIT (700 * PD_MSEC)
+#define COUNTS_TIMEOUT (700 * PD_MSEC)
 
-static void report_replied(void *ctx, const http1_reply_t *reply)
+static void on_report_reply(void *ctx, const http1_reply_t *reply)
 {
 	gateway_duties_t *duties = ctx;
 
@@ -32,7 +32,7 @@
 {
 	duties->report_in_flight = true;
 	duties->sent_window = note->window;
-	duties_post(duties, wire_usage_path(), note->report, report_replied,
+	duties_post(duties, wire_usage_path(), note->report, on_report_reply,
 		    duties);
 }
 
@@ -82,11 +82,11 @@
  * Writes a window's report into the lease before it is sent, so that the next leader
  * repeats it with the same counts.
  */
-static void note_report(gateway_duties_t *duties, int64_t window, pd_time_t now)
+static void save_report(gateway_duties_t *duties, int64_t window, pd_time_t now)
 {
 	GHashTable *counts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	duties_note_t *note = duties_note_read(duties_lease_note_text(duties));
+	duties_note_t *note = duties_note_parse(duties_lease_note_text(duties));
 	char *report;
 	char *text;
 
@@ -94,8 +94,8 @@
 	add_all_lost(duties, window, counts);
 	report = wire_usage_write(window, counts);
 	duties_note_set_report(note, window, report);
-	duties_note_needs(duties, note);
-	text = duties_note_write(note);
+	duties_add_needs(duties, note);
+	text = duties_note_format(note);
 	lease_set_note(duties->lease, text, now);
 	duties_note_destroy(note);
 	g_free(text);
@@ -107,7 +107,7 @@
  * Has the checkpointed counts read before a report is made: its writers have those
  * of gateways that have died since. Returns whether there is no more to wait for.
  */
-static bool has_counts(gateway_duties_t *duties, pd_time_t now)
+static bool are_counts_read(gateway_duties_t *duties, pd_time_t now)
 {
 	gateway_checkpoint_t *checkpoint = duties->gateway->checkpoint;
 
@@ -117,7 +117,7 @@
 	}
 	return gateway_checkpoint_counts_read_at(checkpoint) >=
 		       duties->counts_asked_at ||
-	       now - duties->counts_asked_at > COUNTS_WAIT;
+	       now - duties->counts_asked_at > COUNTS_TIMEOUT;
 }
 
 /*
@@ -150,7 +150,8 @@
  * Logs and counts for how long a window's counts were not checkpointed before all
  * gateways were killed: what was counted then is lost.
  */
-static void report_gap(const gateway_duties_t *duties, int64_t window, pd_time_t now)
+static void log_usage_gap(const gateway_duties_t *duties, int64_t window,
+			  pd_time_t now)
 {
 	const gateway_t *gateway = duties->gateway;
 	pd_time_t oldest = gateway_peers_oldest_start(gateway->peers, now);
@@ -173,8 +174,8 @@
 }
 
 /* Logs and counts a report that is made though counts may be on their way. */
-static void report_open(gateway_duties_t *duties, int64_t window,
-			const usage_coverage_t *coverage)
+static void give_up_open_counts(gateway_duties_t *duties, int64_t window,
+				const usage_coverage_t *coverage)
 {
 	gateway_t *gateway = duties->gateway;
 
@@ -190,7 +191,7 @@
  * Returns whether the report of a window may be made. It waits for gateways that have
  * counted in it and are cut off, and then for what they have told the writers.
  */
-static bool may_report(gateway_duties_t *duties, int64_t window, pd_time_t now)
+static bool is_report_due(gateway_duties_t *duties, int64_t window, pd_time_t now)
 {
 	const gateway_t *gateway = duties->gateway;
 	usage_coverage_t coverage =
@@ -209,7 +210,7 @@
 		return false;
 	}
 	if (!waits && !complete)
-		report_open(duties, window, &coverage);
+		give_up_open_counts(duties, window, &coverage);
 	return !waits;
 }
 
@@ -228,12 +229,13 @@
 		send_report(duties, note);
 		return;
 	}
-	if ((note->report && note->window >= ended) || !has_counts(duties, now))
+	if ((note->report && note->window >= ended) ||
+	    !are_counts_read(duties, now))
 		return;
 	window = next_window(duties, note, ended);
-	if (!may_report(duties, window, now))
+	if (!is_report_due(duties, window, now))
 		return;
 	duties->counts_asked_at = 0;
-	report_gap(duties, window, now);
-	note_report(duties, window, now);
+	log_usage_gap(duties, window, now);
+	save_report(duties, window, now);
 }
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -202,7 +202,7 @@
 	return rc::check("the note of the duties' holder", [] {
 		auto bytes = mutated("{\"needs\":{\"s\":4.5},\"report\":\"r\","
 				     "\"window\":5}");
-		duties_note_t *note = duties_note_read(bytes.c_str());
+		duties_note_t *note = duties_note_parse(bytes.c_str());
 
 		RC_ASSERT(duties_note_need(note, "s") >= 0);
 		duties_note_destroy(note);
--- a/tests/unit/test_duties_note.c
+++ b/tests/unit/test_duties_note.c
@@ -30,8 +30,8 @@
 	duties_note_set_report(note, 7, "{\"counts\":{},\"windowId\":7}");
 	duties_note_set_need(note, "s", 4.25);
 	duties_note_set_need(note, "t", -1);
-	text = duties_note_write(note);
-	read = duties_note_read(text);
+	text = duties_note_format(note);
+	read = duties_note_parse(text);
 	assert_int_equal(read->window, 7);
 	assert_string_equal(read->report, note->report);
 	assert_true(duties_note_need(read, "s") == 4.25);
@@ -55,7 +55,7 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(spoiled); i++) {
-		duties_note_t *note = duties_note_read(spoiled[i]);
+		duties_note_t *note = duties_note_parse(spoiled[i]);
 
 		assert_null(note->report);
 		assert_true(duties_note_need(note, "s") == 0);
