--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -549,7 +549,7 @@
 	if (object_writer_is_due(counts->writer, now) &&
 	    (usage_is_turn(wall, period, slot) ||
 	     !object_writer_is_regular(counts->writer))) {
-		gateway_requests_update_in_flight(gateway);
+		gateway_requests_update_snapshot(gateway);
 		text = usage_table_write(gateway->usage, gateway->inflight,
 					 gateway_first_due_window(gateway));
 		stored_write(counts, text, now);
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -441,7 +441,7 @@
 					       (GDestroyNotify)shed_destroy);
 	gateway->watermarks = usage_watermarks_create();
 	gateway->inflight = usage_inflight_create();
-	gateway->in_flight_changed = true;
+	gateway->inflight_changed = true;
 	gateway->vote = time_vote_create();
 	run_time_vote(gateway, gateway->started_at);
 	gateway->metrics = metrics_create();
--- a/adapters/gateway/gateway_state.h
+++ b/adapters/gateway/gateway_state.h
@@ -42,7 +42,7 @@
 	usage_t *usage;
 	usage_watermarks_t *watermarks; /* of the starts that count usage */
 	usage_inflight_t *inflight; /* requests of all gateways' starts */
-	bool in_flight_changed; /* since what this gateway has in flight was noted */
+	bool inflight_changed; /* since what this gateway has in flight was noted */
 	int64_t usage_pruned_window; /* that it was when old counts were dropped last */
 	work_rate_t *work;
 	GHashTable *sheds; /* service -> shed_t */
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -198,7 +198,7 @@
 {
 	bool flight_is_new = peers_flight_is_unsent(peers);
 	const usage_flight_t *flight =
-		gateway_requests_update_in_flight(peers->gateway);
+		gateway_requests_update_snapshot(peers->gateway);
 	list_writer_t usage;
 	list_writer_t uses;
 	msgpack_packer packer;
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -427,7 +427,7 @@
 		usage_inflight_find(gateway->inflight,
 				    usage_own_start(gateway->usage));
 
-	return gateway->in_flight_changed ||
+	return gateway->inflight_changed ||
 	       (flight && flight->told > peers->flight_sent);
 }
 
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -87,7 +87,7 @@
 	request->deliveries++;
 	if (request->state != REQUEST_STREAMING)
 		request->state = REQUEST_SENT;
-	request->gateway->in_flight_changed = true;
+	request->gateway->inflight_changed = true;
 	upstream_link_send(request->link, head, request->body,
 			   !strcmp(call->method, "HEAD"));
 	g_string_free(head, TRUE);
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -42,8 +42,8 @@
 void gateway_request_clear_attempt(gateway_request_t *request)
 {
 	release_upstream_load(request);
-	request->gateway->in_flight_changed |= request->sent_at &&
-					       !request->usage_counted;
+	request->gateway->inflight_changed |= request->sent_at &&
+					      !request->usage_counted;
 	if (request->upstream)
 		forward_upstream_unref(request->upstream);
 	request->upstream = NULL;
--- a/adapters/gateway/request_flight.c
+++ b/adapters/gateway/request_flight.c
@@ -24,7 +24,7 @@
 	return counts;
 }
 
-static usage_flight_t *create_flight(const gateway_t *gateway)
+static usage_flight_t *create_snapshot(const gateway_t *gateway)
 {
 	usage_flight_t *flight =
 		usage_flight_create(usage_own_start(gateway->usage));
@@ -51,11 +51,11 @@
  * Notes what this gateway has in flight if that has changed, and returns what was noted
  * last, borrowed.
  */
-const usage_flight_t *gateway_requests_update_in_flight(gateway_t *gateway)
+const usage_flight_t *gateway_requests_update_snapshot(gateway_t *gateway)
 {
-	if (gateway->in_flight_changed)
-		usage_inflight_take(gateway->inflight, create_flight(gateway));
-	gateway->in_flight_changed = false;
+	if (gateway->inflight_changed)
+		usage_inflight_take(gateway->inflight, create_snapshot(gateway));
+	gateway->inflight_changed = false;
 	return usage_inflight_find(gateway->inflight,
 				   usage_own_start(gateway->usage));
 }
--- a/adapters/gateway/request_flight.h
+++ b/adapters/gateway/request_flight.h
@@ -4,6 +4,6 @@
 
 #include "adapters/gateway/gateway_state.h"
 
-const usage_flight_t *gateway_requests_update_in_flight(gateway_t *gateway);
+const usage_flight_t *gateway_requests_update_snapshot(gateway_t *gateway);
 
 #endif
