--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -145,7 +145,7 @@
 }
 
 /* Notes when the lease is won or lost. */
-static void update_holder(gateway_duties_t *duties, pd_time_t now)
+static void update_leadership(gateway_duties_t *duties, pd_time_t now)
 {
 	bool held = lease_is_settled(duties->lease, now);
 	uint64_t fence = lease_fence(duties->lease);
@@ -283,7 +283,7 @@
 		lease_hurry(duties->lease, now);
 	run_lease(duties, now);
 	check_resuming(duties);
-	update_holder(duties, now);
+	update_leadership(duties, now);
 	gateway_peers_hold_duties(duties->gateway->peers,
 				  lease_is_held(duties->lease, now),
 				  lease_fence(duties->lease));
