--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -1,4 +1,4 @@
-/* Wires the gateway's parts, lets time pass, and stops in order. */
+/* Creates the gateway's parts, drives them from one timer, and shuts them down. */
 #include "adapters/gateway/gateway.h"
 
 #include <inttypes.h>
@@ -21,27 +21,29 @@
 #include "platform/wire.h"
 
 #define LOG_COMPONENT "gateway"
-/* Timeouts are kept to this; each wake-up costs some processor time. */
+/* Resolution of all timeouts; each wake-up costs some processor time. */
 #define TICK_MS 20
 #define LISTEN_BACKLOG 512
 /*
- * After the order to stop the balancer needs two questions, a second apart, to
- * turn new callers away, and connections in the making arrive after that.
+ * How long a stopping gateway goes on accepting connections. The load balancer needs
+ * two health checks, a second apart, to stop sending callers here, and connections
+ * that are being set up then arrive after that.
  */
 #define STOP_LISTEN_TIME (4 * PD_SEC)
 /*
- * From then on new requests that may take long are refused, as they might not
- * end before the process does. By then the balancer sends callers elsewhere.
+ * How long a stopping gateway goes on accepting requests that may take long. Later
+ * ones might not end before the process is killed, and by then the load balancer
+ * sends callers elsewhere.
  */
 #define STOP_ACCEPT_LONG_TIME (2600 * PD_MSEC)
-/* Windows of usage that are held beyond those due: clocks of peers differ. */
+/* Usage windows kept beyond those still due, as the clocks of peers differ. */
 #define SPARE_USAGE_WINDOWS 2
-/* What is left before the process is killed, for the last bytes to leave. */
+/* Time left before the process is killed, for the last bytes to be sent. */
 #define KILL_MARGIN (400 * PD_MSEC)
 
 /*
- * Returns the steady time. It counts the time in which the VM is suspended, in
- * which leases and beliefs of others run out.
+ * Returns the monotonic time in microseconds. It includes the time in which the VM is
+ * suspended, as leases and the cached state of peers expire meanwhile.
  */
 pd_time_t gateway_now(void)
 {
@@ -51,7 +53,7 @@
 	return (pd_time_t)now.tv_sec * PD_SEC + now.tv_nsec / 1000;
 }
 
-/* Returns this VM's time of day. */
+/* Returns the time of day by this VM's own clock, in microseconds since the epoch. */
 pd_time_t gateway_wall_time(void)
 {
 	struct timespec now;
@@ -60,32 +62,32 @@
 	return (pd_time_t)now.tv_sec * PD_SEC + now.tv_nsec / 1000;
 }
 
-/* Returns the prompt tokens that an engine of a service reads in a second. */
+/* Returns the prefill rate of a service's engines, in prompt tokens per second. */
 double gateway_engine_rate(const gateway_t *gateway, const char *service)
 {
 	return engine_speeds_rate(forward_upstreams_speeds(gateway->upstreams),
 				  service);
 }
 
-/* Returns a time from 0 up to MOST at random, so that gateways don't act in step. */
+/* Returns a random time in [0, MOST), so that gateways don't act in lockstep. */
 pd_time_t gateway_jitter(const gateway_t *gateway, pd_time_t most)
 {
 	return (pd_time_t)(g_rand_double(gateway->random) * (double)most);
 }
 
-/* Returns how long a usage window is. */
+/* Returns the length of a usage window. */
 pd_time_t gateway_window_length(const gateway_t *gateway)
 {
 	return (pd_time_t)(gateway->settings->usage_window_s * PD_SEC);
 }
 
-/* Returns how long after the end of a usage window its report is due. */
+/* Returns how long after the end of a usage window its report is due at the latest. */
 pd_time_t gateway_report_delay_max(const gateway_t *gateway)
 {
 	return (pd_time_t)(gateway->settings->usage_due_s * PD_SEC);
 }
 
-/* Returns the number of the usage window that it is by the fleet's clocks. */
+/* Returns the number of the current usage window by the fleet's agreed time. */
 int64_t gateway_current_window(const gateway_t *gateway)
 {
 	pd_time_t wall = time_vote_wall(gateway->vote, gateway_now());
@@ -102,21 +104,21 @@
 	       1;
 }
 
-/* Returns how many gateways share what is limited in sum. */
+/* Returns the number of gateways that share the fleet-wide limits; at least 1. */
 unsigned int gateway_count(const gateway_t *gateway)
 {
 	unsigned int zones = 0;
 
 	while (zones < GATEWAY_ZONES_MAX && gateway->settings->zones[zones])
 		zones++;
-	/* There is at least one in each zone, also before it was heard. */
+	/* Each zone has at least one gateway, even if no message came from it yet. */
 	zones = MAX(zones, 1);
 	zones = MAX(zones, gateway_checkpoint_gateways(gateway->checkpoint,
 						       gateway_now()));
 	return MAX(gateway_peers_count(gateway->peers), zones);
 }
 
-/* Says whether enough is known to serve callers. */
+/* Returns whether enough state was read since the start to serve callers. */
 bool gateway_is_initialized(const gateway_t *gateway)
 {
 	return gateway->config &&
@@ -124,15 +126,16 @@
 	       gateway_checkpoint_is_settled(gateway->checkpoint, gateway_now());
 }
 
-/* Says whether callers may be sent here. */
+/* Returns whether the load balancer may send callers here. */
 bool gateway_is_ready(const gateway_t *gateway)
 {
 	return gateway_is_initialized(gateway) && !gateway->stop_requested_at;
 }
 
 /*
- * Takes a configuration if it is newer than the one in force, and tells the
- * peers. SOURCE says who brought it. Returns whether it was newer.
+ * Applies a configuration if it is newer than the current one, and announces it to
+ * the peers. SOURCE is logged. Returns whether it was newer; logs one that can't be
+ * parsed.
  */
 bool gateway_apply_config(gateway_t *gateway, const char *text, const char *source)
 {
@@ -161,7 +164,10 @@
 	return true;
 }
 
-/* Has entries that lapsed in an outage of the store get time to come back after it. */
+/*
+ * Gives upstreams whose registration expired in an outage of the store time to
+ * register again, if the end of the outage differs from BEFORE.
+ */
 static void apply_outage_end(gateway_t *gateway, pd_time_t before)
 {
 	pd_time_t end = store_outage_end(gateway->outage);
@@ -173,7 +179,7 @@
 	forward_upstreams_store_back(gateway->upstreams, end);
 }
 
-/* Takes that the store answered at AT, this gateway or another. */
+/* Records that the store answered a call of this gateway or of a peer at AT. */
 void gateway_store_answered(gateway_t *gateway, pd_time_t at)
 {
 	pd_time_t before = store_outage_end(gateway->outage);
@@ -182,7 +188,7 @@
 	apply_outage_end(gateway, before);
 }
 
-/* Takes that the store did not serve a call that was made at SENT_AT. */
+/* Records that a call to the store made at SENT_AT was not served. */
 void gateway_store_failed(gateway_t *gateway, pd_time_t sent_at)
 {
 	pd_time_t before = store_outage_end(gateway->outage);
@@ -191,7 +197,7 @@
 	apply_outage_end(gateway, before);
 }
 
-/* Returns whether a call with that status was served, if not as it was hoped. */
+/* Returns whether STATUS shows that the store processed the call, or rejected it. */
 static bool store_has_served(int status)
 {
 	return status && status != 429 && status < 500;
@@ -209,7 +215,7 @@
 				     now - (pd_time_t)elapsed_ms * PD_MSEC);
 }
 
-/* Logs what became known of an upstream and passes it on to the peers. */
+/* Logs a change of an upstream, whose origin is SOURCE, and passes it on to the peers. */
 void gateway_upstream_changed(gateway_t *gateway, const char *id, const char *source)
 {
 	static const char *const stages[] = {
@@ -231,13 +237,17 @@
 	gateway_peers_upstream(gateway->peers, id);
 }
 
-/* Says whether a request that may take seconds can still be taken. */
+/* Returns whether a request that may take seconds can still be accepted. */
 bool gateway_accepts_long_requests(const gateway_t *gateway)
 {
 	return !gateway->stop_requested_at ||
 	       gateway_now() - gateway->stop_requested_at < STOP_ACCEPT_LONG_TIME;
 }
 
+/*
+ * Advances the shutdown: closes idle connections, then the listener, and stops the
+ * loop when no caller is left or the grace period ends.
+ */
 static void run_shutdown(gateway_t *gateway, pd_time_t now)
 {
 	pd_time_t grace = (pd_time_t)(gateway->settings->stop_grace_s * PD_SEC);
@@ -252,7 +262,7 @@
 		gateway->listening = false;
 		uv_close((uv_handle_t *)&gateway->callers_listener, NULL);
 	}
-	/* Callers left have a request in progress, or one that is being read. */
+	/* A caller that is still connected has a request in progress or being read. */
 	open = !list_empty(&gateway->callers) || http1_is_draining();
 	if (open && since < grace - KILL_MARGIN)
 		return;
@@ -266,7 +276,7 @@
 	gateway_upstream_changed(ctx, id, "lapse");
 }
 
-/* Drops counts of old windows, also in gateways that never report. */
+/* Discards counts of old windows; needed in gateways that never report as well. */
 static void prune_usage(gateway_t *gateway)
 {
 	int64_t window = gateway_current_window(gateway);
@@ -282,9 +292,9 @@
 }
 
 /*
- * Has the buckets of all accounts there, also of those of which no request came
- * yet, as others go by this gateway's levels. Not before the record was read: a
- * bucket that is there keeps its level.
+ * Creates the token buckets of all accounts, including those without a request so far,
+ * as peers adopt this gateway's levels. This must wait for the checkpoint record: a
+ * bucket that exists keeps its level.
  */
 static void create_account_buckets(gateway_t *gateway, pd_time_t now)
 {
@@ -299,7 +309,7 @@
 				  g_ptr_array_index(config->accounts, i), now);
 }
 
-/* Reads the own clock and counts the votes on the time of day. */
+/* Updates the fleet's agreed time of day from the own clock and the peers' votes. */
 static void run_time_vote(gateway_t *gateway, pd_time_t now)
 {
 	clock_steps_t steps =
@@ -323,7 +333,7 @@
 	run_time_vote(gateway, now);
 	forward_upstreams_run(gateway->upstreams, now, on_registration_expired,
 			      gateway);
-	/* First, as it tells a start how large the fleet is. */
+	/* Before its users, as it gives a new gateway the size of the fleet. */
 	gateway_checkpoint_run(gateway->checkpoint, now);
 	fleet_feed_run(gateway->feed, now);
 	prune_usage(gateway);
@@ -356,8 +366,8 @@
 }
 
 /*
- * Splits address:port; HOST is a copy that the caller frees. False, and nothing
- * set, if there is no colon.
+ * Splits address:port; HOST is a copy that the caller frees. Returns false and sets
+ * nothing if there is no colon.
  */
 bool gateway_split_address(const char *address, char **host, uint16_t *port)
 {
@@ -455,8 +465,9 @@
 }
 
 /*
- * Starts a gateway on a loop; it owns the settings from then on. NULL with ERR set if an address can't be used;
- * what was begun by then ends with the process.
+ * Creates a gateway on LOOP and starts it; it owns the settings from then on. Returns
+ * NULL with ERR set if an address can't be used; the process is then expected to exit,
+ * so what was created so far is not freed.
  */
 gateway_t *gateway_create(uv_loop_t *loop, gateway_settings_t *settings,
 			  pd_error_t *err)
@@ -512,7 +523,7 @@
 	return count;
 }
 
-/* Sets the gauges to how things stand, for whoever reads the metrics now. */
+/* Sets the gauges to the current state; called before the metrics are read. */
 void gateway_update_gauges(gateway_t *gateway)
 {
 	metrics_t *metrics = gateway->metrics;
@@ -530,7 +541,10 @@
 		      count_nodes(&gateway->callers));
 }
 
-/* Begins to stop: callers are turned away, what is in progress ends. */
+/*
+ * Begins the shutdown: the health check fails from now on, and requests in progress
+ * are completed.
+ */
 void gateway_stop(gateway_t *gateway)
 {
 	if (gateway->stop_requested_at)
--- a/adapters/gateway/gateway.h
+++ b/adapters/gateway/gateway.h
@@ -1,6 +1,7 @@
 /*
- * The gateway: takes callers' requests on one side and sends them to upstreams
- * on the other, with what the platform's store and the peers say in between.
+ * The gateway: a reverse proxy that forwards callers' requests to upstreams. Its
+ * configuration and the list of upstreams come from the platform's store and from
+ * peer gateways.
  */
 #ifndef PISTACHIO_GATEWAY_H
 #define PISTACHIO_GATEWAY_H
--- a/adapters/gateway/gateway_state.h
+++ b/adapters/gateway/gateway_state.h
@@ -1,4 +1,4 @@
-/* What the gateway's modules share. Private to them. */
+/* State shared by the modules of the gateway; private to adapters/gateway. */
 #ifndef PISTACHIO_GATEWAY_STATE_H
 #define PISTACHIO_GATEWAY_STATE_H
 
@@ -18,7 +18,7 @@
 #include "core/forward/usage_watermark.h"
 #include "core/forward/work_rate.h"
 
-#define GATEWAY_RANKS 10 /* of requests; 0 goes first */
+#define GATEWAY_RANKS 10 /* priority ranks of requests; 0 is the most urgent */
 
 typedef struct gateway_peers gateway_peers_t;
 typedef struct gateway_duties gateway_duties_t;
@@ -27,29 +27,29 @@
 
 typedef struct gateway {
 	uv_loop_t *loop;
-	const char *settings_path; /* NULL: they are not read again */
+	const char *settings_path; /* NULL: settings are never reloaded */
 	gateway_settings_t *settings;
-	pd_time_t settings_check_at; /* when the file is looked at next */
-	int64_t settings_stamp; /* of the file when it was read last */
+	pd_time_t settings_check_at; /* next check of the file for changes */
+	int64_t settings_stamp; /* of the file as last read; see file_stamp() */
 	forward_config_t *config; /* NULL: none yet */
-	char *config_text; /* as the platform gave it, for peers */
-	bool upstreams_listed; /* a whole listing was read, here or by a peer */
-	bool upstreams_usable; /* a page of a listing was read */
+	char *config_text; /* source text of config, sent to peers */
+	bool upstreams_listed; /* a complete listing was read, here or by a peer */
+	bool upstreams_usable; /* at least one page of a listing was read */
 	forward_upstreams_t *upstreams;
 	token_limits_t *limits;
-	uint64_t limits_version; /* of the configuration whose accounts it knows */
+	uint64_t limits_version; /* of the configuration whose accounts are in limits */
 	retry_windows_t *retries;
 	usage_t *usage;
-	usage_watermarks_t *watermarks; /* of the starts that count usage */
-	usage_inflight_t *inflight; /* requests of all gateways' starts */
-	bool inflight_changed; /* since what this gateway has in flight was noted */
-	int64_t usage_pruned_window; /* that it was when old counts were dropped last */
+	usage_watermarks_t *watermarks; /* of the incarnations that count usage */
+	usage_inflight_t *inflight; /* requests in flight, by gateway incarnation */
+	bool inflight_changed; /* since this gateway's last in-flight snapshot */
+	int64_t usage_pruned_window; /* current window when usage was last pruned */
 	work_rate_t *work;
 	GHashTable *sheds; /* service -> shed_t */
 	time_vote_t *vote;
 	metrics_t *metrics;
 	http1_client_t *store;
-	store_outage_t *outage; /* of the store */
+	store_outage_t *outage; /* detects outages of the store */
 	http1_client_t *cloud;
 	fleet_feed_t *feed;
 	gateway_peers_t *peers;
@@ -59,15 +59,15 @@
 	uv_tcp_t callers_listener;
 	uv_tcp_t health_listener;
 	uv_timer_t timer;
-	pd_time_t links_check_at; /* when idle links are looked at next */
-	list_node_t callers; /* connections */
-	list_node_t requests; /* all in progress */
-	list_node_t startup_queue; /* requests that wait until this start is set up */
-	list_node_t queues[GATEWAY_RANKS]; /* those that wait for room */
-	unsigned int queued;
-	size_t body_bytes; /* of all requests in progress */
+	pd_time_t links_check_at; /* next check of idle upstream connections */
+	list_node_t callers; /* caller_t: open connections */
+	list_node_t requests; /* gateway_request_t: all in progress */
+	list_node_t startup_queue; /* requests received before initialization */
+	list_node_t queues[GATEWAY_RANKS]; /* requests that wait for capacity */
+	unsigned int queued; /* requests in startup_queue and queues */
+	size_t body_bytes; /* buffered for all requests in progress */
 	pd_time_t started_at;
-	pd_time_t stop_requested_at; /* when the order to stop came; 0: it has not */
+	pd_time_t stop_requested_at; /* 0: not stopping */
 	bool listening;
 } gateway_t;
 
