--- a/adapters/gateway/caller.c
+++ b/adapters/gateway/caller.c
@@ -1,17 +1,17 @@
-/* Reads callers' requests and keeps their connections in order. */
+/* Reads requests from callers' connections, and closes those that time out. */
 #include "adapters/gateway/caller.h"
 
 #include "adapters/gateway/request.h"
 
 /*
- * How long a connection may stay open between requests beyond the limit that is
- * configured: callers use connections that were idle for most of that limit,
- * and a request must not cross the close.
+ * How long an idle connection is kept beyond the configured idle timeout. Callers reuse
+ * connections until shortly before that timeout, and a request on its way must not
+ * meet a closed connection.
  */
 #define IDLE_MARGIN (2 * PD_SEC)
-/* How long a stopping process waits for the first request of a connection. */
+/* How long a stopping gateway waits for the first request on a connection. */
 #define FIRST_REQUEST_TIMEOUT PD_SEC
-/* Answers that a caller does not read are kept up to so many bytes. */
+/* A caller that leaves more of its response unread is disconnected. */
 #define UNSENT_BYTES_MAX (4 * 1024 * 1024)
 
 struct caller {
--- a/adapters/gateway/caller.h
+++ b/adapters/gateway/caller.h
@@ -1,4 +1,4 @@
-/* Callers' connections: one request at a time, answered in order. */
+/* Connections of callers: each carries one request at a time. */
 #ifndef PISTACHIO_CALLER_H
 #define PISTACHIO_CALLER_H
 
--- a/adapters/gateway/health.c
+++ b/adapters/gateway/health.c
@@ -1,4 +1,4 @@
-/* A small server of two pages. */
+/* An HTTP server with two resources: readiness and metrics. */
 #include "adapters/gateway/health.h"
 
 #include <string.h>
@@ -84,7 +84,7 @@
 	(void)ctx;
 }
 
-/* Takes a new connection. */
+/* Accepts a connection from LISTENER; it frees itself when it ends. */
 void health_accept(gateway_t *gateway, uv_stream_t *listener)
 {
 	static const http1_events_t events = { on_connected, on_head, on_body,
--- a/adapters/gateway/health.h
+++ b/adapters/gateway/health.h
@@ -1,4 +1,4 @@
-/* Answers the balancer's question whether to send callers, and metrics. */
+/* Serves the load balancer's readiness check and the metrics. */
 #ifndef PISTACHIO_GATEWAY_HEALTH_H
 #define PISTACHIO_GATEWAY_HEALTH_H
 
--- a/adapters/gateway/reload.c
+++ b/adapters/gateway/reload.c
@@ -1,6 +1,6 @@
 /*
- * Reads the settings again, at SIGHUP and when the file has changed, and puts in
- * force what can be: the rest is logged and waits for the next start.
+ * Reloads the settings on SIGHUP and when the file has changed. Settings that are read
+ * at start only are logged and keep their values until the next start.
  */
 #include "adapters/gateway/reload.h"
 
@@ -11,10 +11,10 @@
 #include "adapters/log_glib.h"
 
 #define LOG_COMPONENT "settings"
-/* The file may change without a signal; a look at it costs one system call. */
+/* The file may change without a signal; each check costs one system call. */
 #define CHECK_PERIOD (2 * PD_SEC)
 
-/* Says whether a key is only read at start: who and where this process is. */
+/* Returns whether a key is read at start only: identity and listen addresses. */
 static bool is_read_at_start_only(const char *key)
 {
 	static const char *const fixed[] = {
@@ -25,7 +25,7 @@
 	return g_strv_contains(fixed, key);
 }
 
-/* Returns a number that changes with the file; 0 if it can't be seen. */
+/* Returns a number that changes when the file does; 0 if its status can't be read. */
 static int64_t file_stamp(const char *path)
 {
 	GStatBuf seen;
@@ -36,6 +36,7 @@
 	       seen.st_mtim.tv_nsec + seen.st_size;
 }
 
+/* Points a client to another address; logs one without a port and ignores it. */
 static void set_client_address(http1_client_t *client, const char *address)
 {
 	char *host = NULL;
@@ -50,7 +51,7 @@
 	g_free(host);
 }
 
-/* Has the parts of the gateway that hold copies of settings take them anew. */
+/* Passes a changed setting on to the parts of the gateway that hold a copy of it. */
 static void apply_setting(gateway_t *gateway, const setting_t *setting)
 {
 	const gateway_settings_t *settings = gateway->settings;
@@ -73,8 +74,8 @@
 }
 
 /*
- * Exchanges what differs, but for what is fixed; OTHER has the old values then.
- * Returns how many keys were taken over.
+ * Swaps the settings that differ, except those read at start only, so that OTHER then
+ * has the old values. Returns the number of settings that were applied.
  */
 static unsigned int apply_changes(gateway_t *gateway, gateway_settings_t *other)
 {
@@ -103,8 +104,8 @@
 }
 
 /*
- * Reads the settings again. If they are wrong, the old ones stay in force: a
- * gateway that ended at a slip in a file would take its callers with it.
+ * Reloads the settings file. If it is invalid, logs that and keeps the current
+ * settings: exiting on a typo would drop all callers of this gateway.
  */
 void gateway_reload(gateway_t *gateway)
 {
@@ -124,7 +125,7 @@
 	gateway_settings_destroy(other);
 }
 
-/* Looks whether the file has changed, every so often. */
+/* Checks every CHECK_PERIOD whether the file has changed, and reloads it if so. */
 void gateway_reload_run(gateway_t *gateway, pd_time_t now)
 {
 	int64_t stamp;
--- a/adapters/gateway/reload.h
+++ b/adapters/gateway/reload.h
@@ -1,4 +1,4 @@
-/* Takes changed settings over while the gateway runs. */
+/* Reloads changed settings while the gateway runs. */
 #ifndef PISTACHIO_GATEWAY_RELOAD_H
 #define PISTACHIO_GATEWAY_RELOAD_H
 
--- a/adapters/gateway/settings.c
+++ b/adapters/gateway/settings.c
@@ -1,4 +1,4 @@
-/* The keys of the gateway's settings. */
+/* The table of the gateway's settings: keys, types, ranges and defaults. */
 #include "adapters/gateway/settings.h"
 
 #include <glib.h>
@@ -54,7 +54,7 @@
 	  "10", "seconds after a window in which its report is due" },
 };
 
-/* Returns the table of all keys. */
+/* Returns the table of all settings; it is static. */
 const setting_table_t *gateway_settings_table(void)
 {
 	static const setting_table_t table = { rows, G_N_ELEMENTS(rows) };
@@ -63,8 +63,8 @@
 }
 
 /*
- * Reads and checks the settings at PATH. Returns NULL with ERR set to one line
- * of file, line, key and what was expected. The caller destroys them.
+ * Reads and validates the settings file at PATH. On failure returns NULL with ERR set
+ * to one line with the file, line, key and expected value. The caller owns the result.
  */
 gateway_settings_t *gateway_settings_read(const char *path, pd_error_t *err)
 {
@@ -78,7 +78,7 @@
 	return NULL;
 }
 
-/* Returns what bounds repeated sends. */
+/* Returns the retry budget: what bounds repeated sends. */
 retry_limits_t gateway_settings_retries(const gateway_settings_t *settings)
 {
 	return (retry_limits_t){
@@ -88,7 +88,7 @@
 	};
 }
 
-/* Returns how accounts' limits are kept. */
+/* Returns the rules by which the limits of accounts are enforced. */
 token_rules_t gateway_settings_limits(const gateway_settings_t *settings)
 {
 	return (token_rules_t){
--- a/adapters/gateway/settings.h
+++ b/adapters/gateway/settings.h
@@ -1,4 +1,4 @@
-/* The settings of the gateway program, from its own TOML file. */
+/* The settings of the gateway program, read from a TOML file. */
 #ifndef PISTACHIO_GATEWAY_SETTINGS_H
 #define PISTACHIO_GATEWAY_SETTINGS_H
 
@@ -13,7 +13,7 @@
 	char *node_id;
 	char *node_zone;
 	char *zones[GATEWAY_ZONES_MAX];
-	char *callers_listen; /* address:port, as all that follow */
+	char *callers_listen; /* address:port, as the addresses below */
 	char *health_listen;
 	char *peers_listen;
 	char *peers_seeds[GATEWAY_SEEDS_MAX];
