--- a/adapters/gateway/caller.c
+++ b/adapters/gateway/caller.c
@@ -19,19 +19,21 @@
 	gateway_t *gateway;
 	http1_t *conn;
 	gateway_request_t *request; /* NULL: none in progress */
-	bool has_sent_request; /* a request has come on the connection */
-	bool keep_alive; /* the connection serves further requests */
-	pd_time_t last_active_at; /* when something last came of a request, or the last ended */
-	pd_time_t head_started_at; /* a head has been coming in since; 0: none is */
-	bool reading_request; /* a request's head or body is on its way */
+	bool has_sent_request; /* at least one head was read */
+	bool keep_alive; /* the connection may carry further requests */
+	pd_time_t last_active_at; /* when data last arrived or a request ended */
+	pd_time_t head_started_at; /* first byte of a partial head; 0: none */
+	bool reading_request; /* a head was read, but not yet the whole body */
 };
 
+/* Removes a caller from the gateway and frees it; its connection is closed elsewhere. */
 static void caller_free(caller_t *caller)
 {
 	list_remove(&caller->node);
 	g_free(caller);
 }
 
+/* Begins the request that HEAD announces. */
 static void on_head(void *ctx, const http1_head_t *head)
 {
 	caller_t *caller = ctx;
@@ -56,6 +58,7 @@
 		caller->keep_alive = false;
 }
 
+/* The request was read completely: reads no further one until it is answered. */
 static void on_message(void *ctx)
 {
 	caller_t *caller = ctx;
@@ -67,7 +70,7 @@
 	gateway_request_start(caller->request);
 }
 
-/* The caller left, or sent what is no request. */
+/* The caller disconnected, or sent data that is not valid HTTP. */
 static void on_end(void *ctx, http1_end_t end)
 {
 	caller_t *caller = ctx;
@@ -83,7 +86,7 @@
 	(void)ctx;
 }
 
-/* Takes a new connection of a caller. */
+/* Accepts a caller's connection from LISTENER; it frees itself when it ends. */
 void caller_accept(gateway_t *gateway, uv_stream_t *listener)
 {
 	static const http1_events_t events = { on_connected, on_head, on_body,
@@ -102,19 +105,22 @@
 	}
 }
 
-/* Sends bytes of an answer. */
+/* Sends LEN bytes of a response. */
 void caller_write(caller_t *caller, const char *data, size_t len)
 {
 	http1_write(caller->conn, data, len);
 }
 
-/* Says whether the connection stays after the answer in progress. */
+/* Returns whether the connection stays open after the current response. */
 bool caller_keeps_alive(const caller_t *caller)
 {
 	return caller->keep_alive && !caller->gateway->stop_requested_at;
 }
 
-/* Ends the request in progress, whose answer was written whole. */
+/*
+ * Ends the current request after its response was written completely. Frees the caller
+ * if its connection is not kept open.
+ */
 void caller_response_done(caller_t *caller)
 {
 	caller->request = NULL;
@@ -128,7 +134,10 @@
 	http1_resume(caller->conn);
 }
 
-/* Ends a connection whose answer can't be finished, so that this shows. */
+/*
+ * Closes a connection whose response can't be completed, so that the caller notices;
+ * frees the caller.
+ */
 void caller_abort(caller_t *caller)
 {
 	caller->request = NULL;
@@ -136,6 +145,7 @@
 	caller_free(caller);
 }
 
+/* Closes a connection that timed out, after a 408 if it has sent part of a request. */
 static void caller_close_timed_out(caller_t *caller)
 {
 	static const char late[] = "HTTP/1.1 408 Request Timeout\r\n"
@@ -153,8 +163,8 @@
 }
 
 /*
- * Says whether a head has been coming in for too long. Callers that send one byte
- * after the other would hold connections for as long as they like.
+ * Returns whether a head has been incomplete for too long. Otherwise callers that send
+ * single bytes could hold connections for as long as they like.
  */
 static bool head_timed_out(caller_t *caller, pd_time_t now)
 {
@@ -170,7 +180,7 @@
 	       now - caller->head_started_at > config->head_timeout;
 }
 
-/* Says whether the connection is idle, or slow to send, for too long. */
+/* Returns whether a connection was idle, or slow to send a request, for too long. */
 static bool caller_timed_out(caller_t *caller, pd_time_t now)
 {
 	const forward_config_t *config = caller->gateway->config;
@@ -182,7 +192,10 @@
 	return head_timed_out(caller, now);
 }
 
-/* Closes connections that are idle, or slow to send, for too long. */
+/*
+ * Closes connections that timed out, and those with more than UNSENT_BYTES_MAX of an
+ * unread response.
+ */
 void callers_run(gateway_t *gateway, pd_time_t now)
 {
 	if (!gateway->config)
@@ -204,8 +217,8 @@
 }
 
 /*
- * Returns whether a request is in progress, being read, or to be expected: a
- * connection is opened for a request that may still be on its way.
+ * Returns whether a request is in progress, being read, or expected soon: the first
+ * one of a new connection may still be on its way.
  */
 static bool caller_is_busy(const caller_t *caller, pd_time_t now)
 {
@@ -215,7 +228,7 @@
 	       now - caller->last_active_at < FIRST_REQUEST_TIMEOUT;
 }
 
-/* Closes the connections on which nothing is in progress. */
+/* Closes the connections without a current or expected request. */
 void callers_close_idle(gateway_t *gateway, pd_time_t now)
 {
 	LIST_FOR_EACH_SAFE (it, &gateway->callers) {
