--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -1,4 +1,4 @@
-/* Lists and watches of the store, one loop for each kind of object. */
+/* Lists and watches the store, in one loop for each kind of object. */
 #include "adapters/gateway/fleet_feed.h"
 
 #include "adapters/gateway/gateway.h"
@@ -8,7 +8,7 @@
 #include "platform/wire.h"
 
 #define LOG_COMPONENT "store"
-/* Lines about spoiled entries in each such time. */
+/* At most so many invalid registrations are logged in each period. */
 #define INVALID_LOGGED_MAX 5
 #define INVALID_LOG_PERIOD (10 * PD_SEC)
 
@@ -18,10 +18,10 @@
 	const char *name;
 	uint64_t revision; /* to watch from */
 	uint64_t list_revision; /* revision of the listing's first page */
-	char *page_after; /* the last name of the page before; NULL: the first */
-	store_feed_t *schedule; /* when to make the next */
-	pd_time_t invalid_since; /* when such entries were begun to be told */
-	unsigned int invalid_logged; /* since then */
+	char *page_after; /* last name of the previous page; NULL: first page */
+	store_feed_t *schedule; /* decides on the next call */
+	pd_time_t invalid_since; /* start of the logging period of invalid entries */
+	unsigned int invalid_logged; /* in that period */
 } feed_t;
 
 struct fleet_feed {
@@ -41,7 +41,7 @@
 	feed->schedule = store_feed_create(fleet->gateway->random);
 }
 
-/* Starts to read both kinds; the caller owns the feed. */
+/* Returns a feed of both kinds, whose calls start with fleet_feed_run(); owned. */
 fleet_feed_t *fleet_feed_create(gateway_t *gateway)
 {
 	fleet_feed_t *fleet = g_new0(fleet_feed_t, 1);
@@ -52,7 +52,7 @@
 	return fleet;
 }
 
-/* Says whether the store answered the last call for the upstreams. */
+/* Returns whether the store answered the last call for the upstreams. */
 bool fleet_feed_is_store_reachable(const fleet_feed_t *feed)
 {
 	return !store_feed_is_lost(feed->upstreams.schedule);
@@ -78,8 +78,8 @@
 }
 
 /*
- * Notes an entry that can't be used. Others may write many of them, again and
- * again, so few are told one by one.
+ * Counts and logs a registration that is invalid. Other writers may store many of
+ * them again and again, so the log lines are rate limited.
  */
 static void log_invalid_entry(feed_t *feed, const char *id, const pd_error_t *err)
 {
@@ -95,6 +95,7 @@
 		log_error(LOG_COMPONENT, id, err);
 }
 
+/* Applies entry I of a page: a registration, its removal, or an invalid one. */
 static void apply_upstream(feed_t *feed, const wire_page_t *page, size_t i)
 {
 	gateway_t *gateway = feed->fleet->gateway;
@@ -107,16 +108,17 @@
 		if (!*id)
 			return;
 		/*
-		 * Not the page's revision: an entry that lapsed and came back
-		 * may be in the same page, and would count as older than its
-		 * end. The whole fleet was lost that way after an outage.
+		 * Not the page's revision: a registration that expired and was
+		 * renewed may be in the same page, and would count as older
+		 * than its removal. After an outage of the store, all
+		 * upstreams would be lost that way.
 		 */
 		changed = forward_upstreams_remove(gateway->upstreams, id,
 						   wire_page_object_revision(page, i),
 						   gateway_now());
 	} else if (wire_page_upstream(page, i, &listing, &err) < 0) {
 		log_invalid_entry(feed, id, &err);
-		/* What stood there before no longer does. */
+		/* The entry has replaced the valid one of the same name. */
 		if (forward_upstreams_find(gateway->upstreams, id))
 			changed = forward_upstreams_remove(
 				gateway->upstreams, id,
@@ -129,8 +131,9 @@
 }
 
 /*
- * Applies a page. Calls are served from the first one on: thousands of upstreams are
- * several pages, and hundreds of starts wait for each other's at the store.
+ * Applies a page of upstreams. The first one is enough to serve callers: thousands of
+ * upstreams need several pages, and when hundreds of gateways start together their
+ * listings queue at the store.
  */
 static void apply_upstreams(feed_t *feed, const wire_page_t *page)
 {
@@ -155,6 +158,7 @@
 	}
 }
 
+/* Ends a listing: watches from its revision on, and drops upstreams it lacked. */
 static void feed_end_listing(feed_t *feed)
 {
 	gateway_t *gateway = feed->fleet->gateway;
@@ -169,6 +173,7 @@
 	gateway->upstreams_listed = true;
 }
 
+/* Applies a page of a listing or of a watch, and moves on behind it. */
 static void feed_apply_page(feed_t *feed, const wire_page_t *page)
 {
 	size_t count = wire_page_count(page);
@@ -193,7 +198,7 @@
 	feed->page_after = g_strdup(wire_page_name(page, count - 1));
 }
 
-/* Logs that the store is lost, if it was not before. */
+/* Logs that the store became unreachable; BEFORE: it already was. */
 static void log_store_lost(const feed_t *feed, bool before, int status)
 {
 	if (before || !store_feed_is_lost(feed->schedule))
@@ -203,6 +208,7 @@
 		 status, feed->revision);
 }
 
+/* Returns what the schedule of calls depends on besides this gateway's own calls. */
 static store_feed_fleet_t feed_fleet(const feed_t *feed, pd_time_t now)
 {
 	const gateway_t *gateway = feed->fleet->gateway;
@@ -235,6 +241,7 @@
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "regained=%s", feed->name);
 }
 
+/* Starts a listing, as the store has no history since the watched revision. */
 static void feed_relist(feed_t *feed)
 {
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
@@ -299,7 +306,7 @@
 		return;
 	fleet = feed_fleet(feed, now);
 	due = store_feed_run(feed->schedule, &fleet, now);
-	/* The calls of the one that watches for this gateway failed. */
+	/* The calls of the peer that watches on behalf of this gateway failed. */
 	if (!before && store_feed_is_lost(feed->schedule))
 		gateway_store_failed(feed->fleet->gateway, now);
 	log_store_lost(feed, before, 0);
@@ -313,7 +320,7 @@
 	}
 }
 
-/* Asks again what is due after a failure. */
+/* Makes the calls that are due by now, such as retries after a failure. */
 void fleet_feed_run(fleet_feed_t *feed, pd_time_t now)
 {
 	feed_run(&feed->config, now);
--- a/adapters/gateway/fleet_feed.h
+++ b/adapters/gateway/fleet_feed.h
@@ -1,6 +1,7 @@
 /*
- * What the platform's store says of the configuration and of the upstreams:
- * a list, then a watch for changes, a list again when the watch's past is gone.
+ * Follows the configuration and the upstreams in the platform's store: lists them,
+ * then watches for changes, and lists again when the store no longer has the history
+ * since the watched revision.
  */
 #ifndef PISTACHIO_FLEET_FEED_H
 #define PISTACHIO_FLEET_FEED_H
--- a/adapters/gateway/upstream_link.c
+++ b/adapters/gateway/upstream_link.c
@@ -1,24 +1,27 @@
-/* Kept connections are taken newest first, and let go before the peer does. */
+/*
+ * The pool reuses the connection that was released last, and closes idle connections
+ * before the upstream does.
+ */
 #include "adapters/gateway/upstream_link.h"
 
 /*
- * An upstream closes idle connections after a time that it states in whole
- * seconds, or not at all if that is under one. A request that crosses the close
- * is reset and may have run, so a link is used only well before.
+ * An upstream closes idle connections after a time that it announces in whole seconds,
+ * or not at all if that is below one second. A request that meets the close is reset
+ * and may have run, so a link is reused only well before.
  */
 #define IDLE_FRACTION 0.6
 #define IDLE_DEFAULT (250 * PD_MSEC)
 #define IDLE_MAX (8 * PD_SEC)
-/* Idle links are looked at this often: a walk over all upstreams. */
+/* How often idle links are checked; the check visits all upstreams. */
 #define LINKS_CHECK_PERIOD (100 * PD_MSEC)
-/* For requests that may not be repeated, a link must have been used lately. */
+/* A request that may not be repeated only reuses a link that was idle for less. */
 #define RECENT_USE_MAX (500 * PD_MSEC)
 
 struct upstream_link {
 	list_node_t node; /* in the upstream's idle links */
 	http1_t *conn;
 	forward_upstream_t *upstream;
-	unsigned int upstream_incarnation; /* of the upstream, to which it was opened */
+	unsigned int upstream_incarnation; /* the one it was opened to */
 	const upstream_link_callbacks_t *callbacks; /* NULL: idle */
 	void *ctx;
 	bool connected;
@@ -26,6 +29,7 @@
 	pd_time_t idle_until;
 };
 
+/* Frees a link and takes it off its upstream's count; its connection is closed. */
 static void link_free(upstream_link_t *link)
 {
 	list_remove(&link->node);
@@ -34,7 +38,7 @@
 	g_free(link);
 }
 
-/* Closes a link, whatever it is doing, without telling its user. */
+/* Closes and frees a link in any state, without calling its callbacks. */
 void upstream_link_close(upstream_link_t *link)
 {
 	http1_close(link->conn);
@@ -74,7 +78,7 @@
 		link->callbacks->on_message(link->ctx);
 }
 
-/* An idle link that ends, or says something that nobody asked, is just gone. */
+/* The connection ended, or received unexpected data; idle links are freed silently. */
 static void on_end(void *ctx, http1_end_t end)
 {
 	upstream_link_t *link = ctx;
@@ -122,9 +126,9 @@
 }
 
 /*
- * Returns a link for one request: a kept one, or one that on_connected will say
- * is up. YOUNG asks for one that can hardly be closed by now. NULL if none can
- * be opened.
+ * Returns a link for one request: an idle one, or a new one that is connected when
+ * on_connected is called. RECENTLY_USED excludes idle links that the upstream may be
+ * closing. Returns NULL if no connection can be opened.
  */
 upstream_link_t *upstream_link_open(gateway_t *gateway,
 				    forward_upstream_t *upstream,
@@ -143,13 +147,16 @@
 	return link;
 }
 
-/* Says whether the link is connected. */
+/* Returns whether the connection is established. */
 bool upstream_link_is_connected(const upstream_link_t *link)
 {
 	return link->connected;
 }
 
-/* Sends a request, whose answer is then awaited. */
+/*
+ * Sends a request and expects its response. BODY may be NULL. TO_HEAD: the method is
+ * HEAD, so the response has no body.
+ */
 void upstream_link_send(upstream_link_t *link, const GString *head,
 			const GByteArray *body, bool to_head)
 {
@@ -166,16 +173,16 @@
 	g_string_free(all, TRUE);
 }
 
-/* Awaits one more answer, after one that was not the request's. */
+/* Expects one more response, after one that belonged to another request. */
 void upstream_link_expect_response(upstream_link_t *link)
 {
 	http1_expect_message(link->conn, false);
 }
 
 /*
- * Keeps a link for the next request, or closes it: an upstream that leaves gets
- * no more, and one that answered before it had read the request would take the
- * rest of it for the next.
+ * Returns a link to the pool, or closes it: an upstream that leaves gets no more
+ * requests, and one that responded before it had read the whole request would take the
+ * rest for the next one. IDLE_TIMEOUT is the one that the upstream announced; 0: none.
  */
 void upstream_link_release(upstream_link_t *link, pd_time_t idle_timeout)
 {
@@ -197,7 +204,7 @@
 	list_append(&link->upstream->idle_links, &link->node);
 }
 
-/* Closes links that were idle for long, and those of upstreams that left. */
+/* Closes expired idle links, and those to upstreams that left or restarted. */
 void upstream_links_run(gateway_t *gateway, pd_time_t now)
 {
 	if (now < gateway->links_check_at)
--- a/adapters/gateway/upstream_link.h
+++ b/adapters/gateway/upstream_link.h
@@ -1,4 +1,4 @@
-/* Connections to upstreams: opened for a request, kept for the next one. */
+/* A pool of connections to upstreams: opened for a request and reused for later ones. */
 #ifndef PISTACHIO_UPSTREAM_LINK_H
 #define PISTACHIO_UPSTREAM_LINK_H
 
@@ -6,7 +6,7 @@
 
 typedef struct upstream_link upstream_link_t;
 
-/* Who uses a link hears of it; after on_end the link is gone. */
+/* Events of a link that is in use; it is freed before on_end is called. */
 typedef struct upstream_link_callbacks {
 	void (*on_connected)(void *ctx);
 	void (*on_head)(void *ctx, const http1_head_t *head);
