--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -1,4 +1,4 @@
-/* The lease's calls to the store, and the duties of its holder. */
+/* Acquires and renews the leader's lease, and runs the duties while it is held. */
 #include "adapters/gateway/duties.h"
 
 #include <inttypes.h>
@@ -16,13 +16,13 @@
 #define LEASE_NAME "duties"
 #define STORE_TIMEOUT_MS 1500
 #define CLOUD_TIMEOUT_MS 1500
-/* Ticks, and clocks that run unevenly, between a holder and the next. */
+/* For timer resolution and clock drift between a leader and the next. */
 #define TAKEOVER_MARGIN (300 * PD_MSEC)
 
 /*
- * A holder that dies must be followed before a window's report is overdue, ten
- * seconds after its end: about four until another looks, and three and a half
- * of waiting.
+ * A leader that dies must be replaced before a window's report is overdue, 10 s after
+ * the window's end: it takes about 4 s until another gateway reads the lease, and
+ * 3.5 s until that one may take it over.
  */
 static const lease_timing_t timing = {
 	.term = 2500 * PD_MSEC,
@@ -31,7 +31,7 @@
 	.standby = 4000 * PD_MSEC,
 };
 
-/* Returns the duties of nobody yet; the caller owns them. */
+/* Returns duties without a lease; the caller owns them. */
 gateway_duties_t *gateway_duties_create(gateway_t *gateway)
 {
 	gateway_duties_t *duties = g_new0(gateway_duties_t, 1);
@@ -45,6 +45,7 @@
 	return duties;
 }
 
+/* Returns what a reply says about the call; STORE_UNKNOWN: it may have been done. */
 static store_status_t store_status(const http1_reply_t *reply)
 {
 	switch (reply->status) {
@@ -63,6 +64,7 @@
 	}
 }
 
+/* Passes a reply of the store on to the lease. */
 static void on_lease_reply(void *ctx, const http1_reply_t *reply)
 {
 	gateway_duties_t *duties = ctx;
@@ -88,6 +90,7 @@
 	lease_record_destroy(record);
 }
 
+/* Makes the call to the store that the lease asks for. */
 static void lease_call(gateway_duties_t *duties, const placer_action_t *action)
 {
 	bool write = action->kind == PLACER_LEASE_WRITE;
@@ -129,11 +132,11 @@
 }
 
 /*
- * How long a new holder waits before it acts: until the calls of the one before
- * have come in or were given up. Whoever takes over does so TAKEOVER after the
- * last renewal, so the one before made its last call TAKEOVER - TERM ago at least.
- * And no holder may act, lose the duties and act again within the configured gap:
- * it gets them back TAKEOVER after another had them, at the earliest.
+ * Returns how long a new leader waits before it acts: until the calls of the previous
+ * one have arrived or timed out. The lease is taken over TAKEOVER after the last
+ * renewal, so the previous leader made its last call at least TAKEOVER - TERM ago.
+ * Besides, no leader may act, lose the lease and act again within the configured gap:
+ * it gets the lease back at the earliest TAKEOVER after another gateway had it.
  */
 static pd_time_t takeover_delay(const gateway_duties_t *duties)
 {
@@ -144,7 +147,7 @@
 	return MAX(calls, gap + TAKEOVER_MARGIN - timing.takeover);
 }
 
-/* Notes when the lease is won or lost. */
+/* Updates the state when the lease was acquired or lost. */
 static void update_leadership(gateway_duties_t *duties, pd_time_t now)
 {
 	bool held = lease_is_settled(duties->lease, now);
@@ -153,7 +156,7 @@
 	if (held && fence != duties->fence) {
 		duties->fence = fence;
 		duties->act_not_before = now + takeover_delay(duties);
-		/* What was planned under an earlier lease is no longer so. */
+		/* Plans made under an earlier lease are out of date. */
 		g_hash_table_remove_all(duties->plans);
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 			 "holder=self fence=%" PRIu64, fence);
@@ -168,13 +171,14 @@
 	duties->held |= held;
 }
 
+/* Returns whether this gateway is the leader and may make calls as such. */
 static bool is_acting(const gateway_duties_t *duties, pd_time_t now)
 {
 	return lease_is_held(duties->lease, now) && now >= duties->act_not_before &&
 	       lease_fence(duties->lease) == duties->fence;
 }
 
-/* Returns the text of what the lease's record notes, borrowed; NULL: none. */
+/* Returns the text of the note in the lease's record, borrowed; NULL: none. */
 const char *duties_lease_note_text(const gateway_duties_t *duties)
 {
 	const lease_record_t *record = lease_record(duties->lease);
@@ -183,8 +187,8 @@
 }
 
 /*
- * Returns what the lease's record notes, borrowed until the record changes. It is
- * asked for at every tick, and read only when it is another one.
+ * Returns the note in the lease's record, borrowed until the record changes. It is
+ * requested at every tick, so it is parsed only when the text has changed.
  */
 const duties_note_t *duties_lease_note(gateway_duties_t *duties)
 {
@@ -199,7 +203,10 @@
 	return duties->lease_note;
 }
 
-/* Posts under the fence of the lease held; PATH and BODY are borrowed. */
+/*
+ * Sends a POST to the cloud API with the fencing token of the lease. PATH and BODY are
+ * borrowed for the call; ON_REPLY is called with CTX.
+ */
 void duties_post(const gateway_duties_t *duties, const char *path,
 		 const char *body, http1_replied_t on_reply, void *ctx)
 {
@@ -221,10 +228,10 @@
 }
 
 /*
- * Says whether this gateway may hold the duties. One that is told to stop goes on
- * with those it has until it ends, also if the store was away for longer than a
- * term: it stopped acting at once before, the next holder came 3.5 to 8 s later,
- * and a report that was due by then came late. It takes over nobody else's.
+ * Returns whether this gateway may hold the lease. A stopping leader keeps it until the
+ * process ends, even if the store was unreachable for longer than a term: the next
+ * leader follows only 3.5 to 8 s after one that gives up, so that a report due in
+ * between would be late. A stopping gateway never takes over another's lease.
  */
 bool gateway_duties_may_hold(const gateway_duties_t *duties)
 {
@@ -238,9 +245,9 @@
 }
 
 /*
- * Notes that this VM led before a start of all gateways. It need not be among those
- * that stand by, and for as long as it does not ask for the lease, these wait for the
- * lease to lapse.
+ * Records that this VM was the leader before all gateways were restarted. It need not
+ * be among the candidates of the highest rank, and until it asks for the lease these
+ * wait for the lease to expire.
  */
 void gateway_duties_resume(gateway_duties_t *duties)
 {
@@ -249,7 +256,7 @@
 	lease_resume(duties->lease, gateway_now());
 }
 
-/* Another one has taken the lease since. */
+/* Stops resuming when another gateway has acquired the lease. */
 static void check_resuming(gateway_duties_t *duties)
 {
 	const lease_record_t *record = lease_record(duties->lease);
@@ -260,9 +267,9 @@
 }
 
 /*
- * Looks at the lease as soon as the store is back. Left to the usual pause after a
- * failed read, which is up to five seconds, the last holder went on that much later
- * than it could, and a report that was due in an outage came late.
+ * Reads the lease as soon as the store is reachable again. With the usual pause after a
+ * failed read, of up to 5 s, the last leader would continue that much later, and a
+ * report that became due in the outage would be late.
  */
 static void check_store(gateway_duties_t *duties, pd_time_t now)
 {
@@ -273,7 +280,7 @@
 	duties->store_reachable = serves;
 }
 
-/* Renews or takes the lease, and does what is due if it is held. */
+/* Renews or acquires the lease, and performs the duties that are due if it is held. */
 void gateway_duties_run(gateway_duties_t *duties, pd_time_t now)
 {
 	if (!gateway_duties_may_hold(duties))
--- a/adapters/gateway/duties.h
+++ b/adapters/gateway/duties.h
@@ -1,7 +1,7 @@
 /*
- * What one gateway at a time does for all, under a lease in the platform's
- * store: usage reports and orders for upstreams. duties-notes.md has the
- * argument why no two act at once.
+ * The duties of the leader, the gateway that holds a lease in the platform's store: it
+ * reports usage and scales the upstreams. duties-notes.md argues why no two gateways
+ * perform them at once.
  */
 #ifndef PISTACHIO_GATEWAY_DUTIES_H
 #define PISTACHIO_GATEWAY_DUTIES_H
--- a/adapters/gateway/duties_note.c
+++ b/adapters/gateway/duties_note.c
@@ -1,4 +1,4 @@
-/* The note of the duties' holder as JSON, and back. */
+/* The leader's note in the lease's record, and its JSON form. */
 #include "adapters/gateway/duties_note.h"
 
 #include <math.h>
@@ -10,7 +10,7 @@
 
 #define LOG_COMPONENT "duties"
 
-/* Returns a note that says nothing; the caller owns it. */
+/* Returns an empty note; the caller owns it. */
 duties_note_t *duties_note_create(void)
 {
 	duties_note_t *note = g_new0(duties_note_t, 1);
@@ -30,7 +30,7 @@
 	g_free(note);
 }
 
-/* Sets the report of a window, copied. */
+/* Sets the report of a window; REPORT is copied. */
 void duties_note_set_report(duties_note_t *note, int64_t window, const char *report)
 {
 	char *copy = g_strdup(report);
@@ -40,9 +40,8 @@
 	note->window = window;
 }
 
-/* Sets the load that a service's fleet is planned for; what is none is left out. */
-void duties_note_set_need(duties_note_t *note, const char *service,
-				  double need)
+/* Sets the planned load of a service, in engines; ignores one that isn't positive. */
+void duties_note_set_need(duties_note_t *note, const char *service, double need)
 {
 	double *value;
 
@@ -53,7 +52,7 @@
 	g_hash_table_insert(note->needs, g_strdup(service), value);
 }
 
-/* Returns the load that a service's fleet is planned for; 0: not noted. */
+/* Returns the planned load of a service, in engines; 0 if the note has none. */
 double duties_note_need(const duties_note_t *note, const char *service)
 {
 	const double *need = g_hash_table_lookup(note->needs, service);
@@ -62,9 +61,9 @@
 }
 
 /*
- * Reads a note, NULL or "" as one that says nothing; the caller owns it. One that
- * can't be read counts as such as well: the windows in it are then reported anew,
- * which the platform refuses if they were reported otherwise before.
+ * Parses a note; NULL and "" give an empty one. The caller owns it. An invalid text is
+ * logged and gives an empty note as well: its window is then reported again, which the
+ * platform rejects if the previous report had other counts.
  */
 duties_note_t *duties_note_parse(const char *text)
 {
@@ -87,13 +86,12 @@
 		duties_note_set_report(note, json_integer_or(root, "window", 0),
 				       report);
 	json_object_foreach(json_object_get(root, "needs"), service, need)
-		duties_note_set_need(note, service,
-					     json_number_value(need));
+		duties_note_set_need(note, service, json_number_value(need));
 	json_decref(root);
 	return note;
 }
 
-/* Returns the note as text, owned by the caller. */
+/* Returns the note as JSON text, owned by the caller. */
 char *duties_note_format(const duties_note_t *note)
 {
 	json_t *root = json_object();
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -1,33 +1,33 @@
-/* The orders for upstreams. */
+/* Scales the upstreams: orders as many of each kind as the plans ask for. */
 #include "adapters/gateway/duties_state.h"
 #include "adapters/log_glib.h"
 #include "core/forward/scale_plan.h"
 #include "platform/wire.h"
 
 #define LOG_COMPONENT "duties"
-/* How often the fleet's size is thought over, and an order is tried again. */
+/* How often the numbers of upstreams are planned, and an order is retried. */
 #define PLAN_PERIOD (200 * PD_MSEC)
 #define ORDER_RETRY (1500 * PD_MSEC)
-/* Upstreams list themselves a little after they have started. */
+/* Upstreams register some time after they have started. */
 #define BOOT_MARGIN (1500 * PD_MSEC)
 
-/* What was last ordered of one kind of upstream in one zone. */
+/* The number of upstreams of one kind to run in one zone. */
 typedef struct order {
 	gateway_duties_t *duties;
 	char *service;
 	char *zone;
 	bool reclaimable;
-	unsigned int target;
-	unsigned int accepted; /* taken by the platform */
-	bool confirmed; /* since this process holds the lease */
-	bool in_flight; /* a call is on its way */
-	bool answered; /* by the platform, to this process */
-	unsigned int requested;
-	pd_time_t next_at;
-	pd_time_t accepted_at; /* when the last order was taken */
+	unsigned int target; /* of the current plan */
+	unsigned int accepted; /* by the platform, last */
+	bool confirmed; /* the platform accepted an order of this process */
+	bool in_flight; /* a call waits for its reply */
+	bool answered; /* the platform replied to an order of this process */
+	unsigned int requested; /* by the last call */
+	pd_time_t next_at; /* earliest time of the next call */
+	pd_time_t accepted_at;
 } order_t;
 
-/* Adds the loads that the fleets are planned for at present. */
+/* Adds the current planned load of each service to a note. */
 void duties_add_needs(gateway_duties_t *duties, duties_note_t *note)
 {
 	GHashTableIter iter;
@@ -36,13 +36,12 @@
 
 	g_hash_table_iter_init(&iter, duties->plans);
 	while (g_hash_table_iter_next(&iter, &service, &plan))
-		duties_note_set_need(note, service,
-					     scale_plan_basis(plan)->need);
+		duties_note_set_need(note, service, scale_plan_basis(plan)->need);
 }
 
 /*
- * Has the next renewal write what the fleets are planned for, so that a leader that
- * follows in a shortage keeps the on-demand upstreams.
+ * Has the next renewal of the lease write the planned loads, so that a leader that
+ * takes over during a shortage keeps the on-demand upstreams.
  */
 static void save_needs(gateway_duties_t *duties, pd_time_t now)
 {
@@ -59,6 +58,7 @@
 	duties_note_destroy(note);
 }
 
+/* Returns the order of a service, zone and kind; creates one that is missing. */
 static order_t *get_order(gateway_duties_t *duties, const char *service,
 			  const char *zone, bool reclaimable)
 {
@@ -78,16 +78,18 @@
 	return order;
 }
 
-/* Returns the plan of a service; each has its own load and shortages. */
+/*
+ * Returns the plan of a service, which has its own load and shortages; creates one that
+ * is missing from the load in the lease's note.
+ */
 static scale_plan_t *get_plan(gateway_duties_t *duties, const char *service)
 {
 	scale_plan_t *plan = g_hash_table_lookup(duties->plans, service);
 
 	if (!plan) {
 		plan = scale_plan_create();
-		scale_plan_restore(plan,
-				   duties_note_need(duties_lease_note(duties),
-							    service));
+		scale_plan_restore(plan, duties_note_need(duties_lease_note(duties),
+							  service));
 		g_hash_table_insert(duties->plans, g_strdup(service), plan);
 	}
 	return plan;
@@ -116,10 +118,11 @@
 	} else if (reply->status == 409) {
 		scale_plan_refused(get_plan(duties, order->service),
 				   order->zone, now);
-		duties->plan_at = now; /* lasting ones start late enough */
+		duties->plan_at = now; /* on-demand ones take long enough to start */
 	}
 }
 
+/* Orders the target from the platform. */
 static void order_send(order_t *order)
 {
 	const scale_basis_t *basis =
@@ -140,9 +143,9 @@
 }
 
 /*
- * Orders what is wanted if the platform has not taken that yet, or if so many
- * should have started by now and have not: what was reclaimed does not come
- * back by itself.
+ * Orders TARGET upstreams unless the platform has accepted that already. Orders again if
+ * so many should have started by now and have not, as the platform does not replace
+ * reclaimed VMs by itself.
  */
 static void order_run(order_t *order, const forward_service_t *service,
 		      unsigned int target, pd_time_t now)
@@ -162,7 +165,7 @@
 
 /*
  * Orders the reclaimable upstreams of a service. Returns whether the platform has
- * answered to all of these orders since this process leads.
+ * replied to each of these orders of this process.
  */
 static bool run_reclaimable_orders(gateway_duties_t *duties,
 				   const forward_service_t *service,
@@ -181,6 +184,7 @@
 	return answered;
 }
 
+/* Plans the upstreams of one service and orders them. */
 static void scale_service(gateway_duties_t *duties,
 			  const forward_service_t *service, pd_time_t now)
 {
@@ -200,9 +204,9 @@
 					     &demand, now, zones);
 
 	/*
-	 * Whether on-demand upstreams have to take the place of reclaimable ones is
-	 * known from the answers. Ordered before, those of the last leader would be
-	 * given up and ordered anew.
+	 * The replies tell whether on-demand upstreams must replace reclaimable ones.
+	 * Without them, a new leader would release those that the previous one had
+	 * ordered and then order them again.
 	 */
 	if (!run_reclaimable_orders(duties, service, zones, count, now))
 		return;
@@ -211,7 +215,7 @@
 			  service, zones[i].lasting, now);
 }
 
-/* Plans the fleets of all services, and orders what they lack. */
+/* Plans the upstreams of all scaled services every PLAN_PERIOD, and orders them. */
 void duties_run_scale(gateway_duties_t *duties, pd_time_t now)
 {
 	const forward_config_t *config = duties->gateway->config;
--- a/adapters/gateway/duties_state.h
+++ b/adapters/gateway/duties_state.h
@@ -1,4 +1,4 @@
-/* The duties in progress, as the files of duties share them. Private to them. */
+/* State of the duties, shared by duties*.c and private to them. */
 #ifndef PISTACHIO_GATEWAY_DUTIES_STATE_H
 #define PISTACHIO_GATEWAY_DUTIES_STATE_H
 
@@ -9,23 +9,23 @@
 struct gateway_duties {
 	gateway_t *gateway;
 	lease_t *lease;
-	store_op_t op; /* of the call that is out */
-	uint64_t fence; /* last seen as held */
-	pd_time_t act_not_before; /* a new holder waits until then */
+	store_op_t op; /* of the lease call in flight */
+	uint64_t fence; /* fencing token of the lease last held; 0: none */
+	pd_time_t act_not_before; /* a new leader waits until then */
 	bool held;
 	bool resuming; /* this VM led before all gateways were killed */
-	bool store_reachable; /* as seen last */
-	int64_t reported_window; /* the last window that the platform took */
-	int64_t sent_window; /* the window of the report that is out */
-	bool report_in_flight; /* a report is out */
-	pd_time_t report_at;
-	pd_time_t counts_asked_at; /* for a report; 0: not yet */
-	bool waiting_for_counts; /* the next report waits for gateways' counts */
+	bool store_reachable; /* at the previous run */
+	int64_t reported_window; /* the last one whose report the platform accepted */
+	int64_t sent_window; /* of the report sent last */
+	bool report_in_flight;
+	pd_time_t report_at; /* earliest time of the next report */
+	pd_time_t counts_asked_at; /* counts were requested for a report; 0: not yet */
+	bool waiting_for_counts; /* the next report waits for counts of gateways */
 	GHashTable *plans; /* service -> scale_plan_t */
 	GHashTable *orders; /* "service zone kind" -> order_t */
-	pd_time_t plan_at;
-	duties_note_t *lease_note; /* of the lease's record, as read last */
-	char *lease_note_text;
+	pd_time_t plan_at; /* when to plan the scaling next */
+	duties_note_t *lease_note; /* parsed from lease_note_text */
+	char *lease_note_text; /* note of the lease's record when it was last parsed */
 };
 
 const char *duties_lease_note_text(const gateway_duties_t *duties);
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -1,4 +1,4 @@
-/* The reports of usage. */
+/* Reports the usage of each window to the platform. */
 #include <inttypes.h>
 
 #include "adapters/gateway/checkpoint.h"
@@ -10,7 +10,7 @@
 
 #define LOG_COMPONENT "duties"
 #define REPORT_RETRY (500 * PD_MSEC)
-/* A report waits so long for the record at most. */
+/* How long a report waits at most for the checkpointed counts. */
 #define COUNTS_TIMEOUT (700 * PD_MSEC)
 
 static void on_report_reply(void *ctx, const http1_reply_t *reply)
@@ -21,13 +21,14 @@
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "usage window=%" PRId64 " status=%d", duties->sent_window,
 		 reply->status);
-	/* A report that is refused for what it says is not sent again. */
+	/* A report that is rejected for its content is not sent again. */
 	if (reply->status >= 200 && reply->status < 500 && reply->status != 429)
 		duties->reported_window = duties->sent_window;
 	else
 		duties->report_at = gateway_now() + REPORT_RETRY;
 }
 
+/* Sends the report of the lease's note. */
 static void send_report(gateway_duties_t *duties, const duties_note_t *note)
 {
 	duties->report_in_flight = true;
@@ -60,7 +61,10 @@
 	lost->sum += entry->count;
 }
 
-/* Adds the requests that were in flight in a window when their VMs lost power. */
+/*
+ * Adds the requests to COUNTS that were in flight in a window when their VMs lost power:
+ * upstreams run them all the same.
+ */
 static void add_all_lost(const gateway_duties_t *duties, int64_t window,
 			 GHashTable *counts)
 {
@@ -79,8 +83,8 @@
 }
 
 /*
- * Writes a window's report into the lease before it is sent, so that the next leader
- * repeats it with the same counts.
+ * Writes the report of a window into the lease's record before it is sent, so that the
+ * next leader would repeat it with the same counts.
  */
 static void save_report(gateway_duties_t *duties, int64_t window, pd_time_t now)
 {
@@ -104,8 +108,9 @@
 }
 
 /*
- * Has the checkpointed counts read before a report is made: its writers have those
- * of gateways that have died since. Returns whether there is no more to wait for.
+ * Requests the checkpointed counts before a report is made, as they include those of
+ * gateways that have died since. Returns whether they were read or COUNTS_TIMEOUT is
+ * over.
  */
 static bool are_counts_read(gateway_duties_t *duties, pd_time_t now)
 {
@@ -121,8 +126,8 @@
 }
 
 /*
- * Returns the window to report next. If no report was ever noted, as all gateways
- * were killed before the lease was taken, windows with counts may still be due.
+ * Returns the window to report next. If the lease has no report, as all gateways were
+ * killed before the lease was acquired, windows with counts may still be due.
  */
 static int64_t next_window(const gateway_duties_t *duties,
 			   const duties_note_t *note, int64_t ended)
@@ -135,7 +140,7 @@
 	return usage_first_window(gateway->usage, due, ended);
 }
 
-/* Returns the last window that may be reported if its counts are COMPLETE. */
+/* Returns the last window that may be reported now; COMPLETE: its counts are. */
 static int64_t last_window(const gateway_t *gateway, bool complete, pd_time_t now)
 {
 	pd_time_t due = gateway_report_delay_max(gateway);
@@ -147,8 +152,8 @@
 }
 
 /*
- * Logs and counts for how long a window's counts were not checkpointed before all
- * gateways were killed: what was counted then is lost.
+ * Logs the part of a window, in ms, that was not checkpointed before all gateways were
+ * killed, and adds it to a metric: counts of that time are lost.
  */
 static void log_usage_gap(const gateway_duties_t *duties, int64_t window,
 			  pd_time_t now)
@@ -173,7 +178,10 @@
 		    (double)missing);
 }
 
-/* Logs and counts a report that is made though counts may be on their way. */
+/*
+ * Logs and counts a report that is made with incomplete counts, and waits no longer for
+ * the missing ones.
+ */
 static void give_up_open_counts(gateway_duties_t *duties, int64_t window,
 				const usage_coverage_t *coverage)
 {
@@ -189,7 +197,8 @@
 
 /*
  * Returns whether the report of a window may be made. It waits for gateways that have
- * counted in it and are cut off, and then for what they have told the writers.
+ * counted in the window and are out of contact, and then for the counts that they have
+ * sent to the checkpoint's writers.
  */
 static bool is_report_due(gateway_duties_t *duties, int64_t window, pd_time_t now)
 {
@@ -214,7 +223,7 @@
 	return !waits;
 }
 
-/* Reports the next window that has ended, or repeats a report that was not taken. */
+/* Reports the next window that has ended, or repeats a report that was not accepted. */
 void duties_run_usage(gateway_duties_t *duties, pd_time_t now)
 {
 	int64_t ended = last_window(duties->gateway, true, now);
