--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -1,42 +1,46 @@
-/* Requests on their way in: what is checked, who waits, whose time is over. */
+/* Admission, queueing and timeouts of requests. */
 #include "adapters/gateway/request_state.h"
 
 #include "adapters/gateway/gateway.h"
 #include "adapters/log_glib.h"
 #include "platform/wire.h"
 
-/* A connection to an upstream takes a few milliseconds, or a lost packet more. */
+/* Connecting takes a few milliseconds, or one retransmission more. */
 #define CONNECT_TIMEOUT (400 * PD_MSEC)
 /*
- * A plain call that may be repeated and is not answered by so many times its
- * aim is sent to another upstream; the slowest sound ones take some five times
- * the mean work, which is well under the aim.
+ * A request to a safe route without a response after so many times the route's latency
+ * goal is sent to another upstream. The slowest healthy requests take about five times
+ * the mean, which is well below the goal.
  */
 #define RESPONSE_TIMEOUT_GOALS 2.5
-/* Bodies of all requests in progress; beyond, requests are refused. */
+/* Limit of the buffered bodies of all requests; beyond it, requests get a 503. */
 #define BODY_BYTES_MAX (64 * 1024 * 1024)
 /*
- * A request waits for room no longer than this part of its aim: later, even a
- * free place would be of little use, and its caller could have come back.
+ * A request is queued no longer than this fraction of its route's latency goal: later,
+ * even a free slot is of little use, and the caller could have retried elsewhere.
  */
 #define QUEUE_GOAL_FRACTION 0.5
 #define QUEUE_TIME_MIN (100 * PD_MSEC)
-/* Priorities that are told apart: of accounts, and of routes in each of these. */
+/* Priorities of accounts; each is divided into RANKS_PER_ACCOUNT ones of routes. */
 #define ACCOUNT_RANKS 3
 #define RANKS_PER_ACCOUNT (GATEWAY_RANKS / ACCOUNT_RANKS)
-/* Another gateway takes the caller at once. */
+/* Another gateway can accept the caller at once. */
 #define RETRY_AFTER_STOPPING (20 * PD_MSEC)
 #define RETRY_AFTER_NO_CONFIG (500 * PD_MSEC)
 /*
- * A start reads the configuration, the upstreams and the checkpoint within some
- * 0.1 s, in fleets of hundreds too. Requests that come before wait so long after
- * the start at most: refused, they were late whatever came next, 90 to 140 of them
- * after each kill of all in fleets of 63 to 83. Whoever has still not read all by
- * then does not know when it will, and refuses at once.
+ * How long after the start of the process requests wait for its initialization at most.
+ * A gateway reads the configuration, the upstreams and the checkpoint within about
+ * 0.1 s, in fleets of hundreds as well. When earlier requests were refused instead, 90
+ * to 140 of them missed their deadlines after each restart of all gateways in fleets of
+ * 63 to 83. A gateway that is not initialized by then can't tell when it will be, and
+ * refuses requests at once.
  */
 #define STARTUP_WAIT_MAX (250 * PD_MSEC)
 
-/* Begins a request whose head was read; it owns itself until it is answered. */
+/*
+ * Creates a request whose head was read. It frees itself when it ends; CALLER is
+ * borrowed and must abandon the request before it is freed.
+ */
 gateway_request_t *gateway_request_create(gateway_t *gateway, caller_t *caller,
 					  const http1_head_t *head)
 {
@@ -56,7 +60,7 @@
 	return request;
 }
 
-/* Adds bytes of the body. False: it is too long, and will be refused. */
+/* Appends to the body. Returns false if it is too long; the request then gets a 413. */
 bool gateway_request_add_body(gateway_request_t *request, const char *data,
 			      size_t len)
 {
@@ -71,13 +75,14 @@
 	return true;
 }
 
-/* Says whether the caller has given the request up, by its own word. */
+/* Returns whether the time that the caller allowed for the request is over. */
 bool gateway_request_is_overdue(const gateway_request_t *request, pd_time_t now)
 {
 	return request->call->patience > 0 &&
 	       now - request->arrived_at > request->call->patience;
 }
 
+/* Returns what a request costs of its account's limit: tokens, or 1 for a request. */
 static double request_cost(const gateway_request_t *request)
 {
 	const forward_account_t *account = request->account;
@@ -89,7 +94,7 @@
 	return (double)request->call->prompt_tokens + request->call->output_tokens;
 }
 
-/* Finds whose request it is. False: it was refused. */
+/* Finds the account of the request by its API key. Returns false if it was refused. */
 static bool request_authenticate(gateway_request_t *request)
 {
 	const forward_config_t *config = request->config;
@@ -104,6 +109,7 @@
 	return false;
 }
 
+/* Charges the request to its account's limit. Returns false if it was refused. */
 static bool request_charge(gateway_request_t *request)
 {
 	token_verdict_t verdict;
@@ -129,7 +135,7 @@
 	return false;
 }
 
-/* Orders requests by their account's priority, and by the route's among these. */
+/* Returns the rank by the account's priority first, then by that of the route. */
 static int request_rank(const gateway_request_t *request)
 {
 	int rank = CLAMP(request->route->priority, 0, RANKS_PER_ACCOUNT - 1);
@@ -149,7 +155,7 @@
 	request->deadline = request->arrived_at + allowed;
 }
 
-/* Lets a request wait until this start is set up, if that can't be long. */
+/* Queues a request until the gateway is initialized; refuses it if that takes long. */
 static void request_await_startup(gateway_request_t *request)
 {
 	gateway_t *gateway = request->gateway;
@@ -163,7 +169,7 @@
 	gateway->queued++;
 }
 
-/* Decides on the requests that came before this start was set up. */
+/* Starts the requests of the startup queue when the gateway is initialized. */
 static void startup_queue_run(gateway_t *gateway, pd_time_t now)
 {
 	if (!gateway_is_initialized(gateway) &&
@@ -179,7 +185,7 @@
 	}
 }
 
-/* Decides on a request that was read whole, and sends it or refuses it. */
+/* Checks a request that was read completely, and dispatches, queues or refuses it. */
 void gateway_request_start(gateway_request_t *request)
 {
 	gateway_t *gateway = request->gateway;
@@ -234,7 +240,7 @@
 	gateway_request_dispatch(request);
 }
 
-/* Lets a request wait for room, behind others of its rank. */
+/* Queues a request behind others of its rank until an upstream has capacity. */
 void gateway_request_enqueue(gateway_request_t *request)
 {
 	gateway_t *gateway = request->gateway;
@@ -244,7 +250,7 @@
 	gateway->queued++;
 }
 
-/* How long a request may wait for room. */
+/* Returns how long a request may be queued. */
 static pd_time_t queue_time_max(const gateway_request_t *request)
 {
 	pd_time_t part =
@@ -253,7 +259,7 @@
 	return MAX(part, QUEUE_TIME_MIN);
 }
 
-/* Sends what waits, the most urgent first, as far as there is room. */
+/* Sends queued requests, the most urgent first, while upstreams have capacity. */
 static void queues_run(gateway_t *gateway, pd_time_t now)
 {
 	for (int rank = 0; rank < GATEWAY_RANKS && gateway->queued; rank++) {
@@ -283,7 +289,7 @@
 	}
 }
 
-/* Says whether an attempt has been silent for too long to wait on. */
+/* Returns whether to abandon an attempt that has not connected or responded in time. */
 static bool attempt_timed_out(const gateway_request_t *request, pd_time_t now)
 {
 	if (!request->upstream)
@@ -300,9 +306,9 @@
 }
 
 /*
- * Says whether the upstream runs anew since the attempt began. What ran there is
- * lost, and if its VM was cut off, no reset ever says so: the caller would wait
- * until its time is over for an answer that can't come.
+ * Returns whether the upstream was restarted since the attempt began. Its requests are
+ * lost, and if its VM was disconnected no TCP reset arrives: the caller would wait until
+ * its deadline for a response that can't come.
  */
 static bool attempt_upstream_restarted(const gateway_request_t *request)
 {
@@ -310,13 +316,14 @@
 	       request->upstream_incarnation != request->upstream->starts;
 }
 
-/* Returns whether an attempt still connects to an upstream that has left since. */
+/* Returns whether an attempt is still connecting to an upstream that left meanwhile. */
 static bool attempt_upstream_left(const gateway_request_t *request)
 {
 	return request->upstream && request->link && !request->sent_at &&
 	       !forward_upstream_serves(request->upstream);
 }
 
+/* Closes the connection of an attempt and ends it. */
 static void attempt_abandon(gateway_request_t *request, const char *reason)
 {
 	bool sent = request->sent_at != 0;
@@ -328,6 +335,7 @@
 				    reason);
 }
 
+/* Ends a request whose deadline is over. */
 static void request_expire(gateway_request_t *request)
 {
 	if (request->state == REQUEST_STREAMING) {
@@ -344,7 +352,7 @@
 	gateway_request_give_up(request, RETRY_AFTER_FULL, "timeout");
 }
 
-/* Lets time pass: queues, timeouts, silent upstreams. */
+/* Advances the queues, and ends requests and attempts that timed out. */
 void gateway_requests_run(gateway_t *gateway, pd_time_t now)
 {
 	gateway_sheds_run(gateway, now);
--- a/adapters/gateway/request.h
+++ b/adapters/gateway/request.h
@@ -1,6 +1,6 @@
 /*
- * One request of a caller: checked, sent to an upstream, answered. Its state
- * says what may be told the caller; request-notes.md has the table.
+ * One request of a caller, from its head to the end of the response. Its state decides
+ * how a failure is reported to the caller; request-notes.md has the table.
  */
 #ifndef PISTACHIO_GATEWAY_REQUEST_H
 #define PISTACHIO_GATEWAY_REQUEST_H
--- a/adapters/gateway/request_state.h
+++ b/adapters/gateway/request_state.h
@@ -1,4 +1,4 @@
-/* A request in progress, as the files of requests share it. Private to them. */
+/* State of a request, shared by request*.c and private to them. */
 #ifndef PISTACHIO_GATEWAY_REQUEST_STATE_H
 #define PISTACHIO_GATEWAY_REQUEST_STATE_H
 
@@ -8,35 +8,35 @@
 #include "core/forward/event_stream.h"
 
 /*
- * When callers may come back: after a refusal for want of room about the time in
- * which some requests end, and without any upstream a few looks at the store.
+ * Values of Retry-After: without capacity, about the time in which some requests end;
+ * without any upstream, the time of a few reads of the store.
  */
 #define RETRY_AFTER_FULL (400 * PD_MSEC)
 #define RETRY_AFTER_NO_UPSTREAM (600 * PD_MSEC)
 
 typedef enum request_state {
-	REQUEST_READING, /* from the caller */
+	REQUEST_READING, /* receiving it from the caller */
 	REQUEST_QUEUED,
-	REQUEST_CONNECTING, /* an upstream is chosen, nothing was sent */
-	REQUEST_SENT, /* bytes may have left; no answer yet */
-	REQUEST_HEAD_RECEIVED, /* an answer's head came; the caller has nothing */
-	REQUEST_STREAMING, /* the caller has a part of the answer */
+	REQUEST_CONNECTING, /* an upstream was chosen, nothing was sent */
+	REQUEST_SENT, /* bytes may have been sent; no response yet */
+	REQUEST_HEAD_RECEIVED, /* of the response; the caller has nothing yet */
+	REQUEST_STREAMING, /* the caller has part of the response */
 	REQUEST_ENDED
 } request_state_t;
 
-/* How an attempt at an upstream ended without an answer to pass on. */
+/* How an attempt at an upstream ended without a response to forward. */
 typedef enum attempt_outcome {
-	ATTEMPT_UNSENT, /* no byte left */
-	ATTEMPT_REJECTED, /* the upstream vouches that it did not run */
+	ATTEMPT_UNSENT, /* nothing was sent */
+	ATTEMPT_REJECTED, /* the upstream confirmed that it did not run */
 	ATTEMPT_UNKNOWN, /* it may have run */
-	ATTEMPT_FAILED /* the upstream ran it and says that it failed */
+	ATTEMPT_FAILED /* the upstream ran it and reported a failure */
 } attempt_outcome_t;
 
 struct gateway_request {
 	list_node_t node;
-	list_node_t queue_node; /* in a queue */
+	list_node_t queue_node; /* in the startup queue or that of its rank */
 	gateway_t *gateway;
-	caller_t *caller; /* NULL: it left */
+	caller_t *caller; /* borrowed */
 	forward_call_t *call;
 	GByteArray *body;
 	bool has_body;
@@ -44,36 +44,36 @@
 	request_state_t state;
 	forward_config_t *config;
 	const forward_route_t *route;
-	const forward_account_t *account; /* NULL: of nobody */
+	const forward_account_t *account; /* NULL: unauthenticated, on an open route */
 	const char *service;
-	int rank;
-	double charged; /* out of the account's limit */
-	pd_time_t arrived_at;
-	pd_time_t read_at; /* when it was read whole */
-	pd_time_t deadline; /* for the final answer */
-	unsigned int sends;
-	unsigned int deliveries; /* sends that reached an upstream */
-	unsigned int possible_runs; /* sends that may have run */
-	bool usage_counted; /* in the usage */
-	bool outcome_recorded; /* its first send's outcome was noted */
+	int rank; /* 0 is the most urgent */
+	double charged; /* to the account's limit, in its unit */
+	pd_time_t arrived_at; /* when its head was read */
+	pd_time_t read_at; /* when it was read completely */
+	pd_time_t deadline; /* for the end of the response */
+	unsigned int sends; /* attempts begun */
+	unsigned int deliveries; /* attempts whose request was sent */
+	unsigned int possible_runs; /* attempts that may have run */
+	bool usage_counted;
+	bool outcome_recorded; /* for load shedding */
 	char *tried[FORWARD_TRIED_MAX];
 	unsigned int tried_count;
-	/* The attempt in progress. */
-	forward_upstream_t *upstream;
-	unsigned int upstream_incarnation; /* of the upstream, that the attempt is made at */
+	/* The current attempt. */
+	forward_upstream_t *upstream; /* NULL: no attempt */
+	unsigned int upstream_incarnation; /* when the attempt began */
 	upstream_link_t *link;
 	pd_time_t attempt_started_at;
 	pd_time_t sent_at; /* 0: nothing was sent yet */
-	double prefill_tokens; /* prompt tokens noted at the upstream */
-	bool prefills_alone; /* the upstream had nothing else to read */
-	bool skipping_response; /* the answer that comes in is of another request */
+	double prefill_tokens; /* added to the upstream's; 0 after the first event */
+	bool prefills_alone; /* the upstream had no other prompt to prefill */
+	bool skipping_response; /* the current response is for another request */
 	int status;
 	bool rejected;
-	bool sealed;
+	bool sealed; /* the upstream marked the response as complete */
 	bool is_stream;
 	bool response_keep_alive;
 	pd_time_t idle_timeout;
-	GString *response_headers; /* header lines to pass on */
+	GString *response_headers; /* header lines to forward */
 	GByteArray *response_body;
 	event_stream_t *events;
 };
