--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -195,15 +195,15 @@
 	gateway_request_give_up(request, RETRY_AFTER_FULL, reason);
 }
 
-/* Records the work of the attempt; UNREAD: prompt tokens that the engine must prefill. */
-static void attempt_add_work(gateway_request_t *request, double unread)
+/* Records the work of the attempt; UNCACHED_TOKENS must be prefilled. */
+static void attempt_add_work(gateway_request_t *request, double uncached_tokens)
 {
 	const forward_call_t *call = request->call;
 	double rate = gateway_engine_rate(request->gateway, request->service);
 	double output =
 		call->output_tokens * engine_tokens(rate, ENGINE_OUTPUT_TIME);
 
-	request->prefill_tokens = unread;
+	request->prefill_tokens = uncached_tokens;
 	/*
 	 * A prompt is a sample of the prefill rate only if the engine prefills
 	 * no other one, and if little of it is shared: whether the engine has
@@ -213,7 +213,8 @@
 	request->prefills_alone = forward_upstream_reading(request->upstream) < 1 &&
 				  forward_call_shared(call) <=
 					  call->prompt_tokens * SHARED_PROMPT_MAX;
-	work_rate_add(request->gateway->work, request->service, unread + output);
+	work_rate_add(request->gateway->work, request->service,
+		      uncached_tokens + output);
 }
 
 /* Starts an attempt at an upstream: sends the request, or connects first. */
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -58,10 +58,11 @@
 /* Returns how long after the arrival of a request its first event counts as late. */
 static pd_time_t first_event_time_max(const gateway_request_t *request)
 {
-	double reading = request->call->prompt_tokens * (double)PD_SEC /
-			 gateway_engine_rate(request->gateway, request->service);
+	double prefill_time =
+		request->call->prompt_tokens * (double)PD_SEC /
+		gateway_engine_rate(request->gateway, request->service);
 
-	return request->route->goal + (pd_time_t)reading;
+	return request->route->goal + (pd_time_t)prefill_time;
 }
 
 /* Records once whether the request was delayed or rejected by PRESSED engines. */
