--- a/tests/guarantees/test_gateway_soak.c
+++ b/tests/guarantees/test_gateway_soak.c
@@ -28,7 +28,7 @@
 #define CALL_MAX_MS 3500
 /* After a notice gateways have two seconds; lost contact gives them three more. */
 #define DRAIN_MAX_MS 2300
-#define TROUBLE_MS 3500
+#define DISTURBED_MS 3500
 /* Links are held back by this at most; a call is answered in time all the same. */
 #define DELAY_MAX_MS 150
 
@@ -54,7 +54,7 @@
 	bool stopping;
 	bool paused;
 	uint64_t act_at; /* when it is woken or started again; 0: never */
-	uint64_t troubled_at;
+	uint64_t disturbed_at;
 	uint16_t port;
 } gateway_state_t;
 
@@ -70,7 +70,7 @@
 	bool links; /* the links fail too */
 	forwarder_t *to_store[RIG_GATEWAYS];
 	forwarder_t *to_upstream[RIG_UPSTREAMS];
-	uint64_t store_link_mends_at[RIG_GATEWAYS]; /* 0: it is sound */
+	uint64_t store_link_repaired_at[RIG_GATEWAYS]; /* 0: it is sound */
 } soak_t;
 
 static uint64_t now_ms(void)
@@ -146,7 +146,7 @@
 	return length && strlen(body) >= strtoul(length + 16, NULL, 10);
 }
 
-static void violation(const soak_t *soak, const call_t *call, const char *what)
+static void fail_call(const soak_t *soak, const call_t *call, const char *what)
 {
 	fail_msg("seed %u: call %s: %s; it got: %s", soak->seed, call->id, what,
 		 call->caller->got->str);
@@ -163,12 +163,12 @@
 		snprintf(event, sizeof(event), "id: %d\ndata: e%d\n\n", i, i);
 		at = strstr(at, event);
 		if (!at) {
-			violation(soak, call, "an event is missing");
+			fail_call(soak, call, "an event is missing");
 			return;
 		}
 		at += strlen(event);
 		if (strstr(at, event))
-			violation(soak, call, "an event comes twice");
+			fail_call(soak, call, "an event comes twice");
 	}
 }
 
@@ -179,21 +179,21 @@
 	char id[48];
 
 	if ((call->kind == CALL_UNSAFE || call->kind == CALL_ONCE) && runs > 1)
-		violation(soak, call, "ran more than once");
+		fail_call(soak, call, "ran more than once");
 	if (call->kind == CALL_SAFE && runs > 2)
-		violation(soak, call, "ran at more upstreams than allowed");
+		fail_call(soak, call, "ran at more upstreams than allowed");
 	if ((status == 503 || status == 429 || status == 408 || status == 421) &&
 	    runs)
-		violation(soak, call, "was said not to have run, and ran");
+		fail_call(soak, call, "was said not to have run, and ran");
 	if (status != 200 || !is_whole(call))
 		return;
 	snprintf(id, sizeof(id), "X-Attempt-Id: %s\r\n", call->id);
 	if (!strstr(call->caller->got->str, id))
-		violation(soak, call, "got the answer to another call");
+		fail_call(soak, call, "got the answer to another call");
 	if (call->kind == CALL_STREAM || call->kind == CALL_ONCE)
 		check_events(soak, call);
 	else if (!g_str_has_prefix(body_of(call), "from "))
-		violation(soak, call, "got another body");
+		fail_call(soak, call, "got another body");
 }
 
 /* A gateway that nothing was done to answers or closes by the deadline. */
@@ -203,19 +203,19 @@
 
 	rig_hear(call->caller);
 	if (call->left || call->caller->closed || is_whole(call) ||
-	    gateway->troubled_at + TROUBLE_MS > call->begun_at)
+	    gateway->disturbed_at + DISTURBED_MS > call->begun_at)
 		return;
 	if (now_ms() - call->begun_at > CALL_MAX_MS)
-		violation(soak, call, "was not answered in time");
+		fail_call(soak, call, "was not answered in time");
 }
 
-static void trouble(soak_t *soak, int number, uint64_t for_ms)
+static void mark_disturbed(soak_t *soak, int number, uint64_t for_ms)
 {
-	soak->gateways[number].troubled_at = now_ms();
+	soak->gateways[number].disturbed_at = now_ms();
 	soak->gateways[number].act_at = now_ms() + for_ms;
 }
 
-static void hit_gateway(soak_t *soak, int number, int how)
+static void inject_gateway_fault(soak_t *soak, int number, int fault)
 {
 	gateway_state_t *gateway = &soak->gateways[number];
 	process_t *process = soak->rig->gateways[number];
@@ -223,8 +223,8 @@
 
 	if (!gateway->up || gateway->stopping || gateway->paused)
 		return;
-	trouble(soak, number, for_ms);
-	switch (how) {
+	mark_disturbed(soak, number, for_ms);
+	switch (fault) {
 	case 0:
 		process_signal(process, SIGKILL);
 		gateway->up = false;
@@ -241,15 +241,15 @@
 	}
 }
 
-static void hit_store(soak_t *soak, int number)
+static void inject_store_fault(soak_t *soak, int number)
 {
-	rig_server_t *door = &soak->rig->stores[number];
+	rig_server_t *store = &soak->rig->stores[number];
 
-	door->down = !door->down;
-	soak->gateways[number].troubled_at = now_ms();
+	store->down = !store->down;
+	soak->gateways[number].disturbed_at = now_ms();
 }
 
-static void hit_upstream(soak_t *soak, int number)
+static void inject_upstream_fault(soak_t *soak, int number)
 {
 	bool drained = soak->drained_at[number] != 0;
 	unsigned int serving = 0;
@@ -263,7 +263,7 @@
 }
 
 /* Has a link fail; returns whether it stays so until it is mended. */
-static bool fail_link(soak_t *soak, forwarder_t *link)
+static bool inject_fault_on_link(soak_t *soak, forwarder_t *link)
 {
 	switch (g_rand_int_range(soak->random, 0, 5)) {
 	case 0:
@@ -286,68 +286,69 @@
 	}
 }
 
-static void mend_link(forwarder_t *link)
+static void repair_link(forwarder_t *link)
 {
 	forwarder_delay(link, 0);
 	forwarder_refuse(link, false);
 }
 
 /* Has the link to an upstream or to a gateway's door of the store fail. */
-static void hit_link(soak_t *soak)
+static void inject_link_fault(soak_t *soak)
 {
 	int number;
 
 	if (g_rand_boolean(soak->random)) {
 		number = g_rand_int_range(soak->random, 0, RIG_UPSTREAMS);
-		mend_link(soak->to_upstream[number]);
-		fail_link(soak, soak->to_upstream[number]);
+		repair_link(soak->to_upstream[number]);
+		inject_fault_on_link(soak, soak->to_upstream[number]);
 		return;
 	}
 	number = g_rand_int_range(soak->random, 0, RIG_GATEWAYS);
-	mend_link(soak->to_store[number]);
-	soak->gateways[number].troubled_at = now_ms();
-	soak->store_link_mends_at[number] =
-		fail_link(soak, soak->to_store[number])
+	repair_link(soak->to_store[number]);
+	soak->gateways[number].disturbed_at = now_ms();
+	soak->store_link_repaired_at[number] =
+		inject_fault_on_link(soak, soak->to_store[number])
 			? now_ms() + (uint64_t)g_rand_int_range(soak->random,
 								200, 2000)
 			: 0;
 }
 
 /* A gateway that can't reach the store is excused for as long. */
-static void follow_links(soak_t *soak)
+static void update_store_links(soak_t *soak)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
-		if (!soak->store_link_mends_at[i])
+		if (!soak->store_link_repaired_at[i])
 			continue;
-		soak->gateways[i].troubled_at = now_ms();
-		if (now_ms() < soak->store_link_mends_at[i])
+		soak->gateways[i].disturbed_at = now_ms();
+		if (now_ms() < soak->store_link_repaired_at[i])
 			continue;
-		mend_link(soak->to_store[i]);
-		soak->store_link_mends_at[i] = 0;
+		repair_link(soak->to_store[i]);
+		soak->store_link_repaired_at[i] = 0;
 	}
 }
 
-static void hit(soak_t *soak)
+static void inject_fault(soak_t *soak)
 {
 	int number = g_rand_int_range(soak->random, 0, RIG_GATEWAYS);
 
 	soak->faults++;
 	if (soak->links && g_rand_boolean(soak->random)) {
-		hit_link(soak);
+		inject_link_fault(soak);
 		return;
 	}
 	switch (g_rand_int_range(soak->random, 0, 6)) {
 	case 0:
 	case 1:
-		hit_gateway(soak, number, g_rand_int_range(soak->random, 0, 3));
+		inject_gateway_fault(soak, number,
+				     g_rand_int_range(soak->random, 0, 3));
 		return;
 	case 2:
-		hit_store(soak, number);
+		inject_store_fault(soak, number);
 		return;
 	case 3:
 	case 4:
-		hit_upstream(soak,
-			     g_rand_int_range(soak->random, 0, RIG_UPSTREAMS));
+		inject_upstream_fault(soak, g_rand_int_range(soak->random, 0,
+							     RIG_UPSTREAMS));
 		return;
 	default:
 		rig_put_config(soak->rig, ++soak->version, "");
@@ -365,11 +366,11 @@
 	gateway->stopping = false;
 	gateway->port = 0;
 	gateway->act_at = 0;
-	gateway->troubled_at = now_ms();
+	gateway->disturbed_at = now_ms();
 }
 
 /* Wakes, restarts and finds again what was hit. */
-static void mend(soak_t *soak)
+static void repair_gateways(soak_t *soak)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		gateway_state_t *gateway = &soak->gateways[i];
@@ -378,7 +379,7 @@
 		if (gateway->paused && now_ms() >= gateway->act_at) {
 			process_signal(process, SIGCONT);
 			gateway->paused = false;
-			gateway->troubled_at = now_ms();
+			gateway->disturbed_at = now_ms();
 		}
 		if (gateway->stopping && process_ended(process))
 			start_gateway(soak, i);
@@ -395,7 +396,7 @@
 static void check_drained(const soak_t *soak, const unsigned int *before)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
-		if (now_ms() - soak->gateways[i].troubled_at < TROUBLE_MS)
+		if (now_ms() - soak->gateways[i].disturbed_at < DISTURBED_MS)
 			return;
 	}
 	for (int i = 0; i < RIG_UPSTREAMS; i++) {
@@ -409,7 +410,7 @@
 	}
 }
 
-static void step(soak_t *soak)
+static void run_step(soak_t *soak)
 {
 	unsigned int before[RIG_UPSTREAMS];
 
@@ -417,13 +418,13 @@
 		before[i] = soak->rig->upstreams[i].arrivals;
 	rig_turn(soak->rig);
 	check_drained(soak, before);
-	mend(soak);
-	follow_links(soak);
+	repair_gateways(soak);
+	update_store_links(soak);
 	for (guint i = 0; i < soak->calls->len; i++)
 		check_answered(soak, g_ptr_array_index(soak->calls, i));
 }
 
-static void leave_some(soak_t *soak)
+static void hang_up_some(soak_t *soak)
 {
 	call_t *call;
 
@@ -436,22 +437,22 @@
 	}
 }
 
-static void play(soak_t *soak)
+static void run_schedule(soak_t *soak)
 {
 	uint64_t begun_at = now_ms();
 	uint64_t call_at = begun_at;
 	uint64_t fault_at = begun_at + FAULT_EVERY_MS;
 
 	while (now_ms() - begun_at < SOAK_MS) {
-		step(soak);
+		run_step(soak);
 		if (now_ms() >= call_at) {
 			call_at = now_ms() + CALL_EVERY_MS;
-			leave_some(soak);
+			hang_up_some(soak);
 			start_call(soak);
 		}
 		if (now_ms() >= fault_at) {
 			fault_at = now_ms() + FAULT_EVERY_MS;
-			hit(soak);
+			inject_fault(soak);
 		}
 	}
 }
@@ -471,7 +472,7 @@
 	return RIG_ANSWER;
 }
 
-static bool serves(soak_t *soak, int number)
+static bool gateway_serves(soak_t *soak, int number)
 {
 	uint16_t port = rig_port(soak->rig, number, "callers");
 	rig_caller_t *caller;
@@ -501,24 +502,25 @@
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		soak->rig->stores[i].down = false;
 		if (soak->links)
-			mend_link(soak->to_store[i]);
+			repair_link(soak->to_store[i]);
 		soak->gateways[i].act_at = 0;
 	}
 	for (int i = 0; i < RIG_UPSTREAMS; i++) {
 		if (soak->links)
-			mend_link(soak->to_upstream[i]);
+			repair_link(soak->to_upstream[i]);
 		rig_put_upstream(soak->rig, i, "ready");
 	}
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
+		RIG_UNTIL(soak->rig, (repair_gateways(soak),
+				      soak->gateways[i].port &&
+					      !soak->gateways[i].stopping));
 		RIG_UNTIL(soak->rig,
-			  (mend(soak), soak->gateways[i].port &&
-					       !soak->gateways[i].stopping));
-		RIG_UNTIL(soak->rig, (mend(soak), serves(soak, i)));
+			  (repair_gateways(soak), gateway_serves(soak, i)));
 	}
 }
 
 /* Puts forwarders before the upstreams and the doors of the store. */
-static void put_links(soak_t *soak)
+static void create_links(soak_t *soak)
 {
 	gateway_rig_t *rig = soak->rig;
 
@@ -548,18 +550,18 @@
 	soak.rig->choose_act = choose_act;
 	soak.rig->ctx = &soak;
 	if (links)
-		put_links(&soak);
+		create_links(&soak);
 	rig_put_config(soak.rig, soak.version, "");
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
 		rig_put_upstream(soak.rig, i, "ready");
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		start_gateway(&soak, i);
 		RIG_UNTIL(soak.rig, rig_port(soak.rig, i, "health"));
-		mend(&soak);
+		repair_gateways(&soak);
 	}
-	play(&soak);
+	run_schedule(&soak);
 	for (uint64_t end = now_ms() + CALL_MAX_MS + 500; now_ms() < end;)
-		step(&soak);
+		run_step(&soak);
 	for (guint i = 0; i < soak.calls->len; i++) {
 		const call_t *call = g_ptr_array_index(soak.calls, i);
 
