--- a/tests/process/test_gateway.c
+++ b/tests/process/test_gateway.c
@@ -16,17 +16,17 @@
 #include "tests/harness/gateway_calls.h"
 
 /* After an order to stop: long requests are refused, no connections accepted. */
-#define LONG_REFUSED_NS 2700000000
-#define LISTEN_ENDED_NS 4200000000
-#define TICKS_NS 100000000 /* of a gateway, a few */
+#define LONG_REQUESTS_REFUSED_NS 2700000000
+#define LISTENER_CLOSED_NS 4200000000
+#define SOME_TICKS_NS 100000000 /* of a gateway, a few */
 /* How long an upstream that leaves may be sent requests. */
 #define DRAIN_NS 2000000000
 /* From the end of an outage to a leave that comes while a watch waits. */
-#define BACK_UNTIL_LEAVE_MS 3400
+#define RECOVERY_TO_LEAVE_MS 3400
 #define LEAVE_CALLS 4
 /* What a leave may stay unknown of the time that it may be sent requests. */
-#define NOTICE_MAX_MS 1500
-#define FILLERS 4 /* connections that fill a queue of none */
+#define DETECTION_MAX_MS 1500
+#define BACKLOG_FILLERS 4 /* connections that fill a queue of none */
 #define CONNECTING_MS 60 /* of a request, well below its time to connect */
 
 static bool has_logged(gateway_rig_t *rig, int number, const char *text)
@@ -95,7 +95,7 @@
 	return sum;
 }
 
-static void all_act(gateway_rig_t *rig, rig_act_t act)
+static void set_all_acts(gateway_rig_t *rig, rig_act_t act)
 {
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
 		rig->upstreams[i].act = act;
@@ -106,7 +106,7 @@
 	return rig->upstreams[rig->upstreams[0].arrivals ? 0 : 1].last->str;
 }
 
-static void test_a_call_goes_through_as_it_is(void **state)
+static void test_a_call_is_forwarded_unchanged(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller =
@@ -179,7 +179,7 @@
 	static const char *const paths[] = { "/safe/", "/unsafe/", "/stream/" };
 	gateway_rig_t *rig = *state;
 
-	all_act(rig, RIG_HANG);
+	set_all_acts(rig, RIG_HANG);
 	for (unsigned int i = 0; i < G_N_ELEMENTS(paths); i++) {
 		rig_caller_t *caller = call(rig, paths[i]);
 		uint64_t left_at;
@@ -203,7 +203,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	all_act(rig, RIG_CUT);
+	set_all_acts(rig, RIG_CUT);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
 	assert_true(rig_heard(caller, "HTTP/1.1 502"));
@@ -237,7 +237,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	all_act(rig, RIG_REJECT);
+	set_all_acts(rig, RIG_REJECT);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
 	assert_true(rig_heard(caller, "HTTP/1.1 503"));
@@ -254,7 +254,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	all_act(rig, RIG_DOUBLE);
+	set_all_acts(rig, RIG_DOUBLE);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "from "));
 	assert_true(rig_heard(caller, "X-Attempt-Id: c1"));
@@ -281,7 +281,7 @@
  * An engine goes in the middle of an event. Another goes on after the last whole
  * one, inside the same answer: no event twice, none missing.
  */
-static void test_a_stream_goes_on_at_another_upstream(void **state)
+static void test_a_stream_is_resumed_at_another_upstream(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -299,12 +299,12 @@
 }
 
 /* A stream that may not be run again is cut; its caller must see that. */
-static void test_a_cut_stream_does_not_look_whole(void **state)
+static void test_an_aborted_stream_does_not_look_complete(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	all_act(rig, RIG_STREAM_CUT);
+	set_all_acts(rig, RIG_STREAM_CUT);
 	caller = call(rig, "/once/");
 	RIG_UNTIL(rig, rig_is_closed(caller));
 	assert_true(rig_heard(caller, "id: 3\n"));
@@ -315,13 +315,13 @@
 }
 
 /* No upstream answers: the caller gets a final answer when its time is over. */
-static void test_a_hung_call_is_answered_in_time(void **state)
+static void test_a_call_is_answered_by_its_deadline(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 	uint64_t began = uv_hrtime();
 
-	all_act(rig, RIG_HANG);
+	set_all_acts(rig, RIG_HANG);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 504"));
 	assert_true(uv_hrtime() - began < 3500000000);
@@ -330,12 +330,12 @@
 }
 
 /* Callers are turned away at once, and a call in progress gets its answer. */
-static void test_a_stop_cuts_nothing(void **state)
+static void test_a_stop_completes_requests(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	all_act(rig, RIG_SLOW);
+	set_all_acts(rig, RIG_SLOW);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, arrivals(rig) == 1);
 	process_signal(rig->gateways[0], SIGTERM);
@@ -356,7 +356,7 @@
 	process_signal(rig->gateways[0], SIGTERM);
 	RIG_UNTIL(rig, !rig_is_ready(rig, 0));
 	since = uv_hrtime();
-	RIG_UNTIL(rig, uv_hrtime() - since > LONG_REFUSED_NS);
+	RIG_UNTIL(rig, uv_hrtime() - since > LONG_REQUESTS_REFUSED_NS);
 	return since;
 }
 
@@ -366,7 +366,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	all_act(rig, RIG_STREAM);
+	set_all_acts(rig, RIG_STREAM);
 	stop_until_long_are_refused(rig);
 	caller = call(rig, "/stream/");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
@@ -387,7 +387,7 @@
 	long_caller = rig_call(rig, rig_port(rig, 0, "callers"), "");
 	short_caller = rig_call(rig, rig_port(rig, 0, "callers"), "");
 	since = uv_hrtime();
-	RIG_UNTIL(rig, uv_hrtime() - since > TICKS_NS);
+	RIG_UNTIL(rig, uv_hrtime() - since > SOME_TICKS_NS);
 	rig_say_call(long_caller, "POST", "/stream/", "c1");
 	rig_say_call(short_caller, "POST", "/safe/", "c2");
 	RIG_UNTIL(rig, rig_heard(long_caller, "\r\n\r\n"));
@@ -407,7 +407,7 @@
 
 	caller = rig_call(rig, rig_port(rig, 0, "callers"),
 			  "POST /safe/ HTTP/1.1\r\nHost: h\r\n");
-	RIG_UNTIL(rig, uv_hrtime() - since > LISTEN_ENDED_NS);
+	RIG_UNTIL(rig, uv_hrtime() - since > LISTENER_CLOSED_NS);
 	rig_say(caller, "X-Attempt-Id: c1\r\nX-Deadline-Ms: 3000\r\n"
 			"Authorization: Bearer k\r\n"
 			"Content-Length: 0\r\n\r\n");
@@ -425,12 +425,12 @@
 	rig_caller_t *caller;
 	uint64_t since;
 
-	all_act(rig, RIG_LARGE);
+	set_all_acts(rig, RIG_LARGE);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, arrivals(rig) == 1);
 	process_signal(rig->gateways[0], SIGTERM);
 	since = uv_hrtime();
-	while (uv_hrtime() - since < LISTEN_ENDED_NS) {
+	while (uv_hrtime() - since < LISTENER_CLOSED_NS) {
 		rig_turn(rig);
 		rig_hear_some(caller);
 	}
@@ -441,7 +441,7 @@
 	rig_caller_destroy(caller);
 }
 
-static void test_a_draining_upstream_is_left(void **state)
+static void test_a_draining_upstream_gets_no_requests(void **state)
 {
 	gateway_rig_t *rig = *state;
 	unsigned int before;
@@ -464,7 +464,7 @@
  * The store turns one gateway away and serves the others. It learns of a new
  * route, and of an upstream that leaves, from them.
  */
-static void test_peers_tell_whom_the_store_turns_away(void **state)
+static void test_peers_update_a_gateway_without_the_store(void **state)
 {
 	static const char route[] =
 		",{\"name\":\"new\",\"host\":\"h\",\"pathPrefix\":\"/new/\","
@@ -502,7 +502,7 @@
  * away, and that reads both with one answer. Taken for the end of what came
  * back, no gateway would know an upstream any more and all callers be refused.
  */
-static void test_entries_that_lapsed_and_came_back_serve(void **state)
+static void test_registrations_that_expired_and_were_renewed_serve(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
@@ -542,7 +542,7 @@
  * What may be repeated is answered by another upstream at once, and what may not
  * gets its final answer at once.
  */
-static void test_calls_at_one_that_restarted_do_not_wait(void **state)
+static void test_calls_at_a_restarted_upstream_do_not_wait(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *safe;
@@ -571,7 +571,7 @@
  * of them. The gateway says so, in few lines, leaves what they name alone, and
  * serves by the others.
  */
-static void test_spoiled_entries_cost_nobody_else_anything(void **state)
+static void test_invalid_registrations_do_not_affect_others(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
@@ -627,7 +627,7 @@
  * A caller sends its head a little at a time and never ends it. Connections would
  * be held for as long as callers like, until there are none left for others.
  */
-static void test_a_slow_head_is_given_up(void **state)
+static void test_a_slow_head_times_out(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller = rig_call(rig, rig_port(rig, 0, "callers"),
@@ -645,7 +645,7 @@
  * A caller's body does not come in within the time that the caller itself waits.
  * Nobody would hear an answer any more.
  */
-static void test_a_body_that_comes_too_late_is_given_up(void **state)
+static void test_a_late_body_times_out(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller = rig_call(rig, rig_port(rig, 0, "callers"),
@@ -684,7 +684,7 @@
  * The store moves to another address; the settings say so, and a signal tells.
  * A gateway that read them at start only would go by an old configuration.
  */
-static void test_changed_settings_are_taken_at_a_signal(void **state)
+static void test_settings_are_reloaded_on_a_signal(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -696,7 +696,7 @@
 }
 
 /* The same, and nobody sends a signal. */
-static void test_changed_settings_are_noticed(void **state)
+static void test_changed_settings_are_reloaded(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -714,7 +714,7 @@
  * Somebody slips in the settings. A gateway that ended, or went on with half of
  * them, would take its callers with it.
  */
-static void test_wrong_settings_change_nothing(void **state)
+static void test_invalid_settings_change_nothing(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
@@ -730,7 +730,7 @@
 #define GATEWAY_TEST(test) \
 	cmocka_unit_test_setup_teardown(test, setup, teardown)
 
-static void pass_time(gateway_rig_t *rig, uint64_t ms)
+static void run_for(gateway_rig_t *rig, uint64_t ms)
 {
 	uint64_t end = uv_hrtime() / 1000000 + ms;
 
@@ -738,7 +738,7 @@
 		rig_turn(rig);
 }
 
-static void call_some(gateway_rig_t *rig)
+static void make_calls(gateway_rig_t *rig)
 {
 	rig_caller_t *callers[LEAVE_CALLS];
 
@@ -755,32 +755,32 @@
  * Guards against the removal of an upstream that leaves seconds after a silent outage
  * taken for a lapse, as it is the first answer to a watch since then.
  */
-static void test_a_leave_after_an_outage_is_no_lapse(void **state)
+static void test_a_removal_after_an_outage_is_no_expiry(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_server_t *store = &rig->stores[0];
 	unsigned int before;
 	uint64_t left;
 
-	call_some(rig);
+	make_calls(rig);
 	assert_true(rig->upstreams[0].arrivals > 0);
 	store->silent = true;
 	RIG_UNTIL(rig, has_logged(rig, 0, "lost=upstreams"));
 	before = store->silent_watches;
 	RIG_UNTIL(rig, store->silent_watches > before);
 	store->silent = false;
-	pass_time(rig, BACK_UNTIL_LEAVE_MS);
+	run_for(rig, RECOVERY_TO_LEAVE_MS);
 	rig_remove(rig, "servers", "u0");
 	left = uv_hrtime();
 	while (uv_hrtime() - left < DRAIN_NS)
 		rig_turn(rig);
 	before = rig->upstreams[0].arrivals;
-	call_some(rig);
+	make_calls(rig);
 	assert_int_equal(rig->upstreams[0].arrivals, before);
 }
 
 /* Returns a socket whose queue of connections is full; PORT is where it listens. */
-static int listen_full(uint16_t *port, int *fillers)
+static int listen_with_full_backlog(uint16_t *port, int *fillers)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET,
 				    .sin_addr.s_addr = htonl(INADDR_LOOPBACK) };
@@ -791,7 +791,7 @@
 	assert_int_equal(listen(fd, 0), 0);
 	assert_int_equal(getsockname(fd, (struct sockaddr *)&addr, &len), 0);
 	*port = ntohs(addr.sin_port);
-	for (int i = 0; i < FILLERS; i++) {
+	for (int i = 0; i < BACKLOG_FILLERS; i++) {
 		fillers[i] = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
 		assert_true(!connect(fillers[i], (struct sockaddr *)&addr, len) ||
 			    errno == EINPROGRESS);
@@ -800,24 +800,24 @@
 }
 
 /* Guards against a request sent to an upstream that left while it connected. */
-static void test_a_connection_to_one_that_left_is_given_up(void **state)
+static void test_connecting_to_a_draining_upstream_is_abandoned(void **state)
 {
 	gateway_rig_t *rig = *state;
-	int fillers[FILLERS];
-	int full = listen_full(&rig->upstream_via[0], fillers);
+	int fillers[BACKLOG_FILLERS];
+	int full = listen_with_full_backlog(&rig->upstream_via[0], fillers);
 	rig_caller_t *caller;
 
 	rig_put_config(rig, 1, "");
 	rig_put_upstream(rig, 0, "ready");
 	RIG_UNTIL(rig, rig_is_ready(rig, 0));
 	caller = call(rig, "/unsafe/x");
-	pass_time(rig, CONNECTING_MS);
+	run_for(rig, CONNECTING_MS);
 	rig_put_upstream(rig, 1, "ready");
 	rig_put_upstream(rig, 0, "draining");
 	RIG_UNTIL(rig, rig_heard(caller, "from 1"));
 	assert_true(has_logged(rig, 0, "reason=\"upstream left\" upstream=u0"));
 	rig_caller_destroy(caller);
-	for (int i = 0; i < FILLERS; i++)
+	for (int i = 0; i < BACKLOG_FILLERS; i++)
 		close(fillers[i]);
 	close(full);
 }
@@ -826,7 +826,7 @@
  * Guards against a call that hangs in a silent store for as long as a watch may, so
  * that a gateway misses for seconds that the store is back.
  */
-static void test_the_end_of_a_silent_outage_is_noticed(void **state)
+static void test_the_end_of_a_silent_outage_is_detected(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_server_t *store = &rig->stores[0];
@@ -838,13 +838,13 @@
 	RIG_UNTIL(rig, store->silent_watches > before);
 	store->silent = false;
 	RIG_UNTIL_WITHIN(rig, has_logged(rig, 0, "regained=upstreams"),
-			 NOTICE_MAX_MS);
+			 DETECTION_MAX_MS);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		GATEWAY_TEST(test_a_call_goes_through_as_it_is),
+		GATEWAY_TEST(test_a_call_is_forwarded_unchanged),
 		cmocka_unit_test_setup_teardown(test_no_configuration_is_no_404,
 						setup_bare, teardown),
 		GATEWAY_TEST(test_unknown_routes_and_keys),
@@ -853,29 +853,30 @@
 		GATEWAY_TEST(test_a_safe_call_goes_to_another_upstream),
 		GATEWAY_TEST(test_a_rejected_call_is_refused_as_not_run),
 		GATEWAY_TEST(test_the_answer_to_another_call_is_skipped),
-		GATEWAY_TEST(test_a_stream_goes_on_at_another_upstream),
-		GATEWAY_TEST(test_a_cut_stream_does_not_look_whole),
-		GATEWAY_TEST(test_a_hung_call_is_answered_in_time),
-		GATEWAY_TEST(test_a_stop_cuts_nothing),
+		GATEWAY_TEST(test_a_stream_is_resumed_at_another_upstream),
+		GATEWAY_TEST(test_an_aborted_stream_does_not_look_complete),
+		GATEWAY_TEST(test_a_call_is_answered_by_its_deadline),
+		GATEWAY_TEST(test_a_stop_completes_requests),
 		GATEWAY_TEST(test_a_stopping_gateway_refuses_long_requests),
 		GATEWAY_TEST(test_a_stopping_gateway_reads_new_connections),
 		GATEWAY_TEST(test_a_stop_waits_for_a_request_being_read),
 		GATEWAY_TEST(test_a_stop_waits_for_a_slow_reader),
-		GATEWAY_TEST(test_a_draining_upstream_is_left),
-		GATEWAY_TEST(test_peers_tell_whom_the_store_turns_away),
-		GATEWAY_TEST(test_entries_that_lapsed_and_came_back_serve),
-		GATEWAY_TEST(test_calls_at_one_that_restarted_do_not_wait),
-		GATEWAY_TEST(test_spoiled_entries_cost_nobody_else_anything),
+		GATEWAY_TEST(test_a_draining_upstream_gets_no_requests),
+		GATEWAY_TEST(test_peers_update_a_gateway_without_the_store),
+		GATEWAY_TEST(test_registrations_that_expired_and_were_renewed_serve),
+		GATEWAY_TEST(test_calls_at_a_restarted_upstream_do_not_wait),
+		GATEWAY_TEST(test_invalid_registrations_do_not_affect_others),
 		GATEWAY_TEST(test_windows_are_reported_once),
-		GATEWAY_TEST(test_a_slow_head_is_given_up),
-		GATEWAY_TEST(test_a_body_that_comes_too_late_is_given_up),
-		GATEWAY_TEST(test_changed_settings_are_taken_at_a_signal),
-		GATEWAY_TEST(test_changed_settings_are_noticed),
-		GATEWAY_TEST(test_wrong_settings_change_nothing),
-		GATEWAY_TEST(test_a_leave_after_an_outage_is_no_lapse),
-		GATEWAY_TEST(test_the_end_of_a_silent_outage_is_noticed),
-		cmocka_unit_test_setup_teardown(test_a_connection_to_one_that_left_is_given_up,
-						setup_bare, teardown),
+		GATEWAY_TEST(test_a_slow_head_times_out),
+		GATEWAY_TEST(test_a_late_body_times_out),
+		GATEWAY_TEST(test_settings_are_reloaded_on_a_signal),
+		GATEWAY_TEST(test_changed_settings_are_reloaded),
+		GATEWAY_TEST(test_invalid_settings_change_nothing),
+		GATEWAY_TEST(test_a_removal_after_an_outage_is_no_expiry),
+		GATEWAY_TEST(test_the_end_of_a_silent_outage_is_detected),
+		cmocka_unit_test_setup_teardown(
+			test_connecting_to_a_draining_upstream_is_abandoned,
+			setup_bare, teardown),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
