--- a/tests/unit/test_duties_note.c
+++ b/tests/unit/test_duties_note.c
@@ -42,9 +42,9 @@
 }
 
 /* Somebody spoils the lease's record. Whoever takes it over must start anew. */
-static void test_a_spoiled_note_says_nothing(void **state)
+static void test_an_invalid_note_is_empty(void **state)
 {
-	static const char *const spoiled[] = { NULL,
+	static const char *const invalid[] = { NULL,
 					       "",
 					       "7 {}",
 					       "[]",
@@ -54,8 +54,8 @@
 					       "{\"report\":7}" };
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(spoiled); i++) {
-		duties_note_t *note = duties_note_parse(spoiled[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
+		duties_note_t *note = duties_note_parse(invalid[i]);
 
 		assert_null(note->report);
 		assert_true(duties_note_need(note, "s") == 0);
@@ -121,7 +121,7 @@
  * The holder has ended. Left to the usual look every few seconds, nobody orders
  * upstreams or reports usage until twice the time of a takeover is over.
  */
-static void test_a_silent_holder_is_looked_at_at_once(void **state)
+static void test_a_silent_leader_is_checked_at_once(void **state)
 {
 	lease_t *lease = lease_create("me", &timing, 1);
 	lease_record_t *record = lease_record_create();
@@ -147,7 +147,7 @@
 }
 
 /* Guards against a leader that waits for seconds after it was cut off from the store. */
-static void test_a_call_that_hangs_does_not_hold_up_the_next(void **state)
+static void test_a_hung_call_does_not_delay_the_next(void **state)
 {
 	lease_t *lease = lease_create("me", &timing, 1);
 	const lease_reply_t silent = { .op = 1, .status = STORE_UNKNOWN };
@@ -179,7 +179,7 @@
 }
 
 /* Guards against a holder that stands by for seconds as an own write was done late. */
-static void test_a_conflict_with_an_own_late_write_is_no_loss(void **state)
+static void test_a_conflict_with_our_own_late_write_is_retried(void **state)
 {
 	lease_t *lease = lease_create("me", &timing, 1);
 	lease_record_t *record = lease_record_create();
@@ -229,11 +229,11 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_a_note_survives_the_round_trip),
-		cmocka_unit_test(test_a_spoiled_note_says_nothing),
+		cmocka_unit_test(test_an_invalid_note_is_empty),
 		cmocka_unit_test(test_an_update_waits_for_the_renewal),
-		cmocka_unit_test(test_a_silent_holder_is_looked_at_at_once),
-		cmocka_unit_test(test_a_call_that_hangs_does_not_hold_up_the_next),
-		cmocka_unit_test(test_a_conflict_with_an_own_late_write_is_no_loss),
+		cmocka_unit_test(test_a_silent_leader_is_checked_at_once),
+		cmocka_unit_test(test_a_hung_call_does_not_delay_the_next),
+		cmocka_unit_test(test_a_conflict_with_our_own_late_write_is_retried),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
