--- a/tests/harness/gateway_calls.c
+++ b/tests/harness/gateway_calls.c
@@ -1,4 +1,4 @@
-/* Callers and the balancer's question before the gateways of a rig. */
+/* Requests of callers and of the load balancer to the gateways of a test rig. */
 #include "tests/harness/gateway_calls.h"
 
 #include <setjmp.h>
@@ -8,21 +8,21 @@
 
 #include <cmocka.h>
 
-/* Says whether a caller was told TEXT by now. */
+/* Returns whether a caller has received TEXT by now. */
 bool rig_heard(rig_caller_t *caller, const char *text)
 {
 	rig_hear(caller);
 	return strstr(caller->got->str, text) != NULL;
 }
 
-/* Says whether a caller's connection was closed by now. */
+/* Returns whether a caller's connection was closed by now. */
 bool rig_is_closed(rig_caller_t *caller)
 {
 	rig_hear(caller);
 	return caller->closed;
 }
 
-/* Says whether a gateway tells the balancer that it takes callers. */
+/* Returns whether the readiness check of a gateway succeeds. */
 bool rig_is_ready(gateway_rig_t *rig, int number)
 {
 	uint16_t port = rig_port(rig, number, "health");
@@ -39,7 +39,7 @@
 	return ready;
 }
 
-/* Sends a call with a body of four bytes on a connection that is open. */
+/* Sends a call with a body of four bytes on an open connection. */
 void rig_say_call(rig_caller_t *caller, const char *method, const char *path,
 		  const char *id)
 {
@@ -54,7 +54,7 @@
 	g_free(text);
 }
 
-/* Opens a connection and sends such a call; the caller owns what comes back. */
+/* Opens a connection to gateway NUMBER and sends such a call; returns it, owned. */
 rig_caller_t *rig_call_at(gateway_rig_t *rig, int number, const char *method,
 			  const char *path, const char *id)
 {
--- a/tests/harness/gateway_calls.h
+++ b/tests/harness/gateway_calls.h
@@ -1,4 +1,4 @@
-/* What tests of gateways ask of them as callers and as the balancer. */
+/* Requests of callers and of the load balancer to the gateways of a test rig. */
 #ifndef PISTACHIO_TEST_GATEWAY_CALLS_H
 #define PISTACHIO_TEST_GATEWAY_CALLS_H
 
--- a/tests/unit/test_duties_note.c
+++ b/tests/unit/test_duties_note.c
@@ -1,4 +1,4 @@
-/* What a holder of the duties leaves to the next one. */
+/* The note that a leader leaves to the next one, and the lease that carries it. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -41,7 +41,7 @@
 	g_free(text);
 }
 
-/* Somebody spoils the lease's record. Whoever takes it over must start anew. */
+/* Guards against a crash or false data when the lease's record has an invalid note. */
 static void test_an_invalid_note_is_empty(void **state)
 {
 	static const char *const invalid[] = { NULL,
@@ -63,7 +63,7 @@
 	}
 }
 
-/* Runs the lease until it asks for something; returns that, or NULL. */
+/* Runs the lease once; returns its next action, owned by the caller, or NULL. */
 static placer_action_t *next_action(lease_t *lease, pd_time_t now)
 {
 	list_node_t actions;
@@ -75,6 +75,7 @@
 	return node ? LIST_ENTRY(node, placer_action_t, node) : NULL;
 }
 
+/* Replies to a call of the lease; RECORD NULL: it does not exist. */
 static void answer(lease_t *lease, const placer_action_t *action,
 		   lease_record_t *record, uint64_t version, pd_time_t now)
 {
@@ -89,8 +90,8 @@
 }
 
 /*
- * What the fleets are planned for goes along with the next renewal. It must cost
- * the store no call of its own, and keep nobody from acting until then.
+ * Guards against planned loads that cost a call to the store of their own, or that keep
+ * the leader from acting until they are written: they go with the next renewal.
  */
 static void test_an_update_waits_for_the_renewal(void **state)
 {
@@ -118,8 +119,9 @@
 }
 
 /*
- * The holder has ended. Left to the usual look every few seconds, nobody orders
- * upstreams or reports usage until twice the time of a takeover is over.
+ * Guards against a slow takeover after the leader has ended. With the usual reading
+ * period of a few seconds, nobody would order upstreams or report usage for twice the
+ * takeover time.
  */
 static void test_a_silent_leader_is_checked_at_once(void **state)
 {
@@ -146,7 +148,7 @@
 	lease_destroy(lease);
 }
 
-/* Guards against a leader that waits for seconds after it was cut off from the store. */
+/* Guards against a leader that pauses for seconds after a call to the store hung. */
 static void test_a_hung_call_does_not_delay_the_next(void **state)
 {
 	lease_t *lease = lease_create("me", &timing, 1);
@@ -168,7 +170,7 @@
 	lease_destroy(lease);
 }
 
-/* Runs the lease until it makes a call, and returns that. */
+/* Advances NOW until the lease makes a call; returns that, owned by the caller. */
 static placer_action_t *await_action(lease_t *lease, pd_time_t *now)
 {
 	placer_action_t *action;
@@ -178,7 +180,10 @@
 	return action;
 }
 
-/* Guards against a holder that stands by for seconds as an own write was done late. */
+/*
+ * Guards against a leader that stands by for seconds because a renewal that had timed
+ * out was done late, so that its next write conflicts with it.
+ */
 static void test_a_conflict_with_our_own_late_write_is_retried(void **state)
 {
 	lease_t *lease = lease_create("me", &timing, 1);
@@ -197,7 +202,7 @@
 	answer(lease, action, record, 2, now);
 	placer_action_destroy(action);
 	assert_true(lease_is_held(lease, now));
-	/* The renewal is not answered until the lease has lapsed. */
+	/* The renewal is not answered until the lease has expired. */
 	action = await_action(lease, &now);
 	assert_int_equal(action->kind, PLACER_LEASE_WRITE);
 	reply.op = action->lease.op;
@@ -206,7 +211,7 @@
 	assert_false(lease_is_held(lease, now));
 	failed_at = now;
 	lease_reply(lease, &reply, now);
-	/* It is done between the read that follows and the next write. */
+	/* The store does it between the read that follows and the next write. */
 	action = await_action(lease, &now);
 	assert_int_equal(action->kind, PLACER_LEASE_READ);
 	answer(lease, action, record, 2, now);
--- a/tests/unit/test_gateway_settings.c
+++ b/tests/unit/test_gateway_settings.c
@@ -1,4 +1,4 @@
-/* The gateway's settings: what is refused, and the deploy file's template. */
+/* The gateway's settings: defaults, invalid values, and the deployment template. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stdbool.h>
@@ -50,6 +50,7 @@
 	g_free(text);
 }
 
+/* Asserts that settings with MORE are rejected with an error that contains WHY. */
 static void assert_refused(const char *more, const char *why)
 {
 	pd_error_t err;
@@ -72,7 +73,7 @@
 	assert_refused("[fleet]\nzones = 3\n", "fleet.zones");
 }
 
-/* A key that the template renders and nobody knows would stop every start. */
+/* Guards against a template with an unknown key, with which no gateway would start. */
 static void test_the_template_has_known_keys_only(void **state)
 {
 	const setting_table_t *table = gateway_settings_table();
