--- a/tests/guarantees/test_gateway_soak.c
+++ b/tests/guarantees/test_gateway_soak.c
@@ -1,10 +1,10 @@
 /*
- * Random failures over real gateways: kills, pauses, stops and restarts, a store
- * that turns gateways away, upstreams that fail in every way and leave, callers
- * that hang up; and, in schedules of their own, links to upstreams and the store
- * that are cut, delayed, silent or pass one way only. What callers got and
- * upstreams ran is checked from outside. A seed gives one schedule; SEEDS=N runs
- * N of each sort, FIRST_SEED=K begins with K.
+ * Injects random faults into real gateway processes: kills, pauses, stops and restarts,
+ * a store that rejects gateways, upstreams that fail in every way or leave, and callers
+ * that hang up. A second kind of schedule also cuts, delays, silences or half-opens the
+ * links to upstreams and to the store. The responses that callers received are checked
+ * against the calls that upstreams ran. Each seed gives one schedule; SEEDS=N runs N
+ * seeds of each kind, FIRST_SEED=K begins with seed K.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -24,12 +24,15 @@
 #define SOAK_MS 6000
 #define CALL_EVERY_MS 8
 #define FAULT_EVERY_MS 400
-/* A call is over by its deadline, its answer on its way by half a second later. */
+/* A call ends by its deadline of 3 s; half a second is left for the response. */
 #define CALL_MAX_MS 3500
-/* After a notice gateways have two seconds; lost contact gives them three more. */
+/*
+ * Gateways must stop using an upstream 2 s after its drain notice; one that was out of
+ * contact has 3 s more.
+ */
 #define DRAIN_MAX_MS 2300
 #define DISTURBED_MS 3500
-/* Links are held back by this at most; a call is answered in time all the same. */
+/* The longest delay of a link; calls must be answered by their deadlines even so. */
 #define DELAY_MAX_MS 150
 
 typedef enum call_kind {
@@ -48,12 +51,12 @@
 	rig_caller_t *caller;
 } call_t;
 
-/* What is done to a gateway, and until when that excuses it. */
+/* The injected faults of a gateway, and since when it is exempt from checks. */
 typedef struct gateway_state {
 	bool up;
 	bool stopping;
 	bool paused;
-	uint64_t act_at; /* when it is woken or started again; 0: never */
+	uint64_t act_at; /* when it is resumed or restarted; 0: never */
 	uint64_t disturbed_at;
 	uint16_t port;
 } gateway_state_t;
@@ -67,10 +70,10 @@
 	uint64_t drained_at[RIG_UPSTREAMS]; /* 0: it serves */
 	unsigned int faults;
 	int version;
-	bool links; /* the links fail too */
+	bool links; /* inject faults into links as well */
 	forwarder_t *to_store[RIG_GATEWAYS];
 	forwarder_t *to_upstream[RIG_UPSTREAMS];
-	uint64_t store_link_repaired_at[RIG_GATEWAYS]; /* 0: it is sound */
+	uint64_t store_link_repaired_at[RIG_GATEWAYS]; /* 0: no lasting fault */
 } soak_t;
 
 static uint64_t now_ms(void)
@@ -152,7 +155,7 @@
 		 call->caller->got->str);
 }
 
-/* A whole stream has each event once and in order. */
+/* Checks that a complete stream has each event once and in order. */
 static void check_events(const soak_t *soak, const call_t *call)
 {
 	const char *at = body_of(call);
@@ -172,6 +175,7 @@
 	}
 }
 
+/* Checks that a call ran as often as allowed, and got no false response. */
 static void check_call(const soak_t *soak, const call_t *call)
 {
 	unsigned int runs = rig_runs(soak->rig, call->id);
@@ -196,7 +200,7 @@
 		fail_call(soak, call, "got another body");
 }
 
-/* A gateway that nothing was done to answers or closes by the deadline. */
+/* Checks that a gateway without a recent fault responds or closes by the deadline. */
 static void check_answered(const soak_t *soak, const call_t *call)
 {
 	const gateway_state_t *gateway = &soak->gateways[call->gateway];
@@ -262,7 +266,7 @@
 	soak->drained_at[number] = drained ? 0 : now_ms();
 }
 
-/* Has a link fail; returns whether it stays so until it is mended. */
+/* Injects a random fault into a link; returns whether it lasts until it is repaired. */
 static bool inject_fault_on_link(soak_t *soak, forwarder_t *link)
 {
 	switch (g_rand_int_range(soak->random, 0, 5)) {
@@ -292,7 +296,7 @@
 	forwarder_refuse(link, false);
 }
 
-/* Has the link to an upstream or to a gateway's door of the store fail. */
+/* Injects a fault into the link to an upstream, or into a gateway's link to the store. */
 static void inject_link_fault(soak_t *soak)
 {
 	int number;
@@ -313,7 +317,7 @@
 			: 0;
 }
 
-/* A gateway that can't reach the store is excused for as long. */
+/* Repairs links to the store; gateways are exempt from checks until then. */
 static void update_store_links(soak_t *soak)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
@@ -369,7 +373,7 @@
 	gateway->disturbed_at = now_ms();
 }
 
-/* Wakes, restarts and finds again what was hit. */
+/* Resumes and restarts gateways after their faults, and reads their new ports. */
 static void repair_gateways(soak_t *soak)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
@@ -392,7 +396,7 @@
 	}
 }
 
-/* No gateway in touch sends anything new to an upstream that left. */
+/* Checks that no gateway in contact sends a new call to an upstream that left. */
 static void check_drained(const soak_t *soak, const unsigned int *before)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
@@ -492,9 +496,9 @@
 }
 
 /*
- * Once all that was done is over, every gateway serves again. How many calls
- * are answered before that says little: with the store away for all, gateways
- * that start know no routes and rightly refuse.
+ * Checks that every gateway serves again after all faults have ended. The number of
+ * calls answered before that is no criterion: while the store is unreachable for all,
+ * restarted gateways have no routes and must refuse calls.
  */
 static void check_recovery(soak_t *soak)
 {
@@ -519,7 +523,7 @@
 	}
 }
 
-/* Puts forwarders before the upstreams and the doors of the store. */
+/* Puts forwarders in front of the upstreams and of each gateway's store. */
 static void create_links(soak_t *soak)
 {
 	gateway_rig_t *rig = soak->rig;
