--- a/tests/process/test_gateway.c
+++ b/tests/process/test_gateway.c
@@ -1,4 +1,4 @@
-/* The gateway as a process between stand-ins: what callers and upstreams see. */
+/* A gateway process between a stand-in store and upstreams, seen from outside. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <setjmp.h>
@@ -15,19 +15,19 @@
 
 #include "tests/harness/gateway_calls.h"
 
-/* After an order to stop: long requests are refused, no connections accepted. */
+/* After SIGTERM: long requests are refused by the first, the listener is closed by the second. */
 #define LONG_REQUESTS_REFUSED_NS 2700000000
 #define LISTENER_CLOSED_NS 4200000000
-#define SOME_TICKS_NS 100000000 /* of a gateway, a few */
-/* How long an upstream that leaves may be sent requests. */
+#define SOME_TICKS_NS 100000000 /* a few ticks of a gateway's timer */
+/* How long after its drain notice an upstream may be sent requests. */
 #define DRAIN_NS 2000000000
-/* From the end of an outage to a leave that comes while a watch waits. */
+/* From the end of an outage to a removal that arrives while a watch waits. */
 #define RECOVERY_TO_LEAVE_MS 3400
 #define LEAVE_CALLS 4
-/* What a leave may stay unknown of the time that it may be sent requests. */
+/* Within which a gateway must detect that the store is back; part of DRAIN_NS. */
 #define DETECTION_MAX_MS 1500
-#define BACKLOG_FILLERS 4 /* connections that fill a queue of none */
-#define CONNECTING_MS 60 /* of a request, well below its time to connect */
+#define BACKLOG_FILLERS 4 /* connections that fill a backlog of 0 */
+#define CONNECTING_MS 60 /* well below the gateway's connect timeout */
 
 static bool has_logged(gateway_rig_t *rig, int number, const char *text)
 {
@@ -134,8 +134,8 @@
 }
 
 /*
- * A gateway that has just started knows no routes. It must neither be sent
- * callers nor tell one that comes that there is nothing.
+ * Guards against a 404 from a gateway that has no configuration yet, and against
+ * readiness before it has one.
  */
 static void test_no_configuration_is_no_404(void **state)
 {
@@ -171,8 +171,8 @@
 }
 
 /*
- * A caller hangs up before any answer. An upstream that is not told works for
- * nobody, while others wait for its place.
+ * Guards against an upstream that goes on with the call of a caller that has hung up,
+ * while other calls wait for its slot.
  */
 static void test_a_hang_up_reaches_the_upstream(void **state)
 {
@@ -194,9 +194,9 @@
 }
 
 /*
- * An upstream runs a call that must not be repeated and its answer is cut. Sent
- * on, the call would run twice; a refusal that promises "not run" would have
- * its caller send it again.
+ * An upstream runs a call that must not be repeated, and its response is cut. Guards
+ * against a retry, which would run the call twice, and against a response that means
+ * "not run", after which the caller would send it again.
  */
 static void test_an_unsafe_call_is_sent_once(void **state)
 {
@@ -212,7 +212,7 @@
 	rig_caller_destroy(caller);
 }
 
-/* The same happens to a call that may be repeated: its caller sees nothing. */
+/* The same for a call that may be repeated: it is retried, and the caller gets a 200. */
 static void test_a_safe_call_goes_to_another_upstream(void **state)
 {
 	static const rig_act_t acts[] = { RIG_CUT, RIG_FAIL, RIG_REJECT };
@@ -231,7 +231,7 @@
 	}
 }
 
-/* All upstreams turn a call away: it has not run, and its caller may come back. */
+/* All upstreams reject a call: it has not run, and the caller is told to retry. */
 static void test_a_rejected_call_is_refused_as_not_run(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -246,8 +246,8 @@
 }
 
 /*
- * An upstream answers a call twice, and the second answer comes where the next
- * call's is due. Its caller would read what was meant for another.
+ * An upstream responds to a call twice, and the second response arrives in place of the
+ * next call's. Guards against forwarding it to the wrong caller.
  */
 static void test_the_answer_to_another_call_is_skipped(void **state)
 {
@@ -278,8 +278,8 @@
 }
 
 /*
- * An engine goes in the middle of an event. Another goes on after the last whole
- * one, inside the same answer: no event twice, none missing.
+ * An engine fails in the middle of an event. Another one resumes the stream after the
+ * last complete event, in the same response: no event is repeated or missing.
  */
 static void test_a_stream_is_resumed_at_another_upstream(void **state)
 {
@@ -298,7 +298,7 @@
 	assert_non_null(strstr(rig->upstreams[1].last->str, "/stream/"));
 }
 
-/* A stream that may not be run again is cut; its caller must see that. */
+/* A stream that may not be run again is cut; the caller must be able to notice. */
 static void test_an_aborted_stream_does_not_look_complete(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -314,7 +314,7 @@
 	rig_caller_destroy(caller);
 }
 
-/* No upstream answers: the caller gets a final answer when its time is over. */
+/* No upstream responds: the caller gets a 504 at its deadline. */
 static void test_a_call_is_answered_by_its_deadline(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -329,7 +329,7 @@
 	rig_caller_destroy(caller);
 }
 
-/* Callers are turned away at once, and a call in progress gets its answer. */
+/* On SIGTERM the readiness check fails at once, and a call in progress is completed. */
 static void test_a_stop_completes_requests(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -348,7 +348,10 @@
 	rig_caller_destroy(caller);
 }
 
-/* Orders the gateway to stop and waits; returns when it was no longer ready. */
+/*
+ * Stops the gateway and waits until it refuses long requests. Returns the time at which
+ * it was no longer ready, in ns.
+ */
 static uint64_t stop_until_long_are_refused(gateway_rig_t *rig)
 {
 	uint64_t since;
@@ -360,7 +363,7 @@
 	return since;
 }
 
-/* A long request that comes after the order to stop could not end in time. */
+/* Guards against a long request that the end of the process would cut. */
 static void test_a_stopping_gateway_refuses_long_requests(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -375,7 +378,7 @@
 	rig_caller_destroy(caller);
 }
 
-/* A new connection would be closed as idle before its first request is read. */
+/* Guards against new connections closed as idle before their first request is read. */
 static void test_a_stopping_gateway_reads_new_connections(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -418,7 +421,7 @@
 	rig_caller_destroy(caller);
 }
 
-/* The end of a long answer would be lost with the process that still holds it. */
+/* Guards against a process that ends before the caller has read a long response. */
 static void test_a_stop_waits_for_a_slow_reader(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -461,8 +464,8 @@
 }
 
 /*
- * The store turns one gateway away and serves the others. It learns of a new
- * route, and of an upstream that leaves, from them.
+ * The store rejects one gateway and serves the others. That one must learn of a new
+ * route, and of an upstream that leaves, from its peers.
  */
 static void test_peers_update_a_gateway_without_the_store(void **state)
 {
@@ -480,7 +483,7 @@
 	rig_put_upstream(rig, 0, "draining");
 	caller = rig_call_at(rig, 1, "GET", "/new/", "c1");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
-	/* The news takes a moment; after it there is no way back. */
+	/* The update takes a moment to arrive; after it the route stays. */
 	while (!strstr(caller->got->str, "HTTP/1.1 200")) {
 		rig_caller_destroy(caller);
 		caller = rig_call_at(rig, 1, "GET", "/new/", "c1");
@@ -498,9 +501,9 @@
 }
 
 /*
- * Entries of upstreams lapse and come back while the store turns one gateway
- * away, and that reads both with one answer. Taken for the end of what came
- * back, no gateway would know an upstream any more and all callers be refused.
+ * Registrations of upstreams expire and are renewed while the store rejects one gateway,
+ * which then reads both changes in one reply. Guards against removing the renewed ones:
+ * no gateway would know an upstream any more, and all callers would be refused.
  */
 static void test_registrations_that_expired_and_were_renewed_serve(void **state)
 {
@@ -533,14 +536,10 @@
 }
 
 /*
- * The holder of the duties dies after it reported a window. Whoever follows
- * must not report that window with other counts, nor leave later ones out.
- */
-/*
- * An upstream crashes behind a cut and starts again under its id. Its callers'
- * runs are lost, but no reset says so: they would wait until their time is over.
- * What may be repeated is answered by another upstream at once, and what may not
- * gets its final answer at once.
+ * An upstream crashes while its link is cut, and starts again under its id. Its calls are
+ * lost, but no TCP reset arrives. Guards against callers that wait until their deadlines:
+ * a call that may be repeated is answered by another upstream at once, and one that may
+ * not gets a 502 at once.
  */
 static void test_calls_at_a_restarted_upstream_do_not_wait(void **state)
 {
@@ -567,9 +566,9 @@
 }
 
 /*
- * Somebody writes entries that are none beside those of upstreams, and over one
- * of them. The gateway says so, in few lines, leaves what they name alone, and
- * serves by the others.
+ * Invalid registrations are written besides those of upstreams, and over one of them.
+ * The gateway logs them in few lines, sends no calls to those upstreams, and goes on
+ * with the others.
  */
 static void test_invalid_registrations_do_not_affect_others(void **state)
 {
@@ -593,6 +592,10 @@
 	rig_caller_destroy(caller);
 }
 
+/*
+ * The leader dies after it has reported a window. Guards against a next leader that
+ * reports that window with other counts, or omits later ones.
+ */
 static void test_windows_are_reported_once(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -624,8 +627,8 @@
 }
 
 /*
- * A caller sends its head a little at a time and never ends it. Connections would
- * be held for as long as callers like, until there are none left for others.
+ * Guards against callers that never complete a head and so hold connections until none
+ * are left for others.
  */
 static void test_a_slow_head_times_out(void **state)
 {
@@ -641,10 +644,7 @@
 	rig_caller_destroy(caller);
 }
 
-/*
- * A caller's body does not come in within the time that the caller itself waits.
- * Nobody would hear an answer any more.
- */
+/* A body that is not complete by the caller's own deadline gets a 408. */
 static void test_a_late_body_times_out(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -660,7 +660,7 @@
 	rig_caller_destroy(caller);
 }
 
-/* Puts a route in force that only the store knows, and waits until it serves. */
+/* Adds a route to the configuration in the store, and waits until it serves. */
 static void await_new_route(gateway_rig_t *rig)
 {
 	static const char route[] =
@@ -681,8 +681,8 @@
 }
 
 /*
- * The store moves to another address; the settings say so, and a signal tells.
- * A gateway that read them at start only would go by an old configuration.
+ * The store moves to another address, which is written to the settings and followed by
+ * a SIGHUP. Guards against a gateway that goes on with an old configuration.
  */
 static void test_settings_are_reloaded_on_a_signal(void **state)
 {
@@ -695,12 +695,12 @@
 	await_new_route(rig);
 }
 
-/* The same, and nobody sends a signal. */
+/* The same without a signal. */
 static void test_changed_settings_are_reloaded(void **state)
 {
 	gateway_rig_t *rig = *state;
 
-	/* The file must have been looked at once to be seen to change. */
+	/* A change is only detected after the file was checked once. */
 	RIG_UNTIL(rig, has_logged(rig, 0, "start node="));
 	for (uint64_t end = uv_hrtime() + 50 * 1000000; uv_hrtime() < end;)
 		rig_turn(rig);
@@ -711,8 +711,8 @@
 }
 
 /*
- * Somebody slips in the settings. A gateway that ended, or went on with half of
- * them, would take its callers with it.
+ * Guards against a gateway that exits, or applies half of the settings, when the file is
+ * invalid.
  */
 static void test_invalid_settings_change_nothing(void **state)
 {
@@ -752,8 +752,9 @@
 }
 
 /*
- * Guards against the removal of an upstream that leaves seconds after a silent outage
- * taken for a lapse, as it is the first answer to a watch since then.
+ * An upstream leaves seconds after an outage in which the store was silent. Guards
+ * against its removal being taken for an expiry in the outage, as it comes with the
+ * first reply to a watch since then.
  */
 static void test_a_removal_after_an_outage_is_no_expiry(void **state)
 {
@@ -779,7 +780,10 @@
 	assert_int_equal(rig->upstreams[0].arrivals, before);
 }
 
-/* Returns a socket whose queue of connections is full; PORT is where it listens. */
+/*
+ * Returns a socket that listens on PORT with a full backlog, so that connecting to it
+ * hangs; stores the sockets that fill it in FILLERS. The caller closes them all.
+ */
 static int listen_with_full_backlog(uint16_t *port, int *fillers)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET,
@@ -823,8 +827,8 @@
 }
 
 /*
- * Guards against a call that hangs in a silent store for as long as a watch may, so
- * that a gateway misses for seconds that the store is back.
+ * Guards against a call that hangs in a silent store for as long as a watch may, so that
+ * a gateway detects the end of the outage seconds late.
  */
 static void test_the_end_of_a_silent_outage_is_detected(void **state)
 {
