--- a/adapters/gateway/caller.c
+++ b/adapters/gateway/caller.c
@@ -49,6 +49,7 @@
 	caller->request = gateway_request_create(caller->gateway, caller, head);
 }
 
+/* Passes data of a body on to the request; a body that is too long ends keep-alive. */
 static void on_body(void *ctx, const char *data, size_t len)
 {
 	caller_t *caller = ctx;
--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -116,6 +116,7 @@
 	g_free(body);
 }
 
+/* Advances the lease and makes the calls that it asks for. */
 static void run_lease(gateway_duties_t *duties, pd_time_t now)
 {
 	list_node_t actions;
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -95,6 +95,7 @@
 	return plan;
 }
 
+/* Records whether the platform accepted an order (200) or has no capacity (409). */
 static void on_order_reply(void *ctx, const http1_reply_t *reply)
 {
 	order_t *order = ctx;
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -13,6 +13,7 @@
 /* How long a report waits at most for the checkpointed counts. */
 #define COUNTS_TIMEOUT (700 * PD_MSEC)
 
+/* Records that the platform accepted the report, or schedules a retry. */
 static void on_report_reply(void *ctx, const http1_reply_t *reply)
 {
 	gateway_duties_t *duties = ctx;
@@ -37,6 +38,7 @@
 		    duties);
 }
 
+/* Adds COUNT to the sum of an account; CTX: account -> uint64_t. */
 static void add_count(void *ctx, const char *account, uint64_t count)
 {
 	uint64_t *sum = g_hash_table_lookup(ctx, account);
@@ -53,6 +55,7 @@
 	uint64_t sum;
 } lost_sum_t;
 
+/* Adds requests of one account that were lost in flight to CTX, a lost_sum_t. */
 static void add_lost(void *ctx, const usage_entry_t *entry)
 {
 	lost_sum_t *lost = ctx;
--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -58,6 +58,7 @@
 	return !store_feed_is_lost(feed->upstreams.schedule);
 }
 
+/* Applies the configurations of a page; logs entries that are not objects. */
 static void apply_config(feed_t *feed, const wire_page_t *page)
 {
 	gateway_t *gateway = feed->fleet->gateway;
@@ -72,7 +73,8 @@
 			gateway_apply_config(gateway, text, "store");
 		else
 			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
-				 "dropped a configuration: no object");
+				 "skipped a configuration that is not a JSON "
+				 "object");
 		g_free(text);
 	}
 }
@@ -224,6 +226,7 @@
 	};
 }
 
+/* Schedules a retry after a failed call, and logs if the store became unreachable. */
 static void feed_handle_failure(feed_t *feed, int status)
 {
 	pd_time_t now = gateway_now();
@@ -234,6 +237,7 @@
 	log_store_lost(feed, before, status);
 }
 
+/* Logs that the store is reachable again, if it was not. */
 static void log_store_regained(feed_t *feed)
 {
 	if (!store_feed_is_lost(feed->schedule))
@@ -250,6 +254,7 @@
 	g_clear_pointer(&feed->page_after, g_free);
 }
 
+/* Handles the reply to a list or watch, and makes the next call. */
 static void on_feed_reply(void *ctx, const http1_reply_t *reply)
 {
 	feed_t *feed = ctx;
@@ -278,6 +283,7 @@
 	feed_run(feed, gateway_now());
 }
 
+/* Makes the list or watch call that is due. */
 static void feed_call(feed_t *feed, const store_ask_t *due)
 {
 	char *path =
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -203,6 +203,7 @@
 	return status && status != 429 && status < 500;
 }
 
+/* Records whether the store served a call, for the detection of outages. */
 static void on_store_call_done(void *ctx, int status, uint64_t elapsed_ms)
 {
 	gateway_t *gateway = ctx;
@@ -271,6 +272,7 @@
 	uv_stop(gateway->loop);
 }
 
+/* Publishes that the registration of an upstream has expired. */
 static void on_registration_expired(void *ctx, const char *id)
 {
 	gateway_upstream_changed(ctx, id, "lapse");
@@ -325,6 +327,7 @@
 				 PD_MSEC);
 }
 
+/* Advances all parts of the gateway; called every TICK_MS. */
 static void on_tick(uv_timer_t *timer)
 {
 	gateway_t *gateway = timer->data;
@@ -380,6 +383,7 @@
 	return true;
 }
 
+/* Like gateway_split_address(), but sets ERR and returns -1 on failure. */
 static int split_address_setting(const char *address, char **host,
 				 uint16_t *port, pd_error_t *err)
 {
@@ -389,6 +393,10 @@
 			    address);
 }
 
+/*
+ * Listens on address:port and logs the port under the name WHAT. Returns 0, or -1 with
+ * ERR set.
+ */
 static int listen_on(gateway_t *gateway, uv_tcp_t *listener, const char *what,
 		     const char *address, uv_connection_cb on_connection,
 		     pd_error_t *err)
@@ -420,6 +428,7 @@
 	return 0;
 }
 
+/* Returns a client for address:port, owned by the caller; NULL with ERR set. */
 static http1_client_t *create_client(gateway_t *gateway, const char *address,
 				     pd_error_t *err)
 {
@@ -434,6 +443,7 @@
 	return client;
 }
 
+/* Creates the state of core/forward, the metrics and the random generator. */
 static void create_forwarding_state(gateway_t *gateway)
 {
 	const gateway_settings_t *settings = gateway->settings;
--- a/adapters/gateway/health.c
+++ b/adapters/gateway/health.c
@@ -31,6 +31,7 @@
 	(void)len;
 }
 
+/* Sends a response with a plain text body. */
 static void client_respond(health_client_t *client, int status, const char *body)
 {
 	char *text =
@@ -44,6 +45,7 @@
 	g_free(text);
 }
 
+/* Responds to a request, and closes the connection unless it is kept alive. */
 static void on_message(void *ctx)
 {
 	health_client_t *client = ctx;
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -146,6 +146,7 @@
 	return rank;
 }
 
+/* Sets the deadline to the route's timeout, or the caller's own one if that is shorter. */
 static void request_set_deadline(gateway_request_t *request)
 {
 	pd_time_t allowed = request->route->timeout;
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -25,6 +25,7 @@
 	}
 }
 
+/* Returns whether the body of a response is a stream of server-sent events. */
 static bool is_event_stream(const http1_head_t *head)
 {
 	const char *type =
@@ -33,6 +34,7 @@
 	return type && g_str_has_prefix(type, "text/event-stream");
 }
 
+/* Reads the head of a response, and stores what is forwarded of it. */
 static void on_head(void *ctx, const http1_head_t *head)
 {
 	gateway_request_t *request = ctx;
@@ -140,6 +142,7 @@
 	stream_forward_events(request);
 }
 
+/* Forwards data of a streamed response, and buffers that of any other. */
 static void on_body(void *ctx, const char *data, size_t len)
 {
 	gateway_request_t *request = ctx;
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -17,7 +17,7 @@
 #define ENGINE_OVERFILL 1.0
 /* A prompt with a larger shared fraction is no sample of the prefill rate. */
 #define SHARED_PROMPT_MAX 0.3
-/* In larger fleets the loads reported by peers are out of date; see upstreams.c. */
+/* In larger fleets peers' loads are out of date; see core/forward/upstreams-notes.md. */
 #define SAMPLING_FLEET_SIZE 12
 #define SAMPLE_SIZE 1
 /* The connection limit is fleet-wide; gateways with uneven load need some headroom. */
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -51,6 +51,7 @@
 	request->link = NULL;
 }
 
+/* Logs the end of a request; STATUS 0: the caller got no complete response. */
 static void log_end(const gateway_request_t *request, int status, const char *reason)
 {
 	const gateway_t *gateway = request->gateway;
--- a/adapters/gateway/upstream_link.c
+++ b/adapters/gateway/upstream_link.c
@@ -90,6 +90,7 @@
 		callbacks->on_end(callbacks_ctx, end);
 }
 
+/* Takes the link released last out of the pool; NULL if it can no longer be reused. */
 static upstream_link_t *take_idle(forward_upstream_t *upstream, bool recently_used)
 {
 	pd_time_t now = gateway_now();
@@ -107,6 +108,7 @@
 	return link;
 }
 
+/* Opens a connection; returns its link, or NULL if it can not be opened. */
 static upstream_link_t *open_new(gateway_t *gateway, forward_upstream_t *upstream)
 {
 	static const http1_events_t events = { on_connected, on_head, on_body,
--- a/tests/guarantees/test_gateway_soak.c
+++ b/tests/guarantees/test_gateway_soak.c
@@ -51,13 +51,13 @@
 	rig_caller_t *caller;
 } call_t;
 
-/* The injected faults of a gateway, and since when it is exempt from checks. */
+/* A gateway and its injected faults. */
 typedef struct gateway_state {
 	bool up;
 	bool stopping;
 	bool paused;
 	uint64_t act_at; /* when it is resumed or restarted; 0: never */
-	uint64_t disturbed_at;
+	uint64_t disturbed_at; /* last fault; exempt from checks for DISTURBED_MS */
 	uint16_t port;
 } gateway_state_t;
 
@@ -81,6 +81,7 @@
 	return uv_hrtime() / 1000000;
 }
 
+/* Returns a random behavior of an upstream for a call to TARGET. */
 static rig_act_t choose_act(void *ctx, const char *target)
 {
 	static const rig_act_t plain[] = { RIG_ANSWER, RIG_ANSWER, RIG_ANSWER,
@@ -98,6 +99,7 @@
 	return streams[g_rand_int_range(soak->random, 0, G_N_ELEMENTS(streams))];
 }
 
+/* Starts a call of a random kind at a random gateway, if that has a port. */
 static void start_call(soak_t *soak)
 {
 	static const char *const paths[] = { "safe", "unsafe", "stream", "once" };
@@ -123,6 +125,7 @@
 	g_ptr_array_add(soak->calls, call);
 }
 
+/* Returns the body received so far, borrowed; NULL: the head is incomplete. */
 static const char *body_of(const call_t *call)
 {
 	const char *end = strstr(call->caller->got->str, "\r\n\r\n");
@@ -130,6 +133,7 @@
 	return end ? end + 4 : NULL;
 }
 
+/* Returns the status that a call got; 0: none. */
 static int status_of(const call_t *call)
 {
 	const char *got = call->caller->got->str;
@@ -137,6 +141,7 @@
 	return g_str_has_prefix(got, "HTTP/1.1 ") ? atoi(got + 9) : 0;
 }
 
+/* Returns whether the response of a call was received completely. */
 static bool is_whole(const call_t *call)
 {
 	const char *length = strstr(call->caller->got->str, "Content-Length: ");
@@ -149,6 +154,7 @@
 	return length && strlen(body) >= strtoul(length + 16, NULL, 10);
 }
 
+/* Fails the test with the seed, the call and what it received. */
 static void fail_call(const soak_t *soak, const call_t *call, const char *what)
 {
 	fail_msg("seed %u: call %s: %s; it got: %s", soak->seed, call->id, what,
@@ -188,7 +194,7 @@
 		fail_call(soak, call, "ran at more upstreams than allowed");
 	if ((status == 503 || status == 429 || status == 408 || status == 421) &&
 	    runs)
-		fail_call(soak, call, "was said not to have run, and ran");
+		fail_call(soak, call, "was refused as not run, but ran");
 	if (status != 200 || !is_whole(call))
 		return;
 	snprintf(id, sizeof(id), "X-Attempt-Id: %s\r\n", call->id);
@@ -213,12 +219,14 @@
 		fail_call(soak, call, "was not answered in time");
 }
 
+/* Exempts a gateway from checks, and has it act again after FOR_MS. */
 static void mark_disturbed(soak_t *soak, int number, uint64_t for_ms)
 {
 	soak->gateways[number].disturbed_at = now_ms();
 	soak->gateways[number].act_at = now_ms() + for_ms;
 }
 
+/* Kills (FAULT 0), pauses (1) or stops a gateway that runs. */
 static void inject_gateway_fault(soak_t *soak, int number, int fault)
 {
 	gateway_state_t *gateway = &soak->gateways[number];
@@ -245,6 +253,7 @@
 	}
 }
 
+/* Has the store reject a gateway, or serve it again. */
 static void inject_store_fault(soak_t *soak, int number)
 {
 	rig_server_t *store = &soak->rig->stores[number];
@@ -253,6 +262,7 @@
 	soak->gateways[number].disturbed_at = now_ms();
 }
 
+/* Drains an upstream unless it is the last one, or has a drained one serve again. */
 static void inject_upstream_fault(soak_t *soak, int number)
 {
 	bool drained = soak->drained_at[number] != 0;
@@ -331,6 +341,7 @@
 	}
 }
 
+/* Injects a random fault, or puts a new configuration. */
 static void inject_fault(soak_t *soak)
 {
 	int number = g_rand_int_range(soak->random, 0, RIG_GATEWAYS);
@@ -414,6 +425,7 @@
 	}
 }
 
+/* Runs the rig once, and checks the calls and upstreams. */
 static void run_step(soak_t *soak)
 {
 	unsigned int before[RIG_UPSTREAMS];
@@ -428,6 +440,7 @@
 		check_answered(soak, g_ptr_array_index(soak->calls, i));
 }
 
+/* Hangs up the latest call, one time in ten. */
 static void hang_up_some(soak_t *soak)
 {
 	call_t *call;
@@ -441,6 +454,7 @@
 	}
 }
 
+/* Makes calls and injects faults for SOAK_MS. */
 static void run_schedule(soak_t *soak)
 {
 	uint64_t begun_at = now_ms();
@@ -476,6 +490,7 @@
 	return RIG_ANSWER;
 }
 
+/* Returns whether a gateway answers a call with a 200. */
 static bool gateway_serves(soak_t *soak, int number)
 {
 	uint16_t port = rig_port(soak->rig, number, "callers");
@@ -541,6 +556,7 @@
 	}
 }
 
+/* Runs and checks the schedule of one seed. */
 static void run_seed(unsigned int seed, bool links)
 {
 	soak_t soak = { .rig = gateway_rig_create(),
@@ -583,6 +599,7 @@
 	g_rand_free(soak.random);
 }
 
+/* Returns a number from the environment, or FALLBACK if it is unset or empty. */
 static unsigned int from_environment(const char *name, unsigned int fallback)
 {
 	const char *text = g_getenv(name);
--- a/tests/process/test_gateway.c
+++ b/tests/process/test_gateway.c
@@ -15,7 +15,7 @@
 
 #include "tests/harness/gateway_calls.h"
 
-/* After SIGTERM: long requests are refused by the first, the listener is closed by the second. */
+/* Times after SIGTERM by which long requests are refused and the listener is closed. */
 #define LONG_REQUESTS_REFUSED_NS 2700000000
 #define LISTENER_CLOSED_NS 4200000000
 #define SOME_TICKS_NS 100000000 /* a few ticks of a gateway's timer */
@@ -29,6 +29,7 @@
 #define BACKLOG_FILLERS 4 /* connections that fill a backlog of 0 */
 #define CONNECTING_MS 60 /* well below the gateway's connect timeout */
 
+/* Returns whether the log of gateway NUMBER has TEXT by now. */
 static bool has_logged(gateway_rig_t *rig, int number, const char *text)
 {
 	char *log = NULL;
@@ -42,6 +43,7 @@
 	return found;
 }
 
+/* Starts one gateway with an empty store. */
 static int setup_bare(void **state)
 {
 	gateway_rig_t *rig = gateway_rig_create();
@@ -53,6 +55,7 @@
 	return 0;
 }
 
+/* Starts one gateway with a configuration and two upstreams. */
 static int setup(void **state)
 {
 	gateway_rig_t *rig;
@@ -72,11 +75,13 @@
 	return 0;
 }
 
+/* Sends a POST to gateway 0; returns the connection, owned by the caller. */
 static rig_caller_t *call(gateway_rig_t *rig, const char *path)
 {
 	return rig_call_at(rig, 0, "POST", path, "c1");
 }
 
+/* Returns the number of calls that upstreams received. */
 static unsigned int arrivals(const gateway_rig_t *rig)
 {
 	unsigned int sum = 0;
@@ -86,6 +91,7 @@
 	return sum;
 }
 
+/* Returns the number of calls whose connection to an upstream was closed early. */
 static unsigned int hang_ups(const gateway_rig_t *rig)
 {
 	unsigned int sum = 0;
@@ -101,6 +107,7 @@
 		rig->upstreams[i].act = act;
 }
 
+/* Returns the last request that an upstream received, borrowed. */
 static const char *last_request(const gateway_rig_t *rig)
 {
 	return rig->upstreams[rig->upstreams[0].arrivals ? 0 : 1].last->str;
@@ -262,6 +269,7 @@
 	rig_caller_destroy(caller);
 }
 
+/* Asserts that a caller received each event of a stream once and in order. */
 static void assert_events(rig_caller_t *caller)
 {
 	const char *at = caller->got->str;
@@ -730,6 +738,7 @@
 #define GATEWAY_TEST(test) \
 	cmocka_unit_test_setup_teardown(test, setup, teardown)
 
+/* Runs the rig for MS milliseconds. */
 static void run_for(gateway_rig_t *rig, uint64_t ms)
 {
 	uint64_t end = uv_hrtime() / 1000000 + ms;
@@ -738,6 +747,7 @@
 		rig_turn(rig);
 }
 
+/* Sends LEAVE_CALLS calls at once and asserts that all of them get a 200. */
 static void make_calls(gateway_rig_t *rig)
 {
 	rig_caller_t *callers[LEAVE_CALLS];
