--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -73,8 +73,7 @@
 			gateway_apply_config(gateway, text, "store");
 		else
 			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
-				 "skipped a configuration that is not a JSON "
-				 "object");
+				 "dropped a configuration: not a JSON object");
 		g_free(text);
 	}
 }
