--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -154,8 +154,8 @@
 	bool held = lease_is_settled(duties->lease, now);
 	uint64_t fence = lease_fence(duties->lease);
 
-	if (held && fence != duties->fence) {
-		duties->fence = fence;
+	if (held && fence != duties->fencing_token) {
+		duties->fencing_token = fence;
 		duties->act_not_before = now + takeover_delay(duties);
 		/* Plans made under an earlier lease are out of date. */
 		g_hash_table_remove_all(duties->plans);
@@ -167,7 +167,7 @@
 	if (duties->held && !lease_is_held(duties->lease, now)) {
 		duties->held = false;
 		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
-			 "holder=lost fence=%" PRIu64, duties->fence);
+			 "holder=lost fence=%" PRIu64, duties->fencing_token);
 	}
 	duties->held |= held;
 }
@@ -176,7 +176,7 @@
 static bool is_acting(const gateway_duties_t *duties, pd_time_t now)
 {
 	return lease_is_held(duties->lease, now) && now >= duties->act_not_before &&
-	       lease_fence(duties->lease) == duties->fence;
+	       lease_fence(duties->lease) == duties->fencing_token;
 }
 
 /* Returns the text of the note in the lease's record, borrowed; NULL: none. */
@@ -222,7 +222,7 @@
 	};
 
 	wire_duty_headers(headers, duties->gateway->settings->node_id,
-			  duties->fence);
+			  duties->fencing_token);
 	ask.headers = headers->str;
 	http1_client_call(duties->gateway->cloud, &ask);
 	g_string_free(headers, TRUE);
@@ -239,9 +239,10 @@
 	gateway_peers_t *peers = duties->gateway->peers;
 
 	if (duties->gateway->stop_requested_at)
-		return duties->fence &&
-		       lease_fence(duties->lease) <= duties->fence &&
-		       !gateway_peers_has_holder_after(peers, duties->fence);
+		return duties->fencing_token &&
+		       lease_fence(duties->lease) <= duties->fencing_token &&
+		       !gateway_peers_has_holder_after(peers,
+						       duties->fencing_token);
 	return duties->resuming || gateway_peers_stand_for_duties(peers);
 }
 
--- a/adapters/gateway/duties_state.h
+++ b/adapters/gateway/duties_state.h
@@ -10,7 +10,7 @@
 	gateway_t *gateway;
 	lease_t *lease;
 	store_op_t op; /* of the lease call in flight */
-	uint64_t fence; /* fencing token of the lease last held; 0: none */
+	uint64_t fencing_token; /* fencing token of the lease last held; 0: none */
 	pd_time_t act_not_before; /* a new leader waits until then */
 	bool held;
 	bool resuming; /* this VM led before all gateways were killed */
@@ -19,7 +19,7 @@
 	int64_t sent_window; /* of the report sent last */
 	bool report_in_flight;
 	pd_time_t report_at; /* earliest time of the next report */
-	pd_time_t counts_asked_at; /* counts were requested for a report; 0: not yet */
+	pd_time_t counts_requested_at; /* counts were requested for a report; 0: not yet */
 	bool waiting_for_counts; /* the next report waits for counts of gateways */
 	GHashTable *plans; /* service -> scale_plan_t */
 	GHashTable *orders; /* "service zone kind" -> order_t */
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -119,13 +119,13 @@
 {
 	gateway_checkpoint_t *checkpoint = duties->gateway->checkpoint;
 
-	if (!duties->counts_asked_at) {
-		duties->counts_asked_at = now;
+	if (!duties->counts_requested_at) {
+		duties->counts_requested_at = now;
 		gateway_checkpoint_read_counts(checkpoint);
 	}
 	return gateway_checkpoint_counts_read_at(checkpoint) >=
-		       duties->counts_asked_at ||
-	       now - duties->counts_asked_at > COUNTS_TIMEOUT;
+		       duties->counts_requested_at ||
+	       now - duties->counts_requested_at > COUNTS_TIMEOUT;
 }
 
 /*
@@ -214,7 +214,7 @@
 
 	if (waits != duties->waiting_for_counts) {
 		duties->waiting_for_counts = waits;
-		duties->counts_asked_at = 0;
+		duties->counts_requested_at = 0;
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 			 "usage waits=%d window=%" PRId64 " open=%" PRIu64
 			 " counted=%" PRIu64,
@@ -247,7 +247,7 @@
 	window = next_window(duties, note, ended);
 	if (!is_report_due(duties, window, now))
 		return;
-	duties->counts_asked_at = 0;
+	duties->counts_requested_at = 0;
 	log_usage_gap(duties, window, now);
 	save_report(duties, window, now);
 }
