--- a/adapters/gateway/reload.c
+++ b/adapters/gateway/reload.c
@@ -74,10 +74,10 @@
 }
 
 /*
- * Swaps the settings that differ, except those read at start only, so that OTHER then
+ * Swaps the settings that differ, except those read at start only, so that LOADED then
  * has the old values. Returns the number of settings that were applied.
  */
-static unsigned int apply_changes(gateway_t *gateway, gateway_settings_t *other)
+static unsigned int apply_changes(gateway_t *gateway, gateway_settings_t *loaded)
 {
 	const setting_table_t *table = gateway_settings_table();
 	unsigned int taken = 0;
@@ -85,7 +85,7 @@
 	for (size_t i = 0; i < table->count; i++) {
 		const setting_t *row = &table->rows[i];
 
-		if (setting_same(row, gateway->settings, other))
+		if (setting_same(row, gateway->settings, loaded))
 			continue;
 		if (is_read_at_start_only(row->key)) {
 			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
@@ -94,7 +94,7 @@
 				 row->key);
 			continue;
 		}
-		setting_swap(row, gateway->settings, other);
+		setting_swap(row, gateway->settings, loaded);
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "key=%s changed=yes",
 			 row->key);
 		apply_setting(gateway, row);
@@ -109,20 +109,20 @@
  */
 void gateway_reload(gateway_t *gateway)
 {
-	gateway_settings_t *other;
+	gateway_settings_t *loaded;
 	pd_error_t err;
 
 	if (!gateway->settings_path)
 		return;
 	gateway->settings_stamp = file_stamp(gateway->settings_path);
-	other = gateway_settings_read(gateway->settings_path, &err);
-	if (!other) {
+	loaded = gateway_settings_read(gateway->settings_path, &err);
+	if (!loaded) {
 		log_error(LOG_COMPONENT, "reload", &err);
 		return;
 	}
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "reload path=%s keys=%u",
-		 gateway->settings_path, apply_changes(gateway, other));
-	gateway_settings_destroy(other);
+		 gateway->settings_path, apply_changes(gateway, loaded));
+	gateway_settings_destroy(loaded);
 }
 
 /* Checks every CHECK_PERIOD whether the file has changed, and reloads it if so. */
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -25,7 +25,7 @@
 
 /* Returns this gateway's share of the connections to one upstream; 0: no limit. */
 static unsigned int connections_max(const gateway_request_t *request,
-				    unsigned int entries)
+				    unsigned int gateways)
 {
 	const forward_service_t *service =
 		forward_config_service(request->config, request->service);
@@ -33,7 +33,7 @@
 	if (!service || !service->connections_max)
 		return 0;
 	return MAX((unsigned int)(service->connections_max *
-				  CONNECTION_HEADROOM / entries),
+				  CONNECTION_HEADROOM / gateways),
 		   1);
 }
 
@@ -42,7 +42,7 @@
 					forward_pick_t *pick)
 {
 	const gateway_t *gateway = request->gateway;
-	unsigned int entries = gateway_count(gateway);
+	unsigned int gateways = gateway_count(gateway);
 	forward_ask_t ask = {
 		.service = request->service,
 		.zone = gateway->settings->node_zone,
@@ -50,8 +50,8 @@
 		.has_prompt = request->route->has_prompt,
 		.overfill = request->route->has_prompt ? ENGINE_OVERFILL
 						       : PLAIN_OVERFILL,
-		.connections_max = connections_max(request, entries),
-		.sample = entries > SAMPLING_FLEET_SIZE ? SAMPLE_SIZE : 0,
+		.connections_max = connections_max(request, gateways),
+		.sample = gateways > SAMPLING_FLEET_SIZE ? SAMPLE_SIZE : 0,
 		.random = gateway->random,
 		.tried_count = request->tried_count,
 	};
