--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -29,7 +29,7 @@
 	LIST_FOR_EACH (it, forward_upstreams_list(peers->gateway->upstreams)) {
 		const forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
-		load_t load = { forward_upstream_mark(upstream),
+		load_t load = { forward_upstream_short_id(upstream),
 				upstream->running, upstream->reading };
 
 		if (load.running)
@@ -74,7 +74,7 @@
 
 static load_t load_of_all(const forward_upstream_t *upstream)
 {
-	load_t load = { forward_upstream_mark(upstream),
+	load_t load = { forward_upstream_short_id(upstream),
 			forward_upstream_running(upstream),
 			forward_upstream_reading(upstream) };
 
@@ -190,8 +190,8 @@
 	for (guint i = 0; i < loads->len; i++) {
 		const load_t *load = &g_array_index(loads, load_t, i);
 		forward_upstream_t *upstream =
-			forward_upstreams_marked(peers->gateway->upstreams,
-						 load->mark);
+			forward_upstreams_find_by_short_id(peers->gateway->upstreams,
+							   load->mark);
 
 		if (!upstream)
 			continue;
@@ -234,8 +234,8 @@
 				(double)msgpack_field_number(&items[i + 2]) *
 					READING_UNIT };
 		forward_upstream_t *upstream =
-			forward_upstreams_marked(peers->gateway->upstreams,
-						 load.mark);
+			forward_upstreams_find_by_short_id(peers->gateway->upstreams,
+							   load.mark);
 		const load_t *own = without ? loads_find(without, load.mark) : NULL;
 
 		if (!upstream)
@@ -268,7 +268,7 @@
 
 	for (guint i = 0; serving && i < serving->len; i++) {
 		forward_upstream_t *upstream = g_ptr_array_index(serving, i);
-		load_t load = { forward_upstream_mark(upstream),
+		load_t load = { forward_upstream_short_id(upstream),
 				(unsigned int)(msgpack_field_decimal(&fields[1]) +
 					       0.5),
 				msgpack_field_decimal(&fields[2]) };
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -516,7 +516,7 @@
 static void pack_stage(msgpack_packer *packer, const forward_upstream_t *upstream)
 {
 	msgpack_pack_array(packer, NEWS_BRIEF_FIELDS);
-	msgpack_pack_uint64(packer, upstream->mark);
+	msgpack_pack_uint64(packer, upstream->id_hash);
 	msgpack_pack_uint8(packer, (uint8_t)upstream->stage);
 	msgpack_pack_uint64(packer, upstream->revision);
 	msgpack_pack_int64(packer, upstream->born);
@@ -616,10 +616,10 @@
 	for (guint i = 0; i < marks->len; i++) {
 		uint64_t mark = g_array_index(marks, uint64_t, i);
 		forward_upstream_t *upstream =
-			forward_upstreams_marked(peers->gateway->upstreams,
+			forward_upstreams_find_by_short_id(peers->gateway->upstreams,
 						 (uint32_t)mark);
 
-		if (upstream && upstream->mark == mark)
+		if (upstream && upstream->id_hash == mark)
 			g_ptr_array_add(found, upstream);
 	}
 	msgpack_sbuffer_init(&buffer);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -491,11 +491,11 @@
 		.born = (int64_t)msgpack_field_number(&fields[3]),
 	};
 	forward_upstream_t *upstream =
-		forward_upstreams_marked(gateway->upstreams, (uint32_t)mark);
+		forward_upstreams_find_by_short_id(gateway->upstreams, (uint32_t)mark);
 
 	if (change.stage > FORWARD_GONE)
 		return;
-	if (!upstream || upstream->mark != mark) {
+	if (!upstream || upstream->id_hash != mark) {
 		if (change.stage != FORWARD_GONE && may_ask(peers, mark))
 			g_array_append_val(unknown, mark);
 		return;
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -52,7 +52,7 @@
 		return homes;
 	for (guint i = 0; i < serving->len; i++) {
 		forward_upstream_t *upstream = g_ptr_array_index(serving, i);
-		uint64_t rank = hash_number(subject ^ upstream->mark);
+		uint64_t rank = hash_number(subject ^ upstream->id_hash);
 
 		if (!homes.first || rank > best) {
 			homes.second = homes.first;
--- a/core/forward/upstreams.c
+++ b/core/forward/upstreams.c
@@ -17,7 +17,7 @@
 struct forward_upstreams {
 	list_node_t list; /* of forward_upstream_t */
 	GHashTable *by_id; /* borrows the ids */
-	GHashTable *by_mark;
+	GHashTable *by_short_id;
 	GHashTable *groups; /* service -> GPtrArray of those that serve it */
 	engine_speeds_t *speeds;
 	uint64_t digests[FORWARD_BUCKETS];
@@ -25,9 +25,9 @@
 	pd_time_t run_at; /* when time next changes something; 0: never */
 };
 
-static gpointer mark_key(uint32_t mark)
+static gpointer short_id_key(uint32_t short_id)
 {
-	return GUINT_TO_POINTER(mark);
+	return GUINT_TO_POINTER(short_id);
 }
 
 /* Returns an empty table; the caller owns it. */
@@ -37,7 +37,7 @@
 
 	list_init(&set->list);
 	set->by_id = g_hash_table_new(g_str_hash, g_str_equal);
-	set->by_mark = g_hash_table_new(g_direct_hash, g_direct_equal);
+	set->by_short_id = g_hash_table_new(g_direct_hash, g_direct_equal);
 	set->groups = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					    (GDestroyNotify)g_ptr_array_unref);
 	set->speeds = engine_speeds_create();
@@ -94,7 +94,7 @@
 /* Returns the part of the table, for digests, that an upstream belongs to. */
 unsigned int forward_upstream_bucket(const forward_upstream_t *upstream)
 {
-	return (unsigned int)(upstream->mark % FORWARD_BUCKETS);
+	return (unsigned int)(upstream->id_hash % FORWARD_BUCKETS);
 }
 
 /*
@@ -105,7 +105,7 @@
 {
 	uint64_t digest = upstream->stage == FORWARD_GONE
 				  ? 0
-				  : hash_number(upstream->mark ^
+				  : hash_number(upstream->id_hash ^
 						hash_number(upstream->revision));
 
 	set->digests[forward_upstream_bucket(upstream)] += digest - upstream->digest;
@@ -117,13 +117,13 @@
 
 static void set_drop(forward_upstreams_t *set, forward_upstream_t *upstream)
 {
-	uint32_t mark = forward_upstream_mark(upstream);
+	uint32_t short_id = forward_upstream_short_id(upstream);
 
 	upstream->stage = FORWARD_GONE;
 	set_changed(set, upstream);
 	g_hash_table_remove(set->by_id, upstream->id);
-	if (forward_upstreams_marked(set, mark) == upstream)
-		g_hash_table_remove(set->by_mark, mark_key(mark));
+	if (forward_upstreams_find_by_short_id(set, short_id) == upstream)
+		g_hash_table_remove(set->by_short_id, short_id_key(short_id));
 	list_remove(&upstream->node);
 	forward_upstream_unref(upstream);
 }
@@ -136,7 +136,7 @@
 	LIST_FOR_EACH_SAFE (it, &set->list)
 		set_drop(set, LIST_ENTRY(it, forward_upstream_t, node));
 	g_hash_table_unref(set->by_id);
-	g_hash_table_unref(set->by_mark);
+	g_hash_table_unref(set->by_short_id);
 	g_hash_table_unref(set->groups);
 	engine_speeds_destroy(set->speeds);
 	g_free(set);
@@ -195,15 +195,15 @@
  * a thousand upstreams two have the same in one fleet of some ten thousand; then
  * one of these two is told the other's load.
  */
-uint32_t forward_upstream_mark(const forward_upstream_t *upstream)
+uint32_t forward_upstream_short_id(const forward_upstream_t *upstream)
 {
-	return (uint32_t)upstream->mark;
+	return (uint32_t)upstream->id_hash;
 }
 
 /* Returns an upstream by its short name, or NULL. */
-forward_upstream_t *forward_upstreams_marked(forward_upstreams_t *set, uint32_t mark)
+forward_upstream_t *forward_upstreams_find_by_short_id(forward_upstreams_t *set, uint32_t short_id)
 {
-	return g_hash_table_lookup(set->by_mark, mark_key(mark));
+	return g_hash_table_lookup(set->by_short_id, short_id_key(short_id));
 }
 
 /* Returns an upstream by its id, or NULL. */
@@ -218,7 +218,7 @@
 
 	upstream->refs = 1;
 	upstream->id = g_strdup(id);
-	upstream->mark = hash_number(hash_string(id));
+	upstream->id_hash = hash_number(hash_string(id));
 	upstream->service = g_strdup("");
 	upstream->address = g_strdup("");
 	upstream->zone = g_strdup("");
@@ -227,8 +227,8 @@
 						g_free, g_free);
 	list_append(&set->list, &upstream->node);
 	g_hash_table_insert(set->by_id, upstream->id, upstream);
-	g_hash_table_insert(set->by_mark,
-			    mark_key(forward_upstream_mark(upstream)), upstream);
+	g_hash_table_insert(set->by_short_id,
+			    short_id_key(forward_upstream_short_id(upstream)), upstream);
 	return upstream;
 }
 
--- a/core/forward/upstreams.h
+++ b/core/forward/upstreams.h
@@ -47,7 +47,7 @@
 	char *id;
 	int64_t born; /* as listed; 0: not told */
 	unsigned int starts; /* starts under this id that were seen, less one */
-	uint64_t mark; /* hash of the id */
+	uint64_t id_hash; /* hash of the id */
 	GPtrArray *group; /* of those that serve its service; NULL: none */
 	guint group_at; /* its place there */
 	uint64_t digest; /* its part of the table's digest */
@@ -101,9 +101,9 @@
 unsigned int forward_upstream_bucket(const forward_upstream_t *upstream);
 forward_upstream_t *forward_upstreams_find(forward_upstreams_t *set,
 					   const char *id);
-forward_upstream_t *forward_upstreams_marked(forward_upstreams_t *set,
-					     uint32_t mark);
-uint32_t forward_upstream_mark(const forward_upstream_t *upstream);
+forward_upstream_t *forward_upstreams_find_by_short_id(forward_upstreams_t *set,
+					     uint32_t short_id);
+uint32_t forward_upstream_short_id(const forward_upstream_t *upstream);
 bool forward_upstream_serves(const forward_upstream_t *upstream);
 unsigned int forward_upstream_running(const forward_upstream_t *upstream);
 double forward_upstream_reading(const forward_upstream_t *upstream);
