--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -485,13 +485,14 @@
 {
 	gateway_t *gateway = peers->gateway;
 	uint64_t mark = msgpack_field_number(&fields[0]);
-	const forward_change_t change = {
+	const forward_stage_update_t change = {
 		.stage = (forward_stage_t)msgpack_field_number(&fields[1]),
 		.revision = msgpack_field_number(&fields[2]),
 		.born = (int64_t)msgpack_field_number(&fields[3]),
 	};
 	forward_upstream_t *upstream =
-		forward_upstreams_find_by_short_id(gateway->upstreams, (uint32_t)mark);
+		forward_upstreams_find_by_short_id(gateway->upstreams,
+						   (uint32_t)mark);
 
 	if (change.stage > FORWARD_GONE)
 		return;
@@ -500,8 +501,8 @@
 			g_array_append_val(unknown, mark);
 		return;
 	}
-	if (forward_upstreams_restage(gateway->upstreams, upstream, &change,
-				      gateway_now()))
+	if (forward_upstreams_update_stage(gateway->upstreams, upstream,
+					   &change, gateway_now()))
 		gateway_upstream_news(gateway, upstream->id, "peer");
 }
 
--- a/core/forward/upstreams.c
+++ b/core/forward/upstreams.c
@@ -317,9 +317,9 @@
  * Takes what a peer says of the stage of an upstream that is known, as of a
  * revision. Returns whether that was news.
  */
-bool forward_upstreams_restage(forward_upstreams_t *set,
+bool forward_upstreams_update_stage(forward_upstreams_t *set,
 			       forward_upstream_t *upstream,
-			       const forward_change_t *change, pd_time_t now)
+			       const forward_stage_update_t *change, pd_time_t now)
 {
 	const forward_listing_t listing = {
 		.id = upstream->id,
--- a/core/forward/upstreams.h
+++ b/core/forward/upstreams.h
@@ -35,11 +35,11 @@
 } forward_listing_t;
 
 /* What of a listing may change while its address and service stay. */
-typedef struct forward_change {
+typedef struct forward_stage_update {
 	forward_stage_t stage;
 	int64_t born;
 	uint64_t revision;
-} forward_change_t;
+} forward_stage_update_t;
 
 typedef struct forward_upstream {
 	list_node_t node;
@@ -80,9 +80,9 @@
 void forward_upstreams_destroy(forward_upstreams_t *set);
 bool forward_upstreams_apply(forward_upstreams_t *set,
 			     const forward_listing_t *listing);
-bool forward_upstreams_restage(forward_upstreams_t *set,
+bool forward_upstreams_update_stage(forward_upstreams_t *set,
 			       forward_upstream_t *upstream,
-			       const forward_change_t *change, pd_time_t now);
+			       const forward_stage_update_t *change, pd_time_t now);
 bool forward_upstreams_remove(forward_upstreams_t *set, const char *id,
 			      uint64_t revision, pd_time_t now);
 void forward_upstreams_begin_listing(forward_upstreams_t *set);
--- a/tests/unit/test_forward_upstreams.c
+++ b/tests/unit/test_forward_upstreams.c
@@ -409,12 +409,12 @@
 /* The same told by a peer in brief, and after the entry had gone in between. */
 static void test_a_restart_is_known_by_peers_and_after_a_gap(void **state)
 {
-	const forward_change_t change = { FORWARD_SERVING, 2000, 2 };
+	const forward_stage_update_t change = { FORWARD_SERVING, 2000, 2 };
 	forward_upstream_t *upstream;
 
 	list_born(*state, 1, 1000);
 	upstream = forward_upstreams_find(*state, "u1");
-	assert_true(forward_upstreams_restage(*state, upstream, &change, START));
+	assert_true(forward_upstreams_update_stage(*state, upstream, &change, START));
 	assert_int_equal(upstream->starts, 1);
 	assert_true(forward_upstreams_remove(*state, "u1", 2, START));
 	assert_null(choose(*state, START));
