--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -99,7 +99,7 @@
 {
 	gateway_t *gateway = feed->fleet->gateway;
 	const char *id = wire_page_name(page, i);
-	forward_listing_t listing;
+	forward_registration_t listing;
 	bool news = false;
 	pd_error_t err;
 
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -617,7 +617,7 @@
 		uint64_t mark = g_array_index(marks, uint64_t, i);
 		forward_upstream_t *upstream =
 			forward_upstreams_find_by_short_id(peers->gateway->upstreams,
-						 (uint32_t)mark);
+							   (uint32_t)mark);
 
 		if (upstream && upstream->id_hash == mark)
 			g_ptr_array_add(found, upstream);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -514,7 +514,7 @@
 	const msgpack_object *fields =
 		msgpack_field_items(object, NEWS_FULL_FIELDS, NULL);
 	char *texts[4] = { NULL };
-	forward_listing_t listing = { 0 };
+	forward_registration_t listing = { 0 };
 	bool news = false;
 
 	if (!fields) {
--- a/core/forward/upstreams.c
+++ b/core/forward/upstreams.c
@@ -201,7 +201,8 @@
 }
 
 /* Returns an upstream by its short name, or NULL. */
-forward_upstream_t *forward_upstreams_find_by_short_id(forward_upstreams_t *set, uint32_t short_id)
+forward_upstream_t *forward_upstreams_find_by_short_id(forward_upstreams_t *set,
+						       uint32_t short_id)
 {
 	return g_hash_table_lookup(set->by_short_id, short_id_key(short_id));
 }
@@ -228,7 +229,8 @@
 	list_append(&set->list, &upstream->node);
 	g_hash_table_insert(set->by_id, upstream->id, upstream);
 	g_hash_table_insert(set->by_short_id,
-			    short_id_key(forward_upstream_short_id(upstream)), upstream);
+			    short_id_key(forward_upstream_short_id(upstream)),
+			    upstream);
 	return upstream;
 }
 
@@ -255,16 +257,17 @@
  * is known. Returns whether that was news.
  */
 bool forward_upstreams_apply(forward_upstreams_t *set,
-			     const forward_listing_t *listing)
+			     const forward_registration_t *registration)
 {
-	forward_upstream_t *upstream = forward_upstreams_find(set, listing->id);
+	forward_upstream_t *upstream =
+		forward_upstreams_find(set, registration->id);
 
 	if (!upstream)
-		upstream = set_add(set, listing->id);
+		upstream = set_add(set, registration->id);
 	upstream->listed = true;
-	if (listing->revision <= upstream->revision)
+	if (registration->revision <= upstream->revision)
 		return false;
-	take_born(upstream, listing->born);
+	take_born(upstream, registration->born);
 	group_leave(upstream); /* the service may change */
 	/*
 	 * Listed anew after it had lapsed. The same revision, told once more by
@@ -272,14 +275,14 @@
 	 * left in use for seconds.
 	 */
 	upstream->gone_at = 0;
-	replace(&upstream->service, listing->service);
-	replace(&upstream->address, listing->address);
-	replace(&upstream->zone, listing->zone);
-	upstream->port = listing->port;
-	upstream->slots = listing->slots;
-	upstream->stage = listing->stage;
-	upstream->reclaimable = listing->reclaimable;
-	upstream->revision = listing->revision;
+	replace(&upstream->service, registration->service);
+	replace(&upstream->address, registration->address);
+	replace(&upstream->zone, registration->zone);
+	upstream->port = registration->port;
+	upstream->slots = registration->slots;
+	upstream->stage = registration->stage;
+	upstream->reclaimable = registration->reclaimable;
+	upstream->revision = registration->revision;
 	set_changed(set, upstream);
 	return true;
 }
@@ -318,10 +321,11 @@
  * revision. Returns whether that was news.
  */
 bool forward_upstreams_update_stage(forward_upstreams_t *set,
-			       forward_upstream_t *upstream,
-			       const forward_stage_update_t *change, pd_time_t now)
+				    forward_upstream_t *upstream,
+				    const forward_stage_update_t *change,
+				    pd_time_t now)
 {
-	const forward_listing_t listing = {
+	const forward_registration_t registration = {
 		.id = upstream->id,
 		.born = change->born,
 		.service = upstream->service,
@@ -337,7 +341,7 @@
 	if (change->stage == FORWARD_GONE)
 		return forward_upstreams_remove(set, upstream->id,
 						change->revision, now);
-	return forward_upstreams_apply(set, &listing);
+	return forward_upstreams_apply(set, &registration);
 }
 
 /* Begins to read a whole listing of the platform. */
--- a/core/forward/upstreams.h
+++ b/core/forward/upstreams.h
@@ -17,7 +17,7 @@
 #define FORWARD_BUCKETS 128
 
 /* What the platform says of an upstream, at one revision of its entry. */
-typedef struct forward_listing {
+typedef struct forward_registration {
 	const char *id;
 	/*
 	 * When it started, in milliseconds of the time of day of its VM; 0: not
@@ -32,9 +32,9 @@
 	forward_stage_t stage;
 	bool reclaimable;
 	uint64_t revision;
-} forward_listing_t;
+} forward_registration_t;
 
-/* What of a listing may change while its address and service stay. */
+/* What of a registration may change while its address and service stay. */
 typedef struct forward_stage_update {
 	forward_stage_t stage;
 	int64_t born;
@@ -79,10 +79,11 @@
 forward_upstreams_t *forward_upstreams_create(void);
 void forward_upstreams_destroy(forward_upstreams_t *set);
 bool forward_upstreams_apply(forward_upstreams_t *set,
-			     const forward_listing_t *listing);
+			     const forward_registration_t *registration);
 bool forward_upstreams_update_stage(forward_upstreams_t *set,
-			       forward_upstream_t *upstream,
-			       const forward_stage_update_t *change, pd_time_t now);
+				    forward_upstream_t *upstream,
+				    const forward_stage_update_t *change,
+				    pd_time_t now);
 bool forward_upstreams_remove(forward_upstreams_t *set, const char *id,
 			      uint64_t revision, pd_time_t now);
 void forward_upstreams_begin_listing(forward_upstreams_t *set);
@@ -102,7 +103,7 @@
 forward_upstream_t *forward_upstreams_find(forward_upstreams_t *set,
 					   const char *id);
 forward_upstream_t *forward_upstreams_find_by_short_id(forward_upstreams_t *set,
-					     uint32_t short_id);
+						       uint32_t short_id);
 uint32_t forward_upstream_short_id(const forward_upstream_t *upstream);
 bool forward_upstream_serves(const forward_upstream_t *upstream);
 unsigned int forward_upstream_running(const forward_upstream_t *upstream);
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -94,14 +94,14 @@
 static void tell(gateway_t *gateway, const char *id, forward_stage_t stage,
 		 uint64_t revision)
 {
-	const forward_listing_t listing = { .id = id,
-					    .service = "s",
-					    .address = "10.0.0.9",
-					    .port = 80,
-					    .zone = "a",
-					    .slots = 6,
-					    .stage = stage,
-					    .revision = revision };
+	const forward_registration_t listing = { .id = id,
+						 .service = "s",
+						 .address = "10.0.0.9",
+						 .port = 80,
+						 .zone = "a",
+						 .slots = 6,
+						 .stage = stage,
+						 .revision = revision };
 
 	assert_true(forward_upstreams_apply(gateway->upstreams, &listing));
 	gateway_upstream_news(gateway, id, "test");
@@ -227,13 +227,13 @@
 {
 	pair_t *pair = *state;
 	gateway_t *other = pair->gateways[1];
-	const forward_listing_t listing = { .id = "u2",
-					    .service = "s",
-					    .address = "10.0.0.8",
-					    .port = 80,
-					    .zone = "a",
-					    .slots = 6,
-					    .revision = 7 };
+	const forward_registration_t listing = { .id = "u2",
+						 .service = "s",
+						 .address = "10.0.0.8",
+						 .port = 80,
+						 .zone = "a",
+						 .slots = 6,
+						 .revision = 7 };
 
 	UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
 	forward_upstreams_apply(pair->gateways[0]->upstreams, &listing);
@@ -265,13 +265,13 @@
 static void test_an_unknown_upstream_is_asked_for_once(void **state)
 {
 	pair_t *pair = *state;
-	const forward_listing_t listing = { .id = "u3",
-					    .service = "s",
-					    .address = "10.0.0.7",
-					    .port = 80,
-					    .zone = "a",
-					    .slots = 6,
-					    .revision = 8 };
+	const forward_registration_t listing = { .id = "u3",
+						 .service = "s",
+						 .address = "10.0.0.7",
+						 .port = 80,
+						 .zone = "a",
+						 .slots = 6,
+						 .revision = 8 };
 
 	UNTIL(pair, peers_view(pair->gateways[1]->peers, gateway_now())->alive ==
 			    PAIR);
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -80,7 +80,7 @@
 	gateway_take_config(gateway, config_text, "test");
 	for (unsigned int i = 0; i < 4; i++) {
 		std::string id = "u" + std::to_string(i);
-		forward_listing_t listing = {};
+		forward_registration_t listing = {};
 
 		listing.id = id.c_str();
 		listing.service = "s";
@@ -170,7 +170,7 @@
 		pd_error_t err;
 		wire_page_t *page =
 			wire_page_read(bytes.data(), bytes.size(), &err);
-		forward_listing_t listing;
+		forward_registration_t listing;
 
 		for (size_t i = 0; page && i < wire_page_count(page); i++) {
 			RC_ASSERT(wire_page_name(page, i) != nullptr);
--- a/tests/property/test_leaves.cc
+++ b/tests/property/test_leaves.cc
@@ -340,7 +340,7 @@
 bool take(fleet &all, gateway &one, unsigned upstream, const entry &what)
 {
 	std::string id = name_of(upstream);
-	forward_listing_t listing = {};
+	forward_registration_t listing = {};
 
 	if (what.stage == FORWARD_GONE)
 		return forward_upstreams_remove(one.table, id.c_str(),
--- a/tests/unit/test_forward_upstreams.c
+++ b/tests/unit/test_forward_upstreams.c
@@ -37,17 +37,17 @@
 static bool list_start(forward_upstreams_t *set, const char *id,
 		       uint64_t revision, forward_stage_t stage, int64_t born)
 {
-	const forward_listing_t listing = { .id = id,
-					    .born = born,
-					    .service = "s",
-					    .address = "127.0.0.1",
-					    .port = 1,
-					    .zone = "a",
-					    .slots = 4,
-					    .stage = stage,
-					    .revision = revision };
-
-	return forward_upstreams_apply(set, &listing);
+	const forward_registration_t registration = { .id = id,
+						      .born = born,
+						      .service = "s",
+						      .address = "127.0.0.1",
+						      .port = 1,
+						      .zone = "a",
+						      .slots = 4,
+						      .stage = stage,
+						      .revision = revision };
+
+	return forward_upstreams_apply(set, &registration);
 }
 
 static bool list(forward_upstreams_t *set, const char *id, uint64_t revision,
@@ -414,7 +414,8 @@
 
 	list_born(*state, 1, 1000);
 	upstream = forward_upstreams_find(*state, "u1");
-	assert_true(forward_upstreams_update_stage(*state, upstream, &change, START));
+	assert_true(forward_upstreams_update_stage(*state, upstream, &change,
+						   START));
 	assert_int_equal(upstream->starts, 1);
 	assert_true(forward_upstreams_remove(*state, "u1", 2, START));
 	assert_null(choose(*state, START));
--- a/tests/unit/test_scale_plan.c
+++ b/tests/unit/test_scale_plan.c
@@ -68,13 +68,13 @@
 static void start(rig_t *rig, const char *zone, unsigned int number, bool reclaimable)
 {
 	char id[32];
-	forward_listing_t listing = { .id = id,
-				      .service = "s",
-				      .address = "127.0.0.1",
-				      .port = 1,
-				      .zone = zone,
-				      .slots = 96,
-				      .reclaimable = reclaimable };
+	forward_registration_t listing = { .id = id,
+					   .service = "s",
+					   .address = "127.0.0.1",
+					   .port = 1,
+					   .zone = zone,
+					   .slots = 96,
+					   .reclaimable = reclaimable };
 
 	for (unsigned int i = 0; i < number; i++) {
 		listing.revision = ++rig->revision;
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -193,7 +193,7 @@
 	static const char watch[] =
 		"{\"events\":[{\"tombstone\":true,\"object\":{\"metadata\":"
 		"{\"name\":\"i-1\",\"revision\":4}}}],\"asOf\":12}";
-	forward_listing_t listing;
+	forward_registration_t listing;
 	pd_error_t err;
 	wire_page_t *page = wire_page_read(list, strlen(list), &err);
 
@@ -222,14 +222,14 @@
 
 /* Reads a page of a sound entry, one with a spec, and another sound one. */
 static int read_between(const char *spec, size_t len,
-			forward_listing_t *between, pd_error_t *err)
+			forward_registration_t *between, pd_error_t *err)
 {
 	static const char head[] = "{\"items\":[" SOUND(
 		"i-1") ",{\"metadata\":"
 		       "{\"name\":\"i-2\",\"revision\":5},\"spec\":";
 	static const char tail[] = "}," SOUND("i-3") "],\"asOf\":9}";
 	GString *text = g_string_new(head);
-	forward_listing_t sound;
+	forward_registration_t sound;
 	wire_page_t *page;
 	int rc;
 
@@ -284,7 +284,7 @@
 		"{\"service\":\"s\",\"address\":\"1.2.3.4:5\",\"zone\":\"a\","
 		"\"slots\":1,\"state\":\"ready\",\"born\":0.5}",
 	};
-	forward_listing_t listing;
+	forward_registration_t listing;
 	pd_error_t err;
 
 	(void)state;
@@ -308,7 +308,7 @@
 		"\\ud800",  "\\udc00\\ud800", "\\u0000x",
 		"a\x01z",   "a\nz",	      "\\\\\xf8",
 	};
-	forward_listing_t listing;
+	forward_registration_t listing;
 	pd_error_t err;
 
 	(void)state;
