--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -30,7 +30,7 @@
 		const forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
 		load_t load = { forward_upstream_short_id(upstream),
-				upstream->running, upstream->reading };
+				upstream->running, upstream->prefill_tokens };
 
 		if (load.running)
 			g_array_append_val(told, load);
@@ -76,7 +76,7 @@
 {
 	load_t load = { forward_upstream_short_id(upstream),
 			forward_upstream_running(upstream),
-			forward_upstream_reading(upstream) };
+			forward_upstream_prefill_tokens(upstream) };
 
 	return load;
 }
@@ -197,8 +197,8 @@
 			continue;
 		upstream->peers_running -=
 			MIN(upstream->peers_running, load->running);
-		upstream->peers_reading =
-			MAX(upstream->peers_reading - load->reading, 0);
+		upstream->peers_prefill_tokens =
+			MAX(upstream->peers_prefill_tokens - load->reading, 0);
 	}
 	g_array_set_size(loads, 0);
 }
@@ -206,7 +206,7 @@
 static void load_put(GArray *loads, forward_upstream_t *upstream, const load_t *load)
 {
 	upstream->peers_running += load->running;
-	upstream->peers_reading += load->reading;
+	upstream->peers_prefill_tokens += load->reading;
 	g_array_append_val(loads, *load);
 }
 
@@ -273,7 +273,7 @@
 					       0.5),
 				msgpack_field_decimal(&fields[2]) };
 
-		if (!upstream->peers_running && upstream->peers_reading <= 0)
+		if (!upstream->peers_running && upstream->peers_prefill_tokens <= 0)
 			load_put(peers->aggregator_loads, upstream, &load);
 	}
 	g_free(service);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -506,7 +506,7 @@
 	msgpack_pack_uint8(packer, (uint8_t)upstream->stage);
 	msgpack_pack_uint8(packer, upstream->reclaimable);
 	msgpack_pack_uint64(packer, upstream->revision);
-	msgpack_pack_int64(packer, upstream->born);
+	msgpack_pack_int64(packer, upstream->start_time_ms);
 }
 
 /*
@@ -519,7 +519,7 @@
 	msgpack_pack_uint64(packer, upstream->id_hash);
 	msgpack_pack_uint8(packer, (uint8_t)upstream->stage);
 	msgpack_pack_uint64(packer, upstream->revision);
-	msgpack_pack_int64(packer, upstream->born);
+	msgpack_pack_int64(packer, upstream->start_time_ms);
 }
 
 /* Which upstreams a message tells about. */
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -488,7 +488,7 @@
 	const forward_stage_update_t change = {
 		.stage = (forward_stage_t)msgpack_field_number(&fields[1]),
 		.revision = msgpack_field_number(&fields[2]),
-		.born = (int64_t)msgpack_field_number(&fields[3]),
+		.start_time_ms = (int64_t)msgpack_field_number(&fields[3]),
 	};
 	forward_upstream_t *upstream =
 		forward_upstreams_find_by_short_id(gateway->upstreams,
@@ -536,7 +536,7 @@
 	listing.stage = (forward_stage_t)msgpack_field_number(&fields[6]);
 	listing.reclaimable = msgpack_field_number(&fields[7]) != 0;
 	listing.revision = msgpack_field_number(&fields[8]);
-	listing.born = (int64_t)msgpack_field_number(&fields[9]);
+	listing.start_time_ms = (int64_t)msgpack_field_number(&fields[9]);
 	if (!texts[0] || !texts[1] || !texts[2] || !texts[3] ||
 	    listing.stage > FORWARD_GONE)
 		goto done;
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -123,7 +123,7 @@
 						   request->gateway->upstreams),
 					   request->service, request->reading,
 					   gateway_now() - request->sent_at);
-		request->upstream->reading -= request->reading;
+		request->upstream->prefill_tokens -= request->reading;
 		request->reading = 0;
 		forward_upstream_answered(request->upstream);
 		gateway_request_begun(request);
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -197,23 +197,24 @@
 }
 
 /* Notes what the attempt will cost its engine, which has UNREAD to read for it. */
-static void attempt_add_work(gateway_request_t *request, double unread)
+static void attempt_add_work(gateway_request_t *request, double uncached_tokens)
 {
 	const forward_call_t *call = request->call;
 	double rate = gateway_engine_rate(request->gateway, request->service);
 	double output =
 		call->output_tokens * engine_tokens(rate, ENGINE_OUTPUT_TIME);
 
-	request->reading = unread;
+	request->reading = uncached_tokens;
 	/*
 	 * A prompt tells how fast its engine reads only if nothing else is read
 	 * there, and if it shares little: whether shared parts are still held
 	 * there, or were read for another entry, is not known.
 	 */
 	request->reads_alone =
-		forward_upstream_reading(request->upstream) < 1 &&
+		forward_upstream_prefill_tokens(request->upstream) < 1 &&
 		forward_call_shared(call) <= call->prompt_tokens * SHARED_LITTLE;
-	work_rate_add(request->gateway->work, request->service, unread + output);
+	work_rate_add(request->gateway->work, request->service,
+		      uncached_tokens + output);
 }
 
 /* Begins an attempt at an upstream: counts it, and sends or connects first. */
@@ -226,7 +227,7 @@
 	if (request->sends)
 		metrics_add(request->gateway->metrics, "gateway_resends_total", 1);
 	request->upstream = forward_upstream_ref(upstream);
-	request->start = upstream->starts;
+	request->start = upstream->restart_count;
 	request->tried[request->tried_count++] = g_strdup(upstream->id);
 	request->sends++;
 	request->begun_at = now;
@@ -236,9 +237,9 @@
 		request->state = REQUEST_CONNECTING;
 	g_byte_array_set_size(request->answer, 0);
 	if (request->route->has_prompt)
-		attempt_add_work(request, pick->unread);
+		attempt_add_work(request, pick->uncached_tokens);
 	upstream->running++;
-	upstream->reading += request->reading;
+	upstream->prefill_tokens += request->reading;
 	forward_upstream_sent(upstream, request->call, now);
 	request->link = upstream_link_open(request->gateway, upstream,
 					   !gateway_request_may_repeat(request),
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -34,7 +34,7 @@
 	if (!upstream)
 		return;
 	upstream->running--;
-	upstream->reading -= request->reading;
+	upstream->prefill_tokens -= request->reading;
 	request->reading = 0;
 }
 
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -73,7 +73,7 @@
 typedef struct offer {
 	forward_upstream_t *upstream; /* NULL: none yet */
 	bool avoided;
-	double unread; /* of the call's prompt, there */
+	double uncached_tokens; /* of the call's prompt, there */
 	double cost;
 } offer_t;
 
@@ -94,16 +94,18 @@
  * share, whoever sent them. By an entry's own requests alone, nine entries took
  * the work for twice of what it was, and ordered as many engines.
  */
-static double unread_at(const search_t *search, const forward_upstream_t *upstream)
+static double uncached_tokens_at(const search_t *search,
+				 const forward_upstream_t *upstream)
 {
 	const forward_call_t *call = search->ask->call;
 	const homes_t *homes = &search->homes;
-	double unread = forward_upstream_unread(upstream, call, search->now);
+	double uncached_tokens =
+		forward_upstream_uncached_tokens(upstream, call, search->now);
 
 	if (upstream == homes->first || upstream == homes->second)
-		return MIN(unread,
+		return MIN(uncached_tokens,
 			   MAX(call->prompt_tokens - forward_call_shared(call), 0));
-	return unread;
+	return uncached_tokens;
 }
 
 /*
@@ -112,10 +114,10 @@
  * and the slowing by what runs.
  */
 static double engine_cost(const search_t *search,
-			  const forward_upstream_t *upstream, double unread,
-			  bool elsewhere)
+			  const forward_upstream_t *upstream,
+			  double uncached_tokens, bool elsewhere)
 {
-	return forward_upstream_reading(upstream) + unread +
+	return forward_upstream_prefill_tokens(upstream) + uncached_tokens +
 	       forward_upstream_running(upstream) *
 		       engine_tokens(search->rate, ENGINE_RUNNING_TIME) +
 	       (elsewhere ? engine_tokens(search->rate, OTHER_ZONE_TIME) : 0);
@@ -138,8 +140,9 @@
 	};
 
 	if (ask->has_prompt) {
-		offer.unread = unread_at(search, upstream);
-		offer.cost = engine_cost(search, upstream, offer.unread, elsewhere);
+		offer.uncached_tokens = uncached_tokens_at(search, upstream);
+		offer.cost = engine_cost(search, upstream,
+					 offer.uncached_tokens, elsewhere);
 	} else {
 		offer.cost = plain_cost(upstream, elsewhere);
 	}
@@ -246,7 +249,7 @@
 	else
 		offer_all(&search);
 	pick->upstream = search.best.upstream;
-	pick->unread = search.best.unread;
+	pick->uncached_tokens = search.best.uncached_tokens;
 	if (pick->upstream)
 		return FORWARD_CHOSEN;
 	return search.any ? FORWARD_ALL_FULL : FORWARD_NONE_LEFT;
--- a/core/forward/choice.h
+++ b/core/forward/choice.h
@@ -23,7 +23,7 @@
 /* What was chosen. */
 typedef struct forward_pick {
 	forward_upstream_t *upstream; /* borrowed; NULL: none */
-	double unread; /* tokens of the call's prompt that it has still to read */
+	double uncached_tokens; /* tokens of the call's prompt that it has still to read */
 } forward_pick_t;
 
 typedef enum forward_choice {
--- a/core/forward/upstream_record.c
+++ b/core/forward/upstream_record.c
@@ -19,25 +19,25 @@
  * Parts of prompts stay at an engine until memory runs out; belief in them ends
  * after this long without use, or a lost cache would draw requests for ever.
  */
-#define PART_BELIEF (30 * PD_SEC)
-#define PARTS_MAX 4096
+#define CACHED_PART_TTL (30 * PD_SEC)
+#define CACHED_PARTS_MAX 4096
 
-static bool believes(const forward_upstream_t *upstream, uint64_t id, pd_time_t now)
+static bool is_cached(const forward_upstream_t *upstream, uint64_t id, pd_time_t now)
 {
-	const pd_time_t *used = g_hash_table_lookup(upstream->parts, &id);
+	const pd_time_t *used = g_hash_table_lookup(upstream->cached_parts, &id);
 
-	return used && now - *used < PART_BELIEF;
+	return used && now - *used < CACHED_PART_TTL;
 }
 
 /* Returns how many tokens of the call's prompt the upstream has still to read. */
-double forward_upstream_unread(const forward_upstream_t *upstream,
-			       const forward_call_t *call, pd_time_t now)
+double forward_upstream_uncached_tokens(const forward_upstream_t *upstream,
+					const forward_call_t *call, pd_time_t now)
 {
 	double known = 0;
 
 	for (unsigned int i = 0; i < call->part_count; i++) {
 		/* A part counts only if all before it are there too. */
-		if (!believes(upstream, call->parts[i].id, now))
+		if (!is_cached(upstream, call->parts[i].id, now))
 			break;
 		known += call->parts[i].tokens;
 	}
@@ -47,25 +47,26 @@
 static gboolean part_is_stale(gpointer key, gpointer value, gpointer data)
 {
 	(void)key;
-	return *(pd_time_t *)data - *(pd_time_t *)value >= PART_BELIEF;
+	return *(pd_time_t *)data - *(pd_time_t *)value >= CACHED_PART_TTL;
 }
 
 /* Notes that an upstream gets a call, whose prompt it then holds. */
 void forward_upstream_sent(forward_upstream_t *upstream,
 			   const forward_call_t *call, pd_time_t now)
 {
-	if (g_hash_table_size(upstream->parts) > PARTS_MAX)
-		g_hash_table_foreach_remove(upstream->parts, part_is_stale, &now);
+	if (g_hash_table_size(upstream->cached_parts) > CACHED_PARTS_MAX)
+		g_hash_table_foreach_remove(upstream->cached_parts,
+					    part_is_stale, &now);
 	for (unsigned int i = 0; i < call->part_count; i++) {
-		pd_time_t *used =
-			g_hash_table_lookup(upstream->parts, &call->parts[i].id);
+		pd_time_t *used = g_hash_table_lookup(upstream->cached_parts,
+						      &call->parts[i].id);
 
 		if (!used) {
 			uint64_t *id = g_new(uint64_t, 1);
 
 			*id = call->parts[i].id;
 			used = g_new(pd_time_t, 1);
-			g_hash_table_insert(upstream->parts, id, used);
+			g_hash_table_insert(upstream->cached_parts, id, used);
 		}
 		*used = now;
 	}
@@ -118,14 +119,14 @@
  */
 void forward_upstream_restarted(forward_upstream_t *upstream)
 {
-	upstream->starts++;
+	upstream->restart_count++;
 	upstream->peers_running = 0;
-	upstream->peers_reading = 0;
+	upstream->peers_prefill_tokens = 0;
 	upstream->failures = 0;
 	upstream->avoid_until = 0;
 	upstream->full_until = 0;
 	upstream->probing_since = 0;
-	g_hash_table_remove_all(upstream->parts);
+	g_hash_table_remove_all(upstream->cached_parts);
 }
 
 /* Notes a sound answer. */
--- a/core/forward/upstreams.c
+++ b/core/forward/upstreams.c
@@ -56,7 +56,7 @@
 {
 	if (--upstream->refs)
 		return;
-	g_hash_table_unref(upstream->parts);
+	g_hash_table_unref(upstream->cached_parts);
 	g_free(upstream->id);
 	g_free(upstream->service);
 	g_free(upstream->address);
@@ -224,8 +224,8 @@
 	upstream->address = g_strdup("");
 	upstream->zone = g_strdup("");
 	list_init(&upstream->idle_links);
-	upstream->parts = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						g_free, g_free);
+	upstream->cached_parts =
+		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	list_append(&set->list, &upstream->node);
 	g_hash_table_insert(set->by_id, upstream->id, upstream);
 	g_hash_table_insert(set->by_short_id,
@@ -243,13 +243,13 @@
 }
 
 /* Takes when an upstream was started; another time means another start. */
-static void take_born(forward_upstream_t *upstream, int64_t born)
+static void update_start_time(forward_upstream_t *upstream, int64_t start_time_ms)
 {
-	if (!born)
+	if (!start_time_ms)
 		return;
-	if (upstream->born && upstream->born != born)
+	if (upstream->start_time_ms && upstream->start_time_ms != start_time_ms)
 		forward_upstream_restarted(upstream);
-	upstream->born = born;
+	upstream->start_time_ms = start_time_ms;
 }
 
 /*
@@ -267,7 +267,7 @@
 	upstream->listed = true;
 	if (registration->revision <= upstream->revision)
 		return false;
-	take_born(upstream, registration->born);
+	update_start_time(upstream, registration->start_time_ms);
 	group_leave(upstream); /* the service may change */
 	/*
 	 * Listed anew after it had lapsed. The same revision, told once more by
@@ -327,7 +327,7 @@
 {
 	const forward_registration_t registration = {
 		.id = upstream->id,
-		.born = change->born,
+		.start_time_ms = change->start_time_ms,
 		.service = upstream->service,
 		.address = upstream->address,
 		.port = upstream->port,
@@ -419,7 +419,7 @@
 }
 
 /* Returns the prompt tokens that it has still to read for all entries. */
-double forward_upstream_reading(const forward_upstream_t *upstream)
+double forward_upstream_prefill_tokens(const forward_upstream_t *upstream)
 {
-	return upstream->reading + upstream->peers_reading;
+	return upstream->prefill_tokens + upstream->peers_prefill_tokens;
 }
--- a/core/forward/upstreams.h
+++ b/core/forward/upstreams.h
@@ -21,9 +21,9 @@
 	const char *id;
 	/*
 	 * When it started, in milliseconds of the time of day of its VM; 0: not
-	 * told. One that starts again may have the id of before: only this differs.
+	 * told. One that restart_count again may have the id of before: only this differs.
 	 */
-	int64_t born;
+	int64_t start_time_ms;
 	const char *service;
 	const char *address;
 	uint16_t port;
@@ -37,7 +37,7 @@
 /* What of a registration may change while its address and service stay. */
 typedef struct forward_stage_update {
 	forward_stage_t stage;
-	int64_t born;
+	int64_t start_time_ms;
 	uint64_t revision;
 } forward_stage_update_t;
 
@@ -45,8 +45,8 @@
 	list_node_t node;
 	unsigned int refs;
 	char *id;
-	int64_t born; /* as listed; 0: not told */
-	unsigned int starts; /* starts under this id that were seen, less one */
+	int64_t start_time_ms; /* as listed; 0: not told */
+	unsigned int restart_count; /* restart_count under this id that were seen, less one */
 	uint64_t id_hash; /* hash of the id */
 	GPtrArray *group; /* of those that serve its service; NULL: none */
 	guint group_at; /* its place there */
@@ -62,16 +62,16 @@
 	bool listed; /* seen in the listing that is being read */
 	pd_time_t gone_at; /* it counts as gone from then on; 0: it does not */
 	unsigned int running; /* requests of this entry */
-	double reading; /* prompt tokens of this entry's requests not yet read */
+	double prefill_tokens; /* prompt tokens of this entry's requests not yet read */
 	unsigned int peers_running; /* as the other entries told */
-	double peers_reading;
+	double peers_prefill_tokens;
 	unsigned int connections; /* of this entry */
 	list_node_t idle_links; /* kept connections; the adapter's */
 	unsigned int failures; /* in a row */
 	pd_time_t avoid_until; /* after failures */
 	pd_time_t full_until; /* after it turned a request away */
 	pd_time_t probing_since; /* the one request that tests it again */
-	GHashTable *parts; /* prompt part id -> pd_time_t of the last use */
+	GHashTable *cached_parts; /* prompt part id -> pd_time_t of the last use */
 } forward_upstream_t;
 
 typedef struct forward_upstreams forward_upstreams_t;
@@ -107,9 +107,9 @@
 uint32_t forward_upstream_short_id(const forward_upstream_t *upstream);
 bool forward_upstream_serves(const forward_upstream_t *upstream);
 unsigned int forward_upstream_running(const forward_upstream_t *upstream);
-double forward_upstream_reading(const forward_upstream_t *upstream);
-double forward_upstream_unread(const forward_upstream_t *upstream,
-			       const forward_call_t *call, pd_time_t now);
+double forward_upstream_prefill_tokens(const forward_upstream_t *upstream);
+double forward_upstream_uncached_tokens(const forward_upstream_t *upstream,
+					const forward_call_t *call, pd_time_t now);
 void forward_upstream_sent(forward_upstream_t *upstream,
 			   const forward_call_t *call, pd_time_t now);
 void forward_upstream_failed(forward_upstream_t *upstream, pd_time_t now);
--- a/tests/unit/test_forward_upstreams.c
+++ b/tests/unit/test_forward_upstreams.c
@@ -34,11 +34,11 @@
 }
 
 /* Lists an upstream that was started at BORN; 0: it is not told. */
-static bool list_start(forward_upstreams_t *set, const char *id,
-		       uint64_t revision, forward_stage_t stage, int64_t born)
+static bool list_start(forward_upstreams_t *set, const char *id, uint64_t revision,
+		       forward_stage_t stage, int64_t start_time_ms)
 {
 	const forward_registration_t registration = { .id = id,
-						      .born = born,
+						      .start_time_ms = start_time_ms,
 						      .service = "s",
 						      .address = "127.0.0.1",
 						      .port = 1,
@@ -252,7 +252,7 @@
 	list(*state, "u1", 1, FORWARD_SERVING);
 	list(*state, "u2", 2, FORWARD_SERVING);
 	forward_upstreams_choose(*state, &ask, START, &home);
-	home.upstream->reading = 20000;
+	home.upstream->prefill_tokens = 20000;
 	forward_upstreams_choose(*state, &ask, START, &next);
 	assert_ptr_not_equal(home.upstream, next.upstream);
 }
@@ -347,16 +347,16 @@
 		list(*state, id, i + 1, FORWARD_SERVING);
 	}
 	forward_upstreams_choose(*state, &all, START, &pick);
-	assert_true(pick.unread < 1000);
+	assert_true(pick.uncached_tokens < 1000);
 	home = pick.upstream;
-	home->reading = 50000;
+	home->prefill_tokens = 50000;
 	for (int i = 0; i < 50; i++) {
 		forward_upstreams_choose(*state, &few, START, &pick);
 		assert_ptr_not_equal(pick.upstream, home);
 		if (!second)
 			second = pick.upstream;
 		assert_ptr_equal(pick.upstream, second);
-		assert_true(pick.unread < 1000);
+		assert_true(pick.uncached_tokens < 1000);
 	}
 	/* Where loads are known, it is a second place to nobody. */
 	LIST_FOR_EACH (it, forward_upstreams_list(*state)) {
@@ -367,13 +367,14 @@
 	}
 	forward_upstreams_choose(*state, &all, START, &pick);
 	assert_ptr_equal(pick.upstream, second);
-	assert_true(pick.unread > 1000);
+	assert_true(pick.uncached_tokens > 1000);
 	g_rand_free(random);
 }
 
-static void list_born(forward_upstreams_t *set, uint64_t revision, int64_t born)
+static void list_started_at(forward_upstreams_t *set, uint64_t revision,
+			    int64_t start_time_ms)
 {
-	list_start(set, "u1", revision, FORWARD_SERVING, born);
+	list_start(set, "u1", revision, FORWARD_SERVING, start_time_ms);
 }
 
 /*
@@ -387,20 +388,23 @@
 	forward_upstream_t *upstream;
 	double fresh;
 
-	list_born(*state, 1, 1000);
+	list_started_at(*state, 1, 1000);
 	upstream = forward_upstreams_find(*state, "u1");
-	fresh = forward_upstream_unread(upstream, &call, START);
+	fresh = forward_upstream_uncached_tokens(upstream, &call, START);
 	forward_upstream_sent(upstream, &call, START);
 	forward_upstream_unreachable(upstream, START);
 	upstream->peers_running = 3;
-	assert_true(forward_upstream_unread(upstream, &call, START) < fresh);
-	list_born(*state, 2, 1000);
-	assert_true(forward_upstream_unread(upstream, &call, START) < fresh);
-	assert_int_equal(upstream->starts, 0);
-	list_born(*state, 3, 2000);
+	assert_true(forward_upstream_uncached_tokens(upstream, &call, START) <
+		    fresh);
+	list_started_at(*state, 2, 1000);
+	assert_true(forward_upstream_uncached_tokens(upstream, &call, START) <
+		    fresh);
+	assert_int_equal(upstream->restart_count, 0);
+	list_started_at(*state, 3, 2000);
 	assert_ptr_equal(forward_upstreams_find(*state, "u1"), upstream);
-	assert_int_equal(upstream->starts, 1);
-	assert_true(forward_upstream_unread(upstream, &call, START) == fresh);
+	assert_int_equal(upstream->restart_count, 1);
+	assert_true(forward_upstream_uncached_tokens(upstream, &call, START) ==
+		    fresh);
 	assert_false(forward_upstream_is_avoided(upstream, START));
 	assert_int_equal(upstream->peers_running, 0);
 	assert_ptr_equal(choose(*state, START), upstream);
@@ -412,15 +416,15 @@
 	const forward_stage_update_t change = { FORWARD_SERVING, 2000, 2 };
 	forward_upstream_t *upstream;
 
-	list_born(*state, 1, 1000);
+	list_started_at(*state, 1, 1000);
 	upstream = forward_upstreams_find(*state, "u1");
 	assert_true(forward_upstreams_update_stage(*state, upstream, &change,
 						   START));
-	assert_int_equal(upstream->starts, 1);
+	assert_int_equal(upstream->restart_count, 1);
 	assert_true(forward_upstreams_remove(*state, "u1", 2, START));
 	assert_null(choose(*state, START));
-	list_born(*state, 3, 3000);
-	assert_int_equal(upstream->starts, 2);
+	list_started_at(*state, 3, 3000);
+	assert_int_equal(upstream->restart_count, 2);
 	assert_ptr_equal(choose(*state, START), upstream);
 }
 
--- a/tests/unit/test_peer_loads.c
+++ b/tests/unit/test_peer_loads.c
@@ -119,13 +119,13 @@
 	(void)state;
 	upstream_at(aggregator, 3)->running = 2;
 	upstream_at(aggregator, 3)->peers_running = 3;
-	upstream_at(aggregator, 3)->peers_reading = 6400;
+	upstream_at(aggregator, 3)->peers_prefill_tokens = 6400;
 	upstream_at(node, 3)->running = 1;
-	upstream_at(node, 3)->reading = 640;
+	upstream_at(node, 3)->prefill_tokens = 640;
 	tell_own(node);
 	tell_all(aggregator, node);
 	assert_int_equal(upstream_at(node, 3)->peers_running, 4);
-	assert_int_equal((int)upstream_at(node, 3)->peers_reading, 5760);
+	assert_int_equal((int)upstream_at(node, 3)->peers_prefill_tokens, 5760);
 	assert_int_equal(upstream_at(node, 4)->peers_running, 0);
 	tell_all(aggregator, node);
 	assert_int_equal(upstream_at(node, 3)->peers_running, 4);
@@ -148,14 +148,15 @@
 	for (unsigned int i = 0; i < MANY; i++) {
 		upstream_at(aggregator, i)->peers_running = i < LOADS_TOLD ? 12
 									   : 3;
-		upstream_at(aggregator, i)->peers_reading =
+		upstream_at(aggregator, i)->peers_prefill_tokens =
 			i < LOADS_TOLD ? 20000 : 1000;
 	}
 	size = tell_all(aggregator, node);
 	assert_true(size < MESSAGE_MAX);
 	assert_int_equal(upstream_at(node, 5)->peers_running, 12);
 	assert_int_equal(upstream_at(node, MANY - 1)->peers_running, 3);
-	assert_int_equal((int)upstream_at(node, MANY - 1)->peers_reading, 1000);
+	assert_int_equal((int)upstream_at(node, MANY - 1)->peers_prefill_tokens,
+			 1000);
 	fixture_destroy(aggregator);
 	fixture_destroy(node);
 }
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -243,7 +243,7 @@
 		assert_int_equal(wire_page_upstream(page, i, &sound, err), 0);
 		assert_int_equal(sound.slots, 6);
 		assert_int_equal(sound.revision, 4);
-		assert_int_equal(sound.born, 1775915655123);
+		assert_int_equal(sound.start_time_ms, 1775915655123);
 	}
 	assert_string_equal(sound.id, "i-3");
 	rc = wire_page_upstream(page, 1, between, err);
