--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -492,7 +492,7 @@
 	unsigned int count = 0;
 
 	LIST_FOR_EACH (it, forward_upstreams_list(gateway->upstreams))
-		count += forward_upstream_serves(
+		count += forward_upstream_is_serving(
 			LIST_ENTRY(it, forward_upstream_t, node));
 	return count;
 }
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -310,7 +310,7 @@
 static bool attempt_is_too_late(const gateway_request_t *request)
 {
 	return request->upstream && request->link && !request->sent_at &&
-	       !forward_upstream_serves(request->upstream);
+	       !forward_upstream_is_serving(request->upstream);
 }
 
 static void attempt_leave(gateway_request_t *request, const char *reason)
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -125,7 +125,7 @@
 					   gateway_now() - request->sent_at);
 		request->upstream->prefill_tokens -= request->reading;
 		request->reading = 0;
-		forward_upstream_answered(request->upstream);
+		forward_upstream_record_success(request->upstream);
 		gateway_request_begun(request);
 		metrics_time(request->gateway->metrics, "gateway_first_event_ms",
 			     "route", request->route->name,
@@ -208,7 +208,7 @@
 					     "upstream failed");
 		return;
 	}
-	forward_upstream_answered(request->upstream);
+	forward_upstream_record_success(request->upstream);
 	gateway_request_attempt_forget(request);
 	request->runs++;
 	gateway_request_finish(request);
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -139,21 +139,22 @@
 
 	switch (end) {
 	case ATTEMPT_UNSENT:
-		forward_upstream_unreachable(request->upstream, now);
+		forward_upstream_record_connect_failure(request->upstream, now);
 		break;
 	case ATTEMPT_LOST:
-		forward_upstream_failed(request->upstream, now);
+		forward_upstream_record_failure(request->upstream, now);
 		break;
 	case ATTEMPT_REJECTED:
 		/* Another one has the address: this one is gone. */
 		if (request->status == 421)
-			forward_upstream_unreachable(request->upstream, now);
+			forward_upstream_record_connect_failure(request->upstream,
+								now);
 		else
-			forward_upstream_rejected(request->upstream, now);
+			forward_upstream_record_rejection(request->upstream, now);
 		gateway_request_judge(request, true);
 		break;
 	case ATTEMPT_FAILED:
-		forward_upstream_answered(request->upstream);
+		forward_upstream_record_success(request->upstream);
 		break;
 	}
 }
@@ -240,7 +241,7 @@
 		attempt_add_work(request, pick->uncached_tokens);
 	upstream->running++;
 	upstream->prefill_tokens += request->reading;
-	forward_upstream_sent(upstream, request->call, now);
+	forward_upstream_record_send(upstream, request->call, now);
 	request->link = upstream_link_open(request->gateway, upstream,
 					   !gateway_request_may_repeat(request),
 					   &gateway_request_link_user, request);
--- a/adapters/gateway/upstream_link.c
+++ b/adapters/gateway/upstream_link.c
@@ -179,7 +179,8 @@
 	pd_time_t now = gateway_now();
 	pd_time_t idle = IDLE_UNSTATED;
 
-	if (http1_unsent(link->conn) || !forward_upstream_serves(link->upstream) ||
+	if (http1_unsent(link->conn) ||
+	    !forward_upstream_is_serving(link->upstream) ||
 	    link->start != link->upstream->restart_count) {
 		upstream_link_close(link);
 		return;
@@ -202,7 +203,7 @@
 	LIST_FOR_EACH (it, forward_upstreams_list(gateway->upstreams)) {
 		forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
-		bool leaving = !forward_upstream_serves(upstream);
+		bool leaving = !forward_upstream_is_serving(upstream);
 
 		LIST_FOR_EACH_SAFE (idle, &upstream->idle_links) {
 			upstream_link_t *link =
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -136,7 +136,7 @@
 	bool elsewhere = strcmp(upstream->zone, ask->zone) != 0;
 	offer_t offer = {
 		.upstream = upstream,
-		.avoided = forward_upstream_is_avoided(upstream, search->now),
+		.avoided = forward_upstream_in_backoff(upstream, search->now),
 	};
 
 	if (ask->has_prompt) {
--- a/core/forward/upstream_record.c
+++ b/core/forward/upstream_record.c
@@ -3,18 +3,18 @@
 
 /*
  * An upstream that failed is left alone, twice as long each time, and then
- * tried with one request. The first pause is about one aim of a plain call; the
+ * tried with one request. The first backoff is about one aim of a plain call; the
  * last is short enough that one which recovers is used again within seconds.
  */
-#define AVOID_FIRST (150 * PD_MSEC)
-#define AVOID_MAX (3 * PD_SEC)
-#define FAILURES_BEFORE_AVOID 2
+#define BACKOFF_INITIAL (150 * PD_MSEC)
+#define BACKOFF_MAX (3 * PD_SEC)
+#define BACKOFF_FAILURES_MIN 2
 /* One that can't be reached counts as having failed so often: 600 ms. */
-#define UNREACHABLE_FAILURES 4
+#define CONNECT_FAILURE_WEIGHT 4
 /* How long one that turned a request away counts as full. */
-#define FULL_PAUSE (150 * PD_MSEC)
+#define REJECTION_PAUSE (150 * PD_MSEC)
 /* A test request that was not answered for so long is given up on. */
-#define PROBE_MAX (2 * PD_SEC)
+#define PROBE_TIMEOUT (2 * PD_SEC)
 /*
  * Parts of prompts stay at an engine until memory runs out; belief in them ends
  * after this long without use, or a lost cache would draw requests for ever.
@@ -51,8 +51,8 @@
 }
 
 /* Notes that an upstream gets a call, whose prompt it then holds. */
-void forward_upstream_sent(forward_upstream_t *upstream,
-			   const forward_call_t *call, pd_time_t now)
+void forward_upstream_record_send(forward_upstream_t *upstream,
+				  const forward_call_t *call, pd_time_t now)
 {
 	if (g_hash_table_size(upstream->cached_parts) > CACHED_PARTS_MAX)
 		g_hash_table_foreach_remove(upstream->cached_parts,
@@ -70,23 +70,23 @@
 		}
 		*used = now;
 	}
-	if (upstream->failures >= FAILURES_BEFORE_AVOID)
-		upstream->probing_since = now;
+	if (upstream->failures >= BACKOFF_FAILURES_MIN)
+		upstream->probe_started_at = now;
 }
 
 /* Notes a failure that speaks against the upstream. */
-void forward_upstream_failed(forward_upstream_t *upstream, pd_time_t now)
+void forward_upstream_record_failure(forward_upstream_t *upstream, pd_time_t now)
 {
-	pd_time_t pause = AVOID_FIRST;
+	pd_time_t backoff = BACKOFF_INITIAL;
 
 	upstream->failures++;
-	upstream->probing_since = 0;
-	if (upstream->failures < FAILURES_BEFORE_AVOID)
+	upstream->probe_started_at = 0;
+	if (upstream->failures < BACKOFF_FAILURES_MIN)
 		return;
-	for (unsigned int i = FAILURES_BEFORE_AVOID;
-	     i < upstream->failures && pause < AVOID_MAX; i++)
-		pause *= 2;
-	upstream->avoid_until = now + MIN(pause, AVOID_MAX);
+	for (unsigned int i = BACKOFF_FAILURES_MIN;
+	     i < upstream->failures && backoff < BACKOFF_MAX; i++)
+		backoff *= 2;
+	upstream->backoff_until = now + MIN(backoff, BACKOFF_MAX);
 }
 
 /*
@@ -95,19 +95,20 @@
  * left alone from the first time on. In a wave of crashes some hundred requests
  * went from one to the next of them until they were given up.
  */
-void forward_upstream_unreachable(forward_upstream_t *upstream, pd_time_t now)
+void forward_upstream_record_connect_failure(forward_upstream_t *upstream,
+					     pd_time_t now)
 {
-	upstream->failures = MAX(upstream->failures, UNREACHABLE_FAILURES - 1);
-	forward_upstream_failed(upstream, now);
+	upstream->failures = MAX(upstream->failures, CONNECT_FAILURE_WEIGHT - 1);
+	forward_upstream_record_failure(upstream, now);
 }
 
 /*
  * Notes that the upstream had no room. The loads of many entries are known late;
  * its own word is newer.
  */
-void forward_upstream_rejected(forward_upstream_t *upstream, pd_time_t now)
+void forward_upstream_record_rejection(forward_upstream_t *upstream, pd_time_t now)
 {
-	upstream->full_until = now + FULL_PAUSE;
+	upstream->full_until = now + REJECTION_PAUSE;
 }
 
 /*
@@ -117,32 +118,32 @@
  * that it has to read anew. What this entry has in progress there is counted
  * until each of it ends.
  */
-void forward_upstream_restarted(forward_upstream_t *upstream)
+void forward_upstream_record_restart(forward_upstream_t *upstream)
 {
 	upstream->restart_count++;
 	upstream->peers_running = 0;
 	upstream->peers_prefill_tokens = 0;
 	upstream->failures = 0;
-	upstream->avoid_until = 0;
+	upstream->backoff_until = 0;
 	upstream->full_until = 0;
-	upstream->probing_since = 0;
+	upstream->probe_started_at = 0;
 	g_hash_table_remove_all(upstream->cached_parts);
 }
 
 /* Notes a sound answer. */
-void forward_upstream_answered(forward_upstream_t *upstream)
+void forward_upstream_record_success(forward_upstream_t *upstream)
 {
 	upstream->failures = 0;
-	upstream->avoid_until = 0;
-	upstream->probing_since = 0;
+	upstream->backoff_until = 0;
+	upstream->probe_started_at = 0;
 }
 
 /* Says whether it failed lately, or is being tested by one request. */
-bool forward_upstream_is_avoided(const forward_upstream_t *upstream, pd_time_t now)
+bool forward_upstream_in_backoff(const forward_upstream_t *upstream, pd_time_t now)
 {
-	if (upstream->failures < FAILURES_BEFORE_AVOID)
+	if (upstream->failures < BACKOFF_FAILURES_MIN)
 		return false;
-	return now < upstream->avoid_until ||
-	       (upstream->probing_since &&
-		now - upstream->probing_since < PROBE_MAX);
+	return now < upstream->backoff_until ||
+	       (upstream->probe_started_at &&
+		now - upstream->probe_started_at < PROBE_TIMEOUT);
 }
--- a/core/forward/upstreams.c
+++ b/core/forward/upstreams.c
@@ -111,7 +111,7 @@
 	set->digests[forward_upstream_bucket(upstream)] += digest - upstream->digest;
 	upstream->digest = digest;
 	group_leave(upstream);
-	if (forward_upstream_serves(upstream))
+	if (forward_upstream_is_serving(upstream))
 		group_join(set, upstream);
 }
 
@@ -248,7 +248,7 @@
 	if (!start_time_ms)
 		return;
 	if (upstream->start_time_ms && upstream->start_time_ms != start_time_ms)
-		forward_upstream_restarted(upstream);
+		forward_upstream_record_restart(upstream);
 	upstream->start_time_ms = start_time_ms;
 }
 
@@ -407,7 +407,7 @@
 }
 
 /* Says whether an upstream may get something new. */
-bool forward_upstream_serves(const forward_upstream_t *upstream)
+bool forward_upstream_is_serving(const forward_upstream_t *upstream)
 {
 	return upstream->stage == FORWARD_SERVING && upstream->revision;
 }
--- a/core/forward/upstreams.h
+++ b/core/forward/upstreams.h
@@ -68,9 +68,9 @@
 	unsigned int connections; /* of this entry */
 	list_node_t idle_links; /* kept connections; the adapter's */
 	unsigned int failures; /* in a row */
-	pd_time_t avoid_until; /* after failures */
+	pd_time_t backoff_until; /* after failures */
 	pd_time_t full_until; /* after it turned a request away */
-	pd_time_t probing_since; /* the one request that tests it again */
+	pd_time_t probe_started_at; /* the one request that tests it again */
 	GHashTable *cached_parts; /* prompt part id -> pd_time_t of the last use */
 } forward_upstream_t;
 
@@ -105,19 +105,20 @@
 forward_upstream_t *forward_upstreams_find_by_short_id(forward_upstreams_t *set,
 						       uint32_t short_id);
 uint32_t forward_upstream_short_id(const forward_upstream_t *upstream);
-bool forward_upstream_serves(const forward_upstream_t *upstream);
+bool forward_upstream_is_serving(const forward_upstream_t *upstream);
 unsigned int forward_upstream_running(const forward_upstream_t *upstream);
 double forward_upstream_prefill_tokens(const forward_upstream_t *upstream);
 double forward_upstream_uncached_tokens(const forward_upstream_t *upstream,
 					const forward_call_t *call, pd_time_t now);
-void forward_upstream_sent(forward_upstream_t *upstream,
-			   const forward_call_t *call, pd_time_t now);
-void forward_upstream_failed(forward_upstream_t *upstream, pd_time_t now);
-void forward_upstream_unreachable(forward_upstream_t *upstream, pd_time_t now);
-void forward_upstream_rejected(forward_upstream_t *upstream, pd_time_t now);
-void forward_upstream_restarted(forward_upstream_t *upstream);
-void forward_upstream_answered(forward_upstream_t *upstream);
-bool forward_upstream_is_avoided(const forward_upstream_t *upstream, pd_time_t now);
+void forward_upstream_record_send(forward_upstream_t *upstream,
+				  const forward_call_t *call, pd_time_t now);
+void forward_upstream_record_failure(forward_upstream_t *upstream, pd_time_t now);
+void forward_upstream_record_connect_failure(forward_upstream_t *upstream,
+					     pd_time_t now);
+void forward_upstream_record_rejection(forward_upstream_t *upstream, pd_time_t now);
+void forward_upstream_record_restart(forward_upstream_t *upstream);
+void forward_upstream_record_success(forward_upstream_t *upstream);
+bool forward_upstream_in_backoff(const forward_upstream_t *upstream, pd_time_t now);
 forward_upstream_t *forward_upstream_ref(forward_upstream_t *upstream);
 void forward_upstream_unref(forward_upstream_t *upstream);
 
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -171,7 +171,7 @@
 	UNTIL(pair, known(other, "u1") != NULL);
 	tell(pair->gateways[0], "u1", FORWARD_DRAINING, 6);
 	UNTIL(pair, known(other, "u1")->stage == FORWARD_DRAINING);
-	assert_false(forward_upstream_serves(known(other, "u1")));
+	assert_false(forward_upstream_is_serving(known(other, "u1")));
 }
 
 /* Has a gateway know a large fleet, in which it goes last. */
--- a/tests/property/test_leaves.cc
+++ b/tests/property/test_leaves.cc
@@ -782,7 +782,7 @@
 	forward_upstream_t *found =
 		forward_upstreams_find(one.table, name_of(upstream).c_str());
 
-	return found && forward_upstream_serves(found);
+	return found && forward_upstream_is_serving(found);
 }
 
 /* Logs what was played, in milliseconds after the first fault can come. */
--- a/tests/unit/test_forward_upstreams.c
+++ b/tests/unit/test_forward_upstreams.c
@@ -139,8 +139,8 @@
 	list(*state, "u2", 2, FORWARD_SERVING);
 	forward_upstreams_end_listing(*state, 9, START);
 	assert_string_equal(choose(*state, START)->id, "u2");
-	assert_false(
-		forward_upstream_serves(forward_upstreams_find(*state, "u1")));
+	assert_false(forward_upstream_is_serving(
+		forward_upstreams_find(*state, "u1")));
 }
 
 /* An upstream that fails twice in a row is left alone while others serve. */
@@ -151,12 +151,12 @@
 	list(*state, "u1", 1, FORWARD_SERVING);
 	list(*state, "u2", 2, FORWARD_SERVING);
 	bad = forward_upstreams_find(*state, "u1");
-	forward_upstream_failed(bad, START);
-	forward_upstream_failed(bad, START);
+	forward_upstream_record_failure(bad, START);
+	forward_upstream_record_failure(bad, START);
 	forward_upstreams_find(*state, "u2")->running = 3;
 	assert_string_equal(choose(*state, START)->id, "u2");
 	assert_string_equal(choose(*state, START + 10 * PD_SEC)->id, "u1");
-	forward_upstream_answered(bad);
+	forward_upstream_record_success(bad);
 	assert_string_equal(choose(*state, START)->id, "u1");
 }
 
@@ -168,7 +168,8 @@
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
 	list(*state, "u2", 2, FORWARD_SERVING);
-	forward_upstream_unreachable(forward_upstreams_find(*state, "u1"), START);
+	forward_upstream_record_connect_failure(forward_upstreams_find(*state, "u1"),
+						START);
 	forward_upstreams_find(*state, "u2")->running = 3;
 	assert_string_equal(choose(*state, START)->id, "u2");
 }
@@ -177,7 +178,8 @@
 static void test_an_upstream_that_rejected_is_full(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
-	forward_upstream_rejected(forward_upstreams_find(*state, "u1"), START);
+	forward_upstream_record_rejection(forward_upstreams_find(*state, "u1"),
+					  START);
 	assert_null(choose(*state, START));
 	assert_non_null(choose(*state, START + PD_SEC));
 }
@@ -391,8 +393,8 @@
 	list_started_at(*state, 1, 1000);
 	upstream = forward_upstreams_find(*state, "u1");
 	fresh = forward_upstream_uncached_tokens(upstream, &call, START);
-	forward_upstream_sent(upstream, &call, START);
-	forward_upstream_unreachable(upstream, START);
+	forward_upstream_record_send(upstream, &call, START);
+	forward_upstream_record_connect_failure(upstream, START);
 	upstream->peers_running = 3;
 	assert_true(forward_upstream_uncached_tokens(upstream, &call, START) <
 		    fresh);
@@ -405,7 +407,7 @@
 	assert_int_equal(upstream->restart_count, 1);
 	assert_true(forward_upstream_uncached_tokens(upstream, &call, START) ==
 		    fresh);
-	assert_false(forward_upstream_is_avoided(upstream, START));
+	assert_false(forward_upstream_in_backoff(upstream, START));
 	assert_int_equal(upstream->peers_running, 0);
 	assert_ptr_equal(choose(*state, START), upstream);
 }
