--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -170,7 +170,7 @@
 		return;
 	log_line(G_LOG_LEVEL_INFO, "store", "outage ended_ms_ago=%" PRId64,
 		 (gateway_now() - end) / PD_MSEC);
-	forward_upstreams_store_back(gateway->upstreams, end);
+	forward_upstreams_store_recovered(gateway->upstreams, end);
 }
 
 /* Takes that the store answered at AT, this gateway or another. */
@@ -318,7 +318,7 @@
 	pd_time_t now = gateway_now();
 
 	run_vote(gateway, now);
-	forward_upstreams_run(gateway->upstreams, now, on_lapsed, gateway);
+	forward_upstreams_expire(gateway->upstreams, now, on_lapsed, gateway);
 	/* First, as it tells a start how large the fleet is. */
 	gateway_checkpoint_run(gateway->checkpoint, now);
 	fleet_feed_run(gateway->feed, now);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -33,7 +33,7 @@
 
 	if (!peers->gateway->upstreams_known)
 		return 0;
-	for (unsigned int i = 0; i < FORWARD_BUCKETS; i++)
+	for (unsigned int i = 0; i < FORWARD_DIGEST_BUCKETS; i++)
 		digest += forward_upstreams_digest(peers->gateway->upstreams, i);
 	return digest;
 }
@@ -418,8 +418,8 @@
 
 static void pack_digests(msgpack_packer *packer, const gateway_peers_t *peers)
 {
-	msgpack_pack_array(packer, FORWARD_BUCKETS);
-	for (unsigned int i = 0; i < FORWARD_BUCKETS; i++)
+	msgpack_pack_array(packer, FORWARD_DIGEST_BUCKETS);
+	for (unsigned int i = 0; i < FORWARD_DIGEST_BUCKETS; i++)
 		msgpack_pack_uint64(packer,
 				    forward_upstreams_digest(peers->gateway->upstreams,
 							     i));
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -593,21 +593,21 @@
 
 /* Reads the digests that a peer sent along. False: it sent none. */
 static bool take_digests(const msgpack_object *object,
-			 uint64_t digests[FORWARD_BUCKETS])
+			 uint64_t digests[FORWARD_DIGEST_BUCKETS])
 {
 	const msgpack_object *items =
-		msgpack_field_items(object, FORWARD_BUCKETS, NULL);
+		msgpack_field_items(object, FORWARD_DIGEST_BUCKETS, NULL);
 
 	if (!items)
 		return false;
-	for (unsigned int i = 0; i < FORWARD_BUCKETS; i++)
+	for (unsigned int i = 0; i < FORWARD_DIGEST_BUCKETS; i++)
 		digests[i] = msgpack_field_number(&items[i]);
 	return true;
 }
 
 static int take_fetch(gateway_peers_t *peers, const msgpack_object *fields)
 {
-	uint64_t digests[FORWARD_BUCKETS];
+	uint64_t digests[FORWARD_DIGEST_BUCKETS];
 	uint64_t what = msgpack_field_number(&fields[2]);
 	char *address = msgpack_field_text(&fields[1]);
 	peer_t *peer = address ? peers_add(peers, address) : NULL;
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -101,7 +101,8 @@
 		/* The fill is a walk over all upstreams. */
 		if (!shed_is_due(shed, now))
 			continue;
-		fill.part = forward_upstreams_fill(gateway->upstreams, service);
+		fill.part = forward_upstreams_utilization(gateway->upstreams,
+							  service);
 		if (shed_run(shed, &fill, now))
 			log_line(G_LOG_LEVEL_INFO, "shed",
 				 "service=%s share=%.2f fill=%.2f known=%d "
--- a/core/forward/upstreams.c
+++ b/core/forward/upstreams.c
@@ -10,9 +10,9 @@
  * live; they are back about two seconds after it is. Taken as gone at once, the
  * whole fleet would vanish at the end of each outage.
  */
-#define RELIST_GRACE (2300 * PD_MSEC)
+#define REREGISTRATION_GRACE (2300 * PD_MSEC)
 /* How long a record of a gone upstream guards against older news of it. */
-#define GONE_KEPT (60 * PD_SEC)
+#define TOMBSTONE_TTL (60 * PD_SEC)
 
 struct forward_upstreams {
 	list_node_t list; /* of forward_upstream_t */
@@ -20,9 +20,9 @@
 	GHashTable *by_short_id;
 	GHashTable *groups; /* service -> GPtrArray of those that serve it */
 	engine_speeds_t *speeds;
-	uint64_t digests[FORWARD_BUCKETS];
+	uint64_t digests[FORWARD_DIGEST_BUCKETS];
 	pd_time_t grace_until;
-	pd_time_t run_at; /* when time next changes something; 0: never */
+	pd_time_t next_expiry_at; /* when time next changes something; 0: never */
 };
 
 static gpointer short_id_key(uint32_t short_id)
@@ -64,7 +64,7 @@
 	g_free(upstream);
 }
 
-static void group_leave(forward_upstream_t *upstream)
+static void leave_group(forward_upstream_t *upstream)
 {
 	GPtrArray *group = upstream->group;
 	forward_upstream_t *last;
@@ -72,12 +72,12 @@
 	if (!group)
 		return;
 	last = g_ptr_array_index(group, group->len - 1);
-	last->group_at = upstream->group_at;
-	g_ptr_array_remove_index_fast(group, upstream->group_at);
+	last->group_index = upstream->group_index;
+	g_ptr_array_remove_index_fast(group, upstream->group_index);
 	upstream->group = NULL;
 }
 
-static void group_join(forward_upstreams_t *set, forward_upstream_t *upstream)
+static void join_group(forward_upstreams_t *set, forward_upstream_t *upstream)
 {
 	GPtrArray *group = g_hash_table_lookup(set->groups, upstream->service);
 
@@ -87,21 +87,21 @@
 				    group);
 	}
 	upstream->group = group;
-	upstream->group_at = group->len;
+	upstream->group_index = group->len;
 	g_ptr_array_add(group, upstream);
 }
 
 /* Returns the part of the table, for digests, that an upstream belongs to. */
 unsigned int forward_upstream_bucket(const forward_upstream_t *upstream)
 {
-	return (unsigned int)(upstream->id_hash % FORWARD_BUCKETS);
+	return (unsigned int)(upstream->id_hash % FORWARD_DIGEST_BUCKETS);
 }
 
 /*
  * Brings the groups and digests in line with an upstream that changed. Gone ones
  * are left out of the digests, as they are forgotten at different times.
  */
-static void set_changed(forward_upstreams_t *set, forward_upstream_t *upstream)
+static void update_indexes(forward_upstreams_t *set, forward_upstream_t *upstream)
 {
 	uint64_t digest = upstream->stage == FORWARD_GONE
 				  ? 0
@@ -110,17 +110,17 @@
 
 	set->digests[forward_upstream_bucket(upstream)] += digest - upstream->digest;
 	upstream->digest = digest;
-	group_leave(upstream);
+	leave_group(upstream);
 	if (forward_upstream_is_serving(upstream))
-		group_join(set, upstream);
+		join_group(set, upstream);
 }
 
-static void set_drop(forward_upstreams_t *set, forward_upstream_t *upstream)
+static void set_delete(forward_upstreams_t *set, forward_upstream_t *upstream)
 {
 	uint32_t short_id = forward_upstream_short_id(upstream);
 
 	upstream->stage = FORWARD_GONE;
-	set_changed(set, upstream);
+	update_indexes(set, upstream);
 	g_hash_table_remove(set->by_id, upstream->id);
 	if (forward_upstreams_find_by_short_id(set, short_id) == upstream)
 		g_hash_table_remove(set->by_short_id, short_id_key(short_id));
@@ -134,7 +134,7 @@
 	if (!set)
 		return;
 	LIST_FOR_EACH_SAFE (it, &set->list)
-		set_drop(set, LIST_ENTRY(it, forward_upstream_t, node));
+		set_delete(set, LIST_ENTRY(it, forward_upstream_t, node));
 	g_hash_table_unref(set->by_id);
 	g_hash_table_unref(set->by_short_id);
 	g_hash_table_unref(set->groups);
@@ -165,7 +165,8 @@
  * Returns the part of a service's places that requests of all entries take, as
  * far as is known; over 1: some wait at the upstreams. 0 if none serves.
  */
-double forward_upstreams_fill(const forward_upstreams_t *set, const char *service)
+double forward_upstreams_utilization(const forward_upstreams_t *set,
+				     const char *service)
 {
 	const GPtrArray *serving = forward_upstreams_serving(set, service);
 	double running = 0;
@@ -234,7 +235,7 @@
 	return upstream;
 }
 
-static void replace(char **text, const char *with)
+static void replace_string(char **text, const char *with)
 {
 	if (!strcmp(*text, with))
 		return;
@@ -268,22 +269,22 @@
 	if (registration->revision <= upstream->revision)
 		return false;
 	update_start_time(upstream, registration->start_time_ms);
-	group_leave(upstream); /* the service may change */
+	leave_group(upstream); /* the service may change */
 	/*
 	 * Listed anew after it had lapsed. The same revision, told once more by
 	 * a peer, is no sign of life: taken for one, it kept upstreams that had
 	 * left in use for seconds.
 	 */
 	upstream->gone_at = 0;
-	replace(&upstream->service, registration->service);
-	replace(&upstream->address, registration->address);
-	replace(&upstream->zone, registration->zone);
+	replace_string(&upstream->service, registration->service);
+	replace_string(&upstream->address, registration->address);
+	replace_string(&upstream->zone, registration->zone);
 	upstream->port = registration->port;
 	upstream->slots = registration->slots;
 	upstream->stage = registration->stage;
 	upstream->reclaimable = registration->reclaimable;
 	upstream->revision = registration->revision;
-	set_changed(set, upstream);
+	update_indexes(set, upstream);
 	return true;
 }
 
@@ -305,14 +306,14 @@
 	if (upstream->gone_at)
 		return false;
 	upstream->gone_at = now;
-	set->run_at = now;
+	set->next_expiry_at = now;
 	if (lapsed && upstream->stage == FORWARD_SERVING && upstream->revision) {
 		upstream->gone_at = set->grace_until;
 		return false; /* news only when that time is over */
 	}
 	upstream->stage = FORWARD_GONE;
 	upstream->revision = revision;
-	set_changed(set, upstream);
+	update_indexes(set, upstream);
 	return true;
 }
 
@@ -365,27 +366,27 @@
 }
 
 /* Takes that an outage of the store, in which entries may have lapsed, ended at AT. */
-void forward_upstreams_store_back(forward_upstreams_t *set, pd_time_t at)
+void forward_upstreams_store_recovered(forward_upstreams_t *set, pd_time_t at)
 {
-	set->grace_until = at + RELIST_GRACE;
+	set->grace_until = at + REREGISTRATION_GRACE;
 }
 
-static void set_run_by(forward_upstreams_t *set, pd_time_t when)
+static void schedule_expiry(forward_upstreams_t *set, pd_time_t when)
 {
-	if (!set->run_at || when < set->run_at)
-		set->run_at = when;
+	if (!set->next_expiry_at || when < set->next_expiry_at)
+		set->next_expiry_at = when;
 }
 
 /*
  * Lets time pass: lapsed entries that did not come back are gone, and ON_GONE
  * is called for each.
  */
-void forward_upstreams_run(forward_upstreams_t *set, pd_time_t now,
-			   void (*on_gone)(void *ctx, const char *id), void *ctx)
+void forward_upstreams_expire(forward_upstreams_t *set, pd_time_t now,
+			      void (*on_gone)(void *ctx, const char *id), void *ctx)
 {
-	if (!set->run_at || now < set->run_at)
+	if (!set->next_expiry_at || now < set->next_expiry_at)
 		return;
-	set->run_at = 0;
+	set->next_expiry_at = 0;
 	LIST_FOR_EACH_SAFE (it, &set->list) {
 		forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
@@ -394,15 +395,16 @@
 			continue;
 		if (now >= upstream->gone_at && upstream->stage != FORWARD_GONE) {
 			upstream->stage = FORWARD_GONE;
-			set_changed(set, upstream);
+			update_indexes(set, upstream);
 			on_gone(ctx, upstream->id);
 		}
-		if (now - upstream->gone_at > GONE_KEPT)
-			set_drop(set, upstream);
+		if (now - upstream->gone_at > TOMBSTONE_TTL)
+			set_delete(set, upstream);
 		else
-			set_run_by(set, now >= upstream->gone_at
-						? upstream->gone_at + GONE_KEPT + 1
-						: upstream->gone_at);
+			schedule_expiry(set, now >= upstream->gone_at
+						     ? upstream->gone_at +
+							       TOMBSTONE_TTL + 1
+						     : upstream->gone_at);
 	}
 }
 
--- a/core/forward/upstreams.h
+++ b/core/forward/upstreams.h
@@ -14,7 +14,7 @@
 } forward_stage_t;
 
 /* Parts that digests of the table are kept of, so that two can be compared. */
-#define FORWARD_BUCKETS 128
+#define FORWARD_DIGEST_BUCKETS 128
 
 /* What the platform says of an upstream, at one revision of its entry. */
 typedef struct forward_registration {
@@ -49,7 +49,7 @@
 	unsigned int restart_count; /* restart_count under this id that were seen, less one */
 	uint64_t id_hash; /* hash of the id */
 	GPtrArray *group; /* of those that serve its service; NULL: none */
-	guint group_at; /* its place there */
+	guint group_index; /* its place there */
 	uint64_t digest; /* its part of the table's digest */
 	char *service;
 	char *address;
@@ -89,14 +89,16 @@
 void forward_upstreams_begin_listing(forward_upstreams_t *set);
 void forward_upstreams_end_listing(forward_upstreams_t *set, uint64_t revision,
 				   pd_time_t now);
-void forward_upstreams_store_back(forward_upstreams_t *set, pd_time_t at);
-void forward_upstreams_run(forward_upstreams_t *set, pd_time_t now,
-			   void (*on_gone)(void *ctx, const char *id), void *ctx);
+void forward_upstreams_store_recovered(forward_upstreams_t *set, pd_time_t at);
+void forward_upstreams_expire(forward_upstreams_t *set, pd_time_t now,
+			      void (*on_gone)(void *ctx, const char *id),
+			      void *ctx);
 list_node_t *forward_upstreams_list(forward_upstreams_t *set);
 engine_speeds_t *forward_upstreams_speeds(const forward_upstreams_t *set);
 const GPtrArray *forward_upstreams_serving(const forward_upstreams_t *set,
 					   const char *service);
-double forward_upstreams_fill(const forward_upstreams_t *set, const char *service);
+double forward_upstreams_utilization(const forward_upstreams_t *set,
+				     const char *service);
 uint64_t forward_upstreams_digest(const forward_upstreams_t *set,
 				  unsigned int bucket);
 unsigned int forward_upstream_bucket(const forward_upstream_t *upstream);
--- a/tests/property/test_leaves.cc
+++ b/tests/property/test_leaves.cc
@@ -326,7 +326,7 @@
 
 	if (!one.known)
 		return 0;
-	for (unsigned i = 0; i < FORWARD_BUCKETS; i++)
+	for (unsigned i = 0; i < FORWARD_DIGEST_BUCKETS; i++)
 		digest += forward_upstreams_digest(one.table, i);
 	return digest;
 }
@@ -364,8 +364,8 @@
 void follow_outage(gateway &one)
 {
 	if (store_outage_end(one.outage))
-		forward_upstreams_store_back(one.table,
-					     store_outage_end(one.outage));
+		forward_upstreams_store_recovered(one.table,
+						  store_outage_end(one.outage));
 }
 
 store_feed_fleet_t fleet_of(const fleet &all, unsigned number)
@@ -578,7 +578,7 @@
 	step_call(all, number);
 	if ((all.now / kStep) % 2 != one.phase / kStep)
 		return;
-	forward_upstreams_run(one.table, all.now, on_gone, &one);
+	forward_upstreams_expire(one.table, all.now, on_gone, &one);
 	step_feed(all, number);
 	spread(all, number);
 	send_states(all, number);
--- a/tests/unit/test_forward_upstreams.c
+++ b/tests/unit/test_forward_upstreams.c
@@ -97,11 +97,11 @@
 static void test_entries_that_lapsed_get_time_to_come_back(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
-	forward_upstreams_store_back(*state, START);
+	forward_upstreams_store_recovered(*state, START);
 	forward_upstreams_remove(*state, "u1", 2, START);
 	assert_non_null(choose(*state, START + PD_SEC));
 	list(*state, "u1", 3, FORWARD_SERVING);
-	forward_upstreams_run(*state, START + 5 * PD_SEC, on_gone, NULL);
+	forward_upstreams_expire(*state, START + 5 * PD_SEC, on_gone, NULL);
 	assert_non_null(choose(*state, START + 5 * PD_SEC));
 	assert_int_equal(gone_count, 0);
 }
@@ -114,10 +114,10 @@
 static void test_old_news_does_not_undo_a_lapse(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
-	forward_upstreams_store_back(*state, START);
+	forward_upstreams_store_recovered(*state, START);
 	forward_upstreams_remove(*state, "u1", 2, START);
 	list(*state, "u1", 1, FORWARD_SERVING);
-	forward_upstreams_run(*state, START + 3 * PD_SEC, on_gone, NULL);
+	forward_upstreams_expire(*state, START + 3 * PD_SEC, on_gone, NULL);
 	assert_null(choose(*state, START + 3 * PD_SEC));
 	assert_int_equal(gone_count, 1);
 }
@@ -274,7 +274,7 @@
 	forward_upstreams_remove(*state, "u3", 5, START);
 	list(other, "u2", 3, FORWARD_DRAINING);
 	list(other, "u1", 1, FORWARD_SERVING);
-	for (unsigned int i = 0; i < FORWARD_BUCKETS; i++)
+	for (unsigned int i = 0; i < FORWARD_DIGEST_BUCKETS; i++)
 		assert_int_equal(forward_upstreams_digest(*state, i),
 				 forward_upstreams_digest(other, i));
 	list(other, "u1", 6, FORWARD_SERVING);
