--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -303,7 +303,7 @@
 static bool attempt_is_orphaned(const gateway_request_t *request)
 {
 	return request->upstream && request->link &&
-	       request->start != request->upstream->restart_count;
+	       request->start != request->upstream->incarnation;
 }
 
 /* Returns whether an attempt still connects to an upstream that has left since. */
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -228,7 +228,7 @@
 	if (request->sends)
 		metrics_add(request->gateway->metrics, "gateway_resends_total", 1);
 	request->upstream = forward_upstream_ref(upstream);
-	request->start = upstream->restart_count;
+	request->start = upstream->incarnation;
 	request->tried[request->tried_count++] = g_strdup(upstream->id);
 	request->sends++;
 	request->begun_at = now;
--- a/adapters/gateway/upstream_link.c
+++ b/adapters/gateway/upstream_link.c
@@ -95,7 +95,7 @@
 	if (last == &upstream->idle_links)
 		return NULL;
 	link = LIST_ENTRY(last, upstream_link_t, node);
-	if (now >= link->idle_until || link->start != upstream->restart_count ||
+	if (now >= link->idle_until || link->start != upstream->incarnation ||
 	    (young && now - link->idle_since >= YOUNG_MAX))
 		return NULL;
 	list_remove(&link->node);
@@ -110,7 +110,7 @@
 
 	list_init(&link->node);
 	link->upstream = forward_upstream_ref(upstream);
-	link->start = upstream->restart_count;
+	link->start = upstream->incarnation;
 	upstream->connections++;
 	link->conn = http1_create(gateway->loop, HTTP1_CLIENT, &events, link);
 	if (http1_connect(link->conn, upstream->address, upstream->port) < 0) {
@@ -181,7 +181,7 @@
 
 	if (http1_unsent(link->conn) ||
 	    !forward_upstream_is_serving(link->upstream) ||
-	    link->start != link->upstream->restart_count) {
+	    link->start != link->upstream->incarnation) {
 		upstream_link_close(link);
 		return;
 	}
@@ -209,7 +209,7 @@
 			upstream_link_t *link =
 				LIST_ENTRY(idle, upstream_link_t, node);
 
-			if (leaving || link->start != upstream->restart_count ||
+			if (leaving || link->start != upstream->incarnation ||
 			    now >= link->idle_until)
 				upstream_link_close(link);
 		}
--- a/core/forward/upstream_record.c
+++ b/core/forward/upstream_record.c
@@ -120,7 +120,7 @@
  */
 void forward_upstream_record_restart(forward_upstream_t *upstream)
 {
-	upstream->restart_count++;
+	upstream->incarnation++;
 	upstream->peers_running = 0;
 	upstream->peers_prefill_tokens = 0;
 	upstream->failures = 0;
--- a/core/forward/upstreams.h
+++ b/core/forward/upstreams.h
@@ -21,7 +21,7 @@
 	const char *id;
 	/*
 	 * When it started, in milliseconds of the time of day of its VM; 0: not
-	 * told. One that restart_count again may have the id of before: only this differs.
+	 * told. One that incarnation again may have the id of before: only this differs.
 	 */
 	int64_t start_time_ms;
 	const char *service;
@@ -46,7 +46,7 @@
 	unsigned int refs;
 	char *id;
 	int64_t start_time_ms; /* as listed; 0: not told */
-	unsigned int restart_count; /* restart_count under this id that were seen, less one */
+	unsigned int incarnation; /* incarnation under this id that were seen, less one */
 	uint64_t id_hash; /* hash of the id */
 	GPtrArray *group; /* of those that serve its service; NULL: none */
 	guint group_index; /* its place there */
--- a/tests/unit/test_forward_upstreams.c
+++ b/tests/unit/test_forward_upstreams.c
@@ -401,10 +401,10 @@
 	list_started_at(*state, 2, 1000);
 	assert_true(forward_upstream_uncached_tokens(upstream, &call, START) <
 		    fresh);
-	assert_int_equal(upstream->restart_count, 0);
+	assert_int_equal(upstream->incarnation, 0);
 	list_started_at(*state, 3, 2000);
 	assert_ptr_equal(forward_upstreams_find(*state, "u1"), upstream);
-	assert_int_equal(upstream->restart_count, 1);
+	assert_int_equal(upstream->incarnation, 1);
 	assert_true(forward_upstream_uncached_tokens(upstream, &call, START) ==
 		    fresh);
 	assert_false(forward_upstream_in_backoff(upstream, START));
@@ -422,11 +422,11 @@
 	upstream = forward_upstreams_find(*state, "u1");
 	assert_true(forward_upstreams_update_stage(*state, upstream, &change,
 						   START));
-	assert_int_equal(upstream->restart_count, 1);
+	assert_int_equal(upstream->incarnation, 1);
 	assert_true(forward_upstreams_remove(*state, "u1", 2, START));
 	assert_null(choose(*state, START));
 	list_started_at(*state, 3, 3000);
-	assert_int_equal(upstream->restart_count, 2);
+	assert_int_equal(upstream->incarnation, 2);
 	assert_ptr_equal(choose(*state, START), upstream);
 }
 
