--- a/core/forward/upstream_record.c
+++ b/core/forward/upstream_record.c
@@ -1,27 +1,33 @@
-/* What this entry knows of one upstream: its failures, and prompts that it holds. */
+/*
+ * What this gateway has observed of one upstream: its failures, and the prompts
+ * that it has cached.
+ */
 #include "core/forward/upstreams.h"
 
 /*
- * An upstream that failed is left alone, twice as long each time, and then
- * tried with one request. The first backoff is about one aim of a plain call; the
- * last is short enough that one which recovers is used again within seconds.
+ * An upstream that fails is not used for a time that doubles with each failure,
+ * and is then tried with one request. The first backoff is about one latency
+ * goal of a plain call; the longest is short enough for one that recovers to be
+ * used again within seconds.
  */
 #define BACKOFF_INITIAL (150 * PD_MSEC)
 #define BACKOFF_MAX (3 * PD_SEC)
 #define BACKOFF_FAILURES_MIN 2
-/* One that can't be reached counts as having failed so often: 600 ms. */
+/* A failed connection counts as so many in a row: a backoff of 600 ms. */
 #define CONNECT_FAILURE_WEIGHT 4
-/* How long one that turned a request away counts as full. */
+/* How long an upstream that rejected a request counts as full. */
 #define REJECTION_PAUSE (150 * PD_MSEC)
-/* A test request that was not answered for so long is given up on. */
+/* A probe request without an answer for so long no longer keeps others away. */
 #define PROBE_TIMEOUT (2 * PD_SEC)
 /*
- * Parts of prompts stay at an engine until memory runs out; belief in them ends
- * after this long without use, or a lost cache would draw requests for ever.
+ * Engines keep parts of prompts cached until memory runs out. After this time
+ * without use a part is assumed to be evicted; otherwise an upstream that lost
+ * its cache would attract requests for ever.
  */
 #define CACHED_PART_TTL (30 * PD_SEC)
 #define CACHED_PARTS_MAX 4096
 
+/* Returns whether an upstream is assumed to have a prompt part cached. */
 static bool is_cached(const forward_upstream_t *upstream, uint64_t id, pd_time_t now)
 {
 	const pd_time_t *used = g_hash_table_lookup(upstream->cached_parts, &id);
@@ -29,28 +35,40 @@
 	return used && now - *used < CACHED_PART_TTL;
 }
 
-/* Returns how many tokens of the call's prompt the upstream has still to read. */
+/*
+ * Returns the tokens of the call's prompt that are not in the upstream's prefix
+ * cache, as far as is known.
+ */
 double forward_upstream_uncached_tokens(const forward_upstream_t *upstream,
 					const forward_call_t *call, pd_time_t now)
 {
-	double known = 0;
+	double cached = 0;
 
 	for (unsigned int i = 0; i < call->part_count; i++) {
-		/* A part counts only if all before it are there too. */
+		/*
+		 * A prefix cache can use a part only if all parts before it are
+		 * cached.
+		 */
 		if (!is_cached(upstream, call->parts[i].id, now))
 			break;
-		known += call->parts[i].tokens;
+		cached += call->parts[i].tokens;
 	}
-	return MAX(call->prompt_tokens - known, 0);
+	return MAX(call->prompt_tokens - cached, 0);
 }
 
+/*
+ * Returns whether a cached part was last used too long before *DATA, a
+ * pd_time_t.
+ */
 static gboolean part_is_stale(gpointer key, gpointer value, gpointer data)
 {
 	(void)key;
 	return *(pd_time_t *)data - *(pd_time_t *)value >= CACHED_PART_TTL;
 }
 
-/* Notes that an upstream gets a call, whose prompt it then holds. */
+/*
+ * Records that a call is sent to an upstream, which then has its prompt cached.
+ */
 void forward_upstream_record_send(forward_upstream_t *upstream,
 				  const forward_call_t *call, pd_time_t now)
 {
@@ -74,7 +92,7 @@
 		upstream->probe_started_at = now;
 }
 
-/* Notes a failure that speaks against the upstream. */
+/* Records a failure that the upstream is to blame for. */
 void forward_upstream_record_failure(forward_upstream_t *upstream, pd_time_t now)
 {
 	pd_time_t backoff = BACKOFF_INITIAL;
@@ -90,10 +108,11 @@
 }
 
 /*
- * Notes that no connection could be had. One that has crashed runs nothing, so
- * by its load it looks the best of all and draws request after request; it is
- * left alone from the first time on. In a wave of crashes some hundred requests
- * went from one to the next of them until they were given up.
+ * Records that no connection could be made. A crashed upstream runs nothing, so
+ * by its load it looks the best of all and attracts request after request; it
+ * is therefore backed off from the first failure on. In a wave of crashes, some
+ * hundred requests went from one crashed upstream to the next until they were
+ * given up.
  */
 void forward_upstream_record_connect_failure(forward_upstream_t *upstream,
 					     pd_time_t now)
@@ -103,8 +122,8 @@
 }
 
 /*
- * Notes that the upstream had no room. The loads of many entries are known late;
- * its own word is newer.
+ * Records that the upstream had no room. That is newer than the loads of other
+ * gateways, which are cached late.
  */
 void forward_upstream_record_rejection(forward_upstream_t *upstream, pd_time_t now)
 {
@@ -112,11 +131,11 @@
 }
 
 /*
- * Forgets what is known of the start before. One that crashed and runs again
- * under its id holds no prompts and has no runs; believed to be the old one, it
- * would be left alone for failures that ended, or draw the requests of subjects
- * that it has to read anew. What this entry has in progress there is counted
- * until each of it ends.
+ * Resets what was observed before a restart. A process that crashed and runs
+ * again under its id has nothing cached and no requests; taken for the old one,
+ * it would stay backed off for failures that are over, or attract requests
+ * whose prompts it has to process anew. This gateway's requests there are
+ * counted until each of them ends.
  */
 void forward_upstream_record_restart(forward_upstream_t *upstream)
 {
@@ -130,7 +149,7 @@
 	g_hash_table_remove_all(upstream->cached_parts);
 }
 
-/* Notes a sound answer. */
+/* Records a valid answer, which ends the backoff. */
 void forward_upstream_record_success(forward_upstream_t *upstream)
 {
 	upstream->failures = 0;
@@ -138,7 +157,10 @@
 	upstream->probe_started_at = 0;
 }
 
-/* Says whether it failed lately, or is being tested by one request. */
+/*
+ * Returns whether the upstream has failed recently, or is being probed by one
+ * request.
+ */
 bool forward_upstream_in_backoff(const forward_upstream_t *upstream, pd_time_t now)
 {
 	if (upstream->failures < BACKOFF_FAILURES_MIN)
--- a/core/forward/upstreams.c
+++ b/core/forward/upstreams.c
@@ -1,4 +1,4 @@
-/* The table of upstreams: what the platform lists and who gets a request. */
+/* The table of upstreams, indexed by id, short id and service. */
 #include "core/forward/upstreams.h"
 
 #include <string.h>
@@ -6,25 +6,31 @@
 #include "core/hash.h"
 
 /*
- * Entries of upstreams lapse while the store is away, though the upstreams
- * live; they are back about two seconds after it is. Taken as gone at once, the
- * whole fleet would vanish at the end of each outage.
+ * While the store is unreachable, registrations expire although their upstreams
+ * run; those are registered again within about 2 s of its recovery. If they
+ * counted as gone at once, the whole fleet would vanish at the end of each
+ * outage.
  */
 #define REREGISTRATION_GRACE (2300 * PD_MSEC)
-/* How long a record of a gone upstream guards against older news of it. */
+/*
+ * How long a gone upstream is remembered, so that older updates about it are
+ * recognized.
+ */
 #define TOMBSTONE_TTL (60 * PD_SEC)
 
 struct forward_upstreams {
-	list_node_t list; /* of forward_upstream_t */
-	GHashTable *by_id; /* borrows the ids */
+	list_node_t list; /* of forward_upstream_t, the gone ones included */
+	GHashTable *by_id; /* id -> forward_upstream_t; the ids are borrowed */
 	GHashTable *by_short_id;
-	GHashTable *groups; /* service -> GPtrArray of those that serve it */
+	GHashTable *groups; /* service -> GPtrArray of its serving upstreams */
 	engine_speeds_t *speeds;
 	uint64_t digests[FORWARD_DIGEST_BUCKETS];
 	pd_time_t grace_until;
-	pd_time_t next_expiry_at; /* when time next changes something; 0: never */
+	/* next call of forward_upstreams_expire() that has work; 0: none */
+	pd_time_t next_expiry_at;
 };
 
+/* Returns the key of a short id in by_short_id. */
 static gpointer short_id_key(uint32_t short_id)
 {
 	return GUINT_TO_POINTER(short_id);
@@ -44,14 +50,14 @@
 	return set;
 }
 
-/* Takes a reference. */
+/* Takes a reference. Returns UPSTREAM. */
 forward_upstream_t *forward_upstream_ref(forward_upstream_t *upstream)
 {
 	upstream->refs++;
 	return upstream;
 }
 
-/* Gives a reference up; the last one frees the upstream. */
+/* Drops a reference; the last one frees the upstream. */
 void forward_upstream_unref(forward_upstream_t *upstream)
 {
 	if (--upstream->refs)
@@ -64,6 +70,7 @@
 	g_free(upstream);
 }
 
+/* Removes an upstream from its group, if it is in one. */
 static void leave_group(forward_upstream_t *upstream)
 {
 	GPtrArray *group = upstream->group;
@@ -77,6 +84,7 @@
 	upstream->group = NULL;
 }
 
+/* Adds an upstream, which must be in no group, to the group of its service. */
 static void join_group(forward_upstreams_t *set, forward_upstream_t *upstream)
 {
 	GPtrArray *group = g_hash_table_lookup(set->groups, upstream->service);
@@ -91,15 +99,15 @@
 	g_ptr_array_add(group, upstream);
 }
 
-/* Returns the part of the table, for digests, that an upstream belongs to. */
+/* Returns the digest bucket that an upstream belongs to. */
 unsigned int forward_upstream_bucket(const forward_upstream_t *upstream)
 {
 	return (unsigned int)(upstream->id_hash % FORWARD_DIGEST_BUCKETS);
 }
 
 /*
- * Brings the groups and digests in line with an upstream that changed. Gone ones
- * are left out of the digests, as they are forgotten at different times.
+ * Updates the group and the digest of an upstream that changed. Gone ones are
+ * left out of the digests, as gateways forget them at different times.
  */
 static void update_indexes(forward_upstreams_t *set, forward_upstream_t *upstream)
 {
@@ -115,6 +123,7 @@
 		join_group(set, upstream);
 }
 
+/* Removes an upstream from the table and drops the table's reference. */
 static void set_delete(forward_upstreams_t *set, forward_upstream_t *upstream)
 {
 	uint32_t short_id = forward_upstream_short_id(upstream);
@@ -128,7 +137,7 @@
 	forward_upstream_unref(upstream);
 }
 
-/* Frees the table; upstreams that are referred to live on. */
+/* Frees the table; NULL is allowed. Upstreams with other references live on. */
 void forward_upstreams_destroy(forward_upstreams_t *set)
 {
 	if (!set)
@@ -148,13 +157,16 @@
 	return &set->list;
 }
 
-/* Returns what is learned of the speed of engines, borrowed. */
+/* Returns the measured speeds of engines, borrowed. */
 engine_speeds_t *forward_upstreams_speeds(const forward_upstreams_t *set)
 {
 	return set->speeds;
 }
 
-/* Returns the upstreams of a service that may get something new; NULL: none. */
+/*
+ * Returns the upstreams of a service that accept new requests, borrowed; NULL
+ * if there has been none.
+ */
 const GPtrArray *forward_upstreams_serving(const forward_upstreams_t *set,
 					   const char *service)
 {
@@ -162,8 +174,9 @@
 }
 
 /*
- * Returns the part of a service's places that requests of all entries take, as
- * far as is known; over 1: some wait at the upstreams. 0 if none serves.
+ * Returns the requests of all gateways, as far as they are known, divided by
+ * the slots of a service. Over 1, some requests queue at the upstreams. Returns
+ * 0 if no upstream serves.
  */
 double forward_upstreams_utilization(const forward_upstreams_t *set,
 				     const char *service)
@@ -182,9 +195,10 @@
 }
 
 /*
- * Returns a digest of what is known of the upstreams of a bucket. Two tables
- * that hold the same have the same digests. The newest revision would not do:
- * whoever missed one piece of news and got the next has that as well.
+ * Returns a digest of the ids and revisions of the upstreams in a bucket. Two
+ * tables with the same upstreams at the same revisions have the same digests.
+ * The highest revision would not do: a gateway that missed one update and got
+ * the next has that as well.
  */
 uint64_t forward_upstreams_digest(const forward_upstreams_t *set, unsigned int bucket)
 {
@@ -192,28 +206,32 @@
 }
 
 /*
- * Returns the short name of an upstream, for messages that name many of them. Of
- * a thousand upstreams two have the same in one fleet of some ten thousand; then
- * one of these two is told the other's load.
+ * Returns the short id of an upstream, for messages that name many of them.
+ * Among a thousand upstreams two collide in about one fleet of ten thousand;
+ * one of these two is then given the other's load.
  */
 uint32_t forward_upstream_short_id(const forward_upstream_t *upstream)
 {
 	return (uint32_t)upstream->id_hash;
 }
 
-/* Returns an upstream by its short name, or NULL. */
+/* Returns an upstream by its short id, borrowed, or NULL. */
 forward_upstream_t *forward_upstreams_find_by_short_id(forward_upstreams_t *set,
 						       uint32_t short_id)
 {
 	return g_hash_table_lookup(set->by_short_id, short_id_key(short_id));
 }
 
-/* Returns an upstream by its id, or NULL. */
+/* Returns an upstream by its id, borrowed, or NULL. */
 forward_upstream_t *forward_upstreams_find(forward_upstreams_t *set, const char *id)
 {
 	return g_hash_table_lookup(set->by_id, id);
 }
 
+/*
+ * Adds an upstream about which nothing but the id is known. Returns it,
+ * borrowed.
+ */
 static forward_upstream_t *set_add(forward_upstreams_t *set, const char *id)
 {
 	forward_upstream_t *upstream = g_new0(forward_upstream_t, 1);
@@ -235,6 +253,7 @@
 	return upstream;
 }
 
+/* Replaces an owned string by a copy of WITH, if they differ. */
 static void replace_string(char **text, const char *with)
 {
 	if (!strcmp(*text, with))
@@ -243,7 +262,10 @@
 	*text = g_strdup(with);
 }
 
-/* Takes when an upstream was started; another time means another start. */
+/*
+ * Sets the start time of an upstream; 0 is ignored. A time other than the one
+ * known means that it restarted.
+ */
 static void update_start_time(forward_upstream_t *upstream, int64_t start_time_ms)
 {
 	if (!start_time_ms)
@@ -254,8 +276,8 @@
 }
 
 /*
- * Takes what the platform or a peer says of an upstream, unless something newer
- * is known. Returns whether that was news.
+ * Applies a registration from the platform or a peer, unless a newer revision
+ * is known. Returns whether it changed anything.
  */
 bool forward_upstreams_apply(forward_upstreams_t *set,
 			     const forward_registration_t *registration)
@@ -271,9 +293,9 @@
 	update_start_time(upstream, registration->start_time_ms);
 	leave_group(upstream); /* the service may change */
 	/*
-	 * Listed anew after it had lapsed. The same revision, told once more by
-	 * a peer, is no sign of life: taken for one, it kept upstreams that had
-	 * left in use for seconds.
+	 * A new revision shows that it was registered again after it had
+	 * expired. The same revision, repeated by a peer, does not: when it
+	 * counted, upstreams that had left were used for seconds.
 	 */
 	upstream->gone_at = 0;
 	replace_string(&upstream->service, registration->service);
@@ -289,8 +311,9 @@
 }
 
 /*
- * Takes it that an upstream's entry is gone as of a revision. Returns whether
- * that was news. An entry that lapsed in an outage of the store gets the time
+ * Marks an upstream as gone, as its registration was removed at a revision.
+ * Returns whether it is gone now and was not before. A registration that may
+ * have expired in an outage of the store gets until the end of the grace period
  * to come back.
  */
 bool forward_upstreams_remove(forward_upstreams_t *set, const char *id,
@@ -309,7 +332,7 @@
 	set->next_expiry_at = now;
 	if (lapsed && upstream->stage == FORWARD_SERVING && upstream->revision) {
 		upstream->gone_at = set->grace_until;
-		return false; /* news only when that time is over */
+		return false; /* forward_upstreams_expire() reports it */
 	}
 	upstream->stage = FORWARD_GONE;
 	upstream->revision = revision;
@@ -318,8 +341,8 @@
 }
 
 /*
- * Takes what a peer says of the stage of an upstream that is known, as of a
- * revision. Returns whether that was news.
+ * Applies a change of stage from a peer to an upstream that is known, as of a
+ * revision. Returns whether it changed anything.
  */
 bool forward_upstreams_update_stage(forward_upstreams_t *set,
 				    forward_upstream_t *upstream,
@@ -345,14 +368,17 @@
 	return forward_upstreams_apply(set, &registration);
 }
 
-/* Begins to read a whole listing of the platform. */
+/* Begins to read a full listing of the platform. */
 void forward_upstreams_begin_listing(forward_upstreams_t *set)
 {
 	LIST_FOR_EACH (it, &set->list)
 		LIST_ENTRY(it, forward_upstream_t, node)->listed = false;
 }
 
-/* Ends it: what was not in it is gone, as of the listing's revision. */
+/*
+ * Ends a full listing: upstreams that were not in it are gone, as of its
+ * revision.
+ */
 void forward_upstreams_end_listing(forward_upstreams_t *set, uint64_t revision,
 				   pd_time_t now)
 {
@@ -365,12 +391,16 @@
 	}
 }
 
-/* Takes that an outage of the store, in which entries may have lapsed, ended at AT. */
+/*
+ * Starts the grace period for registrations that may have expired in an outage
+ * of the store that ended at AT.
+ */
 void forward_upstreams_store_recovered(forward_upstreams_t *set, pd_time_t at)
 {
 	set->grace_until = at + REREGISTRATION_GRACE;
 }
 
+/* Has forward_upstreams_expire() do work at WHEN at the latest. */
 static void schedule_expiry(forward_upstreams_t *set, pd_time_t when)
 {
 	if (!set->next_expiry_at || when < set->next_expiry_at)
@@ -378,8 +408,9 @@
 }
 
 /*
- * Lets time pass: lapsed entries that did not come back are gone, and ON_GONE
- * is called for each.
+ * Marks upstreams as gone whose registration did not come back within the grace
+ * period, calling ON_GONE with CTX and the id of each, and deletes those that
+ * have been gone for TOMBSTONE_TTL.
  */
 void forward_upstreams_expire(forward_upstreams_t *set, pd_time_t now,
 			      void (*on_gone)(void *ctx, const char *id), void *ctx)
@@ -408,19 +439,25 @@
 	}
 }
 
-/* Says whether an upstream may get something new. */
+/* Returns whether an upstream accepts new requests. */
 bool forward_upstream_is_serving(const forward_upstream_t *upstream)
 {
 	return upstream->stage == FORWARD_SERVING && upstream->revision;
 }
 
-/* Returns the requests of all entries there, as far as is known. */
+/*
+ * Returns the requests of all gateways that run there, as far as they are
+ * known.
+ */
 unsigned int forward_upstream_running(const forward_upstream_t *upstream)
 {
 	return upstream->running + upstream->peers_running;
 }
 
-/* Returns the prompt tokens that it has still to read for all entries. */
+/*
+ * Returns the prompt tokens of all gateways' requests that it has yet to
+ * process.
+ */
 double forward_upstream_prefill_tokens(const forward_upstream_t *upstream)
 {
 	return upstream->prefill_tokens + upstream->peers_prefill_tokens;
--- a/core/forward/upstreams.h
+++ b/core/forward/upstreams.h
@@ -1,4 +1,7 @@
-/* The upstreams that the platform lists, and what this entry knows of each. */
+/*
+ * The upstreams that are registered with the platform, and what this gateway
+ * knows about each.
+ */
 #ifndef PISTACHIO_FORWARD_UPSTREAMS_H
 #define PISTACHIO_FORWARD_UPSTREAMS_H
 
@@ -9,19 +12,23 @@
 
 typedef enum forward_stage {
 	FORWARD_SERVING,
-	FORWARD_DRAINING, /* ends what it has; gets nothing new */
+	FORWARD_DRAINING, /* finishes its requests; gets no new ones */
 	FORWARD_GONE
 } forward_stage_t;
 
-/* Parts that digests of the table are kept of, so that two can be compared. */
+/*
+ * The table is hashed in buckets, so that two gateways can compare theirs and
+ * exchange only the buckets that differ.
+ */
 #define FORWARD_DIGEST_BUCKETS 128
 
-/* What the platform says of an upstream, at one revision of its entry. */
+/* An upstream's registration in the platform's store, at one revision. */
 typedef struct forward_registration {
 	const char *id;
 	/*
-	 * When it started, in milliseconds of the time of day of its VM; 0: not
-	 * told. One that incarnation again may have the id of before: only this differs.
+	 * When its process started, in milliseconds of its VM's wall clock; 0:
+	 * unknown. A process that restarts may keep its id, and then only this
+	 * differs.
 	 */
 	int64_t start_time_ms;
 	const char *service;
@@ -34,7 +41,10 @@
 	uint64_t revision;
 } forward_registration_t;
 
-/* What of a registration may change while its address and service stay. */
+/*
+ * The part of a registration that may change while the address and service
+ * stay.
+ */
 typedef struct forward_stage_update {
 	forward_stage_t stage;
 	int64_t start_time_ms;
@@ -45,12 +55,13 @@
 	list_node_t node;
 	unsigned int refs;
 	char *id;
-	int64_t start_time_ms; /* as listed; 0: not told */
-	unsigned int incarnation; /* incarnation under this id that were seen, less one */
+	int64_t start_time_ms; /* as registered; 0: unknown */
+	unsigned int incarnation; /* restarts seen under this id */
 	uint64_t id_hash; /* hash of the id */
-	GPtrArray *group; /* of those that serve its service; NULL: none */
-	guint group_index; /* its place there */
-	uint64_t digest; /* its part of the table's digest */
+	/* the serving upstreams of its service; NULL: not in it */
+	GPtrArray *group;
+	guint group_index; /* index in group */
+	uint64_t digest; /* its term in its bucket's digest */
 	char *service;
 	char *address;
 	uint16_t port;
@@ -59,19 +70,25 @@
 	forward_stage_t stage;
 	bool reclaimable;
 	uint64_t revision;
-	bool listed; /* seen in the listing that is being read */
-	pd_time_t gone_at; /* it counts as gone from then on; 0: it does not */
-	unsigned int running; /* requests of this entry */
-	double prefill_tokens; /* prompt tokens of this entry's requests not yet read */
-	unsigned int peers_running; /* as the other entries told */
+	bool listed; /* seen in the listing in progress */
+	pd_time_t gone_at; /* when it is or becomes gone; 0: not gone */
+	unsigned int running; /* requests of this gateway */
+	/*
+	 * prompt tokens of this gateway's requests that are not processed yet
+	 */
+	double prefill_tokens;
+	unsigned int peers_running; /* as the peers reported */
 	double peers_prefill_tokens;
-	unsigned int connections; /* of this entry */
-	list_node_t idle_links; /* kept connections; the adapter's */
-	unsigned int failures; /* in a row */
-	pd_time_t backoff_until; /* after failures */
-	pd_time_t full_until; /* after it turned a request away */
-	pd_time_t probe_started_at; /* the one request that tests it again */
-	GHashTable *cached_parts; /* prompt part id -> pd_time_t of the last use */
+	unsigned int connections; /* of this gateway */
+	/* idle keep-alive connections; owned by the adapter */
+	list_node_t idle_links;
+	unsigned int failures; /* consecutive */
+	/* until then it is used only if no other can be */
+	pd_time_t backoff_until;
+	pd_time_t full_until; /* set when it rejects a request */
+	pd_time_t probe_started_at; /* when a probe request was sent; 0: none */
+	/* prompt part id -> pd_time_t of its last use */
+	GHashTable *cached_parts;
 } forward_upstream_t;
 
 typedef struct forward_upstreams forward_upstreams_t;
