--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -45,13 +45,13 @@
 {
 	const gateway_t *gateway = request->gateway;
 	unsigned int entries = gateway_count(gateway);
-	forward_ask_t ask = {
+	forward_criteria_t ask = {
 		.service = request->service,
 		.zone = gateway->settings->node_zone,
 		.call = request->call,
 		.has_prompt = request->route->has_prompt,
-		.overfill = request->route->has_prompt ? ENGINE_OVERFILL
-						       : PLAIN_OVERFILL,
+		.overcommit = request->route->has_prompt ? ENGINE_OVERFILL
+							 : PLAIN_OVERFILL,
 		.connections_max = connection_cap(request, entries),
 		.sample = entries > SAMPLE_FLEET ? SAMPLE : 0,
 		.random = gateway->random,
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -10,10 +10,10 @@
 #define OTHER_ZONE_SLOTS 0.15
 #define OTHER_ZONE_TIME (400 * PD_USEC)
 
-static bool is_tried(const forward_ask_t *ask, const char *id)
+static bool is_tried(const forward_criteria_t *criteria, const char *id)
 {
-	for (unsigned int i = 0; i < ask->tried_count; i++) {
-		if (!strcmp(ask->tried[i], id))
+	for (unsigned int i = 0; i < criteria->tried_count; i++) {
+		if (!strcmp(criteria->tried[i], id))
 			return true;
 	}
 	return false;
@@ -41,14 +41,15 @@
  * compares a few supposes, one is at times loaded before anybody hears of it; the
  * second then has the shared parts as well.
  */
-static homes_t subject_homes(const GPtrArray *serving, const forward_ask_t *ask)
+static homes_t subject_homes(const GPtrArray *serving,
+			     const forward_criteria_t *criteria)
 {
 	homes_t homes = { 0 };
-	uint64_t subject = subject_of(ask->call);
+	uint64_t subject = subject_of(criteria->call);
 	uint64_t best = 0;
 	uint64_t next = 0;
 
-	if (!ask->has_prompt || !subject)
+	if (!criteria->has_prompt || !subject)
 		return homes;
 	for (guint i = 0; i < serving->len; i++) {
 		forward_upstream_t *upstream = g_ptr_array_index(serving, i);
@@ -64,7 +65,7 @@
 			next = rank;
 		}
 	}
-	if (!ask->sample)
+	if (!criteria->sample)
 		homes.second = NULL;
 	return homes;
 }
@@ -79,7 +80,7 @@
 
 /* A choice in progress; the upstreams are borrowed. */
 typedef struct search {
-	const forward_ask_t *ask;
+	const forward_criteria_t *criteria;
 	const GPtrArray *serving;
 	homes_t homes;
 	double rate; /* prompt tokens that an engine reads in a second */
@@ -97,7 +98,7 @@
 static double uncached_tokens_at(const search_t *search,
 				 const forward_upstream_t *upstream)
 {
-	const forward_call_t *call = search->ask->call;
+	const forward_call_t *call = search->criteria->call;
 	const homes_t *homes = &search->homes;
 	double uncached_tokens =
 		forward_upstream_uncached_tokens(upstream, call, search->now);
@@ -132,14 +133,14 @@
 
 static offer_t make_offer(const search_t *search, forward_upstream_t *upstream)
 {
-	const forward_ask_t *ask = search->ask;
-	bool elsewhere = strcmp(upstream->zone, ask->zone) != 0;
+	const forward_criteria_t *criteria = search->criteria;
+	bool elsewhere = strcmp(upstream->zone, criteria->zone) != 0;
 	offer_t offer = {
 		.upstream = upstream,
 		.avoided = forward_upstream_in_backoff(upstream, search->now),
 	};
 
-	if (ask->has_prompt) {
+	if (criteria->has_prompt) {
 		offer.uncached_tokens = uncached_tokens_at(search, upstream);
 		offer.cost = engine_cost(search, upstream,
 					 offer.uncached_tokens, elsewhere);
@@ -150,13 +151,15 @@
 }
 
 static bool is_full(const forward_upstream_t *upstream,
-		    const forward_ask_t *ask, pd_time_t now)
+		    const forward_criteria_t *criteria, pd_time_t now)
 {
 	if (now < upstream->full_until)
 		return true;
-	if (ask->connections_max && upstream->running >= ask->connections_max)
+	if (criteria->connections_max &&
+	    upstream->running >= criteria->connections_max)
 		return true;
-	return forward_upstream_running(upstream) >= upstream->slots * ask->overfill;
+	return forward_upstream_running(upstream) >=
+	       upstream->slots * criteria->overcommit;
 }
 
 static bool is_better(const offer_t *offer, const offer_t *best)
@@ -171,13 +174,13 @@
 /* Offers an upstream. Says whether it could be chosen. */
 static bool search_offer(search_t *search, forward_upstream_t *upstream)
 {
-	const forward_ask_t *ask = search->ask;
+	const forward_criteria_t *criteria = search->criteria;
 	offer_t offer;
 
-	if (is_tried(ask, upstream->id))
+	if (is_tried(criteria, upstream->id))
 		return false;
 	search->any = true;
-	if (is_full(upstream, ask, search->now))
+	if (is_full(upstream, criteria, search->now))
 		return false;
 	offer = make_offer(search, upstream);
 	if (is_better(&offer, &search->best))
@@ -192,7 +195,7 @@
 static bool offer_at_random(search_t *search)
 {
 	const GPtrArray *serving = search->serving;
-	guint from = (guint)g_rand_int_range(search->ask->random, 0,
+	guint from = (guint)g_rand_int_range(search->criteria->random, 0,
 					     (gint32)serving->len);
 
 	for (guint i = 0; i < serving->len; i++) {
@@ -206,7 +209,7 @@
 
 static void offer_some(search_t *search)
 {
-	for (unsigned int i = 0; i < search->ask->sample; i++) {
+	for (unsigned int i = 0; i < search->criteria->sample; i++) {
 		if (!offer_at_random(search))
 			return;
 	}
@@ -229,22 +232,22 @@
  * choice costs the same before ten upstreams and before a thousand.
  */
 forward_choice_t forward_upstreams_choose(forward_upstreams_t *set,
-					  const forward_ask_t *ask,
+					  const forward_criteria_t *criteria,
 					  pd_time_t now, forward_pick_t *pick)
 {
 	search_t search = {
-		.ask = ask,
-		.serving = forward_upstreams_serving(set, ask->service),
+		.criteria = criteria,
+		.serving = forward_upstreams_serving(set, criteria->service),
 		.rate = engine_speeds_rate(forward_upstreams_speeds(set),
-					   ask->service),
+					   criteria->service),
 		.now = now,
 	};
 
 	*pick = (forward_pick_t){ 0 };
 	if (!search.serving || !search.serving->len)
 		return FORWARD_NONE_LEFT;
-	search.homes = subject_homes(search.serving, ask);
-	if (ask->sample)
+	search.homes = subject_homes(search.serving, criteria);
+	if (criteria->sample)
 		offer_some(&search);
 	else
 		offer_all(&search);
--- a/core/forward/choice.h
+++ b/core/forward/choice.h
@@ -7,18 +7,18 @@
 #define FORWARD_TRIED_MAX 8
 
 /* What a request asks of an upstream. */
-typedef struct forward_ask {
+typedef struct forward_criteria {
 	const char *service;
 	const char *zone; /* of this entry */
 	const forward_call_t *call;
 	bool has_prompt;
-	double overfill; /* of the slots, that may be used; 1: all */
+	double overcommit; /* of the slots, that may be used; 1: all */
 	unsigned int connections_max; /* of this entry at one upstream; 0: any */
 	unsigned int sample; /* upstreams to compare, at random; 0: all */
 	GRand *random;
 	const char *tried[FORWARD_TRIED_MAX]; /* ids to leave out */
 	unsigned int tried_count;
-} forward_ask_t;
+} forward_criteria_t;
 
 /* What was chosen. */
 typedef struct forward_pick {
@@ -33,7 +33,7 @@
 } forward_choice_t;
 
 forward_choice_t forward_upstreams_choose(forward_upstreams_t *set,
-					  const forward_ask_t *ask,
+					  const forward_criteria_t *criteria,
 					  pd_time_t now, forward_pick_t *pick);
 
 #endif
--- a/core/forward/upstream_record.c
+++ b/core/forward/upstream_record.c
@@ -123,7 +123,7 @@
 
 /*
  * Records that the upstream had no room. That is newer than the loads of other
- * gateways, which are cached late.
+ * gateways, which are known late.
  */
 void forward_upstream_record_rejection(forward_upstream_t *upstream, pd_time_t now)
 {
--- a/tests/unit/test_forward_upstreams.c
+++ b/tests/unit/test_forward_upstreams.c
@@ -59,12 +59,12 @@
 static forward_upstream_t *choose(forward_upstreams_t *set, pd_time_t now)
 {
 	static forward_call_t call;
-	const forward_ask_t ask = {
-		.service = "s", .zone = "a", .call = &call, .overfill = 1
+	const forward_criteria_t criteria = {
+		.service = "s", .zone = "a", .call = &call, .overcommit = 1
 	};
 	forward_pick_t pick;
 
-	forward_upstreams_choose(set, &ask, now, &pick);
+	forward_upstreams_choose(set, &criteria, now, &pick);
 	return pick.upstream;
 }
 
@@ -222,16 +222,16 @@
 	}
 	for (uint64_t subject = 100; subject < 150; subject++) {
 		forward_call_t call = subject_call(subject);
-		const forward_ask_t ask = { .service = "s",
-					    .zone = "a",
-					    .call = &call,
-					    .has_prompt = true,
-					    .overfill = 1 };
+		const forward_criteria_t criteria = { .service = "s",
+						      .zone = "a",
+						      .call = &call,
+						      .has_prompt = true,
+						      .overcommit = 1 };
 		forward_pick_t one;
 		forward_pick_t two;
 
-		forward_upstreams_choose(*state, &ask, START, &one);
-		forward_upstreams_choose(other, &ask, START, &two);
+		forward_upstreams_choose(*state, &criteria, START, &one);
+		forward_upstreams_choose(other, &criteria, START, &two);
 		assert_string_equal(one.upstream->id, two.upstream->id);
 		moved += strcmp(one.upstream->id, "u0") != 0;
 	}
@@ -243,19 +243,19 @@
 static void test_a_loaded_home_loses_its_subject(void **state)
 {
 	forward_call_t call = subject_call(7);
-	const forward_ask_t ask = { .service = "s",
-				    .zone = "a",
-				    .call = &call,
-				    .has_prompt = true,
-				    .overfill = 1 };
+	const forward_criteria_t criteria = { .service = "s",
+					      .zone = "a",
+					      .call = &call,
+					      .has_prompt = true,
+					      .overcommit = 1 };
 	forward_pick_t home;
 	forward_pick_t next;
 
 	list(*state, "u1", 1, FORWARD_SERVING);
 	list(*state, "u2", 2, FORWARD_SERVING);
-	forward_upstreams_choose(*state, &ask, START, &home);
+	forward_upstreams_choose(*state, &criteria, START, &home);
 	home.upstream->prefill_tokens = 20000;
-	forward_upstreams_choose(*state, &ask, START, &next);
+	forward_upstreams_choose(*state, &criteria, START, &next);
 	assert_ptr_not_equal(home.upstream, next.upstream);
 }
 
@@ -297,12 +297,12 @@
 {
 	GRand *random = g_rand_new_with_seed(7);
 	forward_call_t call = { 0 };
-	const forward_ask_t ask = { .service = "s",
-				    .zone = "a",
-				    .call = &call,
-				    .overfill = 1,
-				    .sample = 2,
-				    .random = random };
+	const forward_criteria_t criteria = { .service = "s",
+					      .zone = "a",
+					      .call = &call,
+					      .overcommit = 1,
+					      .sample = 2,
+					      .random = random };
 	char id[16];
 
 	for (unsigned int i = 0; i < 200; i++) {
@@ -313,7 +313,8 @@
 	for (unsigned int i = 0; i < 20; i++) {
 		forward_pick_t pick;
 
-		assert_int_equal(forward_upstreams_choose(*state, &ask, START, &pick),
+		assert_int_equal(forward_upstreams_choose(*state, &criteria,
+							  START, &pick),
 				 FORWARD_CHOSEN);
 		assert_string_equal(pick.upstream->id, "u77");
 	}
@@ -331,12 +332,12 @@
 {
 	forward_call_t call = subject_call(7);
 	GRand *random = g_rand_new_with_seed(3);
-	const forward_ask_t all = { .service = "s",
-				    .zone = "a",
-				    .call = &call,
-				    .has_prompt = true,
-				    .overfill = 1 };
-	forward_ask_t few = all;
+	const forward_criteria_t all = { .service = "s",
+					 .zone = "a",
+					 .call = &call,
+					 .has_prompt = true,
+					 .overcommit = 1 };
+	forward_criteria_t few = all;
 	forward_upstream_t *home;
 	forward_upstream_t *second = NULL;
 	forward_pick_t pick;
