--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -53,7 +53,7 @@
 		.overcommit = request->route->has_prompt ? ENGINE_OVERFILL
 							 : PLAIN_OVERFILL,
 		.connections_max = connection_cap(request, entries),
-		.sample = entries > SAMPLE_FLEET ? SAMPLE : 0,
+		.sample_size = entries > SAMPLE_FLEET ? SAMPLE : 0,
 		.random = gateway->random,
 		.tried_count = request->tried_count,
 	};
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -6,9 +6,9 @@
 #include "core/forward/engine_cost.h"
 #include "core/hash.h"
 
-/* An upstream elsewhere costs bytes between zones and 0.5 ms each way. */
-#define OTHER_ZONE_SLOTS 0.15
-#define OTHER_ZONE_TIME (400 * PD_USEC)
+/* An upstream other_zone costs bytes between zones and 0.5 ms each way. */
+#define CROSS_ZONE_PENALTY_SLOTS 0.15
+#define CROSS_ZONE_PENALTY (400 * PD_USEC)
 
 static bool is_tried(const forward_criteria_t *criteria, const char *id)
 {
@@ -19,8 +19,8 @@
 	return false;
 }
 
-/* Returns the part that requests about the same subject share; 0: none. */
-static uint64_t subject_of(const forward_call_t *call)
+/* Returns the part that requests about the same prefix share; 0: none. */
+static uint64_t shared_prefix_of(const forward_call_t *call)
 {
 	/* The last part is the request's own. */
 	if (call->part_count < 2)
@@ -28,70 +28,70 @@
 	return call->parts[call->part_count - 2].id;
 }
 
-/* The upstreams that a subject's requests go to first, borrowed; NULL: none. */
-typedef struct homes {
+/* The upstreams that a prefix's requests go to first, borrowed; NULL: none. */
+typedef struct preferred {
 	forward_upstream_t *first;
 	forward_upstream_t *second; /* only where a choice compares a few */
-} homes_t;
+} preferred_t;
 
 /*
- * All entries give a subject the same first upstreams without talking about it:
+ * All entries give a prefix the same first upstreams without talking about it:
  * those for which the hash of both is highest. Only they need to read what the
- * subject's requests share. Where loads of others are known late, as a choice that
+ * prefix's requests share. Where loads of others are known late, as a choice that
  * compares a few supposes, one is at times loaded before anybody hears of it; the
  * second then has the shared parts as well.
  */
-static homes_t subject_homes(const GPtrArray *serving,
-			     const forward_criteria_t *criteria)
+static preferred_t find_preferred(const GPtrArray *serving,
+				  const forward_criteria_t *criteria)
 {
-	homes_t homes = { 0 };
-	uint64_t subject = subject_of(criteria->call);
-	uint64_t best = 0;
-	uint64_t next = 0;
+	preferred_t preferred = { 0 };
+	uint64_t prefix = shared_prefix_of(criteria->call);
+	uint64_t best_score = 0;
+	uint64_t second_score = 0;
 
-	if (!criteria->has_prompt || !subject)
-		return homes;
+	if (!criteria->has_prompt || !prefix)
+		return preferred;
 	for (guint i = 0; i < serving->len; i++) {
 		forward_upstream_t *upstream = g_ptr_array_index(serving, i);
-		uint64_t rank = hash_number(subject ^ upstream->id_hash);
+		uint64_t score = hash_number(prefix ^ upstream->id_hash);
 
-		if (!homes.first || rank > best) {
-			homes.second = homes.first;
-			next = best;
-			homes.first = upstream;
-			best = rank;
-		} else if (!homes.second || rank > next) {
-			homes.second = upstream;
-			next = rank;
+		if (!preferred.first || score > best_score) {
+			preferred.second = preferred.first;
+			second_score = best_score;
+			preferred.first = upstream;
+			best_score = score;
+		} else if (!preferred.second || score > second_score) {
+			preferred.second = upstream;
+			second_score = score;
 		}
 	}
-	if (!criteria->sample)
-		homes.second = NULL;
-	return homes;
+	if (!criteria->sample_size)
+		preferred.second = NULL;
+	return preferred;
 }
 
 /* An upstream that may be chosen. */
-typedef struct offer {
+typedef struct candidate {
 	forward_upstream_t *upstream; /* NULL: none yet */
-	bool avoided;
+	bool in_backoff;
 	double uncached_tokens; /* of the call's prompt, there */
 	double cost;
-} offer_t;
+} candidate_t;
 
 /* A choice in progress; the upstreams are borrowed. */
 typedef struct search {
 	const forward_criteria_t *criteria;
 	const GPtrArray *serving;
-	homes_t homes;
-	double rate; /* prompt tokens that an engine reads in a second */
+	preferred_t preferred;
+	double prefill_rate; /* prompt tokens that an engine reads in a second */
 	pd_time_t now;
-	offer_t best; /* so far */
-	bool any; /* one was not tried yet, full or not */
+	candidate_t best; /* so far */
+	bool any_untried; /* one was not tried yet, full or not */
 } search_t;
 
 /*
  * Returns what an upstream has still to read of a call's prompt, by what all
- * entries send there: a subject's first upstreams have read what its requests
+ * entries send there: a prefix's first upstreams have read what its requests
  * share, whoever sent them. By an entry's own requests alone, nine entries took
  * the work for twice of what it was, and ordered as many engines.
  */
@@ -99,11 +99,11 @@
 				 const forward_upstream_t *upstream)
 {
 	const forward_call_t *call = search->criteria->call;
-	const homes_t *homes = &search->homes;
+	const preferred_t *preferred = &search->preferred;
 	double uncached_tokens =
 		forward_upstream_uncached_tokens(upstream, call, search->now);
 
-	if (upstream == homes->first || upstream == homes->second)
+	if (upstream == preferred->first || upstream == preferred->second)
 		return MIN(uncached_tokens,
 			   MAX(call->prompt_tokens - forward_call_shared(call), 0));
 	return uncached_tokens;
@@ -116,38 +116,41 @@
  */
 static double engine_cost(const search_t *search,
 			  const forward_upstream_t *upstream,
-			  double uncached_tokens, bool elsewhere)
+			  double uncached_tokens, bool other_zone)
 {
 	return forward_upstream_prefill_tokens(upstream) + uncached_tokens +
 	       forward_upstream_running(upstream) *
-		       engine_tokens(search->rate, ENGINE_RUNNING_TIME) +
-	       (elsewhere ? engine_tokens(search->rate, OTHER_ZONE_TIME) : 0);
+		       engine_tokens(search->prefill_rate, ENGINE_RUNNING_TIME) +
+	       (other_zone ? engine_tokens(search->prefill_rate, CROSS_ZONE_PENALTY)
+			   : 0);
 }
 
-static double plain_cost(const forward_upstream_t *upstream, bool elsewhere)
+static double plain_cost(const forward_upstream_t *upstream, bool other_zone)
 {
 	return (double)forward_upstream_running(upstream) /
 		       MAX(upstream->slots, 1) +
-	       (elsewhere ? OTHER_ZONE_SLOTS : 0);
+	       (other_zone ? CROSS_ZONE_PENALTY_SLOTS : 0);
 }
 
-static offer_t make_offer(const search_t *search, forward_upstream_t *upstream)
+static candidate_t make_candidate(const search_t *search,
+				  forward_upstream_t *upstream)
 {
 	const forward_criteria_t *criteria = search->criteria;
-	bool elsewhere = strcmp(upstream->zone, criteria->zone) != 0;
-	offer_t offer = {
+	bool other_zone = strcmp(upstream->zone, criteria->zone) != 0;
+	candidate_t candidate = {
 		.upstream = upstream,
-		.avoided = forward_upstream_in_backoff(upstream, search->now),
+		.in_backoff = forward_upstream_in_backoff(upstream, search->now),
 	};
 
 	if (criteria->has_prompt) {
-		offer.uncached_tokens = uncached_tokens_at(search, upstream);
-		offer.cost = engine_cost(search, upstream,
-					 offer.uncached_tokens, elsewhere);
+		candidate.uncached_tokens = uncached_tokens_at(search, upstream);
+		candidate.cost = engine_cost(search, upstream,
+					     candidate.uncached_tokens,
+					     other_zone);
 	} else {
-		offer.cost = plain_cost(upstream, elsewhere);
+		candidate.cost = plain_cost(upstream, other_zone);
 	}
-	return offer;
+	return candidate;
 }
 
 static bool is_full(const forward_upstream_t *upstream,
@@ -162,29 +165,29 @@
 	       upstream->slots * criteria->overcommit;
 }
 
-static bool is_better(const offer_t *offer, const offer_t *best)
+static bool is_better(const candidate_t *candidate, const candidate_t *best)
 {
 	if (!best->upstream)
 		return true;
-	if (offer->avoided != best->avoided)
-		return !offer->avoided;
-	return offer->cost < best->cost;
+	if (candidate->in_backoff != best->in_backoff)
+		return !candidate->in_backoff;
+	return candidate->cost < best->cost;
 }
 
 /* Offers an upstream. Says whether it could be chosen. */
-static bool search_offer(search_t *search, forward_upstream_t *upstream)
+static bool consider(search_t *search, forward_upstream_t *upstream)
 {
 	const forward_criteria_t *criteria = search->criteria;
-	offer_t offer;
+	candidate_t candidate;
 
 	if (is_tried(criteria, upstream->id))
 		return false;
-	search->any = true;
+	search->any_untried = true;
 	if (is_full(upstream, criteria, search->now))
 		return false;
-	offer = make_offer(search, upstream);
-	if (is_better(&offer, &search->best))
-		search->best = offer;
+	candidate = make_candidate(search, upstream);
+	if (is_better(&candidate, &search->best))
+		search->best = candidate;
 	return true;
 }
 
@@ -192,7 +195,7 @@
  * Offers the first upstream from a random place on that can be chosen. False if
  * none can.
  */
-static bool offer_at_random(search_t *search)
+static bool consider_random(search_t *search)
 {
 	const GPtrArray *serving = search->serving;
 	guint from = (guint)g_rand_int_range(search->criteria->random, 0,
@@ -201,28 +204,28 @@
 	for (guint i = 0; i < serving->len; i++) {
 		guint at = (from + i) % serving->len;
 
-		if (search_offer(search, g_ptr_array_index(serving, at)))
+		if (consider(search, g_ptr_array_index(serving, at)))
 			return true;
 	}
 	return false;
 }
 
-static void offer_some(search_t *search)
+static void consider_sample(search_t *search)
 {
-	for (unsigned int i = 0; i < search->criteria->sample; i++) {
-		if (!offer_at_random(search))
+	for (unsigned int i = 0; i < search->criteria->sample_size; i++) {
+		if (!consider_random(search))
 			return;
 	}
-	if (search->homes.first)
-		search_offer(search, search->homes.first);
-	if (search->homes.second)
-		search_offer(search, search->homes.second);
+	if (search->preferred.first)
+		consider(search, search->preferred.first);
+	if (search->preferred.second)
+		consider(search, search->preferred.second);
 }
 
-static void offer_all(search_t *search)
+static void consider_all(search_t *search)
 {
 	for (guint i = 0; i < search->serving->len; i++)
-		search_offer(search, g_ptr_array_index(search->serving, i));
+		consider(search, g_ptr_array_index(search->serving, i));
 }
 
 /*
@@ -238,22 +241,22 @@
 	search_t search = {
 		.criteria = criteria,
 		.serving = forward_upstreams_serving(set, criteria->service),
-		.rate = engine_speeds_rate(forward_upstreams_speeds(set),
-					   criteria->service),
+		.prefill_rate = engine_speeds_rate(forward_upstreams_speeds(set),
+						   criteria->service),
 		.now = now,
 	};
 
 	*pick = (forward_pick_t){ 0 };
 	if (!search.serving || !search.serving->len)
 		return FORWARD_NONE_LEFT;
-	search.homes = subject_homes(search.serving, criteria);
-	if (criteria->sample)
-		offer_some(&search);
+	search.preferred = find_preferred(search.serving, criteria);
+	if (criteria->sample_size)
+		consider_sample(&search);
 	else
-		offer_all(&search);
+		consider_all(&search);
 	pick->upstream = search.best.upstream;
 	pick->uncached_tokens = search.best.uncached_tokens;
 	if (pick->upstream)
 		return FORWARD_CHOSEN;
-	return search.any ? FORWARD_ALL_FULL : FORWARD_NONE_LEFT;
+	return search.any_untried ? FORWARD_ALL_FULL : FORWARD_NONE_LEFT;
 }
--- a/core/forward/choice.h
+++ b/core/forward/choice.h
@@ -14,7 +14,7 @@
 	bool has_prompt;
 	double overcommit; /* of the slots, that may be used; 1: all */
 	unsigned int connections_max; /* of this entry at one upstream; 0: any */
-	unsigned int sample; /* upstreams to compare, at random; 0: all */
+	unsigned int sample_size; /* upstreams to compare, at random; 0: all */
 	GRand *random;
 	const char *tried[FORWARD_TRIED_MAX]; /* ids to leave out */
 	unsigned int tried_count;
--- a/tests/unit/test_forward_upstreams.c
+++ b/tests/unit/test_forward_upstreams.c
@@ -301,7 +301,7 @@
 					      .zone = "a",
 					      .call = &call,
 					      .overcommit = 1,
-					      .sample = 2,
+					      .sample_size = 2,
 					      .random = random };
 	char id[16];
 
@@ -343,7 +343,7 @@
 	forward_pick_t pick;
 	char id[16];
 
-	few.sample = 1;
+	few.sample_size = 1;
 	few.random = random;
 	for (unsigned int i = 0; i < 90; i++) {
 		g_snprintf(id, sizeof(id), "u%u", i);
