--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -1,4 +1,6 @@
-/* Which upstream gets a request; upstreams-notes.md weighs the ways. */
+/*
+ * Chooses an upstream for a request; upstreams-notes.md compares the methods.
+ */
 #include "core/forward/choice.h"
 
 #include <string.h>
@@ -6,10 +8,14 @@
 #include "core/forward/engine_cost.h"
 #include "core/hash.h"
 
-/* An upstream other_zone costs bytes between zones and 0.5 ms each way. */
+/*
+ * Cost of an upstream in another zone: paid traffic between zones, and 0.5 ms
+ * of latency each way.
+ */
 #define CROSS_ZONE_PENALTY_SLOTS 0.15
 #define CROSS_ZONE_PENALTY (400 * PD_USEC)
 
+/* Returns whether the request has already tried the upstream with this id. */
 static bool is_tried(const forward_criteria_t *criteria, const char *id)
 {
 	for (unsigned int i = 0; i < criteria->tried_count; i++) {
@@ -19,7 +25,10 @@
 	return false;
 }
 
-/* Returns the part that requests about the same prefix share; 0: none. */
+/*
+ * Returns the id of the last prompt part that other requests may share; 0:
+ * none.
+ */
 static uint64_t shared_prefix_of(const forward_call_t *call)
 {
 	/* The last part is the request's own. */
@@ -28,18 +37,22 @@
 	return call->parts[call->part_count - 2].id;
 }
 
-/* The upstreams that a prefix's requests go to first, borrowed; NULL: none. */
+/*
+ * The upstreams preferred for requests with the same prompt prefix, borrowed;
+ * NULL: none.
+ */
 typedef struct preferred {
 	forward_upstream_t *first;
-	forward_upstream_t *second; /* only where a choice compares a few */
+	forward_upstream_t *second; /* only where a choice compares a sample */
 } preferred_t;
 
 /*
- * All entries give a prefix the same first upstreams without talking about it:
- * those for which the hash of both is highest. Only they need to read what the
- * prefix's requests share. Where loads of others are known late, as a choice that
- * compares a few supposes, one is at times loaded before anybody hears of it; the
- * second then has the shared parts as well.
+ * Returns the preferred upstreams of a call's shared prefix, by rendezvous
+ * hashing: the upstreams with the highest hash of both. All gateways agree on
+ * them without communication, so only they process the shared parts. Where a
+ * choice compares a sample, loads are known late and the first one may be
+ * overloaded before others hear of it; the second then has the shared parts as
+ * well.
  */
 static preferred_t find_preferred(const GPtrArray *serving,
 				  const forward_criteria_t *criteria)
@@ -83,17 +96,18 @@
 	const forward_criteria_t *criteria;
 	const GPtrArray *serving;
 	preferred_t preferred;
-	double prefill_rate; /* prompt tokens that an engine reads in a second */
+	/* prompt tokens that an engine processes per second */
+	double prefill_rate;
 	pd_time_t now;
 	candidate_t best; /* so far */
-	bool any_untried; /* one was not tried yet, full or not */
+	bool any_untried; /* an upstream was not tried yet, full or not */
 } search_t;
 
 /*
- * Returns what an upstream has still to read of a call's prompt, by what all
- * entries send there: a prefix's first upstreams have read what its requests
- * share, whoever sent them. By an entry's own requests alone, nine entries took
- * the work for twice of what it was, and ordered as many engines.
+ * Returns the tokens of a call's prompt that an upstream has to process.
+ * Preferred upstreams are taken to have the shared parts cached, whichever
+ * gateway sent them: by their own requests alone, nine gateways counted the
+ * work twice and ordered twice the engines.
  */
 static double uncached_tokens_at(const search_t *search,
 				 const forward_upstream_t *upstream)
@@ -110,9 +124,9 @@
 }
 
 /*
- * What sending a call to an engine would cost it and its others, in prompt
- * tokens: what it has to read before, what it would have to read for this one,
- * and the slowing by what runs.
+ * Returns the cost of sending a call to an engine, in prompt tokens: what it
+ * has to process before, what this call adds, and the slowdown by the requests
+ * that run there.
  */
 static double engine_cost(const search_t *search,
 			  const forward_upstream_t *upstream,
@@ -125,6 +139,10 @@
 			   : 0);
 }
 
+/*
+ * Returns the cost of sending a call to a plain upstream, as a fraction of its
+ * slots in use.
+ */
 static double plain_cost(const forward_upstream_t *upstream, bool other_zone)
 {
 	return (double)forward_upstream_running(upstream) /
@@ -132,6 +150,7 @@
 	       (other_zone ? CROSS_ZONE_PENALTY_SLOTS : 0);
 }
 
+/* Returns an upstream as a candidate, with its cost. */
 static candidate_t make_candidate(const search_t *search,
 				  forward_upstream_t *upstream)
 {
@@ -153,6 +172,7 @@
 	return candidate;
 }
 
+/* Returns whether an upstream has no room for the request. */
 static bool is_full(const forward_upstream_t *upstream,
 		    const forward_criteria_t *criteria, pd_time_t now)
 {
@@ -165,6 +185,7 @@
 	       upstream->slots * criteria->overcommit;
 }
 
+/* Returns whether a candidate is preferable to the best so far. */
 static bool is_better(const candidate_t *candidate, const candidate_t *best)
 {
 	if (!best->upstream)
@@ -174,7 +195,10 @@
 	return candidate->cost < best->cost;
 }
 
-/* Offers an upstream. Says whether it could be chosen. */
+/*
+ * Makes an upstream the best candidate so far if it is better. Returns whether
+ * it can be chosen at all.
+ */
 static bool consider(search_t *search, forward_upstream_t *upstream)
 {
 	const forward_criteria_t *criteria = search->criteria;
@@ -192,8 +216,8 @@
 }
 
 /*
- * Offers the first upstream from a random place on that can be chosen. False if
- * none can.
+ * Considers upstreams in order from a random index on until one can be chosen.
+ * Returns whether one can.
  */
 static bool consider_random(search_t *search)
 {
@@ -210,6 +234,7 @@
 	return false;
 }
 
+/* Considers a random sample of upstreams, and the preferred ones. */
 static void consider_sample(search_t *search)
 {
 	for (unsigned int i = 0; i < search->criteria->sample_size; i++) {
@@ -222,6 +247,7 @@
 		consider(search, search->preferred.second);
 }
 
+/* Considers every upstream. */
 static void consider_all(search_t *search)
 {
 	for (guint i = 0; i < search->serving->len; i++)
@@ -229,10 +255,11 @@
 }
 
 /*
- * Picks the upstream with the least cost. Those that failed lately are taken
- * only if there is no other. Many entries that hear of each other late would
- * all pick the same one; compared with a few at random, they spread, and a
- * choice costs the same before ten upstreams and before a thousand.
+ * Chooses the upstream with the lowest cost; one in backoff only if there is no
+ * other. Fills in PICK, and returns whether one was chosen. Many gateways that
+ * learn of each other's loads late would all choose the same least loaded
+ * upstream; a choice from a random sample spreads them, and takes the same time
+ * for ten upstreams and for a thousand.
  */
 forward_choice_t forward_upstreams_choose(forward_upstreams_t *set,
 					  const forward_criteria_t *criteria,
--- a/core/forward/choice.h
+++ b/core/forward/choice.h
@@ -1,4 +1,4 @@
-/* The choice of an upstream for a request. */
+/* Chooses an upstream for a request. */
 #ifndef PISTACHIO_FORWARD_CHOICE_H
 #define PISTACHIO_FORWARD_CHOICE_H
 
@@ -6,30 +6,34 @@
 
 #define FORWARD_TRIED_MAX 8
 
-/* What a request asks of an upstream. */
+/* What a request requires of an upstream. */
 typedef struct forward_criteria {
 	const char *service;
-	const char *zone; /* of this entry */
+	const char *zone; /* of this gateway */
 	const forward_call_t *call;
 	bool has_prompt;
-	double overcommit; /* of the slots, that may be used; 1: all */
-	unsigned int connections_max; /* of this entry at one upstream; 0: any */
-	unsigned int sample_size; /* upstreams to compare, at random; 0: all */
+	double overcommit; /* part of the slots that may be used; 1: all */
+	/* of this gateway to one upstream; 0: no limit */
+	unsigned int connections_max;
+	/* upstreams to compare at random; 0: compare all */
+	unsigned int sample_size;
 	GRand *random;
-	const char *tried[FORWARD_TRIED_MAX]; /* ids to leave out */
+	/* ids of upstreams not to choose */
+	const char *tried[FORWARD_TRIED_MAX];
 	unsigned int tried_count;
 } forward_criteria_t;
 
-/* What was chosen. */
+/* The result of a choice. */
 typedef struct forward_pick {
 	forward_upstream_t *upstream; /* borrowed; NULL: none */
-	double uncached_tokens; /* tokens of the call's prompt that it has still to read */
+	/* tokens of the call's prompt that it has to process */
+	double uncached_tokens;
 } forward_pick_t;
 
 typedef enum forward_choice {
 	FORWARD_CHOSEN,
 	FORWARD_ALL_FULL,
-	FORWARD_NONE_LEFT /* none serves, or all were tried */
+	FORWARD_NONE_LEFT /* no upstream serves, or all were tried */
 } forward_choice_t;
 
 forward_choice_t forward_upstreams_choose(forward_upstreams_t *set,
