--- a/tests/unit/test_forward_upstreams.c
+++ b/tests/unit/test_forward_upstreams.c
@@ -1,4 +1,4 @@
-/* Which upstreams may be used, and which one a request gets. */
+/* Tests which upstreams may be used, and which one a request gets. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,6 +13,7 @@
 
 static unsigned int gone_count;
 
+/* Counts the upstreams that are reported as gone. */
 static void on_gone(void *ctx, const char *id)
 {
 	(void)ctx;
@@ -33,7 +34,10 @@
 	return 0;
 }
 
-/* Lists an upstream that was started at BORN; 0: it is not told. */
+/*
+ * Registers an upstream that was started at START_TIME_MS; 0: unknown. Returns
+ * whether that changed anything.
+ */
 static bool list_start(forward_upstreams_t *set, const char *id, uint64_t revision,
 		       forward_stage_t stage, int64_t start_time_ms)
 {
@@ -50,12 +54,17 @@
 	return forward_upstreams_apply(set, &registration);
 }
 
+/*
+ * Registers an upstream with an unknown start time. Returns whether that
+ * changed anything.
+ */
 static bool list(forward_upstreams_t *set, const char *id, uint64_t revision,
 		 forward_stage_t stage)
 {
 	return list_start(set, id, revision, stage, 0);
 }
 
+/* Returns the upstream that a plain request gets, or NULL. */
 static forward_upstream_t *choose(forward_upstreams_t *set, pd_time_t now)
 {
 	static forward_call_t call;
@@ -69,10 +78,10 @@
 }
 
 /*
- * An upstream says that it leaves. A request sent there later may be cut off
- * when it ends.
+ * Guards against requests that are sent to an upstream after it has announced
+ * that it leaves, and are cut off when it stops.
  */
-static void test_a_draining_upstream_gets_nothing_new(void **state)
+static void test_a_draining_upstream_gets_no_requests(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
 	assert_non_null(choose(*state, START));
@@ -80,8 +89,10 @@
 	assert_null(choose(*state, START));
 }
 
-/* Peers tell each other late; an old state must not undo a newer one. */
-static void test_old_news_changes_nothing(void **state)
+/*
+ * Guards against an update that a peer sends late and that undoes a newer one.
+ */
+static void test_an_older_revision_is_ignored(void **state)
 {
 	list(*state, "u1", 5, FORWARD_DRAINING);
 	assert_false(list(*state, "u1", 4, FORWARD_SERVING));
@@ -90,11 +101,10 @@
 }
 
 /*
- * The store is away for all, and the entries of upstreams that live lapse.
- * Without the wait, callers would be refused by a whole healthy fleet until the
- * entries are back.
+ * Guards against a fleet of running upstreams that refuses callers because its
+ * registrations expired in an outage of the store and are not back yet.
  */
-static void test_entries_that_lapsed_get_time_to_come_back(void **state)
+static void test_an_expired_registration_has_a_grace_period(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
 	forward_upstreams_store_recovered(*state, START);
@@ -107,11 +117,10 @@
 }
 
 /*
- * An entry lapsed and a peer, which has not heard of that, tells once more what
- * it knew before. Taken for a sign of life, requests went on to an upstream that
- * had left, and were cut off.
+ * Guards against requests to an upstream that has left, because a peer that has
+ * not heard of its expiry repeats the old registration.
  */
-static void test_old_news_does_not_undo_a_lapse(void **state)
+static void test_an_older_revision_does_not_undo_an_expiry(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
 	forward_upstreams_store_recovered(*state, START);
@@ -122,16 +131,22 @@
 	assert_int_equal(gone_count, 1);
 }
 
-/* Without an outage before, an entry that goes means an upstream that left. */
-static void test_an_entry_that_goes_is_gone_at_once(void **state)
+/*
+ * Without an outage before, a removed registration means that the upstream
+ * left.
+ */
+static void test_a_removed_registration_counts_at_once(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
 	assert_true(forward_upstreams_remove(*state, "u1", 2, START));
 	assert_null(choose(*state, START));
 }
 
-/* A watch may lose its past; what the new list lacks has left meanwhile. */
-static void test_what_a_new_listing_lacks_is_gone(void **state)
+/*
+ * Guards against upstreams that stay in use because they left while the history
+ * of changes was lost, so that no watch reported it.
+ */
+static void test_upstreams_missing_from_a_listing_are_gone(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
 	list(*state, "u2", 2, FORWARD_SERVING);
@@ -143,28 +158,31 @@
 		forward_upstreams_find(*state, "u1")));
 }
 
-/* An upstream that fails twice in a row is left alone while others serve. */
-static void test_a_failing_upstream_is_avoided_and_tried_again(void **state)
+/*
+ * Guards against requests to an upstream that has failed twice in a row while
+ * others serve, and against one that is never tried again.
+ */
+static void test_a_failing_upstream_is_in_backoff_then_probed(void **state)
 {
-	forward_upstream_t *bad;
+	forward_upstream_t *failing;
 
 	list(*state, "u1", 1, FORWARD_SERVING);
 	list(*state, "u2", 2, FORWARD_SERVING);
-	bad = forward_upstreams_find(*state, "u1");
-	forward_upstream_record_failure(bad, START);
-	forward_upstream_record_failure(bad, START);
+	failing = forward_upstreams_find(*state, "u1");
+	forward_upstream_record_failure(failing, START);
+	forward_upstream_record_failure(failing, START);
 	forward_upstreams_find(*state, "u2")->running = 3;
 	assert_string_equal(choose(*state, START)->id, "u2");
 	assert_string_equal(choose(*state, START + 10 * PD_SEC)->id, "u1");
-	forward_upstream_record_success(bad);
+	forward_upstream_record_success(failing);
 	assert_string_equal(choose(*state, START)->id, "u1");
 }
 
 /*
- * A crashed upstream runs nothing and looks the best by its load. Each request
- * would go there first.
+ * Guards against a crashed upstream that runs nothing, looks the best by its
+ * load, and gets each request first.
  */
-static void test_an_unreachable_upstream_is_left_at_once(void **state)
+static void test_a_connect_failure_starts_the_backoff_at_once(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
 	list(*state, "u2", 2, FORWARD_SERVING);
@@ -174,7 +192,10 @@
 	assert_string_equal(choose(*state, START)->id, "u2");
 }
 
-/* What an upstream says itself of its room is newer than what peers told. */
+/*
+ * Guards against a choice by the load that peers reported although the upstream
+ * itself has said since that it is full.
+ */
 static void test_an_upstream_that_rejected_is_full(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
@@ -184,7 +205,7 @@
 	assert_non_null(choose(*state, START + PD_SEC));
 }
 
-static void test_a_full_upstream_is_passed_over(void **state)
+static void test_a_full_upstream_is_not_chosen(void **state)
 {
 	list(*state, "u1", 1, FORWARD_SERVING);
 	forward_upstreams_find(*state, "u1")->running = 1;
@@ -192,25 +213,24 @@
 	assert_null(choose(*state, START));
 }
 
-static forward_call_t subject_call(uint64_t subject)
+/* Returns a call whose prompt begins with the shared parts 1 and PREFIX. */
+static forward_call_t call_with_prefix(uint64_t prefix)
 {
-	forward_call_t call = {
-		.prompt_tokens = 6000,
-		.parts = { { 1, 500 }, { subject, 5000 }, { 99, 500 } },
-		.part_count = 3
-	};
+	forward_call_t call = { .prompt_tokens = 6000,
+				.parts = { { 1, 500 }, { prefix, 5000 }, { 99, 500 } },
+				.part_count = 3 };
 
 	return call;
 }
 
 /*
- * Two entries know nothing of each other's requests. If each sent a subject's
- * requests elsewhere, every upstream would read the same long prompt.
+ * Guards against gateways that send requests with the same prompt prefix to
+ * different upstreams, each of which then processes the prefix.
  */
-static void test_entries_agree_on_a_subjects_upstream(void **state)
+static void test_gateways_agree_on_the_upstream_of_a_prefix(void **state)
 {
 	forward_upstreams_t *other = forward_upstreams_create();
-	unsigned int moved = 0;
+	unsigned int not_first = 0;
 
 	for (unsigned int i = 0; i < 6; i++) {
 		char id[8];
@@ -220,8 +240,8 @@
 		g_snprintf(id, sizeof(id), "u%u", 5 - i);
 		list(other, id, i + 1, FORWARD_SERVING);
 	}
-	for (uint64_t subject = 100; subject < 150; subject++) {
-		forward_call_t call = subject_call(subject);
+	for (uint64_t prefix = 100; prefix < 150; prefix++) {
+		forward_call_t call = call_with_prefix(prefix);
 		const forward_criteria_t criteria = { .service = "s",
 						      .zone = "a",
 						      .call = &call,
@@ -233,37 +253,41 @@
 		forward_upstreams_choose(*state, &criteria, START, &one);
 		forward_upstreams_choose(other, &criteria, START, &two);
 		assert_string_equal(one.upstream->id, two.upstream->id);
-		moved += strcmp(one.upstream->id, "u0") != 0;
+		not_first += strcmp(one.upstream->id, "u0") != 0;
 	}
-	assert_true(moved > 25); /* the subjects are spread */
+	/* prefixes are spread over the upstreams */
+	assert_true(not_first > 25);
 	forward_upstreams_destroy(other);
 }
 
-/* A shared prompt draws requests only while its upstream has no long queue. */
-static void test_a_loaded_home_loses_its_subject(void **state)
+/*
+ * Guards against a shared prompt that attracts requests to an upstream with a
+ * long queue.
+ */
+static void test_a_loaded_preferred_upstream_is_not_chosen(void **state)
 {
-	forward_call_t call = subject_call(7);
+	forward_call_t call = call_with_prefix(7);
 	const forward_criteria_t criteria = { .service = "s",
 					      .zone = "a",
 					      .call = &call,
 					      .has_prompt = true,
 					      .overcommit = 1 };
-	forward_pick_t home;
+	forward_pick_t preferred;
 	forward_pick_t next;
 
 	list(*state, "u1", 1, FORWARD_SERVING);
 	list(*state, "u2", 2, FORWARD_SERVING);
-	forward_upstreams_choose(*state, &criteria, START, &home);
-	home.upstream->prefill_tokens = 20000;
+	forward_upstreams_choose(*state, &criteria, START, &preferred);
+	preferred.upstream->prefill_tokens = 20000;
 	forward_upstreams_choose(*state, &criteria, START, &next);
-	assert_ptr_not_equal(home.upstream, next.upstream);
+	assert_ptr_not_equal(preferred.upstream, next.upstream);
 }
 
 /*
- * Two gateways hear of the same changes in another order. If their digests
- * differed, each would fetch the whole table from the other, over and over.
+ * Guards against digests that depend on the order of updates: two gateways
+ * would fetch the whole table from each other over and over.
  */
-static void test_digests_go_by_what_is_known(void **state)
+static void test_digests_depend_on_the_state_alone(void **state)
 {
 	forward_upstreams_t *other = forward_upstreams_create();
 
@@ -289,9 +313,8 @@
 }
 
 /*
- * In a large fleet a request is compared with a few upstreams at random. With
- * nearly all of them full, the one that has room must be found all the same, or
- * callers would be refused beside a free place.
+ * Guards against a random sample that misses the only upstream with room, so
+ * that callers are refused although a slot is free.
  */
 static void test_a_sample_finds_the_one_with_room(void **state)
 {
@@ -324,13 +347,14 @@
 }
 
 /*
- * In a large fleet the upstream that holds what a subject's requests share is
- * loaded. Sent to any other at random, nearly each of them would read thousands
- * of shared tokens anew; one other place that all entries agree on reads them once.
+ * Guards against requests that are sent to upstreams at random when the
+ * preferred one is loaded, as nearly each of those would process thousands of
+ * shared tokens again. A second one on which all gateways agree processes them
+ * once.
  */
-static void test_a_loaded_home_has_a_second(void **state)
+static void test_a_sample_includes_a_second_preferred_upstream(void **state)
 {
-	forward_call_t call = subject_call(7);
+	forward_call_t call = call_with_prefix(7);
 	GRand *random = g_rand_new_with_seed(3);
 	const forward_criteria_t all = { .service = "s",
 					 .zone = "a",
@@ -338,7 +362,7 @@
 					 .has_prompt = true,
 					 .overcommit = 1 };
 	forward_criteria_t few = all;
-	forward_upstream_t *home;
+	forward_upstream_t *preferred;
 	forward_upstream_t *second = NULL;
 	forward_pick_t pick;
 	char id[16];
@@ -351,17 +375,17 @@
 	}
 	forward_upstreams_choose(*state, &all, START, &pick);
 	assert_true(pick.uncached_tokens < 1000);
-	home = pick.upstream;
-	home->prefill_tokens = 50000;
+	preferred = pick.upstream;
+	preferred->prefill_tokens = 50000;
 	for (int i = 0; i < 50; i++) {
 		forward_upstreams_choose(*state, &few, START, &pick);
-		assert_ptr_not_equal(pick.upstream, home);
+		assert_ptr_not_equal(pick.upstream, preferred);
 		if (!second)
 			second = pick.upstream;
 		assert_ptr_equal(pick.upstream, second);
 		assert_true(pick.uncached_tokens < 1000);
 	}
-	/* Where loads are known, it is a second place to nobody. */
+	/* A choice among all treats the second one like any other. */
 	LIST_FOR_EACH (it, forward_upstreams_list(*state)) {
 		forward_upstream_t *other =
 			LIST_ENTRY(it, forward_upstream_t, node);
@@ -374,6 +398,7 @@
 	g_rand_free(random);
 }
 
+/* Registers upstream u1 as serving, started at START_TIME_MS. */
 static void list_started_at(forward_upstreams_t *set, uint64_t revision,
 			    int64_t start_time_ms)
 {
@@ -381,40 +406,42 @@
 }
 
 /*
- * An upstream crashes and starts again under its id. It has lost the prompts that
- * it had read: believed to hold them still, it draws the requests of subjects
- * that it must read anew; avoided for failures of before, it stands idle.
+ * Guards against an upstream that crashed and runs again under its id, and is
+ * still taken to have prompts cached, or to be in backoff.
  */
-static void test_one_that_restarted_holds_nothing(void **state)
+static void test_a_restart_clears_cache_and_backoff(void **state)
 {
-	const forward_call_t call = subject_call(7);
+	const forward_call_t call = call_with_prefix(7);
 	forward_upstream_t *upstream;
-	double fresh;
+	double uncached;
 
 	list_started_at(*state, 1, 1000);
 	upstream = forward_upstreams_find(*state, "u1");
-	fresh = forward_upstream_uncached_tokens(upstream, &call, START);
+	uncached = forward_upstream_uncached_tokens(upstream, &call, START);
 	forward_upstream_record_send(upstream, &call, START);
 	forward_upstream_record_connect_failure(upstream, START);
 	upstream->peers_running = 3;
 	assert_true(forward_upstream_uncached_tokens(upstream, &call, START) <
-		    fresh);
+		    uncached);
 	list_started_at(*state, 2, 1000);
 	assert_true(forward_upstream_uncached_tokens(upstream, &call, START) <
-		    fresh);
+		    uncached);
 	assert_int_equal(upstream->incarnation, 0);
 	list_started_at(*state, 3, 2000);
 	assert_ptr_equal(forward_upstreams_find(*state, "u1"), upstream);
 	assert_int_equal(upstream->incarnation, 1);
 	assert_true(forward_upstream_uncached_tokens(upstream, &call, START) ==
-		    fresh);
+		    uncached);
 	assert_false(forward_upstream_in_backoff(upstream, START));
 	assert_int_equal(upstream->peers_running, 0);
 	assert_ptr_equal(choose(*state, START), upstream);
 }
 
-/* The same told by a peer in brief, and after the entry had gone in between. */
-static void test_a_restart_is_known_by_peers_and_after_a_gap(void **state)
+/*
+ * A restart is noticed also from a peer's change of stage, and if the
+ * registration was removed in between.
+ */
+static void test_a_restart_is_seen_from_peers_and_after_a_removal(void **state)
 {
 	const forward_stage_update_t change = { FORWARD_SERVING, 2000, 2 };
 	forward_upstream_t *upstream;
@@ -434,41 +461,42 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_a_draining_upstream_gets_nothing_new,
+		cmocka_unit_test_setup_teardown(test_a_draining_upstream_gets_no_requests,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_old_news_changes_nothing,
+		cmocka_unit_test_setup_teardown(test_an_older_revision_is_ignored,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_entries_that_lapsed_get_time_to_come_back,
+		cmocka_unit_test_setup_teardown(test_an_expired_registration_has_a_grace_period,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_old_news_does_not_undo_a_lapse,
+		cmocka_unit_test_setup_teardown(test_an_older_revision_does_not_undo_an_expiry,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_an_entry_that_goes_is_gone_at_once,
+		cmocka_unit_test_setup_teardown(test_a_removed_registration_counts_at_once,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_what_a_new_listing_lacks_is_gone,
+		cmocka_unit_test_setup_teardown(test_upstreams_missing_from_a_listing_are_gone,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(
-			test_a_failing_upstream_is_avoided_and_tried_again,
-			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_an_unreachable_upstream_is_left_at_once,
+		cmocka_unit_test_setup_teardown(test_a_failing_upstream_is_in_backoff_then_probed,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_a_connect_failure_starts_the_backoff_at_once,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(test_an_upstream_that_rejected_is_full,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_full_upstream_is_passed_over,
+		cmocka_unit_test_setup_teardown(test_a_full_upstream_is_not_chosen,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_entries_agree_on_a_subjects_upstream,
+		cmocka_unit_test_setup_teardown(test_gateways_agree_on_the_upstream_of_a_prefix,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_loaded_home_loses_its_subject,
+		cmocka_unit_test_setup_teardown(test_a_loaded_preferred_upstream_is_not_chosen,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_digests_go_by_what_is_known,
+		cmocka_unit_test_setup_teardown(test_digests_depend_on_the_state_alone,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(test_a_sample_finds_the_one_with_room,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_one_that_restarted_holds_nothing,
-						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_restart_is_known_by_peers_and_after_a_gap,
-						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_loaded_home_has_a_second,
+		cmocka_unit_test_setup_teardown(test_a_restart_clears_cache_and_backoff,
 						setup, teardown),
+		cmocka_unit_test_setup_teardown(
+			test_a_restart_is_seen_from_peers_and_after_a_removal,
+			setup, teardown),
+		cmocka_unit_test_setup_teardown(
+			test_a_sample_includes_a_second_preferred_upstream,
+			setup, teardown),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
