--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -271,10 +271,10 @@
 	feed_run(feed, gateway_now());
 }
 
-static void feed_ask(feed_t *feed, const store_ask_t *due)
+static void feed_ask(feed_t *feed, const store_call_t *due)
 {
 	char *path =
-		due->kind == STORE_ASK_LIST
+		due->kind == STORE_CALL_LIST
 			? wire_list_path(feed->kind, feed->after)
 			: wire_watch_path(feed->kind, feed->revision, due->wait);
 	http1_ask_t ask = {
@@ -293,7 +293,7 @@
 {
 	bool before = store_feed_is_lost(feed->calls);
 	store_feed_fleet_t fleet;
-	store_ask_t due;
+	store_call_t due;
 
 	if (store_feed_is_calling(feed->calls))
 		return;
@@ -304,10 +304,10 @@
 		gateway_store_failed(feed->fleet->gateway, now);
 	feed_lost(feed, before, 0);
 	switch (due.kind) {
-	case STORE_ASK_NONE:
+	case STORE_CALL_NONE:
 		break;
-	case STORE_ASK_LIST:
-	case STORE_ASK_WATCH:
+	case STORE_CALL_LIST:
+	case STORE_CALL_WATCH:
 		feed_ask(feed, &due);
 		break;
 	}
--- a/core/forward/store_feed.c
+++ b/core/forward/store_feed.c
@@ -116,20 +116,21 @@
 	return fleet->is_mesh ? STORE_WATCH_WAIT : WATCH_WAIT_FOR_MANY;
 }
 
-static store_ask_t feed_ask(const store_feed_t *feed, const store_feed_fleet_t *fleet)
+static store_call_t feed_next_call(const store_feed_t *feed,
+				   const store_feed_fleet_t *fleet)
 {
 	pd_time_t wait = feed_wait(feed, fleet);
 
 	if (feed->listing)
-		return (store_ask_t){ STORE_ASK_LIST, 0, LIST_TIMEOUT };
-	return (store_ask_t){ STORE_ASK_WATCH, wait, wait + WATCH_MARGIN };
+		return (store_call_t){ STORE_CALL_LIST, 0, LIST_TIMEOUT };
+	return (store_call_t){ STORE_CALL_WATCH, wait, wait + WATCH_MARGIN };
 }
 
 /* Returns the call that is to be made now, if any. It then is under way. */
-store_ask_t store_feed_run(store_feed_t *feed, const store_feed_fleet_t *fleet,
-			   pd_time_t now)
+store_call_t store_feed_run(store_feed_t *feed, const store_feed_fleet_t *fleet,
+			    pd_time_t now)
 {
-	static const store_ask_t nothing = { .kind = STORE_ASK_NONE };
+	static const store_call_t nothing = { .kind = STORE_CALL_NONE };
 
 	if (feed->calling)
 		return nothing;
@@ -144,7 +145,7 @@
 	if (now < feed->next_at || feed_holds_off(feed, fleet, now))
 		return nothing;
 	feed->calling = true;
-	return feed_ask(feed, fleet);
+	return feed_next_call(feed, fleet);
 }
 
 /* Takes that the call was answered. */
--- a/core/forward/store_feed.h
+++ b/core/forward/store_feed.h
@@ -17,18 +17,18 @@
 
 typedef struct store_feed store_feed_t;
 
-typedef enum store_ask_kind {
-	STORE_ASK_NONE,
-	STORE_ASK_LIST,
-	STORE_ASK_WATCH
-} store_ask_kind_t;
+typedef enum store_call_kind {
+	STORE_CALL_NONE,
+	STORE_CALL_LIST,
+	STORE_CALL_WATCH
+} store_call_kind_t;
 
 /* A call to make now. */
-typedef struct store_ask {
-	store_ask_kind_t kind;
+typedef struct store_call {
+	store_call_kind_t kind;
 	pd_time_t wait; /* of a watch at the store, for a change */
 	pd_time_t timeout;
-} store_ask_t;
+} store_call_t;
 
 /* What the gateway knows of the fleet, as far as it decides who asks. */
 typedef struct store_feed_fleet {
@@ -42,8 +42,8 @@
 
 store_feed_t *store_feed_create(GRand *random);
 void store_feed_destroy(store_feed_t *feed);
-store_ask_t store_feed_run(store_feed_t *feed, const store_feed_fleet_t *fleet,
-			   pd_time_t now);
+store_call_t store_feed_run(store_feed_t *feed, const store_feed_fleet_t *fleet,
+			    pd_time_t now);
 void store_feed_answered(store_feed_t *feed, pd_time_t now);
 void store_feed_listed(store_feed_t *feed, pd_time_t now);
 void store_feed_relist(store_feed_t *feed, pd_time_t now);
--- a/tests/property/test_leaves.cc
+++ b/tests/property/test_leaves.cc
@@ -118,7 +118,7 @@
 };
 
 struct call {
-	store_ask_t ask{};
+	store_call_t ask{};
 	pd_time_t sent_at = 0; /* 0: none is out */
 	bool lost = false; /* no answer will come */
 };
@@ -450,7 +450,7 @@
 		call_failed(all, number);
 		return;
 	}
-	if (out.ask.kind == STORE_ASK_LIST) {
+	if (out.ask.kind == STORE_CALL_LIST) {
 		answer_list(all, one);
 		return;
 	}
@@ -469,13 +469,13 @@
 	gateway &one = all.gateways[number];
 	store_feed_fleet_t known = fleet_of(all, number);
 	bool lost = store_feed_is_lost(one.feed);
-	store_ask_t ask = store_feed_run(one.feed, &known, all.now);
+	store_call_t ask = store_feed_run(one.feed, &known, all.now);
 
 	if (!lost && store_feed_is_lost(one.feed)) {
 		store_outage_failed(one.outage, all.now, all.now);
 		follow_outage(one);
 	}
-	if (ask.kind == STORE_ASK_NONE)
+	if (ask.kind == STORE_CALL_NONE)
 		return;
 	one.out.ask = ask;
 	one.out.sent_at = all.now;
--- a/tests/unit/test_store_feed.c
+++ b/tests/unit/test_store_feed.c
@@ -52,11 +52,11 @@
 
 /* Returns how long after NOW a call is made, -1: not within LIMIT. */
 static pd_time_t next_call(store_feed_t *feed, const store_feed_fleet_t *fleet,
-			   pd_time_t now, pd_time_t limit, store_ask_t *ask)
+			   pd_time_t now, pd_time_t limit, store_call_t *call)
 {
 	for (pd_time_t at = now; at <= now + limit; at += STEP) {
-		*ask = store_feed_run(feed, fleet, at);
-		if (ask->kind != STORE_ASK_NONE)
+		*call = store_feed_run(feed, fleet, at);
+		if (call->kind != STORE_CALL_NONE)
 			return at - now;
 	}
 	return -1;
@@ -65,7 +65,7 @@
 static void list_all(store_feed_t *feed, const store_feed_fleet_t *fleet,
 		     pd_time_t now)
 {
-	assert_int_equal(store_feed_run(feed, fleet, now).kind, STORE_ASK_LIST);
+	assert_int_equal(store_feed_run(feed, fleet, now).kind, STORE_CALL_LIST);
 	store_feed_answered(feed, now);
 	store_feed_listed(feed, now);
 }
@@ -73,32 +73,32 @@
 static void test_a_listing_comes_before_watches(void **state)
 {
 	fixture_t *fixture = *state;
-	store_ask_t ask = store_feed_run(fixture->feed, &mesh, START);
+	store_call_t call = store_feed_run(fixture->feed, &mesh, START);
 
-	assert_int_equal(ask.kind, STORE_ASK_LIST);
-	ask = store_feed_run(fixture->feed, &mesh, START);
-	assert_int_equal(ask.kind, STORE_ASK_NONE);
+	assert_int_equal(call.kind, STORE_CALL_LIST);
+	call = store_feed_run(fixture->feed, &mesh, START);
+	assert_int_equal(call.kind, STORE_CALL_NONE);
 	store_feed_answered(fixture->feed, START);
 	store_feed_listed(fixture->feed, START);
-	ask = store_feed_run(fixture->feed, &mesh, START);
-	assert_int_equal(ask.kind, STORE_ASK_WATCH);
-	assert_true(ask.wait > 0 && ask.timeout > ask.wait);
+	call = store_feed_run(fixture->feed, &mesh, START);
+	assert_int_equal(call.kind, STORE_CALL_WATCH);
+	assert_true(call.wait > 0 && call.timeout > call.wait);
 	store_feed_relist(fixture->feed, START);
-	ask = store_feed_run(fixture->feed, &mesh, START);
-	assert_int_equal(ask.kind, STORE_ASK_LIST);
+	call = store_feed_run(fixture->feed, &mesh, START);
+	assert_int_equal(call.kind, STORE_CALL_LIST);
 }
 
 static void test_a_failed_call_is_made_again_soon(void **state)
 {
 	fixture_t *fixture = *state;
-	store_ask_t ask;
+	store_call_t call;
 
 	list_all(fixture->feed, &mesh, START);
 	store_feed_run(fixture->feed, &mesh, START);
 	store_feed_failed(fixture->feed, &mesh, START);
 	assert_true(store_feed_is_lost(fixture->feed));
-	assert_in_range(next_call(fixture->feed, &mesh, START, PD_SEC, &ask), 0,
-			300 * PD_MSEC);
+	assert_in_range(next_call(fixture->feed, &mesh, START, PD_SEC, &call),
+			0, 300 * PD_MSEC);
 	store_feed_answered(fixture->feed, START + PD_SEC);
 	assert_false(store_feed_is_lost(fixture->feed));
 }
@@ -112,21 +112,21 @@
 	fixture_t *fixture = *state;
 	pd_time_t now = START;
 	pd_time_t end;
-	store_ask_t ask;
+	store_call_t call;
 
 	list_all(fixture->feed, &mesh, now);
 	store_feed_run(fixture->feed, &mesh, now);
 	store_feed_failed(fixture->feed, &mesh, now);
 	for (int i = 0; i < CALLS; i++) {
-		now += next_call(fixture->feed, &mesh, now, PD_SEC, &ask);
+		now += next_call(fixture->feed, &mesh, now, PD_SEC, &call);
 		/* The store is back just after it has missed this call. */
 		end = now;
-		now += ask.timeout;
+		now += call.timeout;
 		store_feed_failed(fixture->feed, &mesh, now);
-		assert_true(now + next_call(fixture->feed, &mesh, now, PD_SEC, &ask) -
+		assert_true(now + next_call(fixture->feed, &mesh, now, PD_SEC, &call) -
 				    end <=
 			    NOTICE_MAX);
-		assert_int_equal(ask.wait, 0);
+		assert_int_equal(call.wait, 0);
 		store_feed_failed(fixture->feed, &mesh, now);
 	}
 }
@@ -134,14 +134,14 @@
 static void test_members_of_a_large_fleet_leave_it_to_the_first(void **state)
 {
 	fixture_t *fixture = *state;
-	store_ask_t ask;
+	store_call_t call;
 
 	list_all(fixture->feed, &watcher, START);
-	assert_int_equal(next_call(fixture->feed, &member, START, 5 * PD_SEC, &ask),
+	assert_int_equal(next_call(fixture->feed, &member, START, 5 * PD_SEC, &call),
 			 -1);
-	assert_true(next_call(fixture->feed, &watcher, START + PD_SEC, 0, &ask) >=
-		    0);
-	assert_int_equal(ask.kind, STORE_ASK_WATCH);
+	assert_true(next_call(fixture->feed, &watcher, START + PD_SEC, 0,
+			      &call) >= 0);
+	assert_int_equal(call.kind, STORE_CALL_WATCH);
 }
 
 /* Guards against a listing of several pages that ends as the first page was news. */
@@ -152,16 +152,16 @@
 	store_feed_run(fixture->feed, &watcher, START);
 	store_feed_answered(fixture->feed, START);
 	assert_int_equal(store_feed_run(fixture->feed, &member, START).kind,
-			 STORE_ASK_LIST);
+			 STORE_CALL_LIST);
 }
 
 static void test_a_start_in_a_large_fleet_holds_its_first_watch(void **state)
 {
 	fixture_t *fixture = *state;
-	store_ask_t ask;
+	store_call_t call;
 
 	list_all(fixture->feed, &watcher, START);
-	assert_in_range(next_call(fixture->feed, &watcher, START, PD_SEC, &ask),
+	assert_in_range(next_call(fixture->feed, &watcher, START, PD_SEC, &call),
 			200 * PD_MSEC, 400 * PD_MSEC);
 }
 
