--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -55,7 +55,7 @@
 /* Says whether the store answered the last call for the upstreams. */
 bool fleet_feed_is_back(const fleet_feed_t *feed)
 {
-	return !store_feed_is_lost(feed->upstreams.calls);
+	return !store_feed_is_unreachable(feed->upstreams.calls);
 }
 
 static void apply_config(feed_t *feed, const wire_page_t *page)
@@ -159,7 +159,7 @@
 {
 	gateway_t *gateway = feed->fleet->gateway;
 
-	store_feed_listed(feed->calls, gateway_now());
+	store_feed_end_listing(feed->calls, gateway_now());
 	feed->revision = feed->listed_at;
 	g_clear_pointer(&feed->after, g_free);
 	if (feed->kind != WIRE_UPSTREAMS)
@@ -196,7 +196,7 @@
 /* Logs that the store is lost, if it was not before. */
 static void feed_lost(const feed_t *feed, bool before, int status)
 {
-	if (before || !store_feed_is_lost(feed->calls))
+	if (before || !store_feed_is_unreachable(feed->calls))
 		return;
 	log_line(G_LOG_LEVEL_WARNING, PART,
 		 "lost=%s status=%d revision=%" G_GUINT64_FORMAT, feed->name,
@@ -222,15 +222,15 @@
 {
 	pd_time_t now = gateway_now();
 	const store_feed_fleet_t fleet = feed_fleet(feed, now);
-	bool before = store_feed_is_lost(feed->calls);
+	bool before = store_feed_is_unreachable(feed->calls);
 
-	store_feed_failed(feed->calls, &fleet, now);
+	store_feed_record_failure(feed->calls, &fleet, now);
 	feed_lost(feed, before, status);
 }
 
 static void feed_regained(feed_t *feed)
 {
-	if (!store_feed_is_lost(feed->calls))
+	if (!store_feed_is_unreachable(feed->calls))
 		return;
 	log_line(G_LOG_LEVEL_INFO, PART, "regained=%s", feed->name);
 }
@@ -239,7 +239,7 @@
 {
 	log_line(G_LOG_LEVEL_INFO, PART, "relist=%s reason=\"history gone\"",
 		 feed->name);
-	store_feed_relist(feed->calls, gateway_now());
+	store_feed_restart_listing(feed->calls, gateway_now());
 	g_clear_pointer(&feed->after, g_free);
 }
 
@@ -264,7 +264,7 @@
 		return;
 	}
 	feed_regained(feed);
-	store_feed_answered(feed->calls, gateway_now());
+	store_feed_record_answer(feed->calls, gateway_now());
 	gateway_peers_store_heard(feed->fleet->gateway->peers);
 	feed_take(feed, page);
 	wire_page_destroy(page);
@@ -291,16 +291,16 @@
 
 static void feed_run(feed_t *feed, pd_time_t now)
 {
-	bool before = store_feed_is_lost(feed->calls);
+	bool before = store_feed_is_unreachable(feed->calls);
 	store_feed_fleet_t fleet;
 	store_call_t due;
 
 	if (store_feed_is_calling(feed->calls))
 		return;
 	fleet = feed_fleet(feed, now);
-	due = store_feed_run(feed->calls, &fleet, now);
+	due = store_feed_next_call(feed->calls, &fleet, now);
 	/* The calls of the one that watches for this gateway failed. */
-	if (!before && store_feed_is_lost(feed->calls))
+	if (!before && store_feed_is_unreachable(feed->calls))
 		gateway_store_failed(feed->fleet->gateway, now);
 	feed_lost(feed, before, 0);
 	switch (due.kind) {
--- a/core/forward/store_feed.h
+++ b/core/forward/store_feed.h
@@ -42,15 +42,15 @@
 
 store_feed_t *store_feed_create(GRand *random);
 void store_feed_destroy(store_feed_t *feed);
-store_call_t store_feed_run(store_feed_t *feed, const store_feed_fleet_t *fleet,
-			    pd_time_t now);
-void store_feed_answered(store_feed_t *feed, pd_time_t now);
-void store_feed_listed(store_feed_t *feed, pd_time_t now);
-void store_feed_relist(store_feed_t *feed, pd_time_t now);
-void store_feed_failed(store_feed_t *feed, const store_feed_fleet_t *fleet,
-		       pd_time_t now);
+store_call_t store_feed_next_call(store_feed_t *feed,
+				  const store_feed_fleet_t *fleet, pd_time_t now);
+void store_feed_record_answer(store_feed_t *feed, pd_time_t now);
+void store_feed_end_listing(store_feed_t *feed, pd_time_t now);
+void store_feed_restart_listing(store_feed_t *feed, pd_time_t now);
+void store_feed_record_failure(store_feed_t *feed,
+			       const store_feed_fleet_t *fleet, pd_time_t now);
 bool store_feed_is_calling(const store_feed_t *feed);
 bool store_feed_is_listing(const store_feed_t *feed);
-bool store_feed_is_lost(const store_feed_t *feed);
+bool store_feed_is_unreachable(const store_feed_t *feed);
 
 #endif
--- a/tests/property/test_leaves.cc
+++ b/tests/property/test_leaves.cc
@@ -393,7 +393,7 @@
 
 	store_outage_failed(one.outage, one.out.sent_at, all.now);
 	follow_outage(one);
-	store_feed_failed(one.feed, &known, all.now);
+	store_feed_record_failure(one.feed, &known, all.now);
 	one.out.sent_at = 0;
 }
 
@@ -407,13 +407,13 @@
 void answer_list(fleet &all, gateway &one)
 {
 	call_served(all, one);
-	store_feed_answered(one.feed, all.now);
+	store_feed_record_answer(one.feed, all.now);
 	one.heard_at = all.now;
 	forward_upstreams_begin_listing(one.table);
 	for (const auto &item : all.platform.entries)
 		take_news(all, one, item.first, item.second);
 	forward_upstreams_end_listing(one.table, all.platform.revision, all.now);
-	store_feed_listed(one.feed, all.now);
+	store_feed_end_listing(one.feed, all.now);
 	one.watched = all.platform.revision;
 	one.known = true;
 }
@@ -421,7 +421,7 @@
 void answer_watch(fleet &all, gateway &one)
 {
 	call_served(all, one);
-	store_feed_answered(one.feed, all.now);
+	store_feed_record_answer(one.feed, all.now);
 	one.heard_at = all.now;
 	for (const auto &item : all.platform.log)
 		if (item.at > one.watched)
@@ -456,7 +456,7 @@
 	}
 	if (one.watched < all.platform.forgotten) {
 		call_served(all, one);
-		store_feed_relist(one.feed, all.now);
+		store_feed_restart_listing(one.feed, all.now);
 		return;
 	}
 	has_news = one.watched < all.platform.revision && !in_gap(all);
@@ -468,10 +468,10 @@
 {
 	gateway &one = all.gateways[number];
 	store_feed_fleet_t known = fleet_of(all, number);
-	bool lost = store_feed_is_lost(one.feed);
-	store_call_t ask = store_feed_run(one.feed, &known, all.now);
+	bool lost = store_feed_is_unreachable(one.feed);
+	store_call_t ask = store_feed_next_call(one.feed, &known, all.now);
 
-	if (!lost && store_feed_is_lost(one.feed)) {
+	if (!lost && store_feed_is_unreachable(one.feed)) {
 		store_outage_failed(one.outage, all.now, all.now);
 		follow_outage(one);
 	}
@@ -488,7 +488,7 @@
 		 from,
 		 to,
 		 one.heard_at,
-		 !store_feed_is_lost(one.feed),
+		 !store_feed_is_unreachable(one.feed),
 		 digest_of(one),
 		 {},
 		 false };
--- a/tests/unit/test_store_feed.c
+++ b/tests/unit/test_store_feed.c
@@ -55,7 +55,7 @@
 			   pd_time_t now, pd_time_t limit, store_call_t *call)
 {
 	for (pd_time_t at = now; at <= now + limit; at += STEP) {
-		*call = store_feed_run(feed, fleet, at);
+		*call = store_feed_next_call(feed, fleet, at);
 		if (call->kind != STORE_CALL_NONE)
 			return at - now;
 	}
@@ -65,26 +65,27 @@
 static void list_all(store_feed_t *feed, const store_feed_fleet_t *fleet,
 		     pd_time_t now)
 {
-	assert_int_equal(store_feed_run(feed, fleet, now).kind, STORE_CALL_LIST);
-	store_feed_answered(feed, now);
-	store_feed_listed(feed, now);
+	assert_int_equal(store_feed_next_call(feed, fleet, now).kind,
+			 STORE_CALL_LIST);
+	store_feed_record_answer(feed, now);
+	store_feed_end_listing(feed, now);
 }
 
 static void test_a_listing_comes_before_watches(void **state)
 {
 	fixture_t *fixture = *state;
-	store_call_t call = store_feed_run(fixture->feed, &mesh, START);
+	store_call_t call = store_feed_next_call(fixture->feed, &mesh, START);
 
 	assert_int_equal(call.kind, STORE_CALL_LIST);
-	call = store_feed_run(fixture->feed, &mesh, START);
+	call = store_feed_next_call(fixture->feed, &mesh, START);
 	assert_int_equal(call.kind, STORE_CALL_NONE);
-	store_feed_answered(fixture->feed, START);
-	store_feed_listed(fixture->feed, START);
-	call = store_feed_run(fixture->feed, &mesh, START);
+	store_feed_record_answer(fixture->feed, START);
+	store_feed_end_listing(fixture->feed, START);
+	call = store_feed_next_call(fixture->feed, &mesh, START);
 	assert_int_equal(call.kind, STORE_CALL_WATCH);
 	assert_true(call.wait > 0 && call.timeout > call.wait);
-	store_feed_relist(fixture->feed, START);
-	call = store_feed_run(fixture->feed, &mesh, START);
+	store_feed_restart_listing(fixture->feed, START);
+	call = store_feed_next_call(fixture->feed, &mesh, START);
 	assert_int_equal(call.kind, STORE_CALL_LIST);
 }
 
@@ -94,13 +95,13 @@
 	store_call_t call;
 
 	list_all(fixture->feed, &mesh, START);
-	store_feed_run(fixture->feed, &mesh, START);
-	store_feed_failed(fixture->feed, &mesh, START);
-	assert_true(store_feed_is_lost(fixture->feed));
+	store_feed_next_call(fixture->feed, &mesh, START);
+	store_feed_record_failure(fixture->feed, &mesh, START);
+	assert_true(store_feed_is_unreachable(fixture->feed));
 	assert_in_range(next_call(fixture->feed, &mesh, START, PD_SEC, &call),
 			0, 300 * PD_MSEC);
-	store_feed_answered(fixture->feed, START + PD_SEC);
-	assert_false(store_feed_is_lost(fixture->feed));
+	store_feed_record_answer(fixture->feed, START + PD_SEC);
+	assert_false(store_feed_is_unreachable(fixture->feed));
 }
 
 /*
@@ -115,19 +116,19 @@
 	store_call_t call;
 
 	list_all(fixture->feed, &mesh, now);
-	store_feed_run(fixture->feed, &mesh, now);
-	store_feed_failed(fixture->feed, &mesh, now);
+	store_feed_next_call(fixture->feed, &mesh, now);
+	store_feed_record_failure(fixture->feed, &mesh, now);
 	for (int i = 0; i < CALLS; i++) {
 		now += next_call(fixture->feed, &mesh, now, PD_SEC, &call);
 		/* The store is back just after it has missed this call. */
 		end = now;
 		now += call.timeout;
-		store_feed_failed(fixture->feed, &mesh, now);
+		store_feed_record_failure(fixture->feed, &mesh, now);
 		assert_true(now + next_call(fixture->feed, &mesh, now, PD_SEC, &call) -
 				    end <=
 			    NOTICE_MAX);
 		assert_int_equal(call.wait, 0);
-		store_feed_failed(fixture->feed, &mesh, now);
+		store_feed_record_failure(fixture->feed, &mesh, now);
 	}
 }
 
@@ -149,9 +150,9 @@
 {
 	fixture_t *fixture = *state;
 
-	store_feed_run(fixture->feed, &watcher, START);
-	store_feed_answered(fixture->feed, START);
-	assert_int_equal(store_feed_run(fixture->feed, &member, START).kind,
+	store_feed_next_call(fixture->feed, &watcher, START);
+	store_feed_record_answer(fixture->feed, START);
+	assert_int_equal(store_feed_next_call(fixture->feed, &member, START).kind,
 			 STORE_CALL_LIST);
 }
 
