--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -211,10 +211,10 @@
 	return (store_feed_fleet_t){
 		.is_mesh = gateway_peers_is_mesh(peers),
 		.is_large = gateway_count(gateway) > GATEWAY_MESH_MAX,
-		.goes_first = gateway_peers_go_first(peers),
-		.asks = gateway_peers_watch_store(peers),
-		.aggregator_lost = gateway_peers_aggregator_lost_store(peers),
-		.poll_group = gateway_peers_poll_group(peers, now),
+		.is_watcher = gateway_peers_go_first(peers),
+		.must_call = gateway_peers_watch_store(peers),
+		.aggregator_lost_store = gateway_peers_aggregator_lost_store(peers),
+		.poll_group_size = gateway_peers_poll_group(peers, now),
 	};
 }
 
--- a/core/forward/store_feed.c
+++ b/core/forward/store_feed.c
@@ -80,8 +80,8 @@
 {
 	pd_time_t mean = WATCHER_RETRY_PAUSE;
 
-	if (!fleet->goes_first)
-		mean = store_poll_pause(fleet->poll_group, feed->failures);
+	if (!fleet->is_watcher)
+		mean = store_poll_pause(fleet->poll_group_size, feed->failures);
 	return feed_random_time(feed, 2 * mean);
 }
 
@@ -93,7 +93,7 @@
 			       const store_feed_fleet_t *fleet, pd_time_t now)
 {
 	feed->polling = true;
-	if (fleet->aggregator_lost)
+	if (fleet->aggregator_lost_store)
 		feed->unreachable = true;
 	feed->next_call_at = now + feed_pause(feed, fleet);
 }
@@ -134,13 +134,13 @@
 
 	if (feed->calling)
 		return nothing;
-	if (!fleet->asks && !feed->listing_partial) {
+	if (!fleet->must_call && !feed->listing_partial) {
 		feed->unreachable = false;
 		feed->polling = false;
 		feed->failures = 0;
 		return nothing;
 	}
-	if (!feed->polling && !feed->listing && !fleet->goes_first)
+	if (!feed->polling && !feed->listing && !fleet->is_watcher)
 		feed_start_polling(feed, fleet, now);
 	if (now < feed->next_call_at || feed_delays_first_watch(feed, fleet, now))
 		return nothing;
--- a/core/forward/store_feed.h
+++ b/core/forward/store_feed.h
@@ -34,10 +34,10 @@
 typedef struct store_feed_fleet {
 	bool is_mesh; /* all watch, and send updates to each other */
 	bool is_large; /* a few watch for all */
-	bool goes_first; /* this gateway watches for the others */
-	bool asks; /* it asks, as no other does so for it */
-	bool aggregator_lost; /* who watches for it is not served */
-	unsigned int poll_group; /* gateways that share the polling */
+	bool is_watcher; /* this gateway watches for the others */
+	bool must_call; /* it asks, as no other does so for it */
+	bool aggregator_lost_store; /* who watches for it is not served */
+	unsigned int poll_group_size; /* gateways that share the polling */
 } store_feed_fleet_t;
 
 store_feed_t *store_feed_create(GRand *random);
--- a/tests/property/test_leaves.cc
+++ b/tests/property/test_leaves.cc
@@ -376,13 +376,13 @@
 
 	known.is_mesh = all.size() <= kMesh;
 	known.is_large = !known.is_mesh;
-	known.goes_first = goes_first(all, number);
-	known.asks = known.goes_first || !one.known ||
-		     all.now - one.heard_at > stale;
-	known.aggregator_lost = one.aggregator_lost;
-	known.poll_group = one.summed_at && all.now - one.summed_at < kSumsKnown
-				   ? all.size()
-				   : 1;
+	known.is_watcher = goes_first(all, number);
+	known.must_call = known.is_watcher || !one.known ||
+			  all.now - one.heard_at > stale;
+	known.aggregator_lost_store = one.aggregator_lost;
+	known.poll_group_size = one.summed_at && all.now - one.summed_at < kSumsKnown
+					? all.size()
+					: 1;
 	return known;
 }
 
--- a/tests/unit/test_store_feed.c
+++ b/tests/unit/test_store_feed.c
@@ -16,14 +16,14 @@
 #define NOTICE_MAX (1200 * PD_MSEC)
 
 static const store_feed_fleet_t mesh = { .is_mesh = true,
-					 .goes_first = true,
-					 .asks = true,
-					 .poll_group = 1 };
-static const store_feed_fleet_t member = { .is_large = true, .poll_group = 60 };
+					 .is_watcher = true,
+					 .must_call = true,
+					 .poll_group_size = 1 };
+static const store_feed_fleet_t member = { .is_large = true, .poll_group_size = 60 };
 static const store_feed_fleet_t watcher = { .is_large = true,
-					    .goes_first = true,
-					    .asks = true,
-					    .poll_group = 60 };
+					    .is_watcher = true,
+					    .must_call = true,
+					    .poll_group_size = 60 };
 
 typedef struct fixture {
 	GRand *random;
