--- a/core/forward/store_feed.c
+++ b/core/forward/store_feed.c
@@ -1,41 +1,49 @@
 /*
- * The load: every gateway wants each change at once, each call is paid for, and a store
- * that goes silent shows only by an answer that does not come.
+ * Schedules the calls of one gateway. Every gateway wants each change at once,
+ * each call is paid for, and a store that stopped answering is noticed only by
+ * a timeout.
  */
 #include "core/forward/store_feed.h"
 
 #include "core/forward/store_poll.h"
 
 /*
- * Where a few watch for many, the others go by how long ago the store was last
- * heard; shorter waits let them notice sooner that none of the few hears it.
+ * In a large fleet a few gateways watch for all, and the others go by when the
+ * store last answered. Shorter waits let them notice sooner that it answers
+ * none of the few.
  */
 #define WATCHER_WAIT (800 * PD_MSEC)
 #define WATCH_TIMEOUT_MARGIN (800 * PD_MSEC)
 #define LIST_TIMEOUT (1500 * PD_MSEC)
 /*
- * In a large fleet a start waits after its first listing before it watches. Until it
- * has heard its peers it takes itself for one of the few that watch, and hundreds
- * that start at once would all make calls that all but three don't need.
+ * In a large fleet a gateway that starts delays its first watch after its first
+ * listing. Until it has heard its peers it takes itself for one of the few
+ * watchers, and hundreds that start at once would make calls that all but three
+ * need not make.
  */
 #define FIRST_WATCH_DELAY (200 * PD_MSEC)
 #define FIRST_WATCH_JITTER (200 * PD_MSEC)
-/* The mean pause after a failed call of one that watches for all. */
+/* The mean pause of a watcher after a failed call. */
 #define WATCHER_RETRY_PAUSE (150 * PD_MSEC)
 
 struct store_feed {
 	GRand *random; /* borrowed */
 	bool listing;
-	bool listing_partial; /* a page of the listing was answered; more follow */
+	/* a page of the listing was received, and more follow */
+	bool listing_partial;
 	bool calling;
 	bool unreachable; /* the last call failed, here or at the aggregator */
-	bool polling; /* as one of many, since nobody has heard the store */
-	unsigned int failures; /* in a row */
-	pd_time_t first_watch_at; /* in a large fleet; 0: nothing is listed yet */
+	bool polling; /* as no gateway had an answer from the store lately */
+	unsigned int failures; /* consecutive */
+	/* earliest, in a large fleet; 0: no listing has ended yet */
+	pd_time_t first_watch_at;
 	pd_time_t next_call_at;
 };
 
-/* Returns a feed that begins with a listing; RANDOM is borrowed. The caller owns it. */
+/*
+ * Returns a feed that begins with a listing; RANDOM is borrowed. The caller
+ * owns it.
+ */
 store_feed_t *store_feed_create(GRand *random)
 {
 	store_feed_t *feed = g_new0(store_feed_t, 1);
@@ -51,7 +59,7 @@
 	g_free(feed);
 }
 
-/* Returns whether a call is under way. */
+/* Returns whether a call is in flight. */
 bool store_feed_is_calling(const store_feed_t *feed)
 {
 	return feed->calling;
@@ -69,13 +77,16 @@
 	return feed->unreachable;
 }
 
-/* Draws a time up to MAX. */
+/* Returns a random time from 0 to MAX. */
 static pd_time_t feed_random_time(store_feed_t *feed, pd_time_t max)
 {
 	return (pd_time_t)(g_rand_double(feed->random) * (double)max);
 }
 
-/* Draws the pause before the next call after a failed one, or a first poll. */
+/*
+ * Returns a random pause before the next call after a failed one, or before a
+ * first poll.
+ */
 static pd_time_t feed_pause(store_feed_t *feed, const store_feed_fleet_t *fleet)
 {
 	pd_time_t mean = WATCHER_RETRY_PAUSE;
@@ -86,8 +97,9 @@
 }
 
 /*
- * Begins to poll, as nobody has heard the store. If it is away, and not just those
- * dead that watch it, it counts as lost here as well.
+ * Starts to poll, as no gateway had an answer from the store lately. If the
+ * aggregator has none either, the store counts as unreachable here as well;
+ * otherwise it may be just the watchers that are dead.
  */
 static void feed_start_polling(store_feed_t *feed,
 			       const store_feed_fleet_t *fleet, pd_time_t now)
@@ -98,7 +110,10 @@
 	feed->next_call_at = now + feed_pause(feed, fleet);
 }
 
-/* Returns whether a start waits until it knows who of a large fleet watches. */
+/*
+ * Returns whether a gateway that started has yet to learn which gateways of a
+ * large fleet watch.
+ */
 static bool feed_delays_first_watch(const store_feed_t *feed,
 				    const store_feed_fleet_t *fleet, pd_time_t now)
 {
@@ -106,8 +121,9 @@
 }
 
 /*
- * Returns how long the next watch waits. While the store is lost it does not: a call
- * that is made in a silence never ends but by its timeout.
+ * Returns how long the store may hold the next watch open. While the store is
+ * unreachable it is 0: a call made while the store is silent ends only by its
+ * timeout.
  */
 static pd_time_t feed_wait(const store_feed_t *feed, const store_feed_fleet_t *fleet)
 {
@@ -116,6 +132,7 @@
 	return fleet->is_mesh ? STORE_WATCH_WAIT : WATCHER_WAIT;
 }
 
+/* Returns the next call, a listing or a watch. */
 static store_call_t feed_next_call(const store_feed_t *feed,
 				   const store_feed_fleet_t *fleet)
 {
@@ -126,7 +143,7 @@
 	return (store_call_t){ STORE_CALL_WATCH, wait, wait + WATCH_TIMEOUT_MARGIN };
 }
 
-/* Returns the call that is to be made now, if any. It then is under way. */
+/* Returns the call to make now, if any, which then is in flight. */
 store_call_t store_feed_next_call(store_feed_t *feed,
 				  const store_feed_fleet_t *fleet, pd_time_t now)
 {
@@ -148,7 +165,7 @@
 	return feed_next_call(feed, fleet);
 }
 
-/* Takes that the call was answered. */
+/* Records that the call in flight was answered. */
 void store_feed_record_answer(store_feed_t *feed, pd_time_t now)
 {
 	feed->calling = false;
@@ -159,7 +176,7 @@
 	feed->next_call_at = now;
 }
 
-/* Takes that a listing is complete; changes are watched from now on. */
+/* Records that the listing is complete; changes are watched from now on. */
 void store_feed_end_listing(store_feed_t *feed, pd_time_t now)
 {
 	feed->listing = false;
@@ -169,7 +186,7 @@
 				       feed_random_time(feed, FIRST_WATCH_JITTER);
 }
 
-/* Takes that the history to watch from is gone: all is listed anew. */
+/* Starts a new listing, as the history to watch from was discarded. */
 void store_feed_restart_listing(store_feed_t *feed, pd_time_t now)
 {
 	feed->calling = false;
@@ -178,7 +195,7 @@
 	feed->next_call_at = now;
 }
 
-/* Takes that the call was refused, or not answered in time. */
+/* Records that the call in flight was refused, or timed out. */
 void store_feed_record_failure(store_feed_t *feed,
 			       const store_feed_fleet_t *fleet, pd_time_t now)
 {
--- a/core/forward/store_feed.h
+++ b/core/forward/store_feed.h
@@ -1,4 +1,7 @@
-/* When a gateway lists or watches one kind of object in the store. */
+/*
+ * Schedules a gateway's listings and watches of one kind of object in the
+ * store.
+ */
 #ifndef PISTACHIO_STORE_FEED_H
 #define PISTACHIO_STORE_FEED_H
 
@@ -9,9 +12,9 @@
 #include "ports/clock.h"
 
 /*
- * How long a watch waits for a change. A store that goes silent in the middle
- * shows only by the missing answer, so this and a margin bound how long a
- * gateway stays blind after the store is back.
+ * How long a watch waits for a change. A store that stops answering in the
+ * middle is noticed only by the timeout, so this and a margin bound how long a
+ * gateway gets no changes after the store has recovered.
  */
 #define STORE_WATCH_WAIT (2 * PD_SEC)
 
@@ -26,18 +29,24 @@
 /* A call to make now. */
 typedef struct store_call {
 	store_call_kind_t kind;
-	pd_time_t wait; /* of a watch at the store, for a change */
+	pd_time_t wait; /* for a change, at the store; of a watch */
 	pd_time_t timeout;
 } store_call_t;
 
-/* What the gateway knows of the fleet, as far as it decides who asks. */
+/*
+ * What the gateway knows of the fleet, as far as it decides which gateways call
+ * the store.
+ */
 typedef struct store_feed_fleet {
-	bool is_mesh; /* all watch, and send updates to each other */
+	/* every gateway watches and sends updates to all others */
+	bool is_mesh;
 	bool is_large; /* a few watch for all */
-	bool is_watcher; /* this gateway watches for the others */
-	bool must_call; /* it asks, as no other does so for it */
-	bool aggregator_lost_store; /* who watches for it is not served */
-	unsigned int poll_group_size; /* gateways that share the polling */
+	bool is_watcher; /* this gateway is one of those that watch */
+	bool must_call; /* no other gateway calls the store for this one */
+	/* the aggregator gets no answers from the store */
+	bool aggregator_lost_store;
+	/* gateways that share polling; 1: this one alone */
+	unsigned int poll_group_size;
 } store_feed_fleet_t;
 
 store_feed_t *store_feed_create(GRand *random);
--- a/tests/unit/test_store_feed.c
+++ b/tests/unit/test_store_feed.c
@@ -1,4 +1,4 @@
-/* When a gateway asks the store, alone, in a mesh and in a large fleet. */
+/* Tests when a gateway calls the store, in a mesh and in a large fleet. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,9 +11,12 @@
 #define START (1000 * PD_SEC)
 #define STEP (10 * PD_MSEC)
 #define SEED 7
-#define CALLS 100
-/* What a leave may stay unknown of the two seconds that it may be sent requests. */
-#define NOTICE_MAX (1200 * PD_MSEC)
+#define OUTAGES 100
+/*
+ * Of the 2 s in which a leaving upstream may be sent requests, how much its
+ * removal may stay unknown.
+ */
+#define DETECTION_MAX (1200 * PD_MSEC)
 
 static const store_feed_fleet_t mesh = { .is_mesh = true,
 					 .is_watcher = true,
@@ -50,7 +53,10 @@
 	return 0;
 }
 
-/* Returns how long after NOW a call is made, -1: not within LIMIT. */
+/*
+ * Returns how long after NOW the next call is made, and fills in CALL; -1: none
+ * within LIMIT.
+ */
 static pd_time_t next_call(store_feed_t *feed, const store_feed_fleet_t *fleet,
 			   pd_time_t now, pd_time_t limit, store_call_t *call)
 {
@@ -62,8 +68,9 @@
 	return -1;
 }
 
-static void list_all(store_feed_t *feed, const store_feed_fleet_t *fleet,
-		     pd_time_t now)
+/* Lists everything in one page at NOW. */
+static void complete_listing(store_feed_t *feed,
+			     const store_feed_fleet_t *fleet, pd_time_t now)
 {
 	assert_int_equal(store_feed_next_call(feed, fleet, now).kind,
 			 STORE_CALL_LIST);
@@ -71,7 +78,7 @@
 	store_feed_end_listing(feed, now);
 }
 
-static void test_a_listing_comes_before_watches(void **state)
+static void test_a_listing_precedes_watches(void **state)
 {
 	fixture_t *fixture = *state;
 	store_call_t call = store_feed_next_call(fixture->feed, &mesh, START);
@@ -89,12 +96,12 @@
 	assert_int_equal(call.kind, STORE_CALL_LIST);
 }
 
-static void test_a_failed_call_is_made_again_soon(void **state)
+static void test_a_failed_call_is_retried_soon(void **state)
 {
 	fixture_t *fixture = *state;
 	store_call_t call;
 
-	list_all(fixture->feed, &mesh, START);
+	complete_listing(fixture->feed, &mesh, START);
 	store_feed_next_call(fixture->feed, &mesh, START);
 	store_feed_record_failure(fixture->feed, &mesh, START);
 	assert_true(store_feed_is_unreachable(fixture->feed));
@@ -105,39 +112,39 @@
 }
 
 /*
- * Guards against a call that hangs in a silent store for as long as a watch may, so
- * that leaves after the outage stay unknown for seconds.
+ * Guards against a call to an unreachable store that may wait as long as a
+ * watch, so that removals after its recovery stay unknown for seconds.
  */
-static void test_the_end_of_a_silence_is_noticed(void **state)
+static void test_the_recovery_of_the_store_is_noticed(void **state)
 {
 	fixture_t *fixture = *state;
 	pd_time_t now = START;
 	pd_time_t end;
 	store_call_t call;
 
-	list_all(fixture->feed, &mesh, now);
+	complete_listing(fixture->feed, &mesh, now);
 	store_feed_next_call(fixture->feed, &mesh, now);
 	store_feed_record_failure(fixture->feed, &mesh, now);
-	for (int i = 0; i < CALLS; i++) {
+	for (int i = 0; i < OUTAGES; i++) {
 		now += next_call(fixture->feed, &mesh, now, PD_SEC, &call);
-		/* The store is back just after it has missed this call. */
+		/* The store recovers just after it has missed this call. */
 		end = now;
 		now += call.timeout;
 		store_feed_record_failure(fixture->feed, &mesh, now);
 		assert_true(now + next_call(fixture->feed, &mesh, now, PD_SEC, &call) -
 				    end <=
-			    NOTICE_MAX);
+			    DETECTION_MAX);
 		assert_int_equal(call.wait, 0);
 		store_feed_record_failure(fixture->feed, &mesh, now);
 	}
 }
 
-static void test_members_of_a_large_fleet_leave_it_to_the_first(void **state)
+static void test_only_watchers_call_in_a_large_fleet(void **state)
 {
 	fixture_t *fixture = *state;
 	store_call_t call;
 
-	list_all(fixture->feed, &watcher, START);
+	complete_listing(fixture->feed, &watcher, START);
 	assert_int_equal(next_call(fixture->feed, &member, START, 5 * PD_SEC, &call),
 			 -1);
 	assert_true(next_call(fixture->feed, &watcher, START + PD_SEC, 0,
@@ -145,8 +152,11 @@
 	assert_int_equal(call.kind, STORE_CALL_WATCH);
 }
 
-/* Guards against a listing of several pages that ends as the first page was news. */
-static void test_a_listing_goes_on_though_others_watch(void **state)
+/*
+ * Guards against a listing of several pages that ends after the first, because
+ * then the store counts as heard and others watch it.
+ */
+static void test_a_listing_continues_though_others_watch(void **state)
 {
 	fixture_t *fixture = *state;
 
@@ -156,12 +166,12 @@
 			 STORE_CALL_LIST);
 }
 
-static void test_a_start_in_a_large_fleet_holds_its_first_watch(void **state)
+static void test_the_first_watch_is_delayed_in_a_large_fleet(void **state)
 {
 	fixture_t *fixture = *state;
 	store_call_t call;
 
-	list_all(fixture->feed, &watcher, START);
+	complete_listing(fixture->feed, &watcher, START);
 	assert_in_range(next_call(fixture->feed, &watcher, START, PD_SEC, &call),
 			200 * PD_MSEC, 400 * PD_MSEC);
 }
@@ -171,12 +181,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		FEED_TEST(test_a_listing_comes_before_watches),
-		FEED_TEST(test_a_failed_call_is_made_again_soon),
-		FEED_TEST(test_the_end_of_a_silence_is_noticed),
-		FEED_TEST(test_members_of_a_large_fleet_leave_it_to_the_first),
-		FEED_TEST(test_a_listing_goes_on_though_others_watch),
-		FEED_TEST(test_a_start_in_a_large_fleet_holds_its_first_watch),
+		FEED_TEST(test_a_listing_precedes_watches),
+		FEED_TEST(test_a_failed_call_is_retried_soon),
+		FEED_TEST(test_the_recovery_of_the_store_is_noticed),
+		FEED_TEST(test_only_watchers_call_in_a_large_fleet),
+		FEED_TEST(test_a_listing_continues_though_others_watch),
+		FEED_TEST(test_the_first_watch_is_delayed_in_a_large_fleet),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
