--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -178,7 +178,7 @@
 {
 	pd_time_t before = store_outage_end(gateway->outage);
 
-	store_outage_answered(gateway->outage, at);
+	store_outage_record_answer(gateway->outage, at);
 	follow_outage(gateway, before);
 }
 
@@ -187,7 +187,7 @@
 {
 	pd_time_t before = store_outage_end(gateway->outage);
 
-	store_outage_failed(gateway->outage, sent_at, gateway_now());
+	store_outage_record_failure(gateway->outage, sent_at, gateway_now());
 	follow_outage(gateway, before);
 }
 
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -353,7 +353,7 @@
 /* Takes from a peer's message whether it was served by the store. */
 static void peer_shows_store(gateway_t *gateway, const peer_t *peer, pd_time_t now)
 {
-	store_outage_peer_heard(gateway->outage, now);
+	store_outage_record_peer_message(gateway->outage, now);
 	if (!peer->has_store)
 		gateway_store_failed(gateway, now);
 }
--- a/core/forward/store_outage.c
+++ b/core/forward/store_outage.c
@@ -12,18 +12,18 @@
  * Where nothing changes, watches that wait are all that is answered. A shorter silence
  * lets no entry lapse either, as that takes several heartbeats.
  */
-#define SILENCE_MIN (STORE_WATCH_WAIT + 400 * PD_MSEC)
+#define OUTAGE_SILENCE_MIN (STORE_WATCH_WAIT + 400 * PD_MSEC)
 
 /* Longer than a gateway that is not cut off goes without a message of its peers. */
-#define PEER_GAP_MIN (2 * PD_SEC)
+#define ISOLATION_MIN (2 * PD_SEC)
 
 struct store_outage {
-	pd_time_t answered_at; /* a call of any gateway, last */
-	pd_time_t failed_at; /* a call of this gateway or a peer, last; 0: none */
-	pd_time_t silence_end; /* of the last long silence; 0: there was none */
-	pd_time_t end; /* of the last outage; 0: there was none */
-	pd_time_t peer_heard_at; /* last; 0: no peer was heard yet */
-	pd_time_t peer_gap_end; /* of the last long time without; 0: there was none */
+	pd_time_t last_answer_at; /* a call of any gateway, last */
+	pd_time_t last_failure_at; /* a call of this gateway or a peer, last; 0: none */
+	pd_time_t silence_ended_at; /* of the last long silence; 0: there was none */
+	pd_time_t ended_at; /* of the last outage; 0: there was none */
+	pd_time_t peer_message_at; /* last; 0: no peer was heard yet */
+	pd_time_t isolation_ended_at; /* of the last long time without; 0: there was none */
 };
 
 /*
@@ -34,7 +34,7 @@
 {
 	store_outage_t *outage = g_new0(store_outage_t, 1);
 
-	outage->answered_at = now - SILENCE_MIN;
+	outage->last_answer_at = now - OUTAGE_SILENCE_MIN;
 	return outage;
 }
 
@@ -45,22 +45,22 @@
 }
 
 /* Takes that a message of a peer came. */
-void store_outage_peer_heard(store_outage_t *outage, pd_time_t now)
+void store_outage_record_peer_message(store_outage_t *outage, pd_time_t now)
 {
-	if (outage->peer_heard_at && now - outage->peer_heard_at >= PEER_GAP_MIN)
-		outage->peer_gap_end = now;
-	outage->peer_heard_at = now;
+	if (outage->peer_message_at && now - outage->peer_message_at >= ISOLATION_MIN)
+		outage->isolation_ended_at = now;
+	outage->peer_message_at = now;
 }
 
 /*
  * Returns how long the store was silent up to AT while this gateway heard its peers:
  * one that was cut off or frozen can't tell an outage by its own silence.
  */
-static pd_time_t silence_until(const store_outage_t *outage, pd_time_t at)
+static pd_time_t silence_before(const store_outage_t *outage, pd_time_t at)
 {
-	if (outage->peer_heard_at && at - outage->peer_heard_at >= PEER_GAP_MIN)
+	if (outage->peer_message_at && at - outage->peer_message_at >= ISOLATION_MIN)
 		return 0;
-	return at - MAX(outage->answered_at, outage->peer_gap_end);
+	return at - MAX(outage->last_answer_at, outage->isolation_ended_at);
 }
 
 /*
@@ -68,16 +68,16 @@
  * of. A silence that ends is an outage if a call failed in it: without calls, nothing
  * is answered either.
  */
-void store_outage_answered(store_outage_t *outage, pd_time_t at)
+void store_outage_record_answer(store_outage_t *outage, pd_time_t at)
 {
-	if (at <= outage->answered_at)
+	if (at <= outage->last_answer_at)
 		return;
-	if (silence_until(outage, at) >= SILENCE_MIN) {
-		outage->silence_end = at;
-		if (outage->failed_at > outage->answered_at)
-			outage->end = at;
+	if (silence_before(outage, at) >= OUTAGE_SILENCE_MIN) {
+		outage->silence_ended_at = at;
+		if (outage->last_failure_at > outage->last_answer_at)
+			outage->ended_at = at;
 	}
-	outage->answered_at = at;
+	outage->last_answer_at = at;
 }
 
 /*
@@ -86,17 +86,18 @@
  * this gateway lacked the store. A call that was made before an outage ended is part of
  * that outage, whenever it fails.
  */
-void store_outage_failed(store_outage_t *outage, pd_time_t sent_at, pd_time_t now)
+void store_outage_record_failure(store_outage_t *outage, pd_time_t sent_at,
+				 pd_time_t now)
 {
-	if (sent_at < outage->end)
+	if (sent_at < outage->ended_at)
 		return;
-	outage->failed_at = now;
-	if (outage->silence_end > sent_at)
-		outage->end = outage->silence_end;
+	outage->last_failure_at = now;
+	if (outage->silence_ended_at > sent_at)
+		outage->ended_at = outage->silence_ended_at;
 }
 
 /* Returns when the last outage ended, by the first answer that is known; 0: never. */
 pd_time_t store_outage_end(const store_outage_t *outage)
 {
-	return outage->end;
+	return outage->ended_at;
 }
--- a/core/forward/store_outage.h
+++ b/core/forward/store_outage.h
@@ -8,9 +8,10 @@
 
 store_outage_t *store_outage_create(pd_time_t now);
 void store_outage_destroy(store_outage_t *outage);
-void store_outage_answered(store_outage_t *outage, pd_time_t at);
-void store_outage_peer_heard(store_outage_t *outage, pd_time_t now);
-void store_outage_failed(store_outage_t *outage, pd_time_t sent_at, pd_time_t now);
+void store_outage_record_answer(store_outage_t *outage, pd_time_t at);
+void store_outage_record_peer_message(store_outage_t *outage, pd_time_t now);
+void store_outage_record_failure(store_outage_t *outage, pd_time_t sent_at,
+				 pd_time_t now);
 pd_time_t store_outage_end(const store_outage_t *outage);
 
 #endif
--- a/tests/property/test_leaves.cc
+++ b/tests/property/test_leaves.cc
@@ -391,7 +391,7 @@
 	gateway &one = all.gateways[number];
 	store_feed_fleet_t known = fleet_of(all, number);
 
-	store_outage_failed(one.outage, one.out.sent_at, all.now);
+	store_outage_record_failure(one.outage, one.out.sent_at, all.now);
 	follow_outage(one);
 	store_feed_record_failure(one.feed, &known, all.now);
 	one.out.sent_at = 0;
@@ -399,7 +399,7 @@
 
 void call_served(fleet &all, gateway &one)
 {
-	store_outage_answered(one.outage, all.now);
+	store_outage_record_answer(one.outage, all.now);
 	follow_outage(one);
 	one.out.sent_at = 0;
 }
@@ -472,7 +472,7 @@
 	store_call_t ask = store_feed_next_call(one.feed, &known, all.now);
 
 	if (!lost && store_feed_is_unreachable(one.feed)) {
-		store_outage_failed(one.outage, all.now, all.now);
+		store_outage_record_failure(one.outage, all.now, all.now);
 		follow_outage(one);
 	}
 	if (ask.kind == STORE_CALL_NONE)
@@ -611,15 +611,15 @@
 	if (!one.runs)
 		return;
 	if (mail.kind == Kind::State || mail.kind == Kind::Summary) {
-		store_outage_peer_heard(one.outage, all.now);
+		store_outage_record_peer_message(one.outage, all.now);
 		if (!mail.has_store)
-			store_outage_failed(one.outage, all.now, all.now);
+			store_outage_record_failure(one.outage, all.now, all.now);
 	}
 	switch (mail.kind) {
 	case Kind::State:
 	case Kind::Summary:
 		one.heard_at = std::max(one.heard_at, mail.heard_at);
-		store_outage_answered(one.outage, mail.heard_at);
+		store_outage_record_answer(one.outage, mail.heard_at);
 		follow_outage(one);
 		fetch_if_other(all, mail.to, mail);
 		if (mail.kind == Kind::Summary) {
