--- a/core/forward/store_outage.c
+++ b/core/forward/store_outage.c
@@ -1,34 +1,42 @@
 /*
- * The load: entries of upstreams lapse in an outage of the store and are back seconds
- * after it, while others leave as ever, and both look alike. What tells them apart is
- * when the store was back, not when a gateway got its next answer to a watch: a watch
- * that waits is answered by the very next entry that goes.
+ * Detects outages of the store. Registrations of upstreams expire in an outage
+ * and are back seconds after it, while other upstreams leave at any time; both
+ * look like a removal. What tells them apart is when the store recovered, not
+ * when a gateway got its next answer to a watch: a watch that waits is answered
+ * by the very next removal.
  */
 #include "core/forward/store_outage.h"
 
 #include "core/forward/store_feed.h"
 
 /*
- * Where nothing changes, watches that wait are all that is answered. A shorter silence
- * lets no entry lapse either, as that takes several heartbeats.
+ * Where nothing changes, waiting watches are the only calls that are answered.
+ * A shorter silence lets no registration expire either, as that takes several
+ * heartbeats.
  */
 #define OUTAGE_SILENCE_MIN (STORE_WATCH_WAIT + 400 * PD_MSEC)
 
-/* Longer than a gateway that is not cut off goes without a message of its peers. */
+/*
+ * A gateway that is not cut off goes a shorter time without a message from
+ * peers.
+ */
 #define ISOLATION_MIN (2 * PD_SEC)
 
 struct store_outage {
-	pd_time_t last_answer_at; /* a call of any gateway, last */
-	pd_time_t last_failure_at; /* a call of this gateway or a peer, last; 0: none */
-	pd_time_t silence_ended_at; /* of the last long silence; 0: there was none */
-	pd_time_t ended_at; /* of the last outage; 0: there was none */
-	pd_time_t peer_message_at; /* last; 0: no peer was heard yet */
-	pd_time_t isolation_ended_at; /* of the last long time without; 0: there was none */
+	pd_time_t last_answer_at; /* last answer to a call of any gateway */
+	/* last failure of a call of this gateway or a peer; 0: none */
+	pd_time_t last_failure_at;
+	/* end of the last silence of OUTAGE_SILENCE_MIN; 0: none */
+	pd_time_t silence_ended_at;
+	pd_time_t ended_at; /* end of the last outage; 0: none */
+	pd_time_t peer_message_at; /* last message from a peer; 0: none */
+	/* end of the last isolation from peers; 0: none */
+	pd_time_t isolation_ended_at;
 };
 
 /*
- * Returns the record of a start at NOW, for which the store may have been away before;
- * the caller owns it.
+ * Returns a detector that starts at NOW; an outage may have begun before. The
+ * caller owns it.
  */
 store_outage_t *store_outage_create(pd_time_t now)
 {
@@ -38,13 +46,13 @@
 	return outage;
 }
 
-/* Frees a record; NULL is allowed. */
+/* Frees a detector; NULL is allowed. */
 void store_outage_destroy(store_outage_t *outage)
 {
 	g_free(outage);
 }
 
-/* Takes that a message of a peer came. */
+/* Records that a message from a peer arrived. */
 void store_outage_record_peer_message(store_outage_t *outage, pd_time_t now)
 {
 	if (outage->peer_message_at && now - outage->peer_message_at >= ISOLATION_MIN)
@@ -53,8 +61,9 @@
 }
 
 /*
- * Returns how long the store was silent up to AT while this gateway heard its peers:
- * one that was cut off or frozen can't tell an outage by its own silence.
+ * Returns how long before AT the store answered no call while this gateway
+ * heard its peers; 0 if it did not hear them. A gateway that was cut off or
+ * frozen can't infer an outage from its own silence.
  */
 static pd_time_t silence_before(const store_outage_t *outage, pd_time_t at)
 {
@@ -64,9 +73,9 @@
 }
 
 /*
- * Takes that the store answered a call at AT, of this gateway or of one that it hears
- * of. A silence that ends is an outage if a call failed in it: without calls, nothing
- * is answered either.
+ * Records that the store answered a call of this gateway, or of one that it
+ * hears of, at AT. A silence that ends was an outage if a call failed in it;
+ * without calls, nothing is answered either.
  */
 void store_outage_record_answer(store_outage_t *outage, pd_time_t at)
 {
@@ -81,10 +90,10 @@
 }
 
 /*
- * Takes that a call made at SENT_AT was refused or not answered, one of this gateway or,
- * with the time at which it is heard, of a peer. If others were answered all along, only
- * this gateway lacked the store. A call that was made before an outage ended is part of
- * that outage, whenever it fails.
+ * Records that a call made at SENT_AT failed; for a call of a peer, SENT_AT is
+ * when this gateway hears of it. If the calls of others were answered all
+ * along, the store was unreachable from this gateway only. A call that was made
+ * before an outage ended belongs to that outage, whenever it fails.
  */
 void store_outage_record_failure(store_outage_t *outage, pd_time_t sent_at,
 				 pd_time_t now)
@@ -96,7 +105,10 @@
 		outage->ended_at = outage->silence_ended_at;
 }
 
-/* Returns when the last outage ended, by the first answer that is known; 0: never. */
+/*
+ * Returns when the last outage ended, by the first answer that is known; 0:
+ * never.
+ */
 pd_time_t store_outage_end(const store_outage_t *outage)
 {
 	return outage->ended_at;
--- a/core/forward/store_outage.h
+++ b/core/forward/store_outage.h
@@ -1,4 +1,7 @@
-/* When the store answered no gateway, so that entries of upstreams may have lapsed. */
+/*
+ * Detects when the store answered no gateway, so that registrations of
+ * upstreams may have expired.
+ */
 #ifndef PISTACHIO_STORE_OUTAGE_H
 #define PISTACHIO_STORE_OUTAGE_H
 
--- a/tests/unit/test_store_outage.c
+++ b/tests/unit/test_store_outage.c
@@ -1,4 +1,4 @@
-/* When the store was away for all gateways, as one of them can tell. */
+/* Tests when a gateway infers an outage of the store for all gateways. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -32,8 +32,11 @@
 	assert_int_equal(store_outage_end(*state), START + 4 * PD_SEC);
 }
 
-/* Guards against a grace that begins with the answer that tells of a leave. */
-static void test_later_answers_do_not_move_the_end(void **state)
+/*
+ * Guards against a grace period that begins with the answer that reports a
+ * removal.
+ */
+static void test_later_answers_do_not_change_the_end(void **state)
 {
 	store_outage_record_failure(*state, START + PD_SEC, START + 3 * PD_SEC);
 	store_outage_record_answer(*state, START + 4 * PD_SEC);
@@ -41,8 +44,11 @@
 	assert_int_equal(store_outage_end(*state), START + 4 * PD_SEC);
 }
 
-/* Guards against a second outage seen in a call that hung since the first. */
-static void test_a_call_that_hangs_on_is_part_of_its_outage(void **state)
+/*
+ * Guards against a second outage inferred from a call that hung since the first
+ * one.
+ */
+static void test_a_late_timeout_belongs_to_its_outage(void **state)
 {
 	store_outage_record_failure(*state, START + PD_SEC, START + 3 * PD_SEC);
 	store_outage_record_answer(*state, START + 4 * PD_SEC);
@@ -53,8 +59,11 @@
 	assert_int_equal(store_outage_end(*state), START + 4 * PD_SEC);
 }
 
-/* Guards against lapses taken for leaves by a gateway that starts in an outage. */
-static void test_a_start_may_come_late_in_an_outage(void **state)
+/*
+ * Guards against expiries taken for removals by a gateway that starts in an
+ * outage.
+ */
+static void test_a_gateway_may_start_late_in_an_outage(void **state)
 {
 	store_outage_t *outage = store_outage_create(START);
 
@@ -65,8 +74,11 @@
 	store_outage_destroy(outage);
 }
 
-/* Guards against lapses taken for leaves by one that thaws in an outage. */
-static void test_an_outage_goes_on_after_a_cut(void **state)
+/*
+ * Guards against expiries taken for removals by a gateway that thaws during an
+ * outage.
+ */
+static void test_an_outage_may_outlast_an_isolation(void **state)
 {
 	store_outage_record_peer_message(*state, START);
 	for (int i = 40; i <= 80; i++)
@@ -76,14 +88,19 @@
 	assert_int_equal(store_outage_end(*state), START + 8 * PD_SEC);
 }
 
-/* Guards against leaves taken for lapses where nobody had anything to ask. */
+/*
+ * Guards against removals taken for expiries because no gateway had a call to
+ * make.
+ */
 static void test_a_silence_without_calls_is_no_outage(void **state)
 {
 	store_outage_record_answer(*state, START + 9 * PD_SEC);
 	assert_int_equal(store_outage_end(*state), 0);
 }
 
-/* Guards against an outage seen by one whose call is lost where nothing changes. */
+/*
+ * Guards against an outage inferred from one lost call while nothing changes.
+ */
 static void test_waiting_watches_are_no_outage(void **state)
 {
 	store_outage_record_failure(*state, START, START + 1800 * PD_MSEC);
@@ -91,8 +108,11 @@
 	assert_int_equal(store_outage_end(*state), 0);
 }
 
-/* Guards against leaves taken for lapses by a gateway that alone lacks the store. */
-static void test_a_gateway_that_alone_lacks_the_store_sees_no_outage(void **state)
+/*
+ * Guards against removals taken for expiries by a gateway that alone can't
+ * reach the store.
+ */
+static void test_a_failure_of_one_gateway_is_no_outage(void **state)
 {
 	for (int i = 10; i <= 50; i++) {
 		store_outage_record_answer(*state, START + i * 100 * PD_MSEC);
@@ -103,8 +123,11 @@
 	assert_int_equal(store_outage_end(*state), 0);
 }
 
-/* Guards against leaves taken for lapses by a gateway that was cut off or frozen. */
-static void test_a_gateway_that_was_cut_off_sees_no_outage(void **state)
+/*
+ * Guards against removals taken for expiries by a gateway that was cut off or
+ * frozen.
+ */
+static void test_an_isolated_gateway_sees_no_outage(void **state)
 {
 	store_outage_record_peer_message(*state, START);
 	store_outage_record_failure(*state, START + PD_SEC, START + 3 * PD_SEC);
@@ -116,7 +139,7 @@
 	assert_int_equal(store_outage_end(*state), 0);
 }
 
-static void test_an_outage_is_seen_by_one_that_hears_its_peers(void **state)
+static void test_a_gateway_with_peers_sees_an_outage(void **state)
 {
 	for (int i = 0; i <= 40; i++)
 		store_outage_record_peer_message(*state, START + i * 100 * PD_MSEC);
@@ -125,16 +148,22 @@
 	assert_int_equal(store_outage_end(*state), START + 4 * PD_SEC);
 }
 
-/* Guards against lapses taken for leaves by a call that fails after the outage. */
-static void test_a_call_may_fail_after_the_outage_it_fell_into(void **state)
+/*
+ * Guards against expiries taken for removals because a call of the outage fails
+ * after its end.
+ */
+static void test_a_call_may_fail_after_its_outage_ended(void **state)
 {
 	store_outage_record_answer(*state, START + 3 * PD_SEC);
 	store_outage_record_failure(*state, START + PD_SEC, START + 4 * PD_SEC);
 	assert_int_equal(store_outage_end(*state), START + 3 * PD_SEC);
 }
 
-/* Guards against an outage that ends by what a peer heard before it. */
-static void test_old_word_of_an_answer_ends_nothing(void **state)
+/*
+ * Guards against an outage that is ended by an answer that a peer had before
+ * it.
+ */
+static void test_an_older_answer_ends_no_outage(void **state)
 {
 	store_outage_record_failure(*state, START + PD_SEC, START + 3 * PD_SEC);
 	store_outage_record_answer(*state, START - PD_SEC);
@@ -150,17 +179,17 @@
 {
 	const struct CMUnitTest tests[] = {
 		OUTAGE_TEST(test_the_first_answer_after_failures_ends_an_outage),
-		OUTAGE_TEST(test_later_answers_do_not_move_the_end),
-		OUTAGE_TEST(test_a_call_that_hangs_on_is_part_of_its_outage),
-		OUTAGE_TEST(test_a_start_may_come_late_in_an_outage),
-		OUTAGE_TEST(test_an_outage_goes_on_after_a_cut),
+		OUTAGE_TEST(test_later_answers_do_not_change_the_end),
+		OUTAGE_TEST(test_a_late_timeout_belongs_to_its_outage),
+		OUTAGE_TEST(test_a_gateway_may_start_late_in_an_outage),
+		OUTAGE_TEST(test_an_outage_may_outlast_an_isolation),
 		OUTAGE_TEST(test_a_silence_without_calls_is_no_outage),
 		OUTAGE_TEST(test_waiting_watches_are_no_outage),
-		OUTAGE_TEST(test_a_gateway_that_alone_lacks_the_store_sees_no_outage),
-		OUTAGE_TEST(test_a_gateway_that_was_cut_off_sees_no_outage),
-		OUTAGE_TEST(test_an_outage_is_seen_by_one_that_hears_its_peers),
-		OUTAGE_TEST(test_a_call_may_fail_after_the_outage_it_fell_into),
-		OUTAGE_TEST(test_old_word_of_an_answer_ends_nothing),
+		OUTAGE_TEST(test_a_failure_of_one_gateway_is_no_outage),
+		OUTAGE_TEST(test_an_isolated_gateway_sees_no_outage),
+		OUTAGE_TEST(test_a_gateway_with_peers_sees_an_outage),
+		OUTAGE_TEST(test_a_call_may_fail_after_its_outage_ended),
+		OUTAGE_TEST(test_an_older_answer_ends_no_outage),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
