--- a/core/forward/store_outage.c
+++ b/core/forward/store_outage.c
@@ -26,10 +26,10 @@
 	pd_time_t last_answer_at; /* last answer to a call of any gateway */
 	/* last failure of a call of this gateway or a peer; 0: none */
 	pd_time_t last_failure_at;
-	/* end of the last silence of OUTAGE_SILENCE_MIN; 0: none */
+	/* end of the last silence of OUTAGE_SILENCE_MIN or more; 0: none */
 	pd_time_t silence_ended_at;
 	pd_time_t ended_at; /* end of the last outage; 0: none */
-	pd_time_t peer_message_at; /* last message from a peer; 0: none */
+	pd_time_t last_peer_message_at; /* 0: none */
 	/* end of the last isolation from peers; 0: none */
 	pd_time_t isolation_ended_at;
 };
@@ -55,9 +55,10 @@
 /* Records that a message from a peer arrived. */
 void store_outage_record_peer_message(store_outage_t *outage, pd_time_t now)
 {
-	if (outage->peer_message_at && now - outage->peer_message_at >= ISOLATION_MIN)
+	if (outage->last_peer_message_at &&
+	    now - outage->last_peer_message_at >= ISOLATION_MIN)
 		outage->isolation_ended_at = now;
-	outage->peer_message_at = now;
+	outage->last_peer_message_at = now;
 }
 
 /*
@@ -67,7 +68,8 @@
  */
 static pd_time_t silence_before(const store_outage_t *outage, pd_time_t at)
 {
-	if (outage->peer_message_at && at - outage->peer_message_at >= ISOLATION_MIN)
+	if (outage->last_peer_message_at &&
+	    at - outage->last_peer_message_at >= ISOLATION_MIN)
 		return 0;
 	return at - MAX(outage->last_answer_at, outage->isolation_ended_at);
 }
--- a/core/forward/store_poll.c
+++ b/core/forward/store_poll.c
@@ -1,24 +1,26 @@
 /*
- * The load: in an outage of the store hundreds of gateways ask it at once and again,
- * and each call is paid for, though the first one that is answered tells all others.
+ * Limits the calls of a fleet to a store that does not answer. In an outage
+ * hundreds of gateways would call it again and again; each call is paid for,
+ * though the first answer is passed on to all gateways.
  */
 #include "core/forward/store_poll.h"
 
 #include <glib.h>
 
-/* The mean pause after a first failure. It doubles with each, so many times. */
-#define PAUSE_FIRST (150 * PD_MSEC)
-#define DOUBLINGS 3
-/* Gateways that hear of each other make one call in such a time between them. */
-#define FLEET_GAP (50 * PD_MSEC)
+/* The mean pause at first; it doubles with each failure, up to a limit. */
+#define PAUSE_INITIAL (150 * PD_MSEC)
+#define PAUSE_DOUBLINGS_MAX 3
+/* Gateways that hear each other make together at most one call per interval. */
+#define FLEET_CALL_INTERVAL (50 * PD_MSEC)
 
 /*
- * Returns the mean pause of one of GATEWAYS, which would all hear of an answer to one
- * of them, before it asks; 1: it has to ask for itself. FAILURES are its own in a row.
+ * Returns the mean pause before the next call of one of GATEWAYS that would all
+ * learn of an answer to any of them; 1: it is on its own. FAILURES counts its
+ * failed calls since the last answer.
  */
 pd_time_t store_poll_pause(unsigned int gateways, unsigned int failures)
 {
-	pd_time_t pause = PAUSE_FIRST << MIN(failures, DOUBLINGS);
+	pd_time_t pause = PAUSE_INITIAL << MIN(failures, PAUSE_DOUBLINGS_MAX);
 
-	return gateways > 1 ? MAX(pause, FLEET_GAP * gateways) : pause;
+	return gateways > 1 ? MAX(pause, FLEET_CALL_INTERVAL * gateways) : pause;
 }
--- a/core/forward/store_poll.h
+++ b/core/forward/store_poll.h
@@ -1,4 +1,6 @@
-/* How often a gateway asks the store while nobody in the fleet hears it. */
+/*
+ * How often a gateway calls the store while no gateway gets an answer from it.
+ */
 #ifndef PISTACHIO_STORE_POLL_H
 #define PISTACHIO_STORE_POLL_H
 
--- a/tests/unit/test_store_poll.c
+++ b/tests/unit/test_store_poll.c
@@ -1,4 +1,7 @@
-/* What an outage of the store costs a fleet in calls, and when its end is noticed. */
+/*
+ * Tests how many calls a fleet makes in an outage of the store, and how soon it
+ * detects the end.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +14,8 @@
 
 #define STEP (10 * PD_MSEC)
 #define OUTAGE (4500 * PD_MSEC)
-#define ANSWER_MAX (1600 * PD_MSEC) /* a call to a silent store takes so long */
+/* of a call to a store that does not answer */
+#define CALL_TIMEOUT (1600 * PD_MSEC)
 #define FLEET_MAX 320
 #define TRIALS 50
 
@@ -22,24 +26,28 @@
 
 typedef struct outage {
 	unsigned int calls;
-	pd_time_t noticed_after; /* its end */
+	pd_time_t detection_delay; /* after the end of the outage */
 } outage_t;
 
-static pd_time_t draw(GRand *random, unsigned int size, unsigned int failures)
+/* Returns a random pause of one of SIZE gateways. */
+static pd_time_t random_pause(GRand *random, unsigned int size, unsigned int failures)
 {
 	pd_time_t pause = store_poll_pause(size, failures);
 
 	return (pd_time_t)(g_rand_double(random) * 2 * (double)pause);
 }
 
-/* Plays an outage in which calls hang; the first call after it is answered. */
-static outage_t play_outage(GRand *random, unsigned int size)
+/*
+ * Simulates an outage in which calls time out; the first call after it is
+ * answered.
+ */
+static outage_t simulate_outage(GRand *random, unsigned int size)
 {
 	gateway_t gateways[FLEET_MAX] = { 0 };
 	outage_t outage = { 0 };
 
 	for (unsigned int i = 0; i < size; i++)
-		gateways[i].next_at = draw(random, size, 0);
+		gateways[i].next_at = random_pause(random, size, 0);
 	for (pd_time_t now = 0;; now += STEP) {
 		for (unsigned int i = 0; i < size; i++) {
 			gateway_t *gateway = &gateways[i];
@@ -48,38 +56,44 @@
 				continue;
 			outage.calls++;
 			if (now >= OUTAGE) {
-				outage.noticed_after = now - OUTAGE;
+				outage.detection_delay = now - OUTAGE;
 				return outage;
 			}
-			gateway->next_at = now + ANSWER_MAX +
-					   draw(random, size, ++gateway->failures);
+			gateway->next_at =
+				now + CALL_TIMEOUT +
+				random_pause(random, size, ++gateway->failures);
 		}
 	}
 }
 
-/* Guards against an outage in which every gateway of a large fleet asks. */
-static void test_an_outage_costs_a_fleet_few_calls(void **state)
+/*
+ * Guards against an outage in which every gateway of a large fleet calls the
+ * store.
+ */
+static void test_an_outage_causes_few_calls(void **state)
 {
 	static const unsigned int sizes[] = { 20, 83, 295, FLEET_MAX };
 	GRand *random = g_rand_new_with_seed(5);
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-		pd_time_t noticed = 0;
+		pd_time_t total_delay = 0;
 
 		for (unsigned int trial = 0; trial < TRIALS; trial++) {
-			outage_t outage = play_outage(random, sizes[i]);
+			outage_t outage = simulate_outage(random, sizes[i]);
 
 			assert_true(outage.calls < 150);
-			noticed += outage.noticed_after;
+			total_delay += outage.detection_delay;
 		}
-		assert_true(noticed / TRIALS < 150 * PD_MSEC);
+		assert_true(total_delay / TRIALS < 150 * PD_MSEC);
 	}
 	g_rand_free(random);
 }
 
-/* Guards against a gateway that is cut off from its peers and waits for them. */
-static void test_a_gateway_alone_asks_soon(void **state)
+/*
+ * Guards against a gateway that is cut off from its peers and waits for them.
+ */
+static void test_an_isolated_gateway_retries_soon(void **state)
 {
 	(void)state;
 	assert_int_equal(store_poll_pause(1, 0), 150 * PD_MSEC);
@@ -89,8 +103,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_an_outage_costs_a_fleet_few_calls),
-		cmocka_unit_test(test_a_gateway_alone_asks_soon),
+		cmocka_unit_test(test_an_outage_causes_few_calls),
+		cmocka_unit_test(test_an_isolated_gateway_retries_soon),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
