--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -45,8 +45,8 @@
 
 	if (!request->route->has_prompt)
 		return true;
-	if (shed_admits(shed_of(gateway, request->service), request->rank, work,
-			g_rand_double(gateway->random)))
+	if (shed_admit(shed_of(gateway, request->service), request->rank, work,
+		       g_rand_double(gateway->random)))
 		return true;
 	work_rate_add_away(gateway->work, request->service, work);
 	gateway_request_refuse(request, 503, retry_after, "engines pressed");
@@ -68,7 +68,7 @@
 	if (request->judged || !request->route->has_prompt)
 		return;
 	request->judged = true;
-	shed_outcome(shed_of(request->gateway, request->service), pressed);
+	shed_record_outcome(shed_of(request->gateway, request->service), pressed);
 }
 
 /* Notes that the first event came, in time or late. */
@@ -92,22 +92,23 @@
 	GHashTableIter iter;
 	gpointer service;
 	gpointer shed;
-	shed_fill_t fill = {
-		.known = gateway_peers_know_loads(gateway->peers, now),
+	shed_utilization_t fill = {
+		.includes_peers = gateway_peers_know_loads(gateway->peers, now),
 	};
 
 	g_hash_table_iter_init(&iter, gateway->sheds);
 	while (g_hash_table_iter_next(&iter, &service, &shed)) {
 		/* The fill is a walk over all upstreams. */
-		if (!shed_is_due(shed, now))
+		if (!shed_update_is_due(shed, now))
 			continue;
-		fill.part = forward_upstreams_utilization(gateway->upstreams,
-							  service);
-		if (shed_run(shed, &fill, now))
+		fill.ratio = forward_upstreams_utilization(gateway->upstreams,
+							   service);
+		if (shed_update(shed, &fill, now))
 			log_line(G_LOG_LEVEL_INFO, "shed",
 				 "service=%s share=%.2f fill=%.2f known=%d "
 				 "pressed=%.2f",
-				 (const char *)service, shed_share(shed),
-				 fill.part, fill.known, shed_pressed(shed));
+				 (const char *)service,
+				 shed_admitted_share(shed), fill.ratio,
+				 fill.includes_peers, shed_overload_ratio(shed));
 	}
 }
--- a/core/forward/shed.h
+++ b/core/forward/shed.h
@@ -1,5 +1,5 @@
 /*
- * Which requests are turned away while the engines of a service are pressed: the
+ * Which requests are turned away while the engines of a service are overloaded: the
  * least urgent first, and only as many as it takes. shed-notes.md weighs the ways.
  */
 #ifndef PISTACHIO_SHED_H
@@ -14,18 +14,19 @@
 typedef struct shed shed_t;
 
 /* How much of a service's places is taken. */
-typedef struct shed_fill {
-	double part; /* of all; over 1: requests wait at the upstreams */
-	bool known; /* the other entries' requests are counted in it */
-} shed_fill_t;
+typedef struct shed_utilization {
+	double ratio; /* of all; over 1: requests wait at the upstreams */
+	bool includes_peers; /* the other entries' requests are counted in it */
+} shed_utilization_t;
 
 shed_t *shed_create(void);
 void shed_destroy(shed_t *shed);
-bool shed_admits(shed_t *shed, int rank, double work, double draw);
-void shed_outcome(shed_t *shed, bool pressed);
-bool shed_is_due(const shed_t *shed, pd_time_t now);
-bool shed_run(shed_t *shed, const shed_fill_t *fill, pd_time_t now);
-double shed_share(const shed_t *shed);
-double shed_pressed(const shed_t *shed);
+bool shed_admit(shed_t *shed, int rank, double work, double draw);
+void shed_record_outcome(shed_t *shed, bool overloaded);
+bool shed_update_is_due(const shed_t *shed, pd_time_t now);
+bool shed_update(shed_t *shed, const shed_utilization_t *utilization,
+		 pd_time_t now);
+double shed_admitted_share(const shed_t *shed);
+double shed_overload_ratio(const shed_t *shed);
 
 #endif
--- a/tests/unit/test_shed.c
+++ b/tests/unit/test_shed.c
@@ -43,7 +43,7 @@
 {
 	bool burst = step >= BURST_FROM && step < BURST_TO;
 	int rank = draw_rank(pool->random);
-	bool in = shed_admits(pool->shed, rank, 1, g_rand_double(pool->random));
+	bool in = shed_admit(pool->shed, rank, 1, g_rand_double(pool->random));
 
 	if (burst)
 		pool->asked[rank]++;
@@ -54,7 +54,7 @@
 	pool->begun[step]++;
 	pool->running++;
 	pool->late += pool->running > SLOTS;
-	shed_outcome(pool->shed, pool->running > SLOTS);
+	shed_record_outcome(pool->shed, pool->running > SLOTS);
 }
 
 /* Plays a load of half of the places, and of 1.5 times them in the burst. */
@@ -64,7 +64,7 @@
 
 	for (int step = 0; step < STEPS; step++) {
 		bool burst = step >= BURST_FROM && step < BURST_TO;
-		shed_fill_t fill = { pool->running / SLOTS, true };
+		shed_utilization_t utilization = { pool->running / SLOTS, true };
 
 		if (step >= STREAM_STEPS)
 			pool->running -= pool->begun[step - STREAM_STEPS];
@@ -72,7 +72,7 @@
 		for (int calls = (int)due; calls > 0; calls--)
 			pool_ask(pool, step);
 		due -= (int)due;
-		shed_run(pool->shed, &fill, START + step * STEP);
+		shed_update(pool->shed, &utilization, START + step * STEP);
 		if (step > BURST_FROM + 300 && burst)
 			pool->most = MAX(pool->most, pool->running);
 	}
@@ -134,7 +134,7 @@
 	pool_t *pool = *state;
 
 	pool_play(pool);
-	assert_true(shed_share(pool->shed) >= 1);
+	assert_true(shed_admitted_share(pool->shed) >= 1);
 }
 
 /*
@@ -144,13 +144,13 @@
 static void test_late_starts_beside_free_places_turn_nobody_away(void **state)
 {
 	pool_t *pool = *state;
-	const shed_fill_t fill = { 0.5, true };
+	const shed_utilization_t utilization = { 0.5, true };
 
 	for (int step = 0; step < 400; step++) {
-		shed_outcome(pool->shed, step % 2);
-		shed_run(pool->shed, &fill, START + step * STEP);
+		shed_record_outcome(pool->shed, step % 2);
+		shed_update(pool->shed, &utilization, START + step * STEP);
 	}
-	assert_true(shed_share(pool->shed) >= 1);
+	assert_true(shed_admitted_share(pool->shed) >= 1);
 }
 
 /*
@@ -160,16 +160,16 @@
 static void test_a_gateway_alone_goes_by_its_outcomes(void **state)
 {
 	pool_t *pool = *state;
-	const shed_fill_t fill = { 0.01, false };
+	const shed_utilization_t utilization = { 0.01, false };
 
 	for (int step = 0; step < 400; step++) {
-		shed_admits(pool->shed, step % RANKS, 1, 0);
-		shed_outcome(pool->shed, step % 2);
-		shed_run(pool->shed, &fill, START + step * STEP);
+		shed_admit(pool->shed, step % RANKS, 1, 0);
+		shed_record_outcome(pool->shed, step % 2);
+		shed_update(pool->shed, &utilization, START + step * STEP);
 	}
-	assert_true(shed_share(pool->shed) < 0.5);
-	assert_true(shed_admits(pool->shed, 0, 1, 0.5));
-	assert_false(shed_admits(pool->shed, 2, 1, 0.5));
+	assert_true(shed_admitted_share(pool->shed) < 0.5);
+	assert_true(shed_admit(pool->shed, 0, 1, 0.5));
+	assert_false(shed_admit(pool->shed, 2, 1, 0.5));
 }
 
 int main(void)
