--- a/core/forward/shed.c
+++ b/core/forward/shed.c
@@ -1,51 +1,61 @@
-/* Sheds load by rank; the share of work that is let in follows the outcomes. */
+/*
+ * Sheds load by rank; feedback from utilization and outcomes sets the share of
+ * work that is admitted.
+ */
 #include "core/forward/shed.h"
 
 #include <glib.h>
 
-/* How often the share is thought over: some first tokens' aims are 300 ms. */
+/* How often the share is updated: the goal for some first tokens is 300 ms. */
 #define UPDATE_PERIOD (250 * PD_MSEC)
-/* What was seen counts for about a second: the overload of it kept each step. */
+/*
+ * Part of past work and outcomes that is kept at each update: they count for
+ * about a second.
+ */
 #define DECAY 0.8
-/* Fewer outcomes than this, decayed, tell nothing. */
+/* Fewer decayed outcomes than this show nothing. */
 #define OUTCOMES_MIN 3.0
 /*
- * Engines are overloaded if more than this overload of the requests was turned away by
- * them or began late. Without any shortage 3 to 8 in 100 begin late.
+ * Engines are overloaded if they rejected, or began late, more than this part
+ * of the requests. Without any shortage 3 to 8 in 100 begin late.
  */
 #define OVERLOAD_HIGH 0.2
 #define OVERLOAD_LOW 0.1
-#define OVERLOAD_FACTOR 0.9 /* of the share, each step that they are */
+#define OVERLOAD_FACTOR 0.9 /* kept of the share at an update while they are */
 /*
- * The overload of all places that should be taken. Above, requests wait at the
+ * The part of all slots that should be in use. Above it, requests queue at the
  * engines, as they are not spread evenly.
  */
 #define UTILIZATION_TARGET 0.9
-/* Below, requests that begin late do so for other reasons: crashes, reclaims. */
+/* Below it, requests begin late for other reasons: crashes, reclaimed VMs. */
 #define UTILIZATION_LOW 0.7
 /*
- * The share changes by this overload of what the utilization is error, each step, at most by
- * SHARE_STEP_MAX. Streams take one to three seconds, so the utilization follows slowly: at
- * a fall of 15 in 100 each step, half of the places stood empty two seconds on.
+ * At an update the share changes by this part of the difference from the
+ * target, at most by SHARE_STEP_MAX. Streams take one to three seconds, so the
+ * utilization follows slowly: when the share fell by 15 in 100 at each update,
+ * half of the slots were free two seconds later.
  */
 #define UTILIZATION_GAIN 0.25
 #define SHARE_STEP_MAX 0.08
-/* The most urgent work is always tried, or nobody would see that it works. */
+/*
+ * Some of the most urgent work is always admitted; otherwise no outcome would
+ * show that the engines have recovered.
+ */
 #define SHARE_MIN 0.2
 
-/* A change of the share by that much is worth a line in the log. */
+/* A change of the share that is logged. */
 #define LOG_STEP 0.1
 
 struct shed {
-	double work[SHED_RANKS]; /* asked for lately */
+	double work[SHED_RANKS]; /* offered lately, by rank; decayed */
 	double outcomes;
-	double overloaded; /* of the outcomes */
-	double share; /* of the work that is let in */
-	double logged_share; /* the share when it was last worth a line */
+	double overloaded; /* of the outcomes; decayed */
+	double share; /* of the work that is admitted */
+	double logged_share; /* the share that was logged last */
 	pd_time_t next_update_at;
 };
 
-/* Returns a shed that lets all in; the caller owns it. */
+/* Returns a shedder that admits everything; the caller owns it. */
 shed_t *shed_create(void)
 {
 	shed_t *shed = g_new0(shed_t, 1);
@@ -55,22 +65,23 @@
 	return shed;
 }
 
-/* Frees it; NULL is allowed. */
+/* Frees a shedder; NULL is allowed. */
 void shed_destroy(shed_t *shed)
 {
 	g_free(shed);
 }
 
-/* Returns the share of the work that is let in. */
+/* Returns the share of the work that is admitted, at most 1. */
 double shed_admitted_share(const shed_t *shed)
 {
 	return shed->share;
 }
 
 /*
- * Says whether a request is let in: the most urgent ones as far as the share of
- * all work goes, and of the rank at that edge as many as it takes. DRAW is a
- * number at random, 0 to 1; WORK is what the request would cost.
+ * Returns whether to admit a request, and counts its work as offered. The share
+ * is filled by rank, and of the rank that fits in part a random part is
+ * admitted. WORK is the cost of the request; DRAW is a random number from 0 to
+ * 1.
  */
 bool shed_admit(shed_t *shed, int rank, double work, double draw)
 {
@@ -88,20 +99,30 @@
 	return before + draw * shed->work[rank] < shed->share * all;
 }
 
-/* Notes how a send ended: PRESSED if it was turned away, or began late. */
+/*
+ * Records how a request sent to an engine went; it is OVERLOADED if it was
+ * rejected or began late.
+ */
 void shed_record_outcome(shed_t *shed, bool overloaded)
 {
 	shed->outcomes++;
 	shed->overloaded += overloaded;
 }
 
-/* Returns the overload of the outcomes seen lately that speaks of overloaded engines. */
+/*
+ * Returns the part of the recent outcomes that show overload; 0 if there are
+ * few.
+ */
 double shed_overload_ratio(const shed_t *shed)
 {
 	return shed->outcomes >= OUTCOMES_MIN ? shed->overloaded / shed->outcomes
 					      : 0;
 }
 
+/*
+ * Sets the share by the overload ratio and by the difference of the utilization
+ * from its target.
+ */
 static void update_share(shed_t *shed, const shed_utilization_t *utilization)
 {
 	double overload = shed_overload_ratio(shed);
@@ -120,14 +141,15 @@
 	shed->share = CLAMP(shed->share, SHARE_MIN, 1);
 }
 
-/* Says whether the share is to be thought over now. */
+/* Returns whether the share is to be updated now. */
 bool shed_update_is_due(const shed_t *shed, pd_time_t now)
 {
 	return now >= shed->next_update_at;
 }
 
 /*
- * Lets time pass. Returns whether the share has changed so much that it is worth a line.
+ * Updates the share if that is due. Returns whether it changed enough to be
+ * logged.
  */
 bool shed_update(shed_t *shed, const shed_utilization_t *utilization, pd_time_t now)
 {
--- a/core/forward/shed.h
+++ b/core/forward/shed.h
@@ -1,6 +1,7 @@
 /*
- * Which requests are turned away while the engines of a service are overloaded: the
- * least urgent first, and only as many as it takes. shed-notes.md weighs the ways.
+ * Decides which requests to refuse while the engines of a service are
+ * overloaded: the least urgent first, and only as many as necessary.
+ * shed-notes.md compares the methods.
  */
 #ifndef PISTACHIO_SHED_H
 #define PISTACHIO_SHED_H
@@ -13,10 +14,12 @@
 
 typedef struct shed shed_t;
 
-/* How much of a service's places is taken. */
+/* How much of a service's capacity is in use. */
 typedef struct shed_utilization {
-	double ratio; /* of all; over 1: requests wait at the upstreams */
-	bool includes_peers; /* the other entries' requests are counted in it */
+	/* requests by slots; over 1: requests queue at the upstreams */
+	double ratio;
+	/* the requests of other gateways are counted too */
+	bool includes_peers;
 } shed_utilization_t;
 
 shed_t *shed_create(void);
--- a/tests/unit/test_shed.c
+++ b/tests/unit/test_shed.c
@@ -1,4 +1,7 @@
-/* Who is turned away while engines are pressed, and for how long. */
+/*
+ * Tests which requests are refused while engines are overloaded, and for how
+ * long.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -19,19 +22,19 @@
 #define RANKS 3
 #define SEED 11
 
-/* A pool of engines whose places are taken by streams of equal length. */
+/* A pool of engines whose slots are taken by streams of equal length. */
 typedef struct pool {
 	shed_t *shed;
 	GRand *random;
-	double begun[STEPS]; /* requests that began in a step */
+	double started[STEPS]; /* requests that started in a step */
 	double running;
-	double asked[RANKS]; /* in the burst */
+	double offered[RANKS]; /* in the burst */
 	double served[RANKS];
-	double late; /* began while more ran than there are places */
-	double most; /* that ran at a time, from the fourth second of the burst */
+	double late; /* started while all slots were taken */
+	double running_max; /* at a time, from the fourth second of the burst */
 } pool_t;
 
-/* The least urgent are many, as look-ups are beside drafts. */
+/* Returns a random rank; the least urgent is the most frequent. */
 static int draw_rank(GRand *random)
 {
 	double draw = g_rand_double(random);
@@ -39,26 +42,27 @@
 	return draw < 0.1 ? 0 : draw < 0.5 ? 1 : 2;
 }
 
-static void pool_ask(pool_t *pool, int step)
+/* Offers one request to the shedder, and starts it if it is admitted. */
+static void pool_offer(pool_t *pool, int step)
 {
 	bool burst = step >= BURST_FROM && step < BURST_TO;
 	int rank = draw_rank(pool->random);
 	bool in = shed_admit(pool->shed, rank, 1, g_rand_double(pool->random));
 
 	if (burst)
-		pool->asked[rank]++;
+		pool->offered[rank]++;
 	if (!in)
 		return;
 	if (burst)
 		pool->served[rank]++;
-	pool->begun[step]++;
+	pool->started[step]++;
 	pool->running++;
 	pool->late += pool->running > SLOTS;
 	shed_record_outcome(pool->shed, pool->running > SLOTS);
 }
 
-/* Plays a load of half of the places, and of 1.5 times them in the burst. */
-static void pool_play(pool_t *pool)
+/* Simulates a load of half of the slots, and of 1.5 times them in the burst. */
+static void pool_simulate(pool_t *pool)
 {
 	double due = 0;
 
@@ -67,14 +71,14 @@
 		shed_utilization_t utilization = { pool->running / SLOTS, true };
 
 		if (step >= STREAM_STEPS)
-			pool->running -= pool->begun[step - STREAM_STEPS];
+			pool->running -= pool->started[step - STREAM_STEPS];
 		due += SLOTS / STREAM_STEPS * (burst ? 1.5 : 0.5);
 		for (int calls = (int)due; calls > 0; calls--)
-			pool_ask(pool, step);
+			pool_offer(pool, step);
 		due -= (int)due;
 		shed_update(pool->shed, &utilization, START + step * STEP);
 		if (step > BURST_FROM + 300 && burst)
-			pool->most = MAX(pool->most, pool->running);
+			pool->running_max = MAX(pool->running_max, pool->running);
 	}
 }
 
@@ -99,49 +103,49 @@
 }
 
 /*
- * Half as much again is asked as the engines have places for, for ten seconds.
- * Let in, all would wait for places, and nearly every first word would come
- * late; drafts must not be late for look-ups that nobody hurries for.
+ * Guards against urgent requests that are late because of less urgent ones.
+ * Half as many requests again as the engines have slots for come for ten
+ * seconds; if all were admitted, nearly every first token would be late.
  */
-static void test_the_least_urgent_are_turned_away(void **state)
+static void test_the_least_urgent_are_refused(void **state)
 {
 	pool_t *pool = *state;
 
-	pool_play(pool);
-	assert_true(pool->served[0] == pool->asked[0]);
-	assert_true(pool->served[1] > 0.95 * pool->asked[1]);
-	assert_true(pool->served[2] < 0.7 * pool->asked[2]);
+	pool_simulate(pool);
+	assert_true(pool->served[0] == pool->offered[0]);
+	assert_true(pool->served[1] > 0.95 * pool->offered[1]);
+	assert_true(pool->served[2] < 0.7 * pool->offered[2]);
 }
 
 /*
- * Turning too many away is as bad: places stand empty while callers are refused.
+ * Guards against refusing too many: slots are free while callers are refused.
  */
-static void test_places_are_used_while_load_is_shed(void **state)
+static void test_slots_are_used_while_load_is_shed(void **state)
 {
 	pool_t *pool = *state;
 	double served;
 	double capacity = SLOTS / STREAM_STEPS * (BURST_TO - BURST_FROM);
 
-	pool_play(pool);
+	pool_simulate(pool);
 	served = pool->served[0] + pool->served[1] + pool->served[2];
 	assert_true(served > 0.85 * capacity);
-	assert_true(pool->most < 1.15 * SLOTS);
+	assert_true(pool->running_max < 1.15 * SLOTS);
 }
 
-/* When the burst is over, nobody may be refused any more. */
-static void test_all_are_let_in_again(void **state)
+/* Guards against refusals after the burst. */
+static void test_all_are_admitted_after_the_burst(void **state)
 {
 	pool_t *pool = *state;
 
-	pool_play(pool);
+	pool_simulate(pool);
 	assert_true(shed_admitted_share(pool->shed) >= 1);
 }
 
 /*
- * Engines crash, and their requests begin late at others. Half of the places are
- * free; callers who were turned away for that would be refused for nothing.
+ * Guards against refusals because engines crashed and their requests began late
+ * at others, although half of the slots are free.
  */
-static void test_late_starts_beside_free_places_turn_nobody_away(void **state)
+static void test_late_starts_with_free_slots_shed_no_load(void **state)
 {
 	pool_t *pool = *state;
 	const shed_utilization_t utilization = { 0.5, true };
@@ -154,10 +158,11 @@
 }
 
 /*
- * A gateway that is cut off from its peers sees only its own few requests at the
- * engines. That they are turned away or late tells it all the same.
+ * Guards against a gateway that is cut off from its peers, sees only its own
+ * few requests at the engines, and sheds no load although they are rejected or
+ * late.
  */
-static void test_a_gateway_alone_goes_by_its_outcomes(void **state)
+static void test_an_isolated_gateway_uses_its_outcomes(void **state)
 {
 	pool_t *pool = *state;
 	const shed_utilization_t utilization = { 0.01, false };
@@ -175,16 +180,15 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_the_least_urgent_are_turned_away,
+		cmocka_unit_test_setup_teardown(test_the_least_urgent_are_refused,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_slots_are_used_while_load_is_shed,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_places_are_used_while_load_is_shed,
+		cmocka_unit_test_setup_teardown(test_all_are_admitted_after_the_burst,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_all_are_let_in_again,
+		cmocka_unit_test_setup_teardown(test_late_starts_with_free_slots_shed_no_load,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(
-			test_late_starts_beside_free_places_turn_nobody_away,
-			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_gateway_alone_goes_by_its_outcomes,
+		cmocka_unit_test_setup_teardown(test_an_isolated_gateway_uses_its_outcomes,
 						setup, teardown),
 	};
 
