--- a/core/forward/spread.c
+++ b/core/forward/spread.c
@@ -1,31 +1,36 @@
 /*
- * The load: a change of an upstream reaches hundreds of gateways as each passes it on
- * to a few, and everybody receives several copies. Bytes between availability zones
- * are paid for, so most copies stay in the zone of the sender.
+ * Chooses the receivers of a gossiped update. A change of an upstream reaches
+ * hundreds of gateways as each passes it on to a few, and every gateway
+ * receives several copies. Traffic between availability zones is paid for, so
+ * most copies stay in the sender's zone.
  */
 #include "core/forward/spread.h"
 
 #include <stdbool.h>
 
-/* Of the receivers, so many are in the sender's availability zone. */
-#define SPREAD_NEAR 4
+/* How many of the receivers are in the sender's availability zone. */
+#define SPREAD_SAME_ZONE 4
 #define SPREAD_ZONES_MAX 32
 
-typedef struct draw {
+typedef struct sampler {
 	GRand *random;
-	unsigned int candidates; /* that are still to come */
-	unsigned int wanted;
-} draw_t;
+	unsigned int candidates; /* not offered yet */
+	unsigned int remaining;
+} sampler_t;
 
-/* Returns whether a candidate is drawn; each is as likely to be. */
-static bool draw_next(draw_t *draw)
+/*
+ * Selection sampling: returns whether to take the next candidate; each is
+ * equally likely to be taken.
+ */
+static bool sampler_take(sampler_t *sampler)
 {
-	bool drawn = draw->wanted &&
-		     g_rand_double(draw->random) * draw->candidates < draw->wanted;
+	bool taken = sampler->remaining &&
+		     g_rand_double(sampler->random) * sampler->candidates <
+			     sampler->remaining;
 
-	draw->candidates--;
-	draw->wanted -= drawn;
-	return drawn;
+	sampler->candidates--;
+	sampler->remaining -= taken;
+	return taken;
 }
 
 typedef struct zone_count {
@@ -33,13 +38,14 @@
 	unsigned int gateways;
 } zone_count_t;
 
-/* Gateways by zone; more zones than fit are not told apart. */
+/* Gateways by zone; more zones than SPREAD_ZONES_MAX are not counted. */
 typedef struct zone_counts {
 	zone_count_t items[SPREAD_ZONES_MAX];
 	unsigned int count;
-	bool overflow;
+	bool zones_overflow;
 } zone_counts_t;
 
+/* Counts a gateway in a zone. */
 static void zone_counts_add(zone_counts_t *counts, uint16_t zone)
 {
 	unsigned int i = 0;
@@ -47,7 +53,7 @@
 	while (i < counts->count && counts->items[i].zone != zone)
 		i++;
 	if (i == SPREAD_ZONES_MAX) {
-		counts->overflow = true;
+		counts->zones_overflow = true;
 		return;
 	}
 	counts->items[i].zone = zone;
@@ -56,8 +62,8 @@
 }
 
 /*
- * Returns whether each zone has so many gateways that one which is reached reaches
- * the others. A smaller one needs the copies that come from other zones.
+ * Returns whether each zone has enough gateways for an update to spread in it
+ * from one of them. A smaller zone needs the copies that come from other zones.
  */
 static bool zones_are_large(const zone_counts_t *counts)
 {
@@ -65,33 +71,37 @@
 		if (counts->items[i].gateways <= SPREAD_FANOUT)
 			return false;
 	}
-	return counts->count > 1 && !counts->overflow;
+	return counts->count > 1 && !counts->zones_overflow;
 }
 
 /*
- * Chooses receivers among COUNT peers by their availability zones, at random. Fills in
- * the places of at most SPREAD_FANOUT, and returns how many those are.
+ * Chooses receivers among COUNT peers by their availability zones, at random;
+ * OWN is the sender's zone. Fills CHOSEN with the indexes of at most
+ * SPREAD_FANOUT peers, and returns their number.
  */
 unsigned int spread_choose(const uint16_t *zones, unsigned int count,
 			   uint16_t own, GRand *random, unsigned int *chosen)
 {
 	zone_counts_t counts = { .items = { { own, 1 } }, .count = 1 };
-	draw_t any = { random, count, SPREAD_FANOUT };
-	draw_t near = { .random = random, .wanted = SPREAD_NEAR };
-	draw_t far = { .random = random, .wanted = SPREAD_FANOUT - SPREAD_NEAR };
-	unsigned int found = 0;
+	sampler_t any = { random, count, SPREAD_FANOUT };
+	sampler_t same_zone = { .random = random, .remaining = SPREAD_SAME_ZONE };
+	sampler_t other_zones = { .random = random,
+				  .remaining = SPREAD_FANOUT - SPREAD_SAME_ZONE };
+	unsigned int chosen_count = 0;
 	bool by_zone;
 
 	for (unsigned int i = 0; i < count; i++)
 		zone_counts_add(&counts, zones[i]);
 	by_zone = zones_are_large(&counts);
-	near.candidates = counts.items[0].gateways - 1;
-	far.candidates = count - near.candidates;
+	same_zone.candidates = counts.items[0].gateways - 1;
+	other_zones.candidates = count - same_zone.candidates;
 	for (unsigned int i = 0; i < count; i++) {
-		draw_t *draw = !by_zone ? &any : zones[i] == own ? &near : &far;
+		sampler_t *sampler = !by_zone	       ? &any
+				     : zones[i] == own ? &same_zone
+						       : &other_zones;
 
-		if (draw_next(draw))
-			chosen[found++] = i;
+		if (sampler_take(sampler))
+			chosen[chosen_count++] = i;
 	}
-	return found;
+	return chosen_count;
 }
--- a/tests/unit/test_spread.c
+++ b/tests/unit/test_spread.c
@@ -1,4 +1,6 @@
-/* How far an update comes that each gateway passes on once, and at what cost. */
+/*
+ * Tests how many gateways a gossiped update reaches, and with how many copies.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stdbool.h>
@@ -18,11 +20,12 @@
 	uint16_t zones[FLEET_MAX];
 	unsigned int size;
 	GRand *random;
-	unsigned long reached; /* gateways, over all updates */
+	unsigned long reached; /* gateways reached, over all updates */
 	unsigned long copies;
-	unsigned long far_copies; /* of these: to another zone */
+	unsigned long cross_zone_copies; /* those to another zone */
 } fleet_t;
 
+/* Sets up a fleet with SIZES[i] gateways in zone i + 1. */
 static void fleet_init(fleet_t *fleet, const unsigned int *sizes)
 {
 	*fleet = (fleet_t){ .random = g_rand_new_with_seed(11) };
@@ -32,14 +35,18 @@
 	}
 }
 
-/* Has a gateway pass an update on; those that are new to it are queued. */
-static void pass_on(fleet_t *fleet, unsigned int from, bool *known, GQueue *queue)
+/*
+ * Passes an update on from one gateway; receivers to which it is new are
+ * queued.
+ */
+static void forward_update(fleet_t *fleet, unsigned int from, bool *known,
+			   GQueue *queue)
 {
 	uint16_t zones[FLEET_MAX];
 	unsigned int peers[FLEET_MAX];
 	unsigned int chosen[SPREAD_FANOUT];
 	unsigned int count = 0;
-	unsigned int found;
+	unsigned int chosen_count;
 
 	for (unsigned int i = 0; i < fleet->size; i++) {
 		if (i == from)
@@ -47,14 +54,14 @@
 		zones[count] = fleet->zones[i];
 		peers[count++] = i;
 	}
-	found = spread_choose(zones, count, fleet->zones[from], fleet->random,
-			      chosen);
-	assert_true(found <= SPREAD_FANOUT);
-	for (unsigned int i = 0; i < found; i++) {
+	chosen_count = spread_choose(zones, count, fleet->zones[from],
+				     fleet->random, chosen);
+	assert_true(chosen_count <= SPREAD_FANOUT);
+	for (unsigned int i = 0; i < chosen_count; i++) {
 		unsigned int to = peers[chosen[i]];
 
 		fleet->copies++;
-		fleet->far_copies += fleet->zones[to] != fleet->zones[from];
+		fleet->cross_zone_copies += fleet->zones[to] != fleet->zones[from];
 		if (known[to])
 			continue;
 		known[to] = true;
@@ -62,6 +69,7 @@
 	}
 }
 
+/* Spreads one update from SOURCES gateways until nobody passes it on. */
 static void spread_update(fleet_t *fleet)
 {
 	bool known[FLEET_MAX] = { false };
@@ -76,14 +84,17 @@
 		g_queue_push_tail(&queue, GUINT_TO_POINTER(source));
 	}
 	while (!g_queue_is_empty(&queue))
-		pass_on(fleet, GPOINTER_TO_UINT(g_queue_pop_head(&queue)),
-			known, &queue);
+		forward_update(fleet, GPOINTER_TO_UINT(g_queue_pop_head(&queue)),
+			       known, &queue);
 	for (unsigned int i = 0; i < fleet->size; i++)
 		fleet->reached += known[i];
 }
 
-/* Plays updates in a fleet with zones of these sizes; FLEET gets the counts. */
-static void assert_reaches(fleet_t *fleet, const unsigned int *sizes)
+/*
+ * Simulates updates in a fleet with zones of these sizes, and checks that
+ * nearly all gateways receive each. Fills in FLEET, with the counts.
+ */
+static void assert_nearly_all_reached(fleet_t *fleet, const unsigned int *sizes)
 {
 	fleet_init(fleet, sizes);
 	for (unsigned int i = 0; i < UPDATES; i++)
@@ -93,7 +104,7 @@
 }
 
 /* Guards against updates of which most copies cross availability zones. */
-static void test_copies_stay_in_the_zone(void **state)
+static void test_most_copies_stay_in_the_zone(void **state)
 {
 	static const unsigned int sizes[][ZONES_MAX] = {
 		{ 20, 20, 20, 20 },
@@ -105,12 +116,12 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		fleet_t fleet;
 
-		assert_reaches(&fleet, sizes[i]);
-		assert_true(fleet.far_copies * 4 < fleet.copies);
+		assert_nearly_all_reached(&fleet, sizes[i]);
+		assert_true(fleet.cross_zone_copies * 4 < fleet.copies);
 	}
 }
 
-/* Guards against a zone of a few gateways that updates seldom come to. */
+/* Guards against a zone of a few gateways that updates seldom reach. */
 static void test_a_small_zone_is_reached(void **state)
 {
 	static const unsigned int sizes[][ZONES_MAX] = {
@@ -123,12 +134,12 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		fleet_t fleet;
 
-		assert_reaches(&fleet, sizes[i]);
+		assert_nearly_all_reached(&fleet, sizes[i]);
 	}
 }
 
-/* Guards against a choice that has fewer peers to choose from than it wants. */
-static void test_few_peers_are_all_told(void **state)
+/* Guards against a choice among fewer peers than are to be chosen. */
+static void test_few_peers_are_all_chosen(void **state)
 {
 	static const uint16_t zones[] = { 1, 2, 2 };
 	GRand *random = g_rand_new_with_seed(3);
@@ -144,9 +155,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_copies_stay_in_the_zone),
+		cmocka_unit_test(test_most_copies_stay_in_the_zone),
 		cmocka_unit_test(test_a_small_zone_is_reached),
-		cmocka_unit_test(test_few_peers_are_all_told),
+		cmocka_unit_test(test_few_peers_are_all_chosen),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
