--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -74,8 +74,8 @@
 /* Says whether the caller has given the request up, by its own word. */
 bool gateway_request_is_overdue(const gateway_request_t *request, pd_time_t now)
 {
-	return request->call->patience > 0 &&
-	       now - request->arrived > request->call->patience;
+	return request->call->time_left > 0 &&
+	       now - request->arrived > request->call->time_left;
 }
 
 static double request_amount(const gateway_request_t *request)
@@ -144,8 +144,8 @@
 {
 	pd_time_t allowed = request->route->timeout;
 
-	if (request->call->patience > 0)
-		allowed = MIN(allowed, request->call->patience);
+	if (request->call->time_left > 0)
+		allowed = MIN(allowed, request->call->time_left);
 	request->deadline = request->arrived + allowed;
 }
 
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -213,7 +213,8 @@
 	 */
 	request->reads_alone =
 		forward_upstream_prefill_tokens(request->upstream) < 1 &&
-		forward_call_shared(call) <= call->prompt_tokens * SHARED_LITTLE;
+		forward_call_shared_tokens(call) <=
+			call->prompt_tokens * SHARED_LITTLE;
 	work_rate_add(request->gateway->work, request->service,
 		      uncached_tokens + output);
 }
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -30,7 +30,7 @@
 	const forward_call_t *call = request->call;
 	double rate = gateway_engine_rate(request->gateway, request->service);
 
-	return MAX(call->prompt_tokens - forward_call_shared(call), 0) +
+	return MAX(call->prompt_tokens - forward_call_shared_tokens(call), 0) +
 	       call->output_tokens * engine_tokens(rate, ENGINE_OUTPUT_TIME);
 }
 
--- a/core/forward/call.c
+++ b/core/forward/call.c
@@ -26,7 +26,7 @@
 }
 
 /* Returns the tokens of a call's prompt in parts that other calls may share. */
-double forward_call_shared(const forward_call_t *call)
+double forward_call_shared_tokens(const forward_call_t *call)
 {
 	double sum = 0;
 
--- a/core/forward/call.h
+++ b/core/forward/call.h
@@ -24,7 +24,7 @@
 	char *target; /* path and query, passed on as they are */
 	char *host;
 	char *api_key; /* NULL if it sent none */
-	pd_time_t patience; /* how long the caller waits; 0: it did not say */
+	pd_time_t time_left; /* how long the caller waits; 0: unstated */
 	bool has_tokens;
 	unsigned int prompt_tokens;
 	unsigned int output_tokens; /* at most */
@@ -36,6 +36,6 @@
 
 forward_call_t *forward_call_create(void);
 void forward_call_destroy(forward_call_t *call);
-double forward_call_shared(const forward_call_t *call);
+double forward_call_shared_tokens(const forward_call_t *call);
 
 #endif
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -119,7 +119,8 @@
 
 	if (upstream == preferred->first || upstream == preferred->second)
 		return MIN(uncached_tokens,
-			   MAX(call->prompt_tokens - forward_call_shared(call), 0));
+			   MAX(call->prompt_tokens - forward_call_shared_tokens(call),
+			       0));
 	return uncached_tokens;
 }
 
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -58,7 +58,7 @@
 	(void)state;
 	assert_string_equal(call->id, "9c41");
 	assert_string_equal(call->resume_after, "12");
-	assert_int_equal(call->patience, 1500 * PD_MSEC);
+	assert_int_equal(call->time_left, 1500 * PD_MSEC);
 	assert_int_equal(call->prompt_tokens, 1460);
 	assert_int_equal(call->output_tokens, 80);
 	assert_int_equal(call->part_count, 2);
