--- a/core/forward/call.c
+++ b/core/forward/call.c
@@ -1,4 +1,4 @@
-/* The life of a caller's request. */
+/* Creation and queries of a caller's request. */
 #include "core/forward/call.h"
 
 /* Returns an empty call; the caller owns it. */
@@ -25,7 +25,10 @@
 	g_free(call);
 }
 
-/* Returns the tokens of a call's prompt in parts that other calls may share. */
+/*
+ * Returns the tokens of those parts of a call's prompt that other calls may
+ * share.
+ */
 double forward_call_shared_tokens(const forward_call_t *call)
 {
 	double sum = 0;
--- a/core/forward/call.h
+++ b/core/forward/call.h
@@ -1,6 +1,4 @@
-/*
- * A caller's request as the decisions see it: typed, with no name of any wire.
- */
+/* A caller's request, independent of the protocol by which it came. */
 #ifndef PISTACHIO_FORWARD_CALL_H
 #define PISTACHIO_FORWARD_CALL_H
 
@@ -12,26 +10,27 @@
 
 #define PROMPT_PARTS_MAX 16
 
-/* A piece of a prompt that several requests may share. */
+/* A part of a prompt that several requests may share. */
 typedef struct prompt_part {
 	uint64_t id;
 	unsigned int tokens;
 } prompt_part_t;
 
 typedef struct forward_call {
-	char *id; /* of this attempt of the caller; NULL if it sent none */
+	char *id; /* of this attempt of the caller; NULL: none was sent */
 	char *method;
-	char *target; /* path and query, passed on as they are */
+	char *target; /* path and query, forwarded unchanged */
 	char *host;
-	char *api_key; /* NULL if it sent none */
+	char *api_key; /* NULL: none was sent */
 	pd_time_t time_left; /* how long the caller waits; 0: unstated */
 	bool has_tokens;
 	unsigned int prompt_tokens;
 	unsigned int output_tokens; /* at most */
-	prompt_part_t parts[PROMPT_PARTS_MAX]; /* in their order */
+	prompt_part_t parts[PROMPT_PARTS_MAX]; /* in the order of the prompt */
 	unsigned int part_count;
-	char *resume_after; /* the last event the caller has; NULL: from the start */
-	GString *headers; /* lines to pass on, as sent */
+	/* id of the last event that the caller has; NULL: from the start */
+	char *resume_after;
+	GString *headers; /* header lines to forward, as sent */
 } forward_call_t;
 
 forward_call_t *forward_call_create(void);
