--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -46,7 +46,7 @@
 	wire_kind_t kind;
 	const char *name;
 	object_writer_t *writer;
-	stored_call_t calls[CALL_PACER_CALLS];
+	stored_call_t calls[CALL_PACER_IN_FLIGHT_MAX];
 };
 
 typedef struct reading reading_t;
@@ -66,7 +66,7 @@
 	pd_time_t wanted_at;
 	pd_time_t read_at; /* when the call that was answered began; 0: never */
 	call_pacer_t *pacer;
-	reading_call_t calls[CALL_PACER_CALLS];
+	reading_call_t calls[CALL_PACER_IN_FLIGHT_MAX];
 	void (*take)(gateway_checkpoint_t *checkpoint, const wire_page_t *page);
 };
 
@@ -93,7 +93,7 @@
 	reading->checkpoint = checkpoint;
 	reading->kind = kind;
 	reading->pacer = call_pacer_create(READ_PERIOD);
-	for (unsigned int i = 0; i < CALL_PACER_CALLS; i++) {
+	for (unsigned int i = 0; i < CALL_PACER_IN_FLIGHT_MAX; i++) {
 		reading->calls[i].reading = reading;
 		reading->calls[i].number = i;
 	}
@@ -106,7 +106,7 @@
 	stored->kind = kind;
 	stored->name = slot_names[slot];
 	stored->writer = object_writer_create(RECORD_PERIOD);
-	for (unsigned int i = 0; i < CALL_PACER_CALLS; i++) {
+	for (unsigned int i = 0; i < CALL_PACER_IN_FLIGHT_MAX; i++) {
 		stored->calls[i].stored = stored;
 		stored->calls[i].number = i;
 	}
@@ -156,7 +156,7 @@
 {
 	reading->wanted = true;
 	reading->wanted_at = gateway_now();
-	call_pacer_renew(reading->pacer, reading->wanted_at);
+	call_pacer_reset(reading->pacer, reading->wanted_at);
 }
 
 /* Has the record read again for when it was written before this start. */
@@ -448,7 +448,7 @@
 	char *path;
 	char *body;
 
-	if (!object_writer_needs(stored->writer, digest, now))
+	if (!object_writer_needs_write(stored->writer, digest, now))
 		return;
 	number = object_writer_begin(stored->writer, digest, now);
 	path = wire_object_path(stored->kind, revision ? stored->name : NULL);
@@ -577,8 +577,8 @@
 	pd_time_t time = call_pacer_answer_time(checkpoint->record_reading.pacer);
 
 	for (unsigned int i = 0; i < CHECKPOINT_SLOTS; i++) {
-		object_writer_expect(checkpoint->records[i].writer, time);
-		object_writer_expect(checkpoint->counts[i].writer, time);
+		object_writer_set_answer_time(checkpoint->records[i].writer, time);
+		object_writer_set_answer_time(checkpoint->counts[i].writer, time);
 	}
 }
 
--- a/core/forward/call_pacer.h
+++ b/core/forward/call_pacer.h
@@ -14,7 +14,7 @@
  * At most so many are out at once: those of a timeout of 1.5 s at a period of 30 ms, so
  * that calls that hang leave places for others.
  */
-#define CALL_PACER_CALLS 64
+#define CALL_PACER_IN_FLIGHT_MAX 64
 
 typedef struct call_pacer call_pacer_t;
 
@@ -30,12 +30,12 @@
 bool call_pacer_is_due(const call_pacer_t *pacer, pd_time_t now);
 bool call_pacer_is_regular(const call_pacer_t *pacer);
 pd_time_t call_pacer_answer_time(const call_pacer_t *pacer);
-void call_pacer_expect(call_pacer_t *pacer, pd_time_t answer_time);
+void call_pacer_set_answer_time(call_pacer_t *pacer, pd_time_t answer_time);
 unsigned int call_pacer_begin(call_pacer_t *pacer, pd_time_t now);
 void call_pacer_end(call_pacer_t *pacer, unsigned int call, call_end_t end,
 		    pd_time_t now);
-void call_pacer_renew(call_pacer_t *pacer, pd_time_t now);
-void call_pacer_hurry(call_pacer_t *pacer);
+void call_pacer_reset(call_pacer_t *pacer, pd_time_t now);
+void call_pacer_make_due(call_pacer_t *pacer);
 void call_pacer_postpone(call_pacer_t *pacer, pd_time_t now);
 
 #endif
--- a/core/forward/object_writer.c
+++ b/core/forward/object_writer.c
@@ -6,8 +6,8 @@
 struct object_writer {
 	call_pacer_t *pacer;
 	uint64_t revision; /* the highest seen; 0: none, the object is created */
-	uint64_t digests[CALL_PACER_CALLS]; /* of the contents that are out */
-	uint64_t written; /* digest of what the object holds; 0: unknown */
+	uint64_t digests[CALL_PACER_IN_FLIGHT_MAX]; /* of the contents that are out */
+	uint64_t known_digest; /* digest of what the object holds; 0: unknown */
 };
 
 /* Returns a writer that has seen no revision; the caller owns it. */
@@ -47,18 +47,19 @@
 }
 
 /* Sets what answers are taken to need until some have come. */
-void object_writer_expect(object_writer_t *writer, pd_time_t answer_time)
+void object_writer_set_answer_time(object_writer_t *writer, pd_time_t answer_time)
 {
-	call_pacer_expect(writer->pacer, answer_time);
+	call_pacer_set_answer_time(writer->pacer, answer_time);
 }
 
 /*
  * Returns whether the object may hold other contents than those of DIGEST. If not,
  * the next write is due in a period, so that contents are not composed all the time.
  */
-bool object_writer_needs(object_writer_t *writer, uint64_t digest, pd_time_t now)
+bool object_writer_needs_write(object_writer_t *writer, uint64_t digest,
+			       pd_time_t now)
 {
-	if (writer->written != digest)
+	if (writer->known_digest != digest)
 		return true;
 	call_pacer_postpone(writer->pacer, now);
 	return false;
@@ -75,12 +76,13 @@
 }
 
 /* Notes what the object was seen to hold, unless it has been changed since. */
-static void writer_saw(object_writer_t *writer, uint64_t revision, uint64_t digest)
+static void writer_observe(object_writer_t *writer, uint64_t revision,
+			   uint64_t digest)
 {
 	if (revision < writer->revision)
 		return;
 	writer->revision = revision;
-	writer->written = digest;
+	writer->known_digest = digest;
 }
 
 /* Notes how a write has ended; REVISION is the object's, 0 if it was not told. */
@@ -89,7 +91,7 @@
 {
 	switch (end) {
 	case WRITE_DONE:
-		writer_saw(writer, revision, writer->digests[call]);
+		writer_observe(writer, revision, writer->digests[call]);
 		call_pacer_end(writer->pacer, call, CALL_ANSWERED, now);
 		return;
 	case WRITE_CONFLICT:
@@ -97,8 +99,8 @@
 		/* An own write that was done later may have got there first. */
 		if (revision <= writer->revision)
 			return;
-		writer_saw(writer, revision, 0);
-		call_pacer_hurry(writer->pacer);
+		writer_observe(writer, revision, 0);
+		call_pacer_make_due(writer->pacer);
 		return;
 	case WRITE_REFUSED:
 		call_pacer_end(writer->pacer, call, CALL_REFUSED, now);
--- a/core/forward/object_writer.h
+++ b/core/forward/object_writer.h
@@ -24,8 +24,9 @@
 void object_writer_set_period(object_writer_t *writer, pd_time_t period);
 bool object_writer_is_due(const object_writer_t *writer, pd_time_t now);
 bool object_writer_is_regular(const object_writer_t *writer);
-void object_writer_expect(object_writer_t *writer, pd_time_t answer_time);
-bool object_writer_needs(object_writer_t *writer, uint64_t digest, pd_time_t now);
+void object_writer_set_answer_time(object_writer_t *writer, pd_time_t answer_time);
+bool object_writer_needs_write(object_writer_t *writer, uint64_t digest,
+			       pd_time_t now);
 unsigned int object_writer_begin(object_writer_t *writer, uint64_t digest,
 				 pd_time_t now);
 void object_writer_end(object_writer_t *writer, unsigned int call,
--- a/tests/property/test_usage.cc
+++ b/tests/property/test_usage.cc
@@ -133,7 +133,7 @@
 	starting.inflight.reset(usage_inflight_create());
 	for (auto &writer : starting.writers) {
 		writer.reset(object_writer_create(0));
-		object_writer_expect(writer.get(), answer_time);
+		object_writer_set_answer_time(writer.get(), answer_time);
 	}
 	starting.runs = true;
 	starting.started_at = all.now;
--- a/tests/unit/test_object_writer.c
+++ b/tests/unit/test_object_writer.c
@@ -26,8 +26,8 @@
 	assert_int_equal(object_writer_revision(writer), 8);
 	assert_false(object_writer_is_due(writer, START + STEP));
 	assert_true(object_writer_is_due(writer, START + PERIOD));
-	assert_true(object_writer_needs(writer, 6, START + PERIOD));
-	assert_false(object_writer_needs(writer, 5, START + PERIOD));
+	assert_true(object_writer_needs_write(writer, 6, START + PERIOD));
+	assert_false(object_writer_needs_write(writer, 5, START + PERIOD));
 	assert_false(object_writer_is_due(writer, START + PERIOD + STEP));
 	assert_true(object_writer_is_due(writer, START + 2 * PERIOD));
 	object_writer_destroy(writer);
@@ -53,7 +53,7 @@
 	assert_true(object_writer_is_due(writer, now + STEP));
 	call = object_writer_begin(writer, 3, now + STEP);
 	object_writer_end(writer, call, WRITE_DONE, 10, now + 2 * STEP);
-	assert_false(object_writer_needs(writer, 3, now + 2 * STEP));
+	assert_false(object_writer_needs_write(writer, 3, now + 2 * STEP));
 	/* The end of the first changes nothing, and pauses nothing. */
 	object_writer_end(writer, first, WRITE_LOST, 0, now + 3 * STEP);
 	assert_int_equal(object_writer_revision(writer), 10);
@@ -72,7 +72,7 @@
 	object_writer_end(writer, second, WRITE_DONE, 9, START + PERIOD + STEP);
 	object_writer_end(writer, first, WRITE_CONFLICT, 8, START + 2 * PERIOD);
 	assert_int_equal(object_writer_revision(writer), 9);
-	assert_false(object_writer_needs(writer, 2, START + 2 * PERIOD));
+	assert_false(object_writer_needs_write(writer, 2, START + 2 * PERIOD));
 	object_writer_destroy(writer);
 }
 
@@ -84,7 +84,7 @@
 
 static void end_hung(object_writer_t *writer, hung_call_t *hung, pd_time_t now)
 {
-	for (unsigned int i = 0; i < CALL_PACER_CALLS; i++) {
+	for (unsigned int i = 0; i < CALL_PACER_IN_FLIGHT_MAX; i++) {
 		if (!hung[i].until || hung[i].until > now)
 			continue;
 		object_writer_end(writer, hung[i].number, WRITE_LOST, 0, now);
@@ -92,7 +92,7 @@
 	}
 }
 
-static void hang(hung_call_t *hung, unsigned int number, pd_time_t until)
+static void add_hung(hung_call_t *hung, unsigned int number, pd_time_t until)
 {
 	unsigned int i = 0;
 
@@ -101,19 +101,19 @@
 	hung[i] = (hung_call_t){ number, until };
 }
 
-/* Guards against calls that hang and leave no place for those that are answered. */
+/* Guards against calls that add_hung and leave no place for those that are answered. */
 static void test_half_of_the_answers_are_lost(void **state)
 {
 	const pd_time_t period = 30 * PD_MSEC; /* the least that is asked for */
 	const pd_time_t timeout = 1500 * PD_MSEC;
 	object_writer_t *writer = object_writer_create(period);
-	hung_call_t hung[CALL_PACER_CALLS] = { 0 };
+	hung_call_t hung[CALL_PACER_IN_FLIGHT_MAX] = { 0 };
 	pd_time_t done_at = START;
 	pd_time_t oldest = 0;
 	uint64_t calls = 0;
 
 	(void)state;
-	object_writer_expect(writer, 4 * PD_MSEC);
+	object_writer_set_answer_time(writer, 4 * PD_MSEC);
 	for (pd_time_t now = START; now < START + 5 * PD_SEC; now += STEP) {
 		unsigned int call;
 
@@ -123,7 +123,7 @@
 			continue;
 		call = object_writer_begin(writer, ++calls, now);
 		if (calls % 2) {
-			hang(hung, call, now + timeout);
+			add_hung(hung, call, now + timeout);
 			continue;
 		}
 		object_writer_end(writer, call, WRITE_DONE, calls, now);
@@ -141,14 +141,14 @@
 	const pd_time_t allowed = 250 * PD_MSEC; /* a twentieth of five seconds */
 	object_writer_t *writer = object_writer_create(period);
 	GRand *random = g_rand_new_with_seed(1);
-	hung_call_t hung[CALL_PACER_CALLS] = { 0 };
+	hung_call_t hung[CALL_PACER_IN_FLIGHT_MAX] = { 0 };
 	pd_time_t done_at = START;
 	unsigned int steps = 0;
 	unsigned int late = 0;
 	uint64_t calls = 0;
 
 	(void)state;
-	object_writer_expect(writer, 4 * PD_MSEC);
+	object_writer_set_answer_time(writer, 4 * PD_MSEC);
 	for (pd_time_t now = START; now < START + 1000 * PD_SEC; now += STEP) {
 		unsigned int call;
 
@@ -159,7 +159,7 @@
 			continue;
 		call = object_writer_begin(writer, ++calls, now);
 		if (g_rand_boolean(random)) {
-			hang(hung, call, now + timeout);
+			add_hung(hung, call, now + timeout);
 			continue;
 		}
 		object_writer_end(writer, call, WRITE_DONE, calls, now);
@@ -205,7 +205,7 @@
 		object_writer_begin(writer, begun + 1, now);
 		begun++;
 	}
-	assert_in_range(begun, 1, CALL_PACER_CALLS);
+	assert_in_range(begun, 1, CALL_PACER_IN_FLIGHT_MAX);
 	object_writer_destroy(writer);
 }
 
@@ -214,12 +214,12 @@
 {
 	const pd_time_t answer = 240 * PD_MSEC;
 	call_pacer_t *pacer = call_pacer_create(PERIOD);
-	pd_time_t begun_at[CALL_PACER_CALLS] = { 0 };
+	pd_time_t begun_at[CALL_PACER_IN_FLIGHT_MAX] = { 0 };
 	unsigned int calls = 0;
 
 	(void)state;
 	for (pd_time_t now = START; now < START + 10 * PD_SEC; now += STEP) {
-		for (unsigned int i = 0; i < CALL_PACER_CALLS; i++) {
+		for (unsigned int i = 0; i < CALL_PACER_IN_FLIGHT_MAX; i++) {
 			if (!begun_at[i] || now - begun_at[i] < answer)
 				continue;
 			begun_at[i] = 0;
@@ -248,7 +248,7 @@
 	}
 	call_pacer_end(pacer, hung[0], CALL_LOST, now);
 	assert_false(call_pacer_is_due(pacer, now));
-	call_pacer_renew(pacer, now);
+	call_pacer_reset(pacer, now);
 	assert_true(call_pacer_is_due(pacer, now));
 	call_pacer_end(pacer, hung[1], CALL_LOST, now + STEP);
 	assert_true(call_pacer_is_due(pacer, now + STEP));
