--- a/core/forward/call_pacer.c
+++ b/core/forward/call_pacer.c
@@ -1,30 +1,33 @@
-/* Paces calls by a period, by the time that answers take, and by failures. */
+/* Paces calls by a period, by the response times, and by failures. */
 #include "core/forward/call_pacer.h"
 
 #include <glib.h>
 
-/* A call is repeated if its answer takes so many times what answers usually take. */
+/* A call is repeated if its answer takes so many times the usual time. */
 #define REPEAT_FACTOR 3
 #define REPEAT_WAIT_MIN (20 * PD_MSEC)
-/* What answers are taken to need until some have come. */
+/* The answer time that is assumed until calls were answered. */
 #define ANSWER_TIME_INITIAL (100 * PD_MSEC)
-#define ANSWER_TIME_WEIGHT 4 /* a new measure counts for one part in so many */
-/* So many calls without an answer, or for so long, are chance; then pauses double. */
+#define ANSWER_TIME_WEIGHT 4 /* inverse weight of a new sample */
+/*
+ * So many unanswered calls, or unanswered calls for so long, may be isolated
+ * losses; after that, pauses double.
+ */
 #define UNANSWERED_TOLERATED 4
 #define UNANSWERED_TOLERATED_TIME (300 * PD_MSEC)
-#define UNANSWERED_MAX 10 /* then pauses double no more */
+#define UNANSWERED_MAX 10 /* limits the doubling of pauses */
 #define FAILURE_PAUSE (300 * PD_MSEC)
 
 struct call_pacer {
 	pd_time_t period;
-	pd_time_t started_at[CALL_PACER_IN_FLIGHT_MAX]; /* 0: that call is not out */
+	pd_time_t started_at[CALL_PACER_IN_FLIGHT_MAX]; /* 0: not in flight */
 	unsigned int in_flight;
-	unsigned int unanswered; /* begun since an answer came */
+	unsigned int unanswered; /* started since the last answer */
 	pd_time_t last_started_at; /* 0: none yet */
-	pd_time_t answered_at; /* when an answer came last */
-	pd_time_t answer_time; /* smoothed */
+	pd_time_t answered_at; /* last answer; 0: none yet */
+	pd_time_t answer_time; /* exponential moving average */
 	pd_time_t pause_until;
-	pd_time_t reset_at; /* calls begun before say nothing of later ones */
+	pd_time_t reset_at; /* failures of earlier calls are ignored */
 };
 
 /* Returns a pacer of calls that are made every PERIOD; the caller owns it. */
@@ -49,7 +52,7 @@
 	pacer->period = period;
 }
 
-/* Returns whether a call may be made now. */
+/* Returns whether a call is to be made now. */
 bool call_pacer_is_due(const call_pacer_t *pacer, pd_time_t now)
 {
 	pd_time_t wait = pacer->period;
@@ -63,25 +66,31 @@
 	return !pacer->last_started_at || now - pacer->last_started_at >= wait;
 }
 
-/* Returns whether the next call is one of the period, and not to make up for another. */
+/*
+ * Returns whether the next call is a periodic one, not a repetition of an
+ * unanswered one.
+ */
 bool call_pacer_is_regular(const call_pacer_t *pacer)
 {
 	return pacer->last_started_at && !pacer->unanswered;
 }
 
-/* Returns what answers are taken to need. */
+/* Returns the average answer time. */
 pd_time_t call_pacer_answer_time(const call_pacer_t *pacer)
 {
 	return pacer->answer_time;
 }
 
-/* Sets what answers are taken to need, as other calls to the store have shown. */
+/* Sets the average answer time, as measured by other calls to the store. */
 void call_pacer_set_answer_time(call_pacer_t *pacer, pd_time_t answer_time)
 {
 	pacer->answer_time = answer_time;
 }
 
-/* Notes a call; only when one is due. Returns its number, for its end. */
+/*
+ * Records that a call starts, which must be due. Returns its number, for
+ * call_pacer_end().
+ */
 unsigned int call_pacer_begin(call_pacer_t *pacer, pd_time_t now)
 {
 	unsigned int call = 0;
@@ -97,7 +106,7 @@
 	return call;
 }
 
-/* Notes how a call has ended. */
+/* Records how a call ended. */
 void call_pacer_end(call_pacer_t *pacer, unsigned int call, call_end_t end,
 		    pd_time_t now)
 {
@@ -120,14 +129,17 @@
 		pacer->pause_until = now + FAILURE_PAUSE;
 		return;
 	case CALL_LOST:
-		/* The store may have answered other calls since. */
+		/* The store may have answered later calls. */
 		if (MAX(pacer->answered_at, pacer->reset_at) < started_at)
 			pacer->pause_until = now + FAILURE_PAUSE;
 		return;
 	}
 }
 
-/* Begins anew: the next call is made at once, and earlier ones pause nothing. */
+/*
+ * Makes the next call due at once; failures of earlier calls cause no pause any
+ * more.
+ */
 void call_pacer_reset(call_pacer_t *pacer, pd_time_t now)
 {
 	pacer->reset_at = now;
@@ -136,13 +148,16 @@
 	pacer->pause_until = 0;
 }
 
-/* Has the next call made at once, unless the store is failing. */
+/* Makes the next call due at once, unless the store is failing. */
 void call_pacer_make_due(call_pacer_t *pacer)
 {
 	pacer->last_started_at = 0;
 }
 
-/* Has the next call made a period from now, as there is nothing to call for. */
+/*
+ * Makes the next call due in a period from NOW, as there is nothing to call
+ * for.
+ */
 void call_pacer_postpone(call_pacer_t *pacer, pd_time_t now)
 {
 	pacer->last_started_at = now;
--- a/core/forward/call_pacer.h
+++ b/core/forward/call_pacer.h
@@ -1,7 +1,7 @@
 /*
- * When a call that may be repeated is made next: periodically, and while the
- * store answers late or not at all, without waiting for the calls that are out.
- * Answers the load of a store that loses answers or has become slow.
+ * Schedules an idempotent call: periodically, and while the store answers late
+ * or not at all, without waiting for the calls in flight. It serves a store
+ * that loses answers or has become slow.
  */
 #ifndef PISTACHIO_CALL_PACER_H
 #define PISTACHIO_CALL_PACER_H
@@ -11,8 +11,8 @@
 #include "ports/clock.h"
 
 /*
- * At most so many are out at once: those of a timeout of 1.5 s at a period of 30 ms, so
- * that calls that hang leave places for others.
+ * Enough for calls every 30 ms that time out after 1.5 s, with room to spare:
+ * calls that hang must leave places for others.
  */
 #define CALL_PACER_IN_FLIGHT_MAX 64
 
@@ -20,7 +20,7 @@
 
 typedef enum call_end {
 	CALL_ANSWERED,
-	CALL_REFUSED, /* the store is there and turned it away */
+	CALL_REFUSED, /* the store answered with a refusal */
 	CALL_LOST /* no answer came */
 } call_end_t;
 
--- a/core/forward/object_writer.c
+++ b/core/forward/object_writer.c
@@ -1,13 +1,17 @@
-/* Conditional writes of one object, several of which may be out at once. */
+/*
+ * Conditional writes of one object, several of which may be in flight at once.
+ */
 #include "core/forward/object_writer.h"
 
 #include <glib.h>
 
 struct object_writer {
 	call_pacer_t *pacer;
-	uint64_t revision; /* the highest seen; 0: none, the object is created */
-	uint64_t digests[CALL_PACER_IN_FLIGHT_MAX]; /* of the contents that are out */
-	uint64_t known_digest; /* digest of what the object holds; 0: unknown */
+	/* the highest seen; 0: none, the object is created */
+	uint64_t revision;
+	/* of the contents in flight */
+	uint64_t digests[CALL_PACER_IN_FLIGHT_MAX];
+	uint64_t known_digest; /* of what the object holds; 0: unknown */
 };
 
 /* Returns a writer that has seen no revision; the caller owns it. */
@@ -34,27 +38,31 @@
 	call_pacer_set_period(writer->pacer, period);
 }
 
-/* Returns whether a write may be made now. */
+/* Returns whether a write is to be made now. */
 bool object_writer_is_due(const object_writer_t *writer, pd_time_t now)
 {
 	return call_pacer_is_due(writer->pacer, now);
 }
 
-/* Returns whether the next write is one of the period, and not to make up for another. */
+/*
+ * Returns whether the next write is a periodic one, not a repetition of an
+ * unanswered one.
+ */
 bool object_writer_is_regular(const object_writer_t *writer)
 {
 	return call_pacer_is_regular(writer->pacer);
 }
 
-/* Sets what answers are taken to need until some have come. */
+/* Sets the average answer time, as measured by other calls to the store. */
 void object_writer_set_answer_time(object_writer_t *writer, pd_time_t answer_time)
 {
 	call_pacer_set_answer_time(writer->pacer, answer_time);
 }
 
 /*
- * Returns whether the object may hold other contents than those of DIGEST. If not,
- * the next write is due in a period, so that contents are not composed all the time.
+ * Returns whether the object may hold other contents than those with DIGEST. If
+ * not, the next write is due in a period, so that contents are not serialized
+ * all the time.
  */
 bool object_writer_needs_write(object_writer_t *writer, uint64_t digest,
 			       pd_time_t now)
@@ -65,7 +73,10 @@
 	return false;
 }
 
-/* Notes a write of contents with that digest, not 0. Returns its number. */
+/*
+ * Records that a write of contents with DIGEST, not 0, starts. Returns its
+ * number, for object_writer_end().
+ */
 unsigned int object_writer_begin(object_writer_t *writer, uint64_t digest,
 				 pd_time_t now)
 {
@@ -75,7 +86,7 @@
 	return call;
 }
 
-/* Notes what the object was seen to hold, unless it has been changed since. */
+/* Records what the object held at a revision, unless a later one is known. */
 static void writer_observe(object_writer_t *writer, uint64_t revision,
 			   uint64_t digest)
 {
@@ -85,7 +96,7 @@
 	writer->known_digest = digest;
 }
 
-/* Notes how a write has ended; REVISION is the object's, 0 if it was not told. */
+/* Records how a write ended; REVISION is the object's, 0 if unknown. */
 void object_writer_end(object_writer_t *writer, unsigned int call,
 		       write_end_t end, uint64_t revision, pd_time_t now)
 {
@@ -96,7 +107,7 @@
 		return;
 	case WRITE_CONFLICT:
 		call_pacer_end(writer->pacer, call, CALL_ANSWERED, now);
-		/* An own write that was done later may have got there first. */
+		/* A later write of this writer may have been executed first. */
 		if (revision <= writer->revision)
 			return;
 		writer_observe(writer, revision, 0);
@@ -111,7 +122,10 @@
 	}
 }
 
-/* Returns the revision that the next write depends on; 0: it creates the object. */
+/*
+ * Returns the revision on which the next write is conditional; 0: it creates
+ * the object.
+ */
 uint64_t object_writer_revision(const object_writer_t *writer)
 {
 	return writer->revision;
--- a/core/forward/object_writer.h
+++ b/core/forward/object_writer.h
@@ -1,7 +1,7 @@
 /*
- * Rewrites one object of the store again and again. Each write carries the
- * revision that was seen last, so one that is executed late does no harm, and
- * none waits for the answer to the one before.
+ * Rewrites one object of the store periodically. Each write is conditional on
+ * the revision that was seen last, so one that is executed late does no harm,
+ * and none waits for the answer to the one before.
  */
 #ifndef PISTACHIO_OBJECT_WRITER_H
 #define PISTACHIO_OBJECT_WRITER_H
@@ -16,7 +16,7 @@
 	WRITE_DONE,
 	WRITE_CONFLICT, /* the object has another revision */
 	WRITE_REFUSED,
-	WRITE_LOST /* whether it was or will be done is unknown */
+	WRITE_LOST /* it is unknown whether it was or will be executed */
 } write_end_t;
 
 object_writer_t *object_writer_create(pd_time_t period);
--- a/tests/unit/test_object_writer.c
+++ b/tests/unit/test_object_writer.c
@@ -1,4 +1,7 @@
-/* Writes of one object under a store that is slow, loses answers or does writes late. */
+/*
+ * Tests writes of one object in a store that is slow, loses answers or executes
+ * writes late.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,8 +16,10 @@
 #define PERIOD (100 * PD_MSEC)
 #define STEP (20 * PD_MSEC)
 
-/* Guards against a store that is written more often than what changes. */
-static void test_what_is_written_is_not_written_again(void **state)
+/*
+ * Guards against a store that is written more often than the contents change.
+ */
+static void test_unchanged_contents_are_not_rewritten(void **state)
 {
 	object_writer_t *writer = object_writer_create(PERIOD);
 	unsigned int call;
@@ -34,7 +39,7 @@
 }
 
 /* Guards against a writer that waits for an answer that was lost. */
-static void test_a_lost_answer_holds_nothing_up(void **state)
+static void test_a_lost_answer_delays_no_write(void **state)
 {
 	object_writer_t *writer = object_writer_create(PERIOD);
 	pd_time_t now = START;
@@ -45,7 +50,8 @@
 	call = object_writer_begin(writer, 1, now);
 	object_writer_end(writer, call, WRITE_DONE, 8, now + STEP);
 	now += PERIOD;
-	first = object_writer_begin(writer, 2, now); /* done, not answered */
+	/* executed, not answered */
+	first = object_writer_begin(writer, 2, now);
 	now += 3 * PERIOD;
 	assert_true(object_writer_is_due(writer, now));
 	call = object_writer_begin(writer, 3, now);
@@ -54,15 +60,17 @@
 	call = object_writer_begin(writer, 3, now + STEP);
 	object_writer_end(writer, call, WRITE_DONE, 10, now + 2 * STEP);
 	assert_false(object_writer_needs_write(writer, 3, now + 2 * STEP));
-	/* The end of the first changes nothing, and pauses nothing. */
+	/*
+	 * The late end of the first has no effect on the revision or the pause.
+	 */
 	object_writer_end(writer, first, WRITE_LOST, 0, now + 3 * STEP);
 	assert_int_equal(object_writer_revision(writer), 10);
 	assert_true(object_writer_is_due(writer, now + 2 * STEP + PERIOD));
 	object_writer_destroy(writer);
 }
 
-/* Guards against taking a late answer for the newest state of the object. */
-static void test_answers_may_overtake_each_other(void **state)
+/* Guards against taking a late answer for the latest state of the object. */
+static void test_answers_may_arrive_out_of_order(void **state)
 {
 	object_writer_t *writer = object_writer_create(PERIOD);
 	unsigned int first = object_writer_begin(writer, 1, START);
@@ -76,12 +84,13 @@
 	object_writer_destroy(writer);
 }
 
-/* A call that hangs until its caller gives it up. */
+/* A call without an answer, until its timeout. */
 typedef struct hung_call {
 	unsigned int number;
 	pd_time_t until; /* 0: none */
 } hung_call_t;
 
+/* Ends the calls that have timed out at NOW. */
 static void end_hung(object_writer_t *writer, hung_call_t *hung, pd_time_t now)
 {
 	for (unsigned int i = 0; i < CALL_PACER_IN_FLIGHT_MAX; i++) {
@@ -92,6 +101,7 @@
 	}
 }
 
+/* Adds a call that times out at UNTIL. */
 static void add_hung(hung_call_t *hung, unsigned int number, pd_time_t until)
 {
 	unsigned int i = 0;
@@ -101,10 +111,13 @@
 	hung[i] = (hung_call_t){ number, until };
 }
 
-/* Guards against calls that add_hung and leave no place for those that are answered. */
-static void test_half_of_the_answers_are_lost(void **state)
+/*
+ * Guards against calls that hang and leave no place for those that are
+ * answered.
+ */
+static void test_every_second_answer_is_lost(void **state)
 {
-	const pd_time_t period = 30 * PD_MSEC; /* the least that is asked for */
+	const pd_time_t period = 30 * PD_MSEC; /* the shortest in use */
 	const pd_time_t timeout = 1500 * PD_MSEC;
 	object_writer_t *writer = object_writer_create(period);
 	hung_call_t hung[CALL_PACER_IN_FLIGHT_MAX] = { 0 };
@@ -133,8 +146,11 @@
 	object_writer_destroy(writer);
 }
 
-/* Guards against a window's share of usage that is not written, as answers are lost. */
-static void test_answers_that_are_lost_at_random(void **state)
+/*
+ * Guards against a gateway's usage of a window that is written late, as answers
+ * are lost.
+ */
+static void test_answers_are_lost_at_random(void **state)
 {
 	const pd_time_t period = 60 * PD_MSEC; /* of windows of five seconds */
 	const pd_time_t timeout = 1500 * PD_MSEC;
@@ -165,14 +181,20 @@
 		object_writer_end(writer, call, WRITE_DONE, calls, now);
 		done_at = now;
 	}
-	/* Of two writers, both are late at one moment in ten thousand. */
+	/*
+	 * Two independent writers are then both late at one moment in ten
+	 * thousand.
+	 */
 	assert_in_range(late, 0, steps / 100);
 	g_rand_free(random);
 	object_writer_destroy(writer);
 }
 
-/* Guards against a silent store that is called as if it answered. */
-static void test_a_silent_store_is_called_less_and_less(void **state)
+/*
+ * Guards against an unresponsive store that is called as often as one that
+ * answers.
+ */
+static void test_an_unresponsive_store_is_called_less_often(void **state)
 {
 	object_writer_t *writer = object_writer_create(PERIOD);
 	unsigned int begun = 0;
@@ -192,8 +214,8 @@
 	object_writer_destroy(writer);
 }
 
-/* Guards against calls without an answer that are gathered without end. */
-static void test_calls_that_are_out_are_bounded(void **state)
+/* Guards against unanswered calls that accumulate without bound. */
+static void test_calls_in_flight_are_bounded(void **state)
 {
 	object_writer_t *writer = object_writer_create(PERIOD);
 	unsigned int begun = 0;
@@ -209,8 +231,8 @@
 	object_writer_destroy(writer);
 }
 
-/* Guards against doubled calls to a store that answers slowly but surely. */
-static void test_a_slow_store_is_called_at_its_pace(void **state)
+/* Guards against repeated calls to a store that answers slowly but reliably. */
+static void test_a_slow_store_is_called_at_its_own_rate(void **state)
 {
 	const pd_time_t answer = 240 * PD_MSEC;
 	call_pacer_t *pacer = call_pacer_create(PERIOD);
@@ -230,12 +252,16 @@
 			calls++;
 		}
 	}
-	assert_in_range(calls, 38, 46); /* 41 if each waits for the one before */
+	/* 41 if each waits for the one before */
+	assert_in_range(calls, 38, 46);
 	call_pacer_destroy(pacer);
 }
 
-/* Guards against a read that waits for calls of before, which hung in an outage. */
-static void test_calls_of_before_pause_nothing(void **state)
+/*
+ * Guards against a read that waits because of earlier calls that hung in an
+ * outage.
+ */
+static void test_calls_before_a_reset_cause_no_pause(void **state)
 {
 	call_pacer_t *pacer = call_pacer_create(PERIOD);
 	unsigned int hung[3];
@@ -252,15 +278,15 @@
 	assert_true(call_pacer_is_due(pacer, now));
 	call_pacer_end(pacer, hung[1], CALL_LOST, now + STEP);
 	assert_true(call_pacer_is_due(pacer, now + STEP));
-	/* One of its own does. */
+	/* A call after the reset does cause a pause. */
 	call_pacer_end(pacer, call_pacer_begin(pacer, now + STEP), CALL_LOST,
 		       now + PD_SEC);
 	assert_false(call_pacer_is_due(pacer, now + PD_SEC));
 	call_pacer_destroy(pacer);
 }
 
-/* Guards against calls in vain to a store that turns this gateway away. */
-static void test_a_refusal_pauses(void **state)
+/* Guards against useless calls to a store that refuses them. */
+static void test_a_refusal_causes_a_pause(void **state)
 {
 	call_pacer_t *pacer = call_pacer_create(PERIOD);
 
@@ -275,16 +301,16 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_what_is_written_is_not_written_again),
-		cmocka_unit_test(test_a_lost_answer_holds_nothing_up),
-		cmocka_unit_test(test_answers_may_overtake_each_other),
-		cmocka_unit_test(test_half_of_the_answers_are_lost),
-		cmocka_unit_test(test_answers_that_are_lost_at_random),
-		cmocka_unit_test(test_a_silent_store_is_called_less_and_less),
-		cmocka_unit_test(test_calls_that_are_out_are_bounded),
-		cmocka_unit_test(test_a_slow_store_is_called_at_its_pace),
-		cmocka_unit_test(test_calls_of_before_pause_nothing),
-		cmocka_unit_test(test_a_refusal_pauses),
+		cmocka_unit_test(test_unchanged_contents_are_not_rewritten),
+		cmocka_unit_test(test_a_lost_answer_delays_no_write),
+		cmocka_unit_test(test_answers_may_arrive_out_of_order),
+		cmocka_unit_test(test_every_second_answer_is_lost),
+		cmocka_unit_test(test_answers_are_lost_at_random),
+		cmocka_unit_test(test_an_unresponsive_store_is_called_less_often),
+		cmocka_unit_test(test_calls_in_flight_are_bounded),
+		cmocka_unit_test(test_a_slow_store_is_called_at_its_own_rate),
+		cmocka_unit_test(test_calls_before_a_reset_cause_no_pause),
+		cmocka_unit_test(test_a_refusal_causes_a_pause),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
