--- a/adapters/gateway/reload.c
+++ b/adapters/gateway/reload.c
@@ -64,7 +64,7 @@
 	else if (g_str_has_prefix(setting->key, "retry.")) {
 		const retry_limits_t limits = gateway_settings_retries(settings);
 
-		retry_windows_change(gateway->retries, &limits);
+		retry_windows_set_limits(gateway->retries, &limits);
 	} else if (g_str_has_prefix(setting->key, "limits.")) {
 		const token_rules_t rules = gateway_settings_limits(settings);
 
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -228,7 +228,8 @@
 	}
 	if (!request_within_limit(request) || !gateway_request_let_in(request))
 		return;
-	retry_windows_first(gateway->retries, request->service, request->read_at);
+	retry_windows_record_request(gateway->retries, request->service,
+				     request->read_at);
 	gateway_request_try(request);
 }
 
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -128,8 +128,8 @@
 			return false;
 		break;
 	}
-	return retry_windows_repeat(request->gateway->retries, request->service,
-				    gateway_count(request->gateway), now);
+	return retry_windows_take(request->gateway->retries, request->service,
+				  gateway_count(request->gateway), now);
 }
 
 /* Tells the upstream's record how the attempt ended. */
--- a/core/forward/retry_window.c
+++ b/core/forward/retry_window.c
@@ -1,26 +1,30 @@
-/* Counts first and repeated sends of each service in a sliding window. */
+/*
+ * Limits the retries to each service by a sliding window of requests and
+ * retries.
+ */
 #include "core/forward/retry_window.h"
 
 #include <string.h>
 
 /*
- * The part of the allowance that is used: windows slide, entries are uneven,
- * and a send that arrives late counts in a later window than it left in.
+ * The part of the limit that is used: windows slide, gateways have uneven
+ * loads, and a request that arrives late counts in a later window than it was
+ * sent in.
  */
-#define USED_PART 0.7
+#define USABLE_FRACTION 0.7
 
 typedef struct window {
-	unsigned int firsts[RETRY_SPANS];
-	unsigned int repeats[RETRY_SPANS];
-	int64_t span; /* number of the newest span */
+	unsigned int requests[RETRY_WINDOW_BUCKETS];
+	unsigned int retries[RETRY_WINDOW_BUCKETS];
+	int64_t bucket; /* number of the newest bucket */
 } window_t;
 
 struct retry_windows {
 	retry_limits_t limits;
-	GHashTable *services; /* name -> window_t */
+	GHashTable *services; /* service -> window_t */
 };
 
-/* Returns an empty count; the caller owns it. */
+/* Returns empty windows; the caller owns them. */
 retry_windows_t *retry_windows_create(const retry_limits_t *limits)
 {
 	retry_windows_t *windows = g_new0(retry_windows_t, 1);
@@ -31,15 +35,18 @@
 	return windows;
 }
 
-/* Goes by other limits from now on. With another window, counts begin anew. */
-void retry_windows_change(retry_windows_t *windows, const retry_limits_t *limits)
+/*
+ * Sets the limits from now on. If the length of the window changes, the counts
+ * are reset.
+ */
+void retry_windows_set_limits(retry_windows_t *windows, const retry_limits_t *limits)
 {
 	if (limits->window != windows->limits.window)
 		g_hash_table_remove_all(windows->services);
 	windows->limits = *limits;
 }
 
-/* Frees the count; NULL is allowed. */
+/* Frees the windows; NULL is allowed. */
 void retry_windows_destroy(retry_windows_t *windows)
 {
 	if (!windows)
@@ -48,56 +55,59 @@
 	g_free(windows);
 }
 
-/* Returns the service's window, moved on to NOW. */
-static window_t *windows_at(retry_windows_t *windows, const char *service,
+/* Returns the service's window, advanced to NOW, borrowed. */
+static window_t *get_window(retry_windows_t *windows, const char *service,
 			    pd_time_t now)
 {
 	window_t *window = g_hash_table_lookup(windows->services, service);
-	int64_t span = now / (windows->limits.window / RETRY_SPANS);
+	int64_t bucket = now / (windows->limits.window / RETRY_WINDOW_BUCKETS);
 
 	if (!window) {
 		window = g_new0(window_t, 1);
-		window->span = span;
+		window->bucket = bucket;
 		g_hash_table_insert(windows->services, g_strdup(service), window);
 	}
-	if (span - window->span >= RETRY_SPANS) {
+	if (bucket - window->bucket >= RETRY_WINDOW_BUCKETS) {
 		memset(window, 0, sizeof(*window));
-		window->span = span;
+		window->bucket = bucket;
 	}
-	while (window->span < span) {
-		window->span++;
-		window->firsts[window->span % RETRY_SPANS] = 0;
-		window->repeats[window->span % RETRY_SPANS] = 0;
+	while (window->bucket < bucket) {
+		window->bucket++;
+		window->requests[window->bucket % RETRY_WINDOW_BUCKETS] = 0;
+		window->retries[window->bucket % RETRY_WINDOW_BUCKETS] = 0;
 	}
 	return window;
 }
 
-/* Notes a new request of a caller. */
-void retry_windows_first(retry_windows_t *windows, const char *service,
-			 pd_time_t now)
+/* Records a new request of a caller. */
+void retry_windows_record_request(retry_windows_t *windows, const char *service,
+				  pd_time_t now)
 {
-	window_t *window = windows_at(windows, service, now);
+	window_t *window = get_window(windows, service, now);
 
-	window->firsts[window->span % RETRY_SPANS]++;
+	window->requests[window->bucket % RETRY_WINDOW_BUCKETS]++;
 }
 
-/* Takes one repeat, where ENTRIES share the slack; false if there is none. */
-bool retry_windows_repeat(retry_windows_t *windows, const char *service,
-			  unsigned int entries, pd_time_t now)
+/*
+ * Takes one retry if the limits allow it, where GATEWAYS share the slack.
+ * Returns whether they do.
+ */
+bool retry_windows_take(retry_windows_t *windows, const char *service,
+			unsigned int gateways, pd_time_t now)
 {
-	window_t *window = windows_at(windows, service, now);
-	double firsts = 0;
-	double repeats = 0;
+	window_t *window = get_window(windows, service, now);
+	double requests = 0;
+	double retries = 0;
 	double allowed;
 
-	for (unsigned int i = 0; i < RETRY_SPANS; i++) {
-		firsts += window->firsts[i];
-		repeats += window->repeats[i];
+	for (unsigned int i = 0; i < RETRY_WINDOW_BUCKETS; i++) {
+		requests += window->requests[i];
+		retries += window->retries[i];
 	}
-	allowed = windows->limits.ratio * firsts +
-		  windows->limits.slack / MAX(entries, 1);
-	if (repeats + 1 > allowed * USED_PART)
+	allowed = windows->limits.ratio * requests +
+		  windows->limits.slack / MAX(gateways, 1);
+	if (retries + 1 > allowed * USABLE_FRACTION)
 		return false;
-	window->repeats[window->span % RETRY_SPANS]++;
+	window->retries[window->bucket % RETRY_WINDOW_BUCKETS]++;
 	return true;
 }
--- a/core/forward/retry_window.h
+++ b/core/forward/retry_window.h
@@ -1,6 +1,6 @@
 /*
- * How often requests to a service may be sent once more: a part of the requests
- * in a sliding window, and a slack that all entries share evenly.
+ * Retry budget of each service: retries may be a part of the requests in a
+ * sliding window, plus a slack that all gateways share evenly.
  */
 #ifndef PISTACHIO_RETRY_WINDOW_H
 #define PISTACHIO_RETRY_WINDOW_H
@@ -10,22 +10,23 @@
 
 #include "ports/clock.h"
 
-#define RETRY_SPANS 10 /* that a window is counted in */
+#define RETRY_WINDOW_BUCKETS 10 /* of which a window consists */
 
 typedef struct retry_limits {
-	double ratio; /* repeats for each request */
-	double slack; /* repeats in a window, of all entries */
+	double ratio; /* retries per request */
+	double slack; /* repeats in a window, of all gateways */
 	pd_time_t window;
 } retry_limits_t;
 
 typedef struct retry_windows retry_windows_t;
 
 retry_windows_t *retry_windows_create(const retry_limits_t *limits);
-void retry_windows_change(retry_windows_t *windows, const retry_limits_t *limits);
+void retry_windows_set_limits(retry_windows_t *windows,
+			      const retry_limits_t *limits);
 void retry_windows_destroy(retry_windows_t *windows);
-void retry_windows_first(retry_windows_t *windows, const char *service,
-			 pd_time_t now);
-bool retry_windows_repeat(retry_windows_t *windows, const char *service,
-			  unsigned int entries, pd_time_t now);
+void retry_windows_record_request(retry_windows_t *windows, const char *service,
+				  pd_time_t now);
+bool retry_windows_take(retry_windows_t *windows, const char *service,
+			unsigned int gateways, pd_time_t now);
 
 #endif
--- a/tests/unit/test_forward_counts.c
+++ b/tests/unit/test_forward_counts.c
@@ -30,8 +30,8 @@
 	for (int i = 0; i < 1000; i++) {
 		pd_time_t now = START + i * 10 * PD_MSEC;
 
-		retry_windows_first(windows, "s", now);
-		repeats += retry_windows_repeat(windows, "s", 6, now);
+		retry_windows_record_request(windows, "s", now);
+		repeats += retry_windows_take(windows, "s", 6, now);
 	}
 	assert_true(repeats <= 1000 * 0.2 + 10);
 	assert_true(repeats >= 100);
@@ -44,10 +44,10 @@
 	unsigned int repeats = 0;
 
 	(void)state;
-	while (retry_windows_repeat(windows, "s", 6, START))
+	while (retry_windows_take(windows, "s", 6, START))
 		repeats++;
 	assert_true(repeats > 0);
-	assert_true(retry_windows_repeat(windows, "s", 6, START + 11 * PD_SEC));
+	assert_true(retry_windows_take(windows, "s", 6, START + 11 * PD_SEC));
 	retry_windows_destroy(windows);
 }
 
