--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -219,8 +219,9 @@
 	}
 	request_set_deadline(request);
 	request->rank = request_rank(request);
-	request->service = forward_route_service(request->route,
-						 g_rand_double(gateway->random));
+	request->service =
+		forward_route_pick_service(request->route,
+					   g_rand_double(gateway->random));
 	if (!request->service) {
 		gateway_request_refuse(request, 503, RETRY_AFTER_NO_UPSTREAM,
 				       "route without a service");
--- a/core/forward/config.c
+++ b/core/forward/config.c
@@ -9,9 +9,9 @@
 #define IDLE_TIMEOUT_DEFAULT (15 * PD_SEC)
 #define TIMEOUT_DEFAULT (30 * PD_SEC)
 
-static void share_clear(void *data)
+static void weighted_service_clear(void *data)
 {
-	g_free(((forward_share_t *)data)->service);
+	g_free(((forward_weighted_service_t *)data)->service);
 }
 
 static void zone_price_clear(void *data)
@@ -26,7 +26,7 @@
 	g_free(route->name);
 	g_free(route->host);
 	g_free(route->prefix);
-	g_array_unref(route->shares);
+	g_array_unref(route->weighted_services);
 	g_free(route);
 }
 
@@ -92,8 +92,9 @@
 {
 	forward_route_t *route = g_new0(forward_route_t, 1);
 
-	route->shares = g_array_new(FALSE, TRUE, sizeof(forward_share_t));
-	g_array_set_clear_func(route->shares, share_clear);
+	route->weighted_services =
+		g_array_new(FALSE, TRUE, sizeof(forward_weighted_service_t));
+	g_array_set_clear_func(route->weighted_services, weighted_service_clear);
 	route->upstreams_max = 1;
 	route->timeout = TIMEOUT_DEFAULT;
 	g_ptr_array_add(config->routes, route);
@@ -101,11 +102,12 @@
 }
 
 /* Lets a route send a share of its requests to a service. */
-void forward_route_share(forward_route_t *route, const char *service, double weight)
+void forward_route_add_service(forward_route_t *route, const char *service,
+			       double weight)
 {
-	forward_share_t share = { g_strdup(service), weight };
+	forward_weighted_service_t weighted = { g_strdup(service), weight };
 
-	g_array_append_val(route->shares, share);
+	g_array_append_val(route->weighted_services, weighted);
 }
 
 /* Returns a new service, owned by the version, for the caller to fill in. */
@@ -221,24 +223,29 @@
 }
 
 /* Returns a service of the route, picked by its weight with DRAW in 0 to 1. */
-const char *forward_route_service(const forward_route_t *route, double draw)
+const char *forward_route_pick_service(const forward_route_t *route, double draw)
 {
 	double total = 0;
 
-	for (guint i = 0; i < route->shares->len; i++)
-		total += g_array_index(route->shares, forward_share_t, i).weight;
+	for (guint i = 0; i < route->weighted_services->len; i++)
+		total += g_array_index(route->weighted_services,
+				       forward_weighted_service_t, i)
+				 .weight;
 	draw *= total;
-	for (guint i = 0; i < route->shares->len; i++) {
-		const forward_share_t *share =
-			&g_array_index(route->shares, forward_share_t, i);
+	for (guint i = 0; i < route->weighted_services->len; i++) {
+		const forward_weighted_service_t *weighted =
+			&g_array_index(route->weighted_services,
+				       forward_weighted_service_t, i);
 
-		draw -= share->weight;
+		draw -= weighted->weight;
 		if (draw < 0)
-			return share->service;
+			return weighted->service;
 	}
-	if (!route->shares->len)
+	if (!route->weighted_services->len)
 		return NULL;
-	return g_array_index(route->shares, forward_share_t, 0).service;
+	return g_array_index(route->weighted_services,
+			     forward_weighted_service_t, 0)
+		.service;
 }
 
 /* Returns the price of an upstream's second in a zone, 1 if none is stated. */
--- a/core/forward/config.h
+++ b/core/forward/config.h
@@ -15,11 +15,11 @@
 #define FORWARD_PRIORITY_UNSET (-1)
 
 /* What may be done again with a request of a route. */
-typedef enum forward_kind {
+typedef enum forward_route_kind {
 	FORWARD_SAFE, /* may run more than once */
 	FORWARD_UNSAFE, /* may run once for each attempt of its caller */
 	FORWARD_STREAM /* as unsafe, unless the route says it may be resumed */
-} forward_kind_t;
+} forward_route_kind_t;
 
 typedef struct forward_zone_price {
 	char *zone;
@@ -42,16 +42,16 @@
 	GArray *zone_prices; /* of forward_zone_price_t */
 } forward_service_t;
 
-typedef struct forward_share {
+typedef struct forward_weighted_service {
 	char *service;
 	double weight;
-} forward_share_t;
+} forward_weighted_service_t;
 
 typedef struct forward_route {
 	char *name;
 	char *host; /* in lower case */
 	char *prefix;
-	forward_kind_t kind;
+	forward_route_kind_t kind;
 	bool open; /* needs no key */
 	bool resumable;
 	bool has_prompt; /* its requests carry a model's prompt */
@@ -60,7 +60,7 @@
 	pd_time_t timeout;
 	pd_time_t goal; /* to the answer, or a stream's first event */
 	pd_time_t gap_goal; /* between events; 0: none */
-	GArray *shares; /* of forward_share_t */
+	GArray *weighted_services; /* of forward_weighted_service_t */
 } forward_route_t;
 
 typedef struct forward_account {
@@ -90,8 +90,8 @@
 forward_config_t *forward_config_ref(forward_config_t *config);
 void forward_config_unref(forward_config_t *config);
 forward_route_t *forward_config_add_route(forward_config_t *config);
-void forward_route_share(forward_route_t *route, const char *service,
-			 double weight);
+void forward_route_add_service(forward_route_t *route, const char *service,
+			       double weight);
 forward_service_t *forward_config_add_service(forward_config_t *config);
 forward_account_t *forward_config_add_account(forward_config_t *config);
 void forward_config_add_key(forward_config_t *config, const char *key,
@@ -103,7 +103,7 @@
 						const char *key);
 const forward_service_t *forward_config_service(const forward_config_t *config,
 						const char *name);
-const char *forward_route_service(const forward_route_t *route, double draw);
+const char *forward_route_pick_service(const forward_route_t *route, double draw);
 double forward_service_price(const forward_service_t *service, const char *zone);
 
 #endif
--- a/core/forward/retry_window.h
+++ b/core/forward/retry_window.h
@@ -14,7 +14,7 @@
 
 typedef struct retry_limits {
 	double ratio; /* retries per request */
-	double slack; /* repeats in a window, of all gateways */
+	double slack; /* retries in a window, of all gateways together */
 	pd_time_t window;
 } retry_limits_t;
 
--- a/tests/unit/test_forward_config.c
+++ b/tests/unit/test_forward_config.c
@@ -77,12 +77,12 @@
 	forward_route_t *route = add_route(config, "r", "h", "/");
 
 	(void)state;
-	forward_route_share(route, "one", 90);
-	forward_route_share(route, "two", 10);
-	assert_string_equal(forward_route_service(route, 0), "one");
-	assert_string_equal(forward_route_service(route, 0.89), "one");
-	assert_string_equal(forward_route_service(route, 0.91), "two");
-	assert_string_equal(forward_route_service(route, 0.999), "two");
+	forward_route_add_service(route, "one", 90);
+	forward_route_add_service(route, "two", 10);
+	assert_string_equal(forward_route_pick_service(route, 0), "one");
+	assert_string_equal(forward_route_pick_service(route, 0.89), "one");
+	assert_string_equal(forward_route_pick_service(route, 0.91), "two");
+	assert_string_equal(forward_route_pick_service(route, 0.999), "two");
 	forward_config_unref(config);
 }
 
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -146,7 +146,7 @@
 	assert_int_equal(route->kind, FORWARD_STREAM);
 	assert_int_equal(route->timeout, 15 * PD_SEC);
 	assert_true(route->resumable && route->open && route->has_prompt);
-	assert_string_equal(forward_route_service(route, 0.95), "t");
+	assert_string_equal(forward_route_pick_service(route, 0.95), "t");
 	service = forward_config_service(config, "s");
 	assert_true(service->is_engine && service->scaled);
 	assert_int_equal(service->boot_time, 4 * PD_SEC);
