--- a/adapters/gateway/caller.c
+++ b/adapters/gateway/caller.c
@@ -95,7 +95,7 @@
 	caller->conn = http1_create(gateway->loop, HTTP1_SERVER, &events, caller);
 	list_append(&gateway->callers, &caller->node);
 	if (gateway->config)
-		http1_limit_head(caller->conn, gateway->config->head_max);
+		http1_limit_head(caller->conn, gateway->config->header_bytes_max);
 	if (http1_accept(caller->conn, listener) < 0) {
 		http1_close(caller->conn);
 		caller_free(caller);
@@ -165,8 +165,8 @@
 	}
 	if (!caller->head_since)
 		caller->head_since = now;
-	return config->head_timeout > 0 &&
-	       now - caller->head_since > config->head_timeout;
+	return config->header_timeout > 0 &&
+	       now - caller->head_since > config->header_timeout;
 }
 
 /* Says whether the connection is idle, or slow to send, for too long. */
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -221,7 +221,7 @@
 		const forward_service_t *service =
 			g_ptr_array_index(config->services, i);
 
-		if (service->scaled)
+		if (service->autoscaled)
 			scale_service(duties, service, now);
 	}
 	keep_needs(duties, now);
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -62,7 +62,7 @@
 {
 	const forward_config_t *config = request->gateway->config;
 
-	if (config && request->body->len + len > config->body_max)
+	if (config && request->body->len + len > config->body_bytes_max)
 		request->too_large = true;
 	if (request->too_large)
 		return false;
@@ -82,10 +82,10 @@
 {
 	const forward_account_t *account = request->account;
 
-	if (!account->in_tokens)
+	if (!account->limits_tokens)
 		return 1;
 	if (!request->call->has_tokens)
-		return account->plain_tokens;
+		return account->default_tokens;
 	return (double)request->call->prompt_tokens + request->call->output_tokens;
 }
 
@@ -98,7 +98,7 @@
 	if (!config->accounts->len)
 		return true;
 	request->account = key ? forward_config_account(config, key) : NULL;
-	if (request->account || request->route->open)
+	if (request->account || request->route->is_public)
 		return true;
 	gateway_request_refuse(request, 401, 0, "unknown key");
 	return false;
@@ -247,7 +247,8 @@
 /* How long a request may wait for room. */
 static pd_time_t queue_time(const gateway_request_t *request)
 {
-	pd_time_t part = (pd_time_t)((double)request->route->goal * QUEUE_PART);
+	pd_time_t part =
+		(pd_time_t)((double)request->route->latency_goal * QUEUE_PART);
 
 	return MAX(part, QUEUE_MIN);
 }
@@ -290,11 +291,11 @@
 	if (!request->sent_at)
 		return request->link && !upstream_link_is_up(request->link) &&
 		       now - request->begun_at > CONNECT_MAX;
-	if (request->route->kind != FORWARD_SAFE || !request->route->goal ||
+	if (request->route->kind != FORWARD_SAFE || !request->route->latency_goal ||
 	    request->runs + 1 >= request->route->upstreams_max)
 		return false;
 	return now - request->sent_at >
-	       (pd_time_t)((double)request->route->goal * SILENCE_GOALS);
+	       (pd_time_t)((double)request->route->latency_goal * SILENCE_GOALS);
 }
 
 /*
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -59,7 +59,7 @@
 	double reading = request->call->prompt_tokens * (double)PD_SEC /
 			 gateway_engine_rate(request->gateway, request->service);
 
-	return request->route->goal + (pd_time_t)reading;
+	return request->route->latency_goal + (pd_time_t)reading;
 }
 
 /* Notes how the request's first send went, once. */
@@ -82,7 +82,8 @@
 void gateway_request_watch(gateway_request_t *request, pd_time_t now)
 {
 	if (!request->judged && request->route->has_prompt &&
-	    request->route->goal && now - request->arrived > late_after(request))
+	    request->route->latency_goal &&
+	    now - request->arrived > late_after(request))
 		gateway_request_judge(request, true);
 }
 
--- a/core/forward/config.c
+++ b/core/forward/config.c
@@ -3,11 +3,11 @@
 
 #include <string.h>
 
-#define HEAD_MAX_DEFAULT 16384
-#define BODY_MAX_DEFAULT (4 * 1024 * 1024)
-#define HEAD_TIMEOUT_DEFAULT (5 * PD_SEC)
+#define HEADER_BYTES_MAX_DEFAULT 16384
+#define BODY_BYTES_MAX_DEFAULT (4 * 1024 * 1024)
+#define HEADER_TIMEOUT_DEFAULT (5 * PD_SEC)
 #define IDLE_TIMEOUT_DEFAULT (15 * PD_SEC)
-#define TIMEOUT_DEFAULT (30 * PD_SEC)
+#define ROUTE_TIMEOUT_DEFAULT (30 * PD_SEC)
 
 static void weighted_service_clear(void *data)
 {
@@ -60,9 +60,9 @@
 						(GDestroyNotify)g_ptr_array_unref);
 	config->by_key =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	config->head_max = HEAD_MAX_DEFAULT;
-	config->body_max = BODY_MAX_DEFAULT;
-	config->head_timeout = HEAD_TIMEOUT_DEFAULT;
+	config->header_bytes_max = HEADER_BYTES_MAX_DEFAULT;
+	config->body_bytes_max = BODY_BYTES_MAX_DEFAULT;
+	config->header_timeout = HEADER_TIMEOUT_DEFAULT;
 	config->idle_timeout = IDLE_TIMEOUT_DEFAULT;
 	return config;
 }
@@ -96,7 +96,7 @@
 		g_array_new(FALSE, TRUE, sizeof(forward_weighted_service_t));
 	g_array_set_clear_func(route->weighted_services, weighted_service_clear);
 	route->upstreams_max = 1;
-	route->timeout = TIMEOUT_DEFAULT;
+	route->timeout = ROUTE_TIMEOUT_DEFAULT;
 	g_ptr_array_add(config->routes, route);
 	return route;
 }
@@ -139,7 +139,7 @@
 	g_hash_table_insert(config->by_key, g_strdup(key), account);
 }
 
-static gint by_prefix_length(gconstpointer a, gconstpointer b)
+static gint compare_prefix_length(gconstpointer a, gconstpointer b)
 {
 	const forward_route_t *const *left = a;
 	const forward_route_t *const *right = b;
@@ -150,28 +150,29 @@
 }
 
 /* Sorts the routes for lookups; to be called once, when all are added. */
-void forward_config_seal(forward_config_t *config)
+void forward_config_index_routes(forward_config_t *config)
 {
 	for (guint i = 0; i < config->routes->len; i++) {
 		forward_route_t *route = g_ptr_array_index(config->routes, i);
-		GPtrArray *list = g_hash_table_lookup(config->by_host, route->host);
+		GPtrArray *routes =
+			g_hash_table_lookup(config->by_host, route->host);
 
-		if (!list) {
-			list = g_ptr_array_new();
-			g_hash_table_insert(config->by_host, route->host, list);
+		if (!routes) {
+			routes = g_ptr_array_new();
+			g_hash_table_insert(config->by_host, route->host, routes);
 		}
-		g_ptr_array_add(list, route);
+		g_ptr_array_add(routes, route);
 	}
 	GHashTableIter iter;
-	gpointer list;
+	gpointer routes;
 
 	g_hash_table_iter_init(&iter, config->by_host);
-	while (g_hash_table_iter_next(&iter, NULL, &list))
-		g_ptr_array_sort(list, by_prefix_length);
+	while (g_hash_table_iter_next(&iter, NULL, &routes))
+		g_ptr_array_sort(routes, compare_prefix_length);
 }
 
 /* Returns the host in lower case and without its port; the caller owns it. */
-static char *plain_host(const char *host)
+static char *normalize_host(const char *host)
 {
 	const char *colon = strrchr(host, ':');
 	size_t len = colon ? (size_t)(colon - host) : strlen(host);
@@ -186,13 +187,13 @@
 const forward_route_t *forward_config_route(const forward_config_t *config,
 					    const char *host, const char *target)
 {
-	char *plain = plain_host(host);
-	GPtrArray *list = g_hash_table_lookup(config->by_host, plain);
+	char *normalized = normalize_host(host);
+	GPtrArray *routes = g_hash_table_lookup(config->by_host, normalized);
 	size_t path_len = strcspn(target, "?#");
 
-	g_free(plain);
-	for (guint i = 0; list && i < list->len; i++) {
-		const forward_route_t *route = g_ptr_array_index(list, i);
+	g_free(normalized);
+	for (guint i = 0; routes && i < routes->len; i++) {
+		const forward_route_t *route = g_ptr_array_index(routes, i);
 		size_t len = strlen(route->prefix);
 
 		if (len <= path_len && !strncmp(target, route->prefix, len))
--- a/core/forward/config.h
+++ b/core/forward/config.h
@@ -32,9 +32,9 @@
 	unsigned int connections_max; /* at one upstream, from all entries */
 	bool is_engine;
 	unsigned int engine_slots; /* requests in a batch */
-	double engine_memory; /* tokens */
-	bool engine_moves; /* running requests can be copied elsewhere */
-	bool scaled; /* the number of upstreams is ours to order */
+	double engine_kv_tokens; /* tokens */
+	bool engine_can_migrate; /* running requests can be copied elsewhere */
+	bool autoscaled; /* the number of upstreams is ours to order */
 	unsigned int zone_min;
 	unsigned int zone_max;
 	pd_time_t boot_time;
@@ -52,22 +52,22 @@
 	char *host; /* in lower case */
 	char *prefix;
 	forward_route_kind_t kind;
-	bool open; /* needs no key */
+	bool is_public; /* needs no key */
 	bool resumable;
 	bool has_prompt; /* its requests carry a model's prompt */
 	int priority; /* 0 is the highest */
 	unsigned int upstreams_max; /* that one attempt of a caller may reach */
 	pd_time_t timeout;
-	pd_time_t goal; /* to the answer, or a stream's first event */
-	pd_time_t gap_goal; /* between events; 0: none */
+	pd_time_t latency_goal; /* to the answer, or a stream's first event */
+	pd_time_t event_gap_goal; /* between events; 0: none */
 	GArray *weighted_services; /* of forward_weighted_service_t */
 } forward_route_t;
 
 typedef struct forward_account {
 	char *name;
 	int priority; /* over the route's; FORWARD_PRIORITY_UNSET: none */
-	bool in_tokens; /* the limit counts tokens and not requests */
-	double plain_tokens; /* of a request that states none */
+	bool limits_tokens; /* the limit counts tokens and not requests */
+	double default_tokens; /* of a request that states none */
 	double rate; /* a second over all entries; 0: no limit */
 	double burst;
 } forward_account_t;
@@ -80,9 +80,9 @@
 	GPtrArray *accounts; /* of forward_account_t */
 	GHashTable *by_host; /* host -> GPtrArray of routes, longest prefix first */
 	GHashTable *by_key; /* API key -> forward_account_t */
-	size_t head_max; /* bytes */
-	size_t body_max; /* bytes */
-	pd_time_t head_timeout;
+	size_t header_bytes_max; /* bytes */
+	size_t body_bytes_max; /* bytes */
+	pd_time_t header_timeout;
 	pd_time_t idle_timeout;
 } forward_config_t;
 
@@ -96,7 +96,7 @@
 forward_account_t *forward_config_add_account(forward_config_t *config);
 void forward_config_add_key(forward_config_t *config, const char *key,
 			    forward_account_t *account);
-void forward_config_seal(forward_config_t *config);
+void forward_config_index_routes(forward_config_t *config);
 const forward_route_t *forward_config_route(const forward_config_t *config,
 					    const char *host, const char *target);
 const forward_account_t *forward_config_account(const forward_config_t *config,
--- a/core/forward/token_limits.c
+++ b/core/forward/token_limits.c
@@ -173,7 +173,7 @@
 	double flow = account->rate * (double)rules->window / PD_SEC;
 	double allowed = (flow + account->burst) * (1 + rules->overage);
 
-	if (account->in_tokens)
+	if (account->limits_tokens)
 		allowed += rules->slack;
 	return MAX(allowed * USED_PART - flow, account->burst);
 }
--- a/tests/property/test_token_limits.cc
+++ b/tests/property/test_token_limits.cc
@@ -50,7 +50,7 @@
 	      factor(asks)
 	{
 		account.name = const_cast<char *>("mill");
-		account.in_tokens = true;
+		account.limits_tokens = true;
 		account.rate = rate;
 		account.burst = rate;
 		period = size <= mesh_max ? 250 * PD_MSEC
--- a/tests/unit/test_forward_config.c
+++ b/tests/unit/test_forward_config.c
@@ -28,7 +28,7 @@
 	add_route(config, "long", "a.example", "/x/y/");
 	add_route(config, "short", "a.example", "/x/");
 	add_route(config, "other", "b.example", "/x/");
-	forward_config_seal(config);
+	forward_config_index_routes(config);
 	*state = config;
 	return 0;
 }
--- a/tests/unit/test_scale_plan.c
+++ b/tests/unit/test_scale_plan.c
@@ -40,7 +40,7 @@
 	rig->config = forward_config_create();
 	rig->service = forward_config_add_service(rig->config);
 	rig->service->name = g_strdup("s");
-	rig->service->scaled = true;
+	rig->service->autoscaled = true;
 	rig->service->zone_min = 1;
 	rig->service->zone_max = 6;
 	rig->service->engine_slots = 96;
--- a/tests/unit/test_token_limits.c
+++ b/tests/unit/test_token_limits.c
@@ -21,13 +21,13 @@
 				     .overage = 0.1,
 				     .slack = 140000 };
 static const forward_account_t account = { .name = (char *)"mill",
-					   .in_tokens = true,
+					   .limits_tokens = true,
 					   .rate = 200000,
 					   .burst = 200000 };
 
 /* An account whose share in a large fleet is less than one request. */
 static const forward_account_t small_account = { .name = (char *)"gin",
-						 .in_tokens = true,
+						 .limits_tokens = true,
 						 .rate = 36000,
 						 .burst = 36000 };
 
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -140,19 +140,19 @@
 	(void)state;
 	assert_non_null(config);
 	assert_int_equal(config->version, 7);
-	assert_int_equal(config->body_max, 200);
+	assert_int_equal(config->body_bytes_max, 200);
 	assert_int_equal(config->idle_timeout, 400 * PD_MSEC);
 	route = forward_config_route(config, "h.example", "/a/x");
 	assert_int_equal(route->kind, FORWARD_STREAM);
 	assert_int_equal(route->timeout, 15 * PD_SEC);
-	assert_true(route->resumable && route->open && route->has_prompt);
+	assert_true(route->resumable && route->is_public && route->has_prompt);
 	assert_string_equal(forward_route_pick_service(route, 0.95), "t");
 	service = forward_config_service(config, "s");
-	assert_true(service->is_engine && service->scaled);
+	assert_true(service->is_engine && service->autoscaled);
 	assert_int_equal(service->boot_time, 4 * PD_SEC);
 	assert_true(forward_service_price(service, "b") == 0.8);
 	account = forward_config_account(config, "k");
-	assert_true(account->in_tokens);
+	assert_true(account->limits_tokens);
 	assert_true(account->rate == 10 && account->burst == 20);
 	forward_config_unref(config);
 }
