--- a/core/forward/config.c
+++ b/core/forward/config.c
@@ -1,4 +1,4 @@
-/* Building a version of the configuration, and looking things up in it. */
+/* Builds a version of the configuration, and looks things up in it. */
 #include "core/forward/config.h"
 
 #include <string.h>
@@ -9,16 +9,19 @@
 #define IDLE_TIMEOUT_DEFAULT (15 * PD_SEC)
 #define ROUTE_TIMEOUT_DEFAULT (30 * PD_SEC)
 
+/* Frees what a forward_weighted_service_t owns. */
 static void weighted_service_clear(void *data)
 {
 	g_free(((forward_weighted_service_t *)data)->service);
 }
 
+/* Frees what a forward_zone_price_t owns. */
 static void zone_price_clear(void *data)
 {
 	g_free(((forward_zone_price_t *)data)->zone);
 }
 
+/* Frees a forward_route_t. */
 static void route_destroy(void *data)
 {
 	forward_route_t *route = data;
@@ -30,6 +33,7 @@
 	g_free(route);
 }
 
+/* Frees a forward_service_t. */
 static void service_destroy(void *data)
 {
 	forward_service_t *service = data;
@@ -39,6 +43,7 @@
 	g_free(service);
 }
 
+/* Frees a forward_account_t. */
 static void account_destroy(void *data)
 {
 	forward_account_t *account = data;
@@ -47,7 +52,10 @@
 	g_free(account);
 }
 
-/* Returns an empty version with usual limits; the caller holds a reference. */
+/*
+ * Returns an empty version with the default limits; the caller owns the
+ * reference.
+ */
 forward_config_t *forward_config_create(void)
 {
 	forward_config_t *config = g_new0(forward_config_t, 1);
@@ -67,14 +75,14 @@
 	return config;
 }
 
-/* Takes a reference. */
+/* Takes a reference. Returns CONFIG. */
 forward_config_t *forward_config_ref(forward_config_t *config)
 {
 	config->refs++;
 	return config;
 }
 
-/* Gives a reference up; NULL is allowed. */
+/* Drops a reference; the last one frees the version. NULL is allowed. */
 void forward_config_unref(forward_config_t *config)
 {
 	if (!config || --config->refs)
@@ -101,7 +109,7 @@
 	return route;
 }
 
-/* Lets a route send a share of its requests to a service. */
+/* Adds a service that gets requests of a route in proportion to its weight. */
 void forward_route_add_service(forward_route_t *route, const char *service,
 			       double weight)
 {
@@ -132,13 +140,14 @@
 	return account;
 }
 
-/* Gives a key to an account of this version. */
+/* Assigns an API key to an account of this version. */
 void forward_config_add_key(forward_config_t *config, const char *key,
 			    forward_account_t *account)
 {
 	g_hash_table_insert(config->by_key, g_strdup(key), account);
 }
 
+/* Compares routes for sorting, longest prefix first. */
 static gint compare_prefix_length(gconstpointer a, gconstpointer b)
 {
 	const forward_route_t *const *left = a;
@@ -149,7 +158,7 @@
 	return (left_len < right_len) - (left_len > right_len);
 }
 
-/* Sorts the routes for lookups; to be called once, when all are added. */
+/* Indexes the routes for lookups; must be called once, after all are added. */
 void forward_config_index_routes(forward_config_t *config)
 {
 	for (guint i = 0; i < config->routes->len; i++) {
@@ -181,8 +190,8 @@
 }
 
 /*
- * Returns the route with the longest prefix of the target's path, or NULL. A
- * query is no part of the path.
+ * Returns the route of a host with the longest prefix of the target's path, or
+ * NULL. The query is not part of the path.
  */
 const forward_route_t *forward_config_route(const forward_config_t *config,
 					    const char *host, const char *target)
@@ -202,7 +211,7 @@
 	return NULL;
 }
 
-/* Returns the account that holds a key, or NULL. */
+/* Returns the account of an API key, or NULL. */
 const forward_account_t *forward_config_account(const forward_config_t *config,
 						const char *key)
 {
@@ -223,7 +232,10 @@
 	return NULL;
 }
 
-/* Returns a service of the route, picked by its weight with DRAW in 0 to 1. */
+/*
+ * Returns the name of a service of the route, picked by weight with DRAW, a
+ * random number from 0 to 1; NULL if the route has none.
+ */
 const char *forward_route_pick_service(const forward_route_t *route, double draw)
 {
 	double total = 0;
@@ -249,7 +261,10 @@
 		.service;
 }
 
-/* Returns the price of an upstream's second in a zone, 1 if none is stated. */
+/*
+ * Returns the price per second of an upstream in a zone, 1 if none is
+ * configured.
+ */
 double forward_service_price(const forward_service_t *service, const char *zone)
 {
 	for (guint i = 0; i < service->zone_prices->len; i++) {
--- a/core/forward/config.h
+++ b/core/forward/config.h
@@ -1,7 +1,8 @@
 /*
- * The configuration in force: routes, services, tenants of it called client
- * accounts here, and what a caller may send. A version is read once and then
- * only looked at; requests in flight keep a reference to the one they began by.
+ * The configuration in force: routes, services, client accounts (which the
+ * platform calls tenants), and limits of requests. A version is read once and
+ * not changed after that; requests in progress keep a reference to the version
+ * they started with.
  */
 #ifndef PISTACHIO_FORWARD_CONFIG_H
 #define PISTACHIO_FORWARD_CONFIG_H
@@ -14,11 +15,11 @@
 
 #define FORWARD_PRIORITY_UNSET (-1)
 
-/* What may be done again with a request of a route. */
+/* Whether requests of a route may be executed more than once. */
 typedef enum forward_route_kind {
-	FORWARD_SAFE, /* may run more than once */
-	FORWARD_UNSAFE, /* may run once for each attempt of its caller */
-	FORWARD_STREAM /* as unsafe, unless the route says it may be resumed */
+	FORWARD_SAFE, /* may be executed more than once */
+	FORWARD_UNSAFE, /* at most once per attempt of the caller */
+	FORWARD_STREAM /* as unsafe, unless the route is resumable */
 } forward_route_kind_t;
 
 typedef struct forward_zone_price {
@@ -26,19 +27,20 @@
 	double price;
 } forward_zone_price_t;
 
-/* A service behind the entries: engines of a model, or plain upstreams. */
+/* A service behind the gateways: engines of a model, or plain upstreams. */
 typedef struct forward_service {
 	char *name;
-	unsigned int connections_max; /* at one upstream, from all entries */
+	unsigned int connections_max; /* to one upstream, from all gateways */
 	bool is_engine;
 	unsigned int engine_slots; /* requests in a batch */
-	double engine_kv_tokens; /* tokens */
-	bool engine_can_migrate; /* running requests can be copied elsewhere */
-	bool autoscaled; /* the number of upstreams is ours to order */
+	double engine_kv_tokens; /* capacity of the KV cache */
+	/* running requests can be copied to another engine */
+	bool engine_can_migrate;
+	bool autoscaled; /* this system orders its upstreams */
 	unsigned int zone_min;
 	unsigned int zone_max;
 	pd_time_t boot_time;
-	double spot_price; /* of the price of an upstream that stays */
+	double spot_price; /* relative to an upstream that can't be reclaimed */
 	GArray *zone_prices; /* of forward_zone_price_t */
 } forward_service_t;
 
@@ -52,23 +54,24 @@
 	char *host; /* in lower case */
 	char *prefix;
 	forward_route_kind_t kind;
-	bool is_public; /* needs no key */
+	bool is_public; /* needs no API key */
 	bool resumable;
-	bool has_prompt; /* its requests carry a model's prompt */
+	bool has_prompt; /* its requests contain a prompt */
 	int priority; /* 0 is the highest */
-	unsigned int upstreams_max; /* that one attempt of a caller may reach */
+	unsigned int upstreams_max; /* tried for one attempt of a caller */
 	pd_time_t timeout;
-	pd_time_t latency_goal; /* to the answer, or a stream's first event */
+	pd_time_t latency_goal; /* for the answer, or a stream's first event */
 	pd_time_t event_gap_goal; /* between events; 0: none */
 	GArray *weighted_services; /* of forward_weighted_service_t */
 } forward_route_t;
 
 typedef struct forward_account {
 	char *name;
-	int priority; /* over the route's; FORWARD_PRIORITY_UNSET: none */
-	bool limits_tokens; /* the limit counts tokens and not requests */
-	double default_tokens; /* of a request that states none */
-	double rate; /* a second over all entries; 0: no limit */
+	/* overrides the route's; FORWARD_PRIORITY_UNSET: does not */
+	int priority;
+	bool limits_tokens; /* the limit counts tokens, not requests */
+	double default_tokens; /* counted for a request that states none */
+	double rate; /* per second, over all gateways; 0: no limit */
 	double burst;
 } forward_account_t;
 
--- a/tests/unit/test_forward_config.c
+++ b/tests/unit/test_forward_config.c
@@ -1,4 +1,7 @@
-/* Routes, keys and shares of a version of the configuration. */
+/*
+ * Tests routes, API keys and weighted services of a version of the
+ * configuration.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -9,6 +12,7 @@
 
 #include "core/forward/config.h"
 
+/* Adds a route with a name, a host and a path prefix. Returns it, borrowed. */
 static forward_route_t *add_route(forward_config_t *config, const char *name,
 				  const char *host, const char *prefix)
 {
@@ -39,6 +43,7 @@
 	return 0;
 }
 
+/* Checks which route a target has; the NAME "none" stands for no route. */
 static void assert_route(const forward_config_t *config, const char *host,
 			 const char *target, const char *name)
 {
@@ -56,22 +61,22 @@
 	assert_route(*state, "c.example", "/x/", "none");
 }
 
-static void test_host_ignores_case_and_port(void **state)
+static void test_case_and_port_of_a_host_are_ignored(void **state)
 {
 	assert_route(*state, "A.Example:8080", "/x/y/", "long");
 }
 
 /*
- * A query can hold slashes. Counted as path, a request for one route would run
- * at the service of another.
+ * Guards against a query with slashes that is matched as part of the path, so
+ * that a request is sent to the service of another route.
  */
-static void test_a_query_is_no_path(void **state)
+static void test_a_query_is_not_matched(void **state)
 {
 	assert_route(*state, "a.example", "/x?/y/", "all");
 	assert_route(*state, "a.example", "/x/?/y/", "short");
 }
 
-static void test_shares_follow_their_weights(void **state)
+static void test_services_are_picked_by_weight(void **state)
 {
 	forward_config_t *config = forward_config_create();
 	forward_route_t *route = add_route(config, "r", "h", "/");
@@ -86,7 +91,7 @@
 	forward_config_unref(config);
 }
 
-static void test_a_key_names_its_account(void **state)
+static void test_a_key_identifies_its_account(void **state)
 {
 	forward_config_t *config = forward_config_create();
 	forward_account_t *account = forward_config_add_account(config);
@@ -105,12 +110,12 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(test_the_longest_prefix_wins,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_host_ignores_case_and_port,
+		cmocka_unit_test_setup_teardown(test_case_and_port_of_a_host_are_ignored,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_a_query_is_not_matched,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_query_is_no_path, setup,
-						teardown),
-		cmocka_unit_test(test_shares_follow_their_weights),
-		cmocka_unit_test(test_a_key_names_its_account),
+		cmocka_unit_test(test_services_are_picked_by_weight),
+		cmocka_unit_test(test_a_key_identifies_its_account),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
