--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -107,7 +107,7 @@
 	g_string_append(out, "\r\n");
 	caller_write(request->caller, out->str, out->len);
 	g_string_free(out, TRUE);
-	event_stream_passed(events);
+	event_stream_discard_complete(events);
 }
 
 static void stream_body(gateway_request_t *request, const char *data, size_t len)
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -176,7 +176,7 @@
 	gateway_request_attempt_forget(request);
 	request->sent_at = 0;
 	if (request->events)
-		event_stream_drop_partial(request->events);
+		event_stream_discard_partial(request->events);
 	if (attempt_allowed(request, end)) {
 		log_line(G_LOG_LEVEL_INFO, PART,
 			 "id=%s retry=%u reason=\"%s\" upstream=%s",
--- a/core/forward/event_stream.c
+++ b/core/forward/event_stream.c
@@ -1,4 +1,7 @@
-/* Finds the ends of events and the id of the last whole one. */
+/*
+ * Parses the boundaries of server-sent events, and the id of the last complete
+ * one.
+ */
 #include "core/forward/event_stream.h"
 
 #include <string.h>
@@ -22,7 +25,8 @@
 	g_free(stream);
 }
 
-static void note_id(event_stream_t *stream, const char *line, size_t len)
+/* Stores the id if a line contains one. */
+static void parse_id(event_stream_t *stream, const char *line, size_t len)
 {
 	static const char name[] = "id:";
 	size_t skip = sizeof(name) - 1;
@@ -35,23 +39,26 @@
 	stream->last_id = g_strndup(line + skip, len - skip);
 }
 
-/* Reads the lines of one event. */
-static void read_event(event_stream_t *stream, const char *event, size_t len)
+/* Parses the lines of one event. */
+static void parse_event(event_stream_t *stream, const char *event, size_t len)
 {
 	while (len) {
 		const char *end = memchr(event, '\n', len);
-		size_t line = end ? (size_t)(end - event) : len;
-		size_t step = end ? line + 1 : line;
+		size_t line_len = end ? (size_t)(end - event) : len;
+		size_t step = end ? line_len + 1 : line_len;
 
-		if (line && event[line - 1] == '\r')
-			line--;
-		note_id(stream, event, line);
+		if (line_len && event[line_len - 1] == '\r')
+			line_len--;
+		parse_id(stream, event, line_len);
 		event += step;
 		len -= step;
 	}
 }
 
-/* Says whether an event ends with the line feed at I: an empty line is next. */
+/*
+ * Returns whether the line feed at index I ends an empty line, and thereby an
+ * event.
+ */
 static bool ends_event(const char *data, size_t i)
 {
 	if (i >= 1 && data[i - 1] == '\n')
@@ -59,48 +66,48 @@
 	return i >= 2 && data[i - 1] == '\r' && data[i - 2] == '\n';
 }
 
-/* Takes bytes in; returns how many events became whole by them. */
+/* Appends received bytes. Returns how many events they complete. */
 unsigned int event_stream_feed(event_stream_t *stream, const char *data, size_t len)
 {
-	unsigned int found = 0;
-	const char *all;
+	unsigned int completed = 0;
+	const char *bytes;
 
 	g_byte_array_append(stream->bytes, (const guint8 *)data, (guint)len);
-	all = (const char *)stream->bytes->data;
-	for (size_t i = stream->scanned; i < stream->bytes->len; i++) {
-		if (all[i] != '\n' || !ends_event(all, i))
+	bytes = (const char *)stream->bytes->data;
+	for (size_t i = stream->scanned_len; i < stream->bytes->len; i++) {
+		if (bytes[i] != '\n' || !ends_event(bytes, i))
 			continue;
 		if (i + 1 - stream->whole > 2) {
-			read_event(stream, all + stream->whole,
-				   i + 1 - stream->whole);
-			found++;
+			parse_event(stream, bytes + stream->whole,
+				    i + 1 - stream->whole);
+			completed++;
 		}
 		stream->whole = i + 1;
 	}
-	stream->scanned = stream->bytes->len;
-	stream->count += found;
-	return found;
+	stream->scanned_len = stream->bytes->len;
+	stream->count += completed;
+	return completed;
 }
 
-/* Forgets the whole events, which were passed on. */
-void event_stream_passed(event_stream_t *stream)
+/* Discards the complete events, after they were sent. */
+void event_stream_discard_complete(event_stream_t *stream)
 {
 	if (!stream->whole)
 		return;
 	g_byte_array_remove_range(stream->bytes, 0, (guint)stream->whole);
-	stream->scanned -= stream->whole;
+	stream->scanned_len -= stream->whole;
 	stream->whole = 0;
 }
 
-/* Says whether an event has begun and not ended. */
+/* Returns whether the stream ends with an incomplete event. */
 bool event_stream_has_partial(const event_stream_t *stream)
 {
 	return stream->bytes->len > stream->whole;
 }
 
-/* Forgets the event that has begun, as its upstream will not end it. */
-void event_stream_drop_partial(event_stream_t *stream)
+/* Discards the incomplete event, as its upstream will not complete it. */
+void event_stream_discard_partial(event_stream_t *stream)
 {
 	g_byte_array_set_size(stream->bytes, (guint)stream->whole);
-	stream->scanned = stream->whole;
+	stream->scanned_len = stream->whole;
 }
--- a/tests/unit/test_event_stream.c
+++ b/tests/unit/test_event_stream.c
@@ -1,4 +1,4 @@
-/* Event streams: whole events only, whatever the pieces they come in. */
+/* Tests that only complete events are sent, however the stream is split. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,7 +12,10 @@
 static const char three[] = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
 			    "data: c\nid: 3\n\n";
 
-/* The network may split a stream anywhere. */
+/*
+ * Guards against events that are lost or changed where the network splits a
+ * stream.
+ */
 static void test_any_split_gives_the_same_events(void **state)
 {
 	size_t len = sizeof(three) - 1;
@@ -32,10 +35,10 @@
 }
 
 /*
- * An upstream stops in the middle of an event. Passed on, its half would be
- * joined with the first event of the upstream that goes on.
+ * Guards against an incomplete event that is sent to the caller and joined with
+ * the first event of the upstream that resumes.
  */
-static void test_half_an_event_is_not_passed_on(void **state)
+static void test_a_partial_event_is_not_sent(void **state)
 {
 	event_stream_t *stream = event_stream_create();
 
@@ -44,8 +47,8 @@
 	assert_int_equal(stream->whole, 15);
 	assert_string_equal(stream->last_id, "1");
 	assert_true(event_stream_has_partial(stream));
-	event_stream_passed(stream);
-	event_stream_drop_partial(stream);
+	event_stream_discard_complete(stream);
+	event_stream_discard_partial(stream);
 	assert_false(event_stream_has_partial(stream));
 	event_stream_feed(stream, "id: 2\ndata: b\n\n", 15);
 	assert_string_equal(stream->last_id, "2");
@@ -57,7 +60,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_any_split_gives_the_same_events),
-		cmocka_unit_test(test_half_an_event_is_not_passed_on),
+		cmocka_unit_test(test_a_partial_event_is_not_sent),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
