--- a/tests/property/test_leaves.cc
+++ b/tests/property/test_leaves.cc
@@ -1,8 +1,9 @@
 /*
- * Fleets of gateways that learn of upstreams from the store and from each other, while
- * the store is silent, refuses or drops its history, and gateways are cut off, frozen or
- * restarted. Time is simulated. An upstream that leaves must soon be used by no gateway in
- * touch, and one whose entry only lapsed must not be lost.
+ * Simulates fleets of gateways that learn of upstreams from the store and from
+ * each other, while the store is unresponsive, refuses calls or discards its
+ * history, and gateways are isolated, frozen or restarted. An upstream that
+ * leaves must soon be used by no gateway that is in contact with the others,
+ * and one whose registration only expired must not be lost.
  */
 #include <rapidcheck.h>
 
@@ -23,86 +24,91 @@
 
 namespace
 {
-constexpr pd_time_t kStep = 10 * PD_MSEC; /* also the way of a message */
+constexpr pd_time_t kStep = 10 * PD_MSEC; /* also the latency of a message */
 constexpr pd_time_t kStart = 1000 * PD_SEC;
 constexpr pd_time_t kFaultsFrom = kStart + 8 * PD_SEC;
 constexpr pd_time_t kFaultsSpan = 12 * PD_SEC;
 constexpr pd_time_t kEnd = kFaultsFrom + kFaultsSpan + 18 * PD_SEC;
-constexpr pd_time_t kNoticeDeath = 1300 * PD_MSEC;
-constexpr pd_time_t kDown = 600 * PD_MSEC; /* a process that was killed is back */
-constexpr pd_time_t kDiffers = 300 * PD_MSEC; /* digests, before one fetches */
-constexpr pd_time_t kFetchPause = 400 * PD_MSEC;
-constexpr pd_time_t kSumsKnown = 2 * PD_SEC;
-constexpr pd_time_t kGap = PD_SEC; /* watches hear nothing before history goes */
-constexpr pd_time_t kLapse = 2500 * PD_MSEC; /* of silence, after which entries may go */
-constexpr pd_time_t kBackAfterLapse = 2 * PD_SEC;
-constexpr unsigned kMesh = 12;
+constexpr pd_time_t kDeathDetection = 1300 * PD_MSEC;
+/* until a killed process runs again */
+constexpr pd_time_t kRestartTime = 600 * PD_MSEC;
+/* how long digests differ before a fetch */
+constexpr pd_time_t kDivergenceMin = 300 * PD_MSEC;
+constexpr pd_time_t kFetchBackoff = 400 * PD_MSEC;
+constexpr pd_time_t kSummaryMaxAge = 2 * PD_SEC;
+/* watches get no changes before the history is discarded */
+constexpr pd_time_t kHistoryGap = PD_SEC;
+/* of unresponsiveness, until registrations may expire */
+constexpr pd_time_t kExpiryDelay = 2500 * PD_MSEC;
+constexpr pd_time_t kReregistrationMax = 2 * PD_SEC;
+constexpr unsigned kMeshMax = 12;
 constexpr unsigned kWatchers = 3;
 constexpr unsigned kAggregators = 2;
 constexpr unsigned kUpstreams = 12;
-constexpr unsigned kLeaves = 4;
+constexpr unsigned kDepartures = 4;
 constexpr unsigned kZones = 4;
 
 enum class Fault {
-	Silent, /* the store, for all */
+	Silent, /* the store, to all gateways */
 	Refuses,
 	SilentForSome,
 	RefusesSome,
-	Gap, /* of the history that watches go on from */
-	Cut, /* some gateways from everything */
-	Freeze,
-	Restart,
+	HistoryGap, /* watches get no changes, then the history is discarded */
+	Isolated, /* some gateways, from the store and the peers */
+	Frozen,
+	Restarted,
 	Count
 };
 
 struct fault {
 	Fault kind;
 	pd_time_t from, to;
-	std::set<unsigned> who; /* gateways; empty: all */
+	std::set<unsigned> gateways; /* empty: all */
 
-	bool hits(unsigned gateway) const
+	bool affects(unsigned gateway) const
 	{
-		return who.empty() || who.count(gateway) > 0;
+		return gateways.empty() || gateways.count(gateway) > 0;
 	}
-	bool is_on(pd_time_t now) const
+	bool is_active(pd_time_t now) const
 	{
 		return now >= from && now < to;
 	}
-	bool is_of_all() const
+	bool affects_store_for_all() const
 	{
 		return kind == Fault::Silent || kind == Fault::Refuses;
 	}
-	bool is_of_store() const
+	bool affects_store() const
 	{
-		return is_of_all() || kind == Fault::SilentForSome ||
+		return affects_store_for_all() || kind == Fault::SilentForSome ||
 		       kind == Fault::RefusesSome;
 	}
 };
 
-struct entry {
+struct registration {
 	forward_stage_t stage = FORWARD_SERVING;
 	uint64_t revision = 0;
 };
 
 struct change {
 	unsigned upstream;
-	entry what; /* FORWARD_GONE: removed, with the revision of its last state */
+	registration state; /* FORWARD_GONE: removed; with the last revision */
 	uint64_t at; /* revision of the store */
 };
 
 struct store {
-	std::map<unsigned, entry> entries;
+	std::map<unsigned, registration> entries;
 	std::vector<change> log;
 	uint64_t revision = 0;
-	uint64_t forgotten = 0; /* changes up to this revision can't be read */
+	/* changes up to this revision can't be read */
+	uint64_t discarded_until = 0;
 
 	void put(unsigned upstream, forward_stage_t stage)
 	{
-		entry &one = entries[upstream];
+		registration &item = entries[upstream];
 
-		one.stage = stage;
-		one.revision = ++revision;
-		log.push_back({ upstream, one, revision });
+		item.stage = stage;
+		item.revision = ++revision;
+		log.push_back({ upstream, item, revision });
 	}
 	void remove(unsigned upstream)
 	{
@@ -117,9 +123,9 @@
 	}
 };
 
-struct call {
-	store_call_t ask{};
-	pd_time_t sent_at = 0; /* 0: none is out */
+struct call_in_flight {
+	store_call_t request{};
+	pd_time_t sent_at = 0; /* 0: no call is in flight */
 	bool lost = false; /* no answer will come */
 };
 
@@ -127,60 +133,66 @@
 	store_feed_t *feed = nullptr;
 	store_outage_t *outage = nullptr;
 	forward_upstreams_t *table = nullptr;
-	call out;
-	uint64_t watched = 0;
-	bool known = false;
-	bool runs = false;
+	call_in_flight in_flight;
+	uint64_t watched_revision = 0;
+	bool has_listing = false;
+	bool is_running = false;
 	pd_time_t started_at = 0;
 	pd_time_t died_at = 0;
 	pd_time_t phase = 0;
 	pd_time_t next_state = 0;
-	pd_time_t heard_at = 0; /* the store, by anybody */
-	pd_time_t summed_at = 0;
+	/* last answer of the store to any gateway */
+	pd_time_t store_heard_at = 0;
+	pd_time_t summary_at = 0;
 	bool aggregator_lost = false;
-	pd_time_t differs_since = 0;
+	pd_time_t diverged_since = 0;
 	pd_time_t fetched_at = 0;
-	std::set<unsigned> news;
+	std::set<unsigned> pending_updates;
 };
 
-enum class Kind { State, Summary, Fetch, News };
+enum class Kind { State, Summary, Fetch, Updates };
 
 struct message {
 	Kind kind;
 	unsigned from, to;
-	pd_time_t heard_at;
-	bool has_store;
+	pd_time_t store_heard_at;
+	bool store_reachable;
 	uint64_t digest;
-	std::vector<std::pair<unsigned, entry>> upstreams;
-	bool asks; /* a state: for a summary in return */
+	std::vector<std::pair<unsigned, registration>> upstreams;
+	bool wants_summary; /* a state: the sender wants a summary in return */
 };
 
-struct leave {
+struct departure {
 	unsigned upstream;
 	pd_time_t at;
-	bool drains; /* its entry says so; otherwise it is just removed */
+	/*
+	 * its registration is draining first; otherwise it is removed at once
+	 */
+	bool announced;
 };
 
 /* The bounds of a deployment, by its size. */
 struct bounds {
 	unsigned size;
-	pd_time_t drain; /* after a leave, requests may come */
-	pd_time_t contact; /* after a fault, a gateway is in touch again */
+	pd_time_t drain; /* after a departure, until no request may be sent */
+	/* after a fault, until a gateway counts as in contact */
+	pd_time_t contact;
 };
 
 constexpr bounds kSmall = { 6, 2 * PD_SEC, 3 * PD_SEC };
 constexpr bounds kGrown = { 63, 3 * PD_SEC, 4 * PD_SEC };
 constexpr bounds kLarge = { 300, 4 * PD_SEC, 5 * PD_SEC };
 
-void stop(gateway &one)
+/* Frees what a running gateway owns. */
+void stop(gateway &gw)
 {
-	store_feed_destroy(one.feed);
-	store_outage_destroy(one.outage);
-	forward_upstreams_destroy(one.table);
-	one.feed = nullptr;
-	one.outage = nullptr;
-	one.table = nullptr;
-	one.runs = false;
+	store_feed_destroy(gw.feed);
+	store_outage_destroy(gw.outage);
+	forward_upstreams_destroy(gw.table);
+	gw.feed = nullptr;
+	gw.outage = nullptr;
+	gw.table = nullptr;
+	gw.is_running = false;
 }
 
 struct fleet {
@@ -190,16 +202,17 @@
 	std::vector<gateway> gateways;
 	store platform;
 	std::vector<fault> faults;
-	std::vector<leave> leaves;
-	std::multimap<pd_time_t, message> mail;
-	std::multimap<pd_time_t, unsigned> returns; /* of entries that lapsed */
+	std::vector<departure> departures;
+	std::multimap<pd_time_t, message> in_transit;
+	/* of expired registrations */
+	std::multimap<pd_time_t, unsigned> reregistrations;
 	pd_time_t now = kStart;
 
-	/* A case that is falsified leaves by an exception. */
+	/* A failed case throws, so that this frees what is left. */
 	~fleet()
 	{
-		for (auto &one : gateways)
-			stop(one);
+		for (auto &gw : gateways)
+			stop(gw);
 		if (draws)
 			g_rand_free(draws);
 	}
@@ -209,722 +222,813 @@
 	}
 };
 
-pd_time_t draw(fleet &all, pd_time_t least, pd_time_t most)
+/* Returns a random number from LEAST to MOST. */
+pd_time_t draw(fleet &sim, pd_time_t least, pd_time_t most)
 {
-	return std::uniform_int_distribution<pd_time_t>(least, most)(all.random);
+	return std::uniform_int_distribution<pd_time_t>(least, most)(sim.random);
 }
 
-std::string name_of(unsigned upstream)
+/* Returns the id of an upstream by its number. */
+std::string upstream_id(unsigned upstream)
 {
 	return "u" + std::to_string(upstream);
 }
 
-unsigned number_of(const char *id)
+/* Returns the number of an upstream by its id. */
+unsigned upstream_number(const char *id)
 {
 	return (unsigned)std::stoul(id + 1);
 }
 
-bool is_hit(const fleet &all, unsigned number, Fault kind)
+/* Returns whether a fault of a kind affects a gateway now. */
+bool is_hit(const fleet &sim, unsigned number, Fault kind)
 {
-	return std::any_of(all.faults.begin(), all.faults.end(),
-			   [&](const fault &one) {
-				   return one.kind == kind &&
-					  one.is_on(all.now) && one.hits(number);
+	return std::any_of(sim.faults.begin(), sim.faults.end(),
+			   [&](const fault &bad) {
+				   return bad.kind == kind &&
+					  bad.is_active(sim.now) &&
+					  bad.affects(number);
 			   });
 }
 
-bool is_cut(const fleet &all, unsigned number)
+/* Returns whether a gateway is isolated now. */
+bool is_cut(const fleet &sim, unsigned number)
 {
-	return is_hit(all, number, Fault::Cut);
+	return is_hit(sim, number, Fault::Isolated);
 }
 
-bool is_frozen(const fleet &all, unsigned number)
+/* Returns whether a gateway is frozen now. */
+bool is_frozen(const fleet &sim, unsigned number)
 {
-	return is_hit(all, number, Fault::Freeze);
+	return is_hit(sim, number, Fault::Frozen);
 }
 
-bool store_is_silent(const fleet &all, unsigned number)
+/* Returns whether the store answers no call of a gateway now. */
+bool store_is_silent(const fleet &sim, unsigned number)
 {
-	return is_cut(all, number) || is_hit(all, number, Fault::Silent) ||
-	       is_hit(all, number, Fault::SilentForSome);
+	return is_cut(sim, number) || is_hit(sim, number, Fault::Silent) ||
+	       is_hit(sim, number, Fault::SilentForSome);
 }
 
-bool store_refuses(const fleet &all, unsigned number)
+/* Returns whether the store refuses the calls of a gateway now. */
+bool store_refuses(const fleet &sim, unsigned number)
 {
-	return is_hit(all, number, Fault::Refuses) ||
-	       is_hit(all, number, Fault::RefusesSome);
+	return is_hit(sim, number, Fault::Refuses) ||
+	       is_hit(sim, number, Fault::RefusesSome);
 }
 
-bool in_gap(const fleet &all)
+/* Returns whether watches get no changes now. */
+bool history_has_gap(const fleet &sim)
 {
-	return is_hit(all, 0, Fault::Gap);
+	return is_hit(sim, 0, Fault::HistoryGap);
 }
 
-void start(fleet &all, gateway &one)
+/* Starts a gateway that knows nothing. */
+void start(fleet &sim, gateway &gw)
 {
-	one = gateway{};
-	one.feed = store_feed_create(all.draws);
-	one.outage = store_outage_create(all.now);
-	one.table = forward_upstreams_create();
-	one.runs = true;
-	one.started_at = all.now;
-	one.heard_at = all.now;
-	one.phase = draw(all, 0, 1) * kStep;
+	gw = gateway{};
+	gw.feed = store_feed_create(sim.draws);
+	gw.outage = store_outage_create(sim.now);
+	gw.table = forward_upstreams_create();
+	gw.is_running = true;
+	gw.started_at = sim.now;
+	gw.store_heard_at = sim.now;
+	gw.phase = draw(sim, 0, 1) * kStep;
 }
 
-/* Returns whether a gateway has not been heard for long enough that others notice. */
-bool seems_silent(const fleet &all, unsigned number)
+/*
+ * Returns whether a gateway has been silent long enough for others to detect
+ * it.
+ */
+bool seems_dead(const fleet &sim, unsigned number)
 {
-	return std::any_of(all.faults.begin(), all.faults.end(), [&](const fault &one) {
-		bool mutes = one.kind == Fault::Cut || one.kind == Fault::Freeze;
-
-		return mutes && one.is_on(all.now) && one.hits(number) &&
-		       all.now - one.from >= kNoticeDeath;
-	});
+	return std::any_of(sim.faults.begin(), sim.faults.end(),
+			   [&](const fault &bad) {
+				   bool mutes = bad.kind == Fault::Isolated ||
+						bad.kind == Fault::Frozen;
+
+				   return mutes && bad.is_active(sim.now) &&
+					  bad.affects(number) &&
+					  sim.now - bad.from >= kDeathDetection;
+			   });
 }
 
-/* Returns whether others take a gateway for alive; a death is noticed only later. */
-bool seems_alive(const fleet &all, unsigned number)
+/* Returns whether others consider a gateway alive; a death is detected late. */
+bool seems_alive(const fleet &sim, unsigned number)
 {
-	const gateway &one = all.gateways[number];
+	const gateway &gw = sim.gateways[number];
 
-	if (seems_silent(all, number))
+	if (seems_dead(sim, number))
 		return false;
-	return one.runs || (one.died_at && all.now - one.died_at < kNoticeDeath);
+	return gw.is_running ||
+	       (gw.died_at && sim.now - gw.died_at < kDeathDetection);
 }
 
-/* Returns the first gateways in rank, as VIEWER sees them. */
-std::vector<unsigned> first_alive(const fleet &all, unsigned viewer, unsigned most)
+/* Returns the MOST top-ranked live gateways, as VIEWER sees them. */
+std::vector<unsigned> top_ranked_alive(const fleet &sim, unsigned viewer,
+				       unsigned most)
 {
 	std::vector<unsigned> first;
 
-	for (unsigned i = 0; i < all.size() && first.size() < most; i++)
-		if (i == viewer || seems_alive(all, i))
+	for (unsigned i = 0; i < sim.size() && first.size() < most; i++)
+		if (i == viewer || seems_alive(sim, i))
 			first.push_back(i);
 	return first;
 }
 
-bool goes_first(const fleet &all, unsigned number)
+/* Returns whether a gateway watches the store for the others. */
+bool is_watcher(const fleet &sim, unsigned number)
 {
-	std::vector<unsigned> first = first_alive(all, number, kWatchers);
+	std::vector<unsigned> first = top_ranked_alive(sim, number, kWatchers);
 
-	return all.size() <= kMesh ||
+	return sim.size() <= kMeshMax ||
 	       std::find(first.begin(), first.end(), number) != first.end();
 }
 
-pd_time_t state_period(const fleet &all)
+/*
+ * Returns the period at which gateways send states, by the size of the fleet.
+ */
+pd_time_t state_period(const fleet &sim)
 {
-	if (all.size() <= kMesh)
+	if (sim.size() <= kMeshMax)
 		return 250 * PD_MSEC;
-	return std::clamp<pd_time_t>(2 * PD_MSEC * all.size(), 200 * PD_MSEC,
+	return std::clamp<pd_time_t>(2 * PD_MSEC * sim.size(), 200 * PD_MSEC,
 				     800 * PD_MSEC);
 }
 
-uint64_t digest_of(const gateway &one)
+/* Returns a digest of a gateway's table, 0 if it has no listing. */
+uint64_t digest_of(const gateway &gw)
 {
 	uint64_t digest = 1;
 
-	if (!one.known)
+	if (!gw.has_listing)
 		return 0;
 	for (unsigned i = 0; i < FORWARD_DIGEST_BUCKETS; i++)
-		digest += forward_upstreams_digest(one.table, i);
+		digest += forward_upstreams_digest(gw.table, i);
 	return digest;
 }
 
-void post(fleet &all, const message &mail)
+/* Sends a message; it is lost if either side is isolated. */
+void send(fleet &sim, const message &msg)
 {
-	if (!is_cut(all, mail.from) && !is_cut(all, mail.to))
-		all.mail.emplace(all.now + kStep, mail);
+	if (!is_cut(sim, msg.from) && !is_cut(sim, msg.to))
+		sim.in_transit.emplace(sim.now + kStep, msg);
 }
 
-bool take(fleet &all, gateway &one, unsigned upstream, const entry &what)
+/* Applies the state of an upstream. Returns whether that changed anything. */
+bool apply(fleet &sim, gateway &gw, unsigned upstream, const registration &state)
 {
-	std::string id = name_of(upstream);
+	std::string id = upstream_id(upstream);
 	forward_registration_t listing = {};
 
-	if (what.stage == FORWARD_GONE)
-		return forward_upstreams_remove(one.table, id.c_str(),
-						what.revision, all.now);
+	if (state.stage == FORWARD_GONE)
+		return forward_upstreams_remove(gw.table, id.c_str(),
+						state.revision, sim.now);
 	listing.id = id.c_str();
 	listing.service = "s";
 	listing.address = "10.0.0.1";
 	listing.zone = "a";
 	listing.slots = 8;
-	listing.stage = what.stage;
-	listing.revision = what.revision;
-	return forward_upstreams_apply(one.table, &listing);
+	listing.stage = state.stage;
+	listing.revision = state.revision;
+	return forward_upstreams_apply(gw.table, &listing);
 }
 
-void take_news(fleet &all, gateway &one, unsigned upstream, const entry &what)
+/* Applies the state of an upstream, and queues it for peers if it was new. */
+void apply_update(fleet &sim, gateway &gw, unsigned upstream,
+		  const registration &state)
 {
-	if (take(all, one, upstream, what))
-		one.news.insert(upstream);
+	if (apply(sim, gw, upstream, state))
+		gw.pending_updates.insert(upstream);
 }
 
-void follow_outage(gateway &one)
+/* Starts the grace period of a gateway's table if it has seen an outage. */
+void apply_outage_end(gateway &gw)
 {
-	if (store_outage_end(one.outage))
-		forward_upstreams_store_recovered(one.table,
-						  store_outage_end(one.outage));
+	if (store_outage_end(gw.outage))
+		forward_upstreams_store_recovered(gw.table,
+						  store_outage_end(gw.outage));
 }
 
-store_feed_fleet_t fleet_of(const fleet &all, unsigned number)
+/* Returns what the feed of a gateway needs to know of the fleet. */
+store_feed_fleet_t fleet_of(const fleet &sim, unsigned number)
 {
-	const gateway &one = all.gateways[number];
-	store_feed_fleet_t known = {};
-	pd_time_t stale = 1100 * PD_MSEC + 2 * state_period(all);
-
-	known.is_mesh = all.size() <= kMesh;
-	known.is_large = !known.is_mesh;
-	known.is_watcher = goes_first(all, number);
-	known.must_call = known.is_watcher || !one.known ||
-			  all.now - one.heard_at > stale;
-	known.aggregator_lost_store = one.aggregator_lost;
-	known.poll_group_size = one.summed_at && all.now - one.summed_at < kSumsKnown
-					? all.size()
-					: 1;
-	return known;
+	const gateway &gw = sim.gateways[number];
+	store_feed_fleet_t view = {};
+	pd_time_t stale = 1100 * PD_MSEC + 2 * state_period(sim);
+
+	view.is_mesh = sim.size() <= kMeshMax;
+	view.is_large = !view.is_mesh;
+	view.is_watcher = is_watcher(sim, number);
+	view.must_call = view.is_watcher || !gw.has_listing ||
+			 sim.now - gw.store_heard_at > stale;
+	view.aggregator_lost_store = gw.aggregator_lost;
+	view.poll_group_size = gw.summary_at && sim.now - gw.summary_at < kSummaryMaxAge
+				       ? sim.size()
+				       : 1;
+	return view;
 }
 
-void call_failed(fleet &all, unsigned number)
+/* Ends the call in flight with a failure. */
+void record_failure(fleet &sim, unsigned number)
 {
-	gateway &one = all.gateways[number];
-	store_feed_fleet_t known = fleet_of(all, number);
+	gateway &gw = sim.gateways[number];
+	store_feed_fleet_t view = fleet_of(sim, number);
 
-	store_outage_record_failure(one.outage, one.out.sent_at, all.now);
-	follow_outage(one);
-	store_feed_record_failure(one.feed, &known, all.now);
-	one.out.sent_at = 0;
+	store_outage_record_failure(gw.outage, gw.in_flight.sent_at, sim.now);
+	apply_outage_end(gw);
+	store_feed_record_failure(gw.feed, &view, sim.now);
+	gw.in_flight.sent_at = 0;
 }
 
-void call_served(fleet &all, gateway &one)
+/* Records that the call in flight was answered. */
+void record_answer(fleet &sim, gateway &gw)
 {
-	store_outage_record_answer(one.outage, all.now);
-	follow_outage(one);
-	one.out.sent_at = 0;
+	store_outage_record_answer(gw.outage, sim.now);
+	apply_outage_end(gw);
+	gw.in_flight.sent_at = 0;
 }
 
-void answer_list(fleet &all, gateway &one)
+/* Answers a listing with the whole state of the store. */
+void answer_list(fleet &sim, gateway &gw)
 {
-	call_served(all, one);
-	store_feed_record_answer(one.feed, all.now);
-	one.heard_at = all.now;
-	forward_upstreams_begin_listing(one.table);
-	for (const auto &item : all.platform.entries)
-		take_news(all, one, item.first, item.second);
-	forward_upstreams_end_listing(one.table, all.platform.revision, all.now);
-	store_feed_end_listing(one.feed, all.now);
-	one.watched = all.platform.revision;
-	one.known = true;
+	record_answer(sim, gw);
+	store_feed_record_answer(gw.feed, sim.now);
+	gw.store_heard_at = sim.now;
+	forward_upstreams_begin_listing(gw.table);
+	for (const auto &item : sim.platform.entries)
+		apply_update(sim, gw, item.first, item.second);
+	forward_upstreams_end_listing(gw.table, sim.platform.revision, sim.now);
+	store_feed_end_listing(gw.feed, sim.now);
+	gw.watched_revision = sim.platform.revision;
+	gw.has_listing = true;
 }
 
-void answer_watch(fleet &all, gateway &one)
+/* Answers a watch with the changes since the last one. */
+void answer_watch(fleet &sim, gateway &gw)
 {
-	call_served(all, one);
-	store_feed_record_answer(one.feed, all.now);
-	one.heard_at = all.now;
-	for (const auto &item : all.platform.log)
-		if (item.at > one.watched)
-			take_news(all, one, item.upstream, item.what);
-	one.watched = all.platform.revision;
+	record_answer(sim, gw);
+	store_feed_record_answer(gw.feed, sim.now);
+	gw.store_heard_at = sim.now;
+	for (const auto &item : sim.platform.log)
+		if (item.at > gw.watched_revision)
+			apply_update(sim, gw, item.upstream, item.state);
+	gw.watched_revision = sim.platform.revision;
 }
 
-/* Answers the call of a gateway that is out, if its time has come. */
-void step_call(fleet &all, unsigned number)
+/* Answers the call in flight of a gateway, if it is due. */
+void step_call(fleet &sim, unsigned number)
 {
-	gateway &one = all.gateways[number];
-	call &out = one.out;
+	gateway &gw = sim.gateways[number];
+	call_in_flight &call = gw.in_flight;
 	bool has_news;
 
-	if (!out.sent_at)
+	if (!call.sent_at)
 		return;
-	if (store_is_silent(all, number))
-		out.lost = true;
-	if (all.now - out.sent_at >= out.ask.timeout) {
-		call_failed(all, number);
+	if (store_is_silent(sim, number))
+		call.lost = true;
+	if (sim.now - call.sent_at >= call.request.timeout) {
+		record_failure(sim, number);
 		return;
 	}
-	if (out.lost || all.now - out.sent_at < 2 * kStep)
+	if (call.lost || sim.now - call.sent_at < 2 * kStep)
 		return;
-	if (store_refuses(all, number)) {
-		call_failed(all, number);
+	if (store_refuses(sim, number)) {
+		record_failure(sim, number);
 		return;
 	}
-	if (out.ask.kind == STORE_CALL_LIST) {
-		answer_list(all, one);
+	if (call.request.kind == STORE_CALL_LIST) {
+		answer_list(sim, gw);
 		return;
 	}
-	if (one.watched < all.platform.forgotten) {
-		call_served(all, one);
-		store_feed_restart_listing(one.feed, all.now);
+	if (gw.watched_revision < sim.platform.discarded_until) {
+		record_answer(sim, gw);
+		store_feed_restart_listing(gw.feed, sim.now);
 		return;
 	}
-	has_news = one.watched < all.platform.revision && !in_gap(all);
-	if (has_news || all.now - out.sent_at >= out.ask.wait)
-		answer_watch(all, one);
+	has_news = gw.watched_revision < sim.platform.revision &&
+		   !history_has_gap(sim);
+	if (has_news || sim.now - call.sent_at >= call.request.wait)
+		answer_watch(sim, gw);
 }
 
-void step_feed(fleet &all, unsigned number)
+/* Makes the next call of a gateway, if it is due. */
+void step_feed(fleet &sim, unsigned number)
 {
-	gateway &one = all.gateways[number];
-	store_feed_fleet_t known = fleet_of(all, number);
-	bool lost = store_feed_is_unreachable(one.feed);
-	store_call_t ask = store_feed_next_call(one.feed, &known, all.now);
-
-	if (!lost && store_feed_is_unreachable(one.feed)) {
-		store_outage_record_failure(one.outage, all.now, all.now);
-		follow_outage(one);
+	gateway &gw = sim.gateways[number];
+	store_feed_fleet_t view = fleet_of(sim, number);
+	bool lost = store_feed_is_unreachable(gw.feed);
+	store_call_t request = store_feed_next_call(gw.feed, &view, sim.now);
+
+	if (!lost && store_feed_is_unreachable(gw.feed)) {
+		store_outage_record_failure(gw.outage, sim.now, sim.now);
+		apply_outage_end(gw);
 	}
-	if (ask.kind == STORE_CALL_NONE)
+	if (request.kind == STORE_CALL_NONE)
 		return;
-	one.out.ask = ask;
-	one.out.sent_at = all.now;
-	one.out.lost = false;
+	gw.in_flight.request = request;
+	gw.in_flight.sent_at = sim.now;
+	gw.in_flight.lost = false;
 }
 
-message message_of(const gateway &one, Kind kind, unsigned from, unsigned to)
+/* Returns a message with a gateway's view of the store. */
+message message_of(const gateway &gw, Kind kind, unsigned from, unsigned to)
 {
 	return { kind,
 		 from,
 		 to,
-		 one.heard_at,
-		 !store_feed_is_unreachable(one.feed),
-		 digest_of(one),
+		 gw.store_heard_at,
+		 !store_feed_is_unreachable(gw.feed),
+		 digest_of(gw),
 		 {},
 		 false };
 }
 
-void add_upstream(message &mail, gateway &one, unsigned upstream)
+/* Adds the state of an upstream to a message, if the gateway knows it. */
+void add_upstream(message &msg, gateway &gw, unsigned upstream)
 {
 	forward_upstream_t *found =
-		forward_upstreams_find(one.table, name_of(upstream).c_str());
+		forward_upstreams_find(gw.table, upstream_id(upstream).c_str());
 
 	if (found)
-		mail.upstreams.push_back(
+		msg.upstreams.push_back(
 			{ upstream, { found->stage, found->revision } });
 }
 
-void spread(fleet &all, unsigned number)
+/*
+ * Sends the pending updates of a gateway to all peers, or to a sample of them
+ * in a large fleet.
+ */
+void gossip(fleet &sim, unsigned number)
 {
-	gateway &one = all.gateways[number];
+	gateway &gw = sim.gateways[number];
 	std::vector<unsigned> alive;
 	std::vector<uint16_t> zones;
 	unsigned chosen[SPREAD_FANOUT];
-	message mail = message_of(one, Kind::News, number, 0);
+	message msg = message_of(gw, Kind::Updates, number, 0);
 	unsigned count;
 
-	if (one.news.empty())
+	if (gw.pending_updates.empty())
 		return;
-	for (unsigned upstream : one.news)
-		add_upstream(mail, one, upstream);
-	one.news.clear();
-	for (unsigned i = 0; i < all.size(); i++) {
-		if (i == number || !seems_alive(all, i))
+	for (unsigned upstream : gw.pending_updates)
+		add_upstream(msg, gw, upstream);
+	gw.pending_updates.clear();
+	for (unsigned i = 0; i < sim.size(); i++) {
+		if (i == number || !seems_alive(sim, i))
 			continue;
 		alive.push_back(i);
 		zones.push_back((uint16_t)(1 + i % kZones));
 	}
-	count = all.size() <= kMesh
+	count = sim.size() <= kMeshMax
 			? (unsigned)alive.size()
 			: spread_choose(zones.data(), (unsigned)alive.size(),
 					(uint16_t)(1 + number % kZones),
-					all.draws, chosen);
+					sim.draws, chosen);
 	for (unsigned i = 0; i < count; i++) {
-		mail.to = alive[all.size() <= kMesh ? i : chosen[i]];
-		post(all, mail);
+		msg.to = alive[sim.size() <= kMeshMax ? i : chosen[i]];
+		send(sim, msg);
 	}
 }
 
-void send_states(fleet &all, unsigned number)
+/*
+ * Sends the state of a gateway to all peers, or to the aggregators in a large
+ * fleet, once in a period.
+ */
+void send_states(fleet &sim, unsigned number)
 {
-	gateway &one = all.gateways[number];
-	std::vector<unsigned> first = first_alive(all, number, kAggregators);
+	gateway &gw = sim.gateways[number];
+	std::vector<unsigned> first = top_ranked_alive(sim, number, kAggregators);
 	bool is_aggregator = std::find(first.begin(), first.end(), number) !=
 			     first.end();
 	bool asked = false;
-	message mail;
+	message msg;
 
-	if (all.now < one.next_state)
+	if (sim.now < gw.next_state)
 		return;
-	one.next_state = all.now + state_period(all);
-	if (all.size() <= kMesh) {
-		for (unsigned i = 0; i < all.size(); i++)
+	gw.next_state = sim.now + state_period(sim);
+	if (sim.size() <= kMeshMax) {
+		for (unsigned i = 0; i < sim.size(); i++)
 			if (i != number)
-				post(all, message_of(one, Kind::State, number, i));
+				send(sim, message_of(gw, Kind::State, number, i));
 		return;
 	}
 	for (unsigned i : first) {
 		if (i == number)
 			continue;
-		mail = message_of(one, Kind::State, number, i);
-		/* Only the first one is asked for a summary, by members. */
-		mail.asks = !is_aggregator && !asked;
+		msg = message_of(gw, Kind::State, number, i);
+		/* Members want a summary only from the first one. */
+		msg.wants_summary = !is_aggregator && !asked;
 		asked = true;
-		post(all, mail);
+		send(sim, msg);
 	}
 }
 
+/* Queues an upstream whose grace period has ended for peers. */
 void on_gone(void *ctx, const char *id)
 {
-	static_cast<gateway *>(ctx)->news.insert(number_of(id));
+	static_cast<gateway *>(ctx)->pending_updates.insert(upstream_number(id));
 }
 
-void step_gateway(fleet &all, unsigned number)
+/* Advances a gateway by one step. */
+void step_gateway(fleet &sim, unsigned number)
 {
-	gateway &one = all.gateways[number];
+	gateway &gw = sim.gateways[number];
 
-	if (!one.runs || is_frozen(all, number))
+	if (!gw.is_running || is_frozen(sim, number))
 		return;
-	step_call(all, number);
-	if ((all.now / kStep) % 2 != one.phase / kStep)
+	step_call(sim, number);
+	if ((sim.now / kStep) % 2 != gw.phase / kStep)
 		return;
-	forward_upstreams_expire(one.table, all.now, on_gone, &one);
-	step_feed(all, number);
-	spread(all, number);
-	send_states(all, number);
+	forward_upstreams_expire(gw.table, sim.now, on_gone, &gw);
+	step_feed(sim, number);
+	gossip(sim, number);
+	send_states(sim, number);
 }
 
-void fetch_if_other(fleet &all, unsigned number, const message &mail)
+/*
+ * Fetches the table of a message's sender if the digests have differed for
+ * long.
+ */
+void fetch_if_diverged(fleet &sim, unsigned number, const message &msg)
 {
-	gateway &one = all.gateways[number];
+	gateway &gw = sim.gateways[number];
 
-	if (!mail.digest)
+	if (!msg.digest)
 		return;
-	if (mail.digest == digest_of(one)) {
-		one.differs_since = 0;
+	if (msg.digest == digest_of(gw)) {
+		gw.diverged_since = 0;
 		return;
 	}
-	if (!one.differs_since)
-		one.differs_since = all.now;
-	if ((one.known && all.now - one.differs_since < kDiffers) ||
-	    all.now - one.fetched_at < kFetchPause)
+	if (!gw.diverged_since)
+		gw.diverged_since = sim.now;
+	if ((gw.has_listing && sim.now - gw.diverged_since < kDivergenceMin) ||
+	    sim.now - gw.fetched_at < kFetchBackoff)
 		return;
-	one.fetched_at = all.now;
-	post(all, message_of(one, Kind::Fetch, number, mail.from));
+	gw.fetched_at = sim.now;
+	send(sim, message_of(gw, Kind::Fetch, number, msg.from));
 }
 
-void deliver(fleet &all, const message &mail)
+/* Handles a message at its receiver. */
+void deliver(fleet &sim, const message &msg)
 {
-	gateway &one = all.gateways[mail.to];
+	gateway &gw = sim.gateways[msg.to];
 	message reply;
 
-	if (!one.runs)
+	if (!gw.is_running)
 		return;
-	if (mail.kind == Kind::State || mail.kind == Kind::Summary) {
-		store_outage_record_peer_message(one.outage, all.now);
-		if (!mail.has_store)
-			store_outage_record_failure(one.outage, all.now, all.now);
+	if (msg.kind == Kind::State || msg.kind == Kind::Summary) {
+		store_outage_record_peer_message(gw.outage, sim.now);
+		if (!msg.store_reachable)
+			store_outage_record_failure(gw.outage, sim.now, sim.now);
 	}
-	switch (mail.kind) {
+	switch (msg.kind) {
 	case Kind::State:
 	case Kind::Summary:
-		one.heard_at = std::max(one.heard_at, mail.heard_at);
-		store_outage_record_answer(one.outage, mail.heard_at);
-		follow_outage(one);
-		fetch_if_other(all, mail.to, mail);
-		if (mail.kind == Kind::Summary) {
-			one.summed_at = all.now;
-			one.aggregator_lost = !mail.has_store;
-		} else if (mail.asks) {
-			post(all,
-			     message_of(one, Kind::Summary, mail.to, mail.from));
+		gw.store_heard_at = std::max(gw.store_heard_at, msg.store_heard_at);
+		store_outage_record_answer(gw.outage, msg.store_heard_at);
+		apply_outage_end(gw);
+		fetch_if_diverged(sim, msg.to, msg);
+		if (msg.kind == Kind::Summary) {
+			gw.summary_at = sim.now;
+			gw.aggregator_lost = !msg.store_reachable;
+		} else if (msg.wants_summary) {
+			send(sim, message_of(gw, Kind::Summary, msg.to, msg.from));
 		}
 		break;
 	case Kind::Fetch:
-		reply = message_of(one, Kind::News, mail.to, mail.from);
+		reply = message_of(gw, Kind::Updates, msg.to, msg.from);
 		for (unsigned i = 0; i < kUpstreams; i++)
-			add_upstream(reply, one, i);
-		post(all, reply);
+			add_upstream(reply, gw, i);
+		send(sim, reply);
 		break;
-	case Kind::News:
-		for (const auto &item : mail.upstreams)
-			take_news(all, one, item.first, item.second);
+	case Kind::Updates:
+		for (const auto &item : msg.upstreams)
+			apply_update(sim, gw, item.first, item.second);
 		break;
 	}
 }
 
-void deliver_due(fleet &all)
+/* Delivers the messages that are due; those to frozen gateways wait. */
+void deliver_due(fleet &sim)
 {
-	while (!all.mail.empty() && all.mail.begin()->first <= all.now) {
-		message mail = all.mail.begin()->second;
+	while (!sim.in_transit.empty() && sim.in_transit.begin()->first <= sim.now) {
+		message msg = sim.in_transit.begin()->second;
 
-		all.mail.erase(all.mail.begin());
-		if (is_frozen(all, mail.to))
-			all.mail.emplace(all.now + kStep, mail);
+		sim.in_transit.erase(sim.in_transit.begin());
+		if (is_frozen(sim, msg.to))
+			sim.in_transit.emplace(sim.now + kStep, msg);
 		else
-			deliver(all, mail);
+			deliver(sim, msg);
 	}
 }
 
-bool has_left(const fleet &all, unsigned upstream)
+/* Returns whether an upstream has left. */
+bool has_left(const fleet &sim, unsigned upstream)
 {
-	return std::any_of(all.leaves.begin(), all.leaves.end(),
-			   [&](const leave &one) {
-				   return one.upstream == upstream &&
-					  all.now >= one.at;
+	return std::any_of(sim.departures.begin(), sim.departures.end(),
+			   [&](const departure &departing) {
+				   return departing.upstream == upstream &&
+					  sim.now >= departing.at;
 			   });
 }
 
-bool store_is_away(const fleet &all)
+/*
+ * Returns whether the store is unresponsive or refuses calls of all gateways.
+ */
+bool store_is_down(const fleet &sim)
 {
-	return is_hit(all, 0, Fault::Silent) || is_hit(all, 0, Fault::Refuses);
+	return is_hit(sim, 0, Fault::Silent) || is_hit(sim, 0, Fault::Refuses);
 }
 
-/* Entries lapse in a long outage and are back within two seconds of its end. */
-void step_lapses(fleet &all)
+/*
+ * Expires registrations in a long outage, and restores them within
+ * kReregistrationMax of its end.
+ */
+void step_expiries(fleet &sim)
 {
-	for (const auto &one : all.faults) {
-		if (!one.is_of_all() || all.now != one.from + kLapse ||
-		    all.now >= one.to)
+	for (const auto &bad : sim.faults) {
+		if (!bad.affects_store_for_all() ||
+		    sim.now != bad.from + kExpiryDelay || sim.now >= bad.to)
 			continue;
 		for (unsigned i = 0; i < kUpstreams; i++) {
-			if (draw(all, 0, 1) || !all.platform.entries.count(i))
+			if (draw(sim, 0, 1) || !sim.platform.entries.count(i))
 				continue;
-			all.platform.remove(i);
-			all.returns.emplace(one.to + draw(all, 0,
-							  kBackAfterLapse / kStep) *
-							     kStep,
-					    i);
+			sim.platform.remove(i);
+			sim.reregistrations.emplace(
+				bad.to + draw(sim, 0, kReregistrationMax / kStep) *
+						 kStep,
+				i);
 		}
 	}
-	while (!all.returns.empty() && all.returns.begin()->first <= all.now) {
-		unsigned upstream = all.returns.begin()->second;
+	while (!sim.reregistrations.empty() &&
+	       sim.reregistrations.begin()->first <= sim.now) {
+		unsigned upstream = sim.reregistrations.begin()->second;
 
-		all.returns.erase(all.returns.begin());
-		if (!has_left(all, upstream))
-			all.platform.put(upstream, FORWARD_SERVING);
+		sim.reregistrations.erase(sim.reregistrations.begin());
+		if (!has_left(sim, upstream))
+			sim.platform.put(upstream, FORWARD_SERVING);
 	}
 }
 
-void step_platform(fleet &all)
+/* Advances the store and its faults by one step. */
+void step_platform(fleet &sim)
 {
-	step_lapses(all);
-	for (auto &one : all.leaves) {
-		if (all.now != one.at)
+	step_expiries(sim);
+	for (auto &departing : sim.departures) {
+		if (sim.now != departing.at)
 			continue;
-		if (store_is_away(all)) {
-			one.at += kStep; /* not acknowledged until it is back */
+		if (store_is_down(sim)) {
+			/* not acknowledged until the store is back */
+			departing.at += kStep;
 			continue;
 		}
-		if (one.drains)
-			all.platform.put(one.upstream, FORWARD_DRAINING);
+		if (departing.announced)
+			sim.platform.put(departing.upstream, FORWARD_DRAINING);
 		else
-			all.platform.remove(one.upstream);
+			sim.platform.remove(departing.upstream);
 	}
-	for (const auto &one : all.faults)
-		if (one.kind == Fault::Gap && all.now == one.to)
-			all.platform.forgotten = all.platform.revision + 1;
+	for (const auto &bad : sim.faults)
+		if (bad.kind == Fault::HistoryGap && sim.now == bad.to)
+			sim.platform.discarded_until = sim.platform.revision + 1;
 }
 
-void step_restarts(fleet &all)
+/* Stops and starts the gateways that are restarted. */
+void step_restarts(fleet &sim)
 {
-	for (const auto &one : all.faults) {
-		if (one.kind != Fault::Restart || all.now != one.from)
+	for (const auto &bad : sim.faults) {
+		if (bad.kind != Fault::Restarted || sim.now != bad.from)
 			continue;
-		for (unsigned i = 0; i < all.size(); i++) {
-			if (!one.hits(i) || !all.gateways[i].runs)
+		for (unsigned i = 0; i < sim.size(); i++) {
+			if (!bad.affects(i) || !sim.gateways[i].is_running)
 				continue;
-			stop(all.gateways[i]);
-			all.gateways[i].died_at = all.now;
+			stop(sim.gateways[i]);
+			sim.gateways[i].died_at = sim.now;
 		}
 	}
-	for (auto &one : all.gateways)
-		if (!one.runs && one.died_at && all.now - one.died_at >= kDown)
-			start(all, one);
+	for (auto &gw : sim.gateways)
+		if (!gw.is_running && gw.died_at &&
+		    sim.now - gw.died_at >= kRestartTime)
+			start(sim, gw);
 }
 
-/* Returns whether faults of some kinds have left a gateway alone for long enough. */
-bool was_spared(const fleet &all, unsigned number, bool (*counts)(const fault &))
+/*
+ * Returns whether the faults selected by COUNTS have not affected a gateway
+ * lately.
+ */
+bool was_unaffected(const fleet &sim, unsigned number,
+		    bool (*counts)(const fault &))
 {
-	return std::none_of(all.faults.begin(), all.faults.end(),
+	return std::none_of(sim.faults.begin(), sim.faults.end(),
 			    [&](const fault &bad) {
-				    return counts(bad) && bad.hits(number) &&
-					   all.now >= bad.from &&
-					   all.now < bad.to + all.target.contact;
+				    return counts(bad) && bad.affects(number) &&
+					   sim.now >= bad.from &&
+					   sim.now < bad.to + sim.target.contact;
 			    });
 }
 
-bool has_settled(const fleet &all, unsigned number)
+/* Returns whether a gateway has run for long enough to be in contact. */
+bool has_settled(const fleet &sim, unsigned number)
 {
-	const gateway &one = all.gateways[number];
+	const gateway &gw = sim.gateways[number];
 
-	return one.runs && all.now - one.started_at >= all.target.contact;
+	return gw.is_running && sim.now - gw.started_at >= sim.target.contact;
 }
 
-bool in_touch(const fleet &all, unsigned number)
+/* Returns whether a gateway must know of departures. */
+bool is_in_contact(const fleet &sim, unsigned number)
 {
-	return has_settled(all, number) &&
-	       was_spared(all, number, [](const fault &bad) {
-		       return bad.kind != Fault::Gap;
+	return has_settled(sim, number) &&
+	       was_unaffected(sim, number, [](const fault &bad) {
+		       return bad.kind != Fault::HistoryGap;
 	       });
 }
 
-/* A gateway that is cut off or frozen knows nothing, if it was started anew. */
-bool hears_others(const fleet &all, unsigned number)
+/*
+ * Returns whether a gateway has heard its peers lately. One that is isolated or
+ * frozen knows nothing if it was restarted.
+ */
+bool can_hear_peers(const fleet &sim, unsigned number)
 {
-	return has_settled(all, number) &&
-	       was_spared(all, number, [](const fault &bad) {
-		       return bad.kind == Fault::Cut || bad.kind == Fault::Freeze;
+	return has_settled(sim, number) &&
+	       was_unaffected(sim, number, [](const fault &bad) {
+		       return bad.kind == Fault::Isolated ||
+			      bad.kind == Fault::Frozen;
 	       });
 }
 
-bool was_stable(const fleet &all, pd_time_t at)
+/* Returns whether no fault of the store was near the time AT. */
+bool store_was_stable(const fleet &sim, pd_time_t at)
 {
-	return std::none_of(all.faults.begin(), all.faults.end(),
+	return std::none_of(sim.faults.begin(), sim.faults.end(),
 			    [&](const fault &bad) {
-				    return bad.is_of_store() && at >= bad.from &&
-					   at < bad.to + all.target.contact;
+				    return bad.affects_store() && at >= bad.from &&
+					   at < bad.to + sim.target.contact;
 			    });
 }
 
-bool serves(const gateway &one, unsigned upstream)
+/* Returns whether a gateway sends requests to an upstream. */
+bool serves(const gateway &gw, unsigned upstream)
 {
 	forward_upstream_t *found =
-		forward_upstreams_find(one.table, name_of(upstream).c_str());
+		forward_upstreams_find(gw.table, upstream_id(upstream).c_str());
 
 	return found && forward_upstream_is_serving(found);
 }
 
-/* Logs what was played, in milliseconds after the first fault can come. */
-void log_days(const fleet &all, std::ostream &out)
+/*
+ * Logs the simulated faults and departures, in milliseconds after the first
+ * time at which a fault can begin.
+ */
+void log_scenario(const fleet &sim, std::ostream &out)
 {
-	for (const auto &one : all.faults)
-		out << "fault " << (int)one.kind << " of " << one.who.size()
-		    << " from " << (one.from - kFaultsFrom) / PD_MSEC << " to "
-		    << (one.to - kFaultsFrom) / PD_MSEC << "\n";
-	for (const auto &one : all.leaves)
-		out << "leave of " << one.upstream << " at "
-		    << (one.at - kFaultsFrom) / PD_MSEC
-		    << (one.drains ? " draining" : " removed") << "\n";
-	out << "now " << (all.now - kFaultsFrom) / PD_MSEC << "\n";
+	for (const auto &bad : sim.faults)
+		out << "fault " << (int)bad.kind << " of " << bad.gateways.size()
+		    << " from " << (bad.from - kFaultsFrom) / PD_MSEC << " to "
+		    << (bad.to - kFaultsFrom) / PD_MSEC << "\n";
+	for (const auto &departing : sim.departures)
+		out << "leave of " << departing.upstream << " at "
+		    << (departing.at - kFaultsFrom) / PD_MSEC
+		    << (departing.announced ? " draining" : " removed") << "\n";
+	out << "now " << (sim.now - kFaultsFrom) / PD_MSEC << "\n";
 }
 
-void check_leaves(const fleet &all)
+/* Checks that no gateway in contact uses an upstream that left. */
+void check_departures(const fleet &sim)
 {
-	for (const auto &one : all.leaves) {
-		if (all.now <= one.at + all.target.drain ||
-		    !was_stable(all, one.at))
+	for (const auto &departing : sim.departures) {
+		if (sim.now <= departing.at + sim.target.drain ||
+		    !store_was_stable(sim, departing.at))
 			continue;
-		for (unsigned i = 0; i < all.size(); i++) {
-			if (!in_touch(all, i) ||
-			    !serves(all.gateways[i], one.upstream))
+		for (unsigned i = 0; i < sim.size(); i++) {
+			if (!is_in_contact(sim, i) ||
+			    !serves(sim.gateways[i], departing.upstream))
 				continue;
-			RC_LOG() << "gateway " << i << " uses " << one.upstream
-				 << "\n";
-			log_days(all, RC_LOG());
+			RC_LOG() << "gateway " << i << " uses "
+				 << departing.upstream << "\n";
+			log_scenario(sim, RC_LOG());
 			RC_FAIL("an upstream that left is used");
 		}
 	}
 }
 
 /*
- * Returns whether an outage coincides with another fault, so that some gateway misses
- * that what lapsed is back, or takes a lapse for a leave and tells. Such are checked
- * only if LEAVES_STRICT is set (KNOWN-RED.txt).
+ * Returns whether an outage coincides with another fault, so that some gateway
+ * misses that expired registrations are back, or takes an expiry for a
+ * departure and passes it on. Such cases are checked only if LEAVES_STRICT is
+ * set (KNOWN-RED.txt).
  */
-bool outage_coincides(const fleet &all)
+bool outage_coincides(const fleet &sim)
 {
 	if (getenv("LEAVES_STRICT"))
 		return false;
-	for (const auto &first : all.faults)
-		for (const auto &next : all.faults)
-			if (&first != &next && first.is_of_all() &&
-			    next.to + all.target.contact > first.from &&
-			    next.from < first.to + all.target.contact)
+	for (const auto &first : sim.faults)
+		for (const auto &next : sim.faults)
+			if (&first != &next && first.affects_store_for_all() &&
+			    next.to + sim.target.contact > first.from &&
+			    next.from < first.to + sim.target.contact)
 				return true;
 	return false;
 }
 
-/* A lapse is no leave: most of what lives is used at any time. */
-void check_lapses(const fleet &all)
+/*
+ * Checks that an expiry does not count as a departure: each gateway that hears
+ * its peers uses at least half of the upstreams that have not left.
+ */
+void check_expiries(const fleet &sim)
 {
 	unsigned living = 0;
 
-	if (outage_coincides(all))
+	if (outage_coincides(sim))
 		return;
 	for (unsigned i = 0; i < kUpstreams; i++)
-		living += !has_left(all, i);
-	for (unsigned number = 0; number < all.size(); number++) {
+		living += !has_left(sim, i);
+	for (unsigned number = 0; number < sim.size(); number++) {
 		unsigned used = 0;
 
-		if (!hears_others(all, number))
+		if (!can_hear_peers(sim, number))
 			continue;
 		for (unsigned i = 0; i < kUpstreams; i++)
-			used += !has_left(all, i) &&
-				serves(all.gateways[number], i);
+			used += !has_left(sim, i) &&
+				serves(sim.gateways[number], i);
 		if (2 * used >= living)
 			continue;
 		RC_LOG() << "gateway " << number << " uses " << used << " of "
 			 << living << "\n";
-		log_days(all, RC_LOG());
+		log_scenario(sim, RC_LOG());
 		RC_FAIL("upstreams that live are not used");
 	}
 }
 
-fault draw_fault(fleet &all)
+/* Returns a random fault. */
+fault draw_fault(fleet &sim)
 {
-	fault one;
-
-	one.kind = (Fault)draw(all, 0, (int)Fault::Count - 1);
-	one.from = kFaultsFrom + draw(all, 0, kFaultsSpan / kStep) * kStep;
-	one.to = one.from + draw(all, 30, 650) * kStep;
-	if (one.kind == Fault::Gap)
-		one.to = one.from + kGap;
-	if (one.is_of_all() || one.kind == Fault::Gap)
-		return one;
-	for (unsigned i = 0; i < all.size(); i++)
-		if (draw(all, 0, 99) < 35)
-			one.who.insert(i);
-	one.who.insert((unsigned)draw(all, 0, all.size() - 1));
-	return one;
+	fault bad;
+
+	bad.kind = (Fault)draw(sim, 0, (int)Fault::Count - 1);
+	bad.from = kFaultsFrom + draw(sim, 0, kFaultsSpan / kStep) * kStep;
+	bad.to = bad.from + draw(sim, 30, 650) * kStep;
+	if (bad.kind == Fault::HistoryGap)
+		bad.to = bad.from + kHistoryGap;
+	if (bad.affects_store_for_all() || bad.kind == Fault::HistoryGap)
+		return bad;
+	for (unsigned i = 0; i < sim.size(); i++)
+		if (draw(sim, 0, 99) < 35)
+			bad.gateways.insert(i);
+	bad.gateways.insert((unsigned)draw(sim, 0, sim.size() - 1));
+	return bad;
 }
 
-void set_up(fleet &all, unsigned size, unsigned faults)
+/* Starts a fleet with random faults and departures. */
+void set_up(fleet &sim, unsigned size, unsigned faults)
 {
-	all.gateways.resize(size);
+	sim.gateways.resize(size);
 	for (unsigned i = 0; i < kUpstreams; i++)
-		all.platform.put(i, FORWARD_SERVING);
-	for (auto &one : all.gateways)
-		start(all, one);
+		sim.platform.put(i, FORWARD_SERVING);
+	for (auto &gw : sim.gateways)
+		start(sim, gw);
 	for (unsigned i = 0; i < faults; i++)
-		all.faults.push_back(draw_fault(all));
-	for (unsigned i = 0; i < kLeaves; i++)
-		all.leaves.push_back({ i, kFaultsFrom + draw(all, 0, 2400) * kStep,
-				       draw(all, 0, 2) == 0 });
+		sim.faults.push_back(draw_fault(sim));
+	for (unsigned i = 0; i < kDepartures; i++)
+		sim.departures.push_back({ i, kFaultsFrom + draw(sim, 0, 2400) * kStep,
+					   draw(sim, 0, 2) == 0 });
 }
 
-void play(const bounds &target, unsigned faults, uint32_t seed)
+/* Simulates a fleet with a number of faults, and checks it at each step. */
+void simulate(const bounds &target, unsigned faults, uint32_t seed)
 {
-	fleet all;
+	fleet sim;
 
-	all.target = target;
-	/* Against the bounds of a small one, at any size. */
+	sim.target = target;
+	/* Checks the bounds of a small deployment at any size. */
 	if (getenv("LEAVES_STRICT"))
-		all.target = { target.size, kSmall.drain, kSmall.contact };
-	all.random.seed(seed);
-	all.draws = g_rand_new_with_seed(seed);
-	set_up(all, target.size, faults);
-	for (; all.now < kEnd; all.now += kStep) {
-		step_platform(all);
-		step_restarts(all);
-		deliver_due(all);
+		sim.target = { target.size, kSmall.drain, kSmall.contact };
+	sim.random.seed(seed);
+	sim.draws = g_rand_new_with_seed(seed);
+	set_up(sim, target.size, faults);
+	for (; sim.now < kEnd; sim.now += kStep) {
+		step_platform(sim);
+		step_restarts(sim);
+		deliver_due(sim);
 		for (unsigned i = 0; i < target.size; i++)
-			step_gateway(all, i);
-		check_leaves(all);
-		check_lapses(all);
+			step_gateway(sim, i);
+		check_departures(sim);
+		check_expiries(sim);
 	}
 }
 
-/* Plays about PERCENT of the cases: a step of a large fleet costs as many gateways. */
-bool check_fleets(const char *what, const bounds &target, unsigned percent)
+/*
+ * Simulates about PERCENT of the cases, since a step of a large fleet costs as
+ * much as that many gateways. Returns whether none failed.
+ */
+bool check_fleets(const char *description, const bounds &target, unsigned percent)
 {
-	return rc::check(what, [&target, percent] {
+	return rc::check(description, [&target, percent] {
 		auto faults = *rc::gen::inRange(1U, 4U);
 		auto seed = *rc::gen::resize(rc::kNominalSize,
 					     rc::gen::arbitrary<uint32_t>());
 
 		if (seed % 100 < percent)
-			play(target, faults, seed);
+			simulate(target, faults, seed);
 	});
 }
 } // namespace
