--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -198,14 +198,14 @@
 }
 
 /* Notes what the attempt will cost its engine, which has UNREAD to read for it. */
-static void attempt_add_work(gateway_request_t *request, double uncached_tokens)
+static void attempt_add_work(gateway_request_t *request, double unread)
 {
 	const forward_call_t *call = request->call;
 	double rate = gateway_engine_rate(request->gateway, request->service);
 	double output =
 		call->output_tokens * engine_tokens(rate, ENGINE_OUTPUT_TIME);
 
-	request->reading = uncached_tokens;
+	request->reading = unread;
 	/*
 	 * A prompt tells how fast its engine reads only if nothing else is read
 	 * there, and if it shares little: whether shared parts are still held
@@ -215,8 +215,7 @@
 		forward_upstream_prefill_tokens(request->upstream) < 1 &&
 		forward_call_shared_tokens(call) <=
 			call->prompt_tokens * SHARED_LITTLE;
-	work_rate_add(request->gateway->work, request->service,
-		      uncached_tokens + output);
+	work_rate_add(request->gateway->work, request->service, unread + output);
 }
 
 /* Begins an attempt at an upstream: counts it, and sends or connects first. */
--- a/core/forward/upstreams.c
+++ b/core/forward/upstreams.c
@@ -320,7 +320,7 @@
 			      uint64_t revision, pd_time_t now)
 {
 	forward_upstream_t *upstream = forward_upstreams_find(set, id);
-	bool lapsed = now < set->grace_until;
+	bool may_have_expired = now < set->grace_until;
 
 	if (!upstream)
 		upstream = set_add(set, id);
@@ -330,7 +330,8 @@
 		return false;
 	upstream->gone_at = now;
 	set->next_expiry_at = now;
-	if (lapsed && upstream->stage == FORWARD_SERVING && upstream->revision) {
+	if (may_have_expired && upstream->stage == FORWARD_SERVING &&
+	    upstream->revision) {
 		upstream->gone_at = set->grace_until;
 		return false; /* forward_upstreams_expire() reports it */
 	}
