--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -55,7 +55,7 @@
 /* Returns whether the store answered the last call for the upstreams. */
 bool fleet_feed_is_store_reachable(const fleet_feed_t *feed)
 {
-	return !store_feed_is_lost(feed->upstreams.schedule);
+	return !store_feed_is_unreachable(feed->upstreams.schedule);
 }
 
 /* Applies the configurations of a page; logs entries that are not objects. */
@@ -101,7 +101,7 @@
 {
 	gateway_t *gateway = feed->fleet->gateway;
 	const char *id = wire_page_name(page, i);
-	forward_listing_t listing;
+	forward_registration_t listing;
 	bool changed = false;
 	pd_error_t err;
 
@@ -164,7 +164,7 @@
 {
 	gateway_t *gateway = feed->fleet->gateway;
 
-	store_feed_listed(feed->schedule, gateway_now());
+	store_feed_end_listing(feed->schedule, gateway_now());
 	feed->revision = feed->list_revision;
 	g_clear_pointer(&feed->page_after, g_free);
 	if (feed->kind != WIRE_UPSTREAMS)
@@ -202,7 +202,7 @@
 /* Logs that the store became unreachable; BEFORE: it already was. */
 static void log_store_lost(const feed_t *feed, bool before, int status)
 {
-	if (before || !store_feed_is_lost(feed->schedule))
+	if (before || !store_feed_is_unreachable(feed->schedule))
 		return;
 	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 		 "lost=%s status=%d revision=%" G_GUINT64_FORMAT, feed->name,
@@ -218,10 +218,10 @@
 	return (store_feed_fleet_t){
 		.is_mesh = gateway_peers_is_mesh(peers),
 		.is_large = gateway_count(gateway) > GATEWAY_MESH_MAX,
-		.goes_first = gateway_peers_go_first(peers),
-		.asks = gateway_peers_watch_store(peers),
-		.aggregator_lost = gateway_peers_aggregator_lost_store(peers),
-		.poll_group = gateway_peers_poll_group(peers, now),
+		.is_watcher = gateway_peers_go_first(peers),
+		.must_call = gateway_peers_watch_store(peers),
+		.aggregator_lost_store = gateway_peers_aggregator_lost_store(peers),
+		.poll_group_size = gateway_peers_poll_group(peers, now),
 	};
 }
 
@@ -230,16 +230,16 @@
 {
 	pd_time_t now = gateway_now();
 	const store_feed_fleet_t fleet = feed_fleet(feed, now);
-	bool before = store_feed_is_lost(feed->schedule);
+	bool before = store_feed_is_unreachable(feed->schedule);
 
-	store_feed_failed(feed->schedule, &fleet, now);
+	store_feed_record_failure(feed->schedule, &fleet, now);
 	log_store_lost(feed, before, status);
 }
 
 /* Logs that the store is reachable again, if it was not. */
 static void log_store_regained(feed_t *feed)
 {
-	if (!store_feed_is_lost(feed->schedule))
+	if (!store_feed_is_unreachable(feed->schedule))
 		return;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "regained=%s", feed->name);
 }
@@ -249,7 +249,7 @@
 {
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "relist=%s reason=\"history gone\"", feed->name);
-	store_feed_relist(feed->schedule, gateway_now());
+	store_feed_restart_listing(feed->schedule, gateway_now());
 	g_clear_pointer(&feed->page_after, g_free);
 }
 
@@ -275,7 +275,7 @@
 		return;
 	}
 	log_store_regained(feed);
-	store_feed_answered(feed->schedule, gateway_now());
+	store_feed_record_answer(feed->schedule, gateway_now());
 	gateway_peers_store_heard(feed->fleet->gateway->peers);
 	feed_apply_page(feed, page);
 	wire_page_destroy(page);
@@ -283,10 +283,10 @@
 }
 
 /* Makes the list or watch call that is due. */
-static void feed_call(feed_t *feed, const store_ask_t *due)
+static void feed_call(feed_t *feed, const store_call_t *due)
 {
 	char *path =
-		due->kind == STORE_ASK_LIST
+		due->kind == STORE_CALL_LIST
 			? wire_list_path(feed->kind, feed->page_after)
 			: wire_watch_path(feed->kind, feed->revision, due->wait);
 	http1_ask_t ask = {
@@ -303,23 +303,23 @@
 
 static void feed_run(feed_t *feed, pd_time_t now)
 {
-	bool before = store_feed_is_lost(feed->schedule);
+	bool before = store_feed_is_unreachable(feed->schedule);
 	store_feed_fleet_t fleet;
-	store_ask_t due;
+	store_call_t due;
 
 	if (store_feed_is_calling(feed->schedule))
 		return;
 	fleet = feed_fleet(feed, now);
-	due = store_feed_run(feed->schedule, &fleet, now);
+	due = store_feed_next_call(feed->schedule, &fleet, now);
 	/* The calls of the peer that watches on behalf of this gateway failed. */
-	if (!before && store_feed_is_lost(feed->schedule))
+	if (!before && store_feed_is_unreachable(feed->schedule))
 		gateway_store_failed(feed->fleet->gateway, now);
 	log_store_lost(feed, before, 0);
 	switch (due.kind) {
-	case STORE_ASK_NONE:
+	case STORE_CALL_NONE:
 		break;
-	case STORE_ASK_LIST:
-	case STORE_ASK_WATCH:
+	case STORE_CALL_LIST:
+	case STORE_CALL_WATCH:
 		feed_call(feed, &due);
 		break;
 	}
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -176,7 +176,7 @@
 		return;
 	log_line(G_LOG_LEVEL_INFO, "store", "outage ended_ms_ago=%" PRId64,
 		 (gateway_now() - end) / PD_MSEC);
-	forward_upstreams_store_back(gateway->upstreams, end);
+	forward_upstreams_store_recovered(gateway->upstreams, end);
 }
 
 /* Records that the store answered a call of this gateway or of a peer at AT. */
@@ -184,7 +184,7 @@
 {
 	pd_time_t before = store_outage_end(gateway->outage);
 
-	store_outage_answered(gateway->outage, at);
+	store_outage_record_answer(gateway->outage, at);
 	apply_outage_end(gateway, before);
 }
 
@@ -193,7 +193,7 @@
 {
 	pd_time_t before = store_outage_end(gateway->outage);
 
-	store_outage_failed(gateway->outage, sent_at, gateway_now());
+	store_outage_record_failure(gateway->outage, sent_at, gateway_now());
 	apply_outage_end(gateway, before);
 }
 
@@ -334,7 +334,7 @@
 	pd_time_t now = gateway_now();
 
 	run_time_vote(gateway, now);
-	forward_upstreams_run(gateway->upstreams, now, on_registration_expired,
+	forward_upstreams_expire(gateway->upstreams, now, on_registration_expired,
 			      gateway);
 	/* Before its users, as it gives a new gateway the size of the fleet. */
 	gateway_checkpoint_run(gateway->checkpoint, now);
@@ -519,7 +519,7 @@
 	unsigned int count = 0;
 
 	LIST_FOR_EACH (it, forward_upstreams_list(gateway->upstreams))
-		count += forward_upstream_serves(
+		count += forward_upstream_is_serving(
 			LIST_ENTRY(it, forward_upstream_t, node));
 	return count;
 }
--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -29,8 +29,8 @@
 	LIST_FOR_EACH (it, forward_upstreams_list(peers->gateway->upstreams)) {
 		const forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
-		load_t load = { forward_upstream_mark(upstream),
-				upstream->running, upstream->reading };
+		load_t load = { forward_upstream_short_id(upstream),
+				upstream->running, upstream->prefill_tokens };
 
 		if (load.running)
 			g_array_append_val(told, load);
@@ -74,9 +74,9 @@
 
 static load_t load_of_all(const forward_upstream_t *upstream)
 {
-	load_t load = { forward_upstream_mark(upstream),
+	load_t load = { forward_upstream_short_id(upstream),
 			forward_upstream_running(upstream),
-			forward_upstream_reading(upstream) };
+			forward_upstream_prefill_tokens(upstream) };
 
 	return load;
 }
@@ -190,15 +190,15 @@
 	for (guint i = 0; i < loads->len; i++) {
 		const load_t *load = &g_array_index(loads, load_t, i);
 		forward_upstream_t *upstream =
-			forward_upstreams_marked(peers->gateway->upstreams,
-						 load->mark);
+			forward_upstreams_find_by_short_id(peers->gateway->upstreams,
+							   load->mark);
 
 		if (!upstream)
 			continue;
 		upstream->peers_running -=
 			MIN(upstream->peers_running, load->running);
-		upstream->peers_reading =
-			MAX(upstream->peers_reading - load->reading, 0);
+		upstream->peers_prefill_tokens =
+			MAX(upstream->peers_prefill_tokens - load->reading, 0);
 	}
 	g_array_set_size(loads, 0);
 }
@@ -206,7 +206,7 @@
 static void load_put(GArray *loads, forward_upstream_t *upstream, const load_t *load)
 {
 	upstream->peers_running += load->running;
-	upstream->peers_reading += load->reading;
+	upstream->peers_prefill_tokens += load->reading;
 	g_array_append_val(loads, *load);
 }
 
@@ -234,8 +234,8 @@
 				(double)msgpack_field_number(&items[i + 2]) *
 					READING_UNIT };
 		forward_upstream_t *upstream =
-			forward_upstreams_marked(peers->gateway->upstreams,
-						 load.mark);
+			forward_upstreams_find_by_short_id(peers->gateway->upstreams,
+							   load.mark);
 		const load_t *own = without ? loads_find(without, load.mark) : NULL;
 
 		if (!upstream)
@@ -268,12 +268,12 @@
 
 	for (guint i = 0; serving && i < serving->len; i++) {
 		forward_upstream_t *upstream = g_ptr_array_index(serving, i);
-		load_t load = { forward_upstream_mark(upstream),
+		load_t load = { forward_upstream_short_id(upstream),
 				(unsigned int)(msgpack_field_decimal(&fields[1]) +
 					       0.5),
 				msgpack_field_decimal(&fields[2]) };
 
-		if (!upstream->peers_running && upstream->peers_reading <= 0)
+		if (!upstream->peers_running && upstream->peers_prefill_tokens <= 0)
 			load_put(peers->aggregator_loads, upstream, &load);
 	}
 	g_free(service);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -33,7 +33,7 @@
 
 	if (!peers->gateway->upstreams_listed)
 		return 0;
-	for (unsigned int i = 0; i < FORWARD_BUCKETS; i++)
+	for (unsigned int i = 0; i < FORWARD_DIGEST_BUCKETS; i++)
 		digest += forward_upstreams_digest(peers->gateway->upstreams, i);
 	return digest;
 }
@@ -420,8 +420,8 @@
 
 static void pack_digests(msgpack_packer *packer, const gateway_peers_t *peers)
 {
-	msgpack_pack_array(packer, FORWARD_BUCKETS);
-	for (unsigned int i = 0; i < FORWARD_BUCKETS; i++)
+	msgpack_pack_array(packer, FORWARD_DIGEST_BUCKETS);
+	for (unsigned int i = 0; i < FORWARD_DIGEST_BUCKETS; i++)
 		msgpack_pack_uint64(packer,
 				    forward_upstreams_digest(peers->gateway->upstreams,
 							     i));
@@ -508,7 +508,7 @@
 	msgpack_pack_uint8(packer, (uint8_t)upstream->stage);
 	msgpack_pack_uint8(packer, upstream->reclaimable);
 	msgpack_pack_uint64(packer, upstream->revision);
-	msgpack_pack_int64(packer, upstream->born);
+	msgpack_pack_int64(packer, upstream->start_time_ms);
 }
 
 /*
@@ -518,10 +518,10 @@
 static void pack_stage(msgpack_packer *packer, const forward_upstream_t *upstream)
 {
 	msgpack_pack_array(packer, NEWS_BRIEF_FIELDS);
-	msgpack_pack_uint64(packer, upstream->mark);
+	msgpack_pack_uint64(packer, upstream->id_hash);
 	msgpack_pack_uint8(packer, (uint8_t)upstream->stage);
 	msgpack_pack_uint64(packer, upstream->revision);
-	msgpack_pack_int64(packer, upstream->born);
+	msgpack_pack_int64(packer, upstream->start_time_ms);
 }
 
 /* Which upstreams a message tells about. */
@@ -618,10 +618,10 @@
 	for (guint i = 0; i < marks->len; i++) {
 		uint64_t mark = g_array_index(marks, uint64_t, i);
 		forward_upstream_t *upstream =
-			forward_upstreams_marked(peers->gateway->upstreams,
-						 (uint32_t)mark);
+			forward_upstreams_find_by_short_id(peers->gateway->upstreams,
+							   (uint32_t)mark);
 
-		if (upstream && upstream->mark == mark)
+		if (upstream && upstream->id_hash == mark)
 			g_ptr_array_add(found, upstream);
 	}
 	msgpack_sbuffer_init(&buffer);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -353,7 +353,7 @@
 /* Takes from a peer's message whether it was served by the store. */
 static void peer_shows_store(gateway_t *gateway, const peer_t *peer, pd_time_t now)
 {
-	store_outage_peer_heard(gateway->outage, now);
+	store_outage_record_peer_message(gateway->outage, now);
 	if (!peer->has_store)
 		gateway_store_failed(gateway, now);
 }
@@ -485,23 +485,24 @@
 {
 	gateway_t *gateway = peers->gateway;
 	uint64_t mark = msgpack_field_number(&fields[0]);
-	const forward_change_t change = {
+	const forward_stage_update_t change = {
 		.stage = (forward_stage_t)msgpack_field_number(&fields[1]),
 		.revision = msgpack_field_number(&fields[2]),
-		.born = (int64_t)msgpack_field_number(&fields[3]),
+		.start_time_ms = (int64_t)msgpack_field_number(&fields[3]),
 	};
 	forward_upstream_t *upstream =
-		forward_upstreams_marked(gateway->upstreams, (uint32_t)mark);
+		forward_upstreams_find_by_short_id(gateway->upstreams,
+						   (uint32_t)mark);
 
 	if (change.stage > FORWARD_GONE)
 		return;
-	if (!upstream || upstream->mark != mark) {
+	if (!upstream || upstream->id_hash != mark) {
 		if (change.stage != FORWARD_GONE && may_ask(peers, mark))
 			g_array_append_val(unknown, mark);
 		return;
 	}
-	if (forward_upstreams_restage(gateway->upstreams, upstream, &change,
-				      gateway_now()))
+	if (forward_upstreams_update_stage(gateway->upstreams, upstream,
+					   &change, gateway_now()))
 		gateway_upstream_changed(gateway, upstream->id, "peer");
 }
 
@@ -513,7 +514,7 @@
 	const msgpack_object *fields =
 		msgpack_field_items(object, NEWS_FULL_FIELDS, NULL);
 	char *texts[4] = { NULL };
-	forward_listing_t listing = { 0 };
+	forward_registration_t listing = { 0 };
 	bool news = false;
 
 	if (!fields) {
@@ -535,7 +536,7 @@
 	listing.stage = (forward_stage_t)msgpack_field_number(&fields[6]);
 	listing.reclaimable = msgpack_field_number(&fields[7]) != 0;
 	listing.revision = msgpack_field_number(&fields[8]);
-	listing.born = (int64_t)msgpack_field_number(&fields[9]);
+	listing.start_time_ms = (int64_t)msgpack_field_number(&fields[9]);
 	if (!texts[0] || !texts[1] || !texts[2] || !texts[3] ||
 	    listing.stage > FORWARD_GONE)
 		goto done;
@@ -592,21 +593,21 @@
 
 /* Reads the digests that a peer sent along. False: it sent none. */
 static bool take_digests(const msgpack_object *object,
-			 uint64_t digests[FORWARD_BUCKETS])
+			 uint64_t digests[FORWARD_DIGEST_BUCKETS])
 {
 	const msgpack_object *items =
-		msgpack_field_items(object, FORWARD_BUCKETS, NULL);
+		msgpack_field_items(object, FORWARD_DIGEST_BUCKETS, NULL);
 
 	if (!items)
 		return false;
-	for (unsigned int i = 0; i < FORWARD_BUCKETS; i++)
+	for (unsigned int i = 0; i < FORWARD_DIGEST_BUCKETS; i++)
 		digests[i] = msgpack_field_number(&items[i]);
 	return true;
 }
 
 static int take_fetch(gateway_peers_t *peers, const msgpack_object *fields)
 {
-	uint64_t digests[FORWARD_BUCKETS];
+	uint64_t digests[FORWARD_DIGEST_BUCKETS];
 	uint64_t what = msgpack_field_number(&fields[2]);
 	char *address = msgpack_field_text(&fields[1]);
 	peer_t *peer = address ? peers_add(peers, address) : NULL;
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -66,7 +66,7 @@
 {
 	const forward_config_t *config = request->gateway->config;
 
-	if (config && request->body->len + len > config->body_max)
+	if (config && request->body->len + len > config->body_bytes_max)
 		request->too_large = true;
 	if (request->too_large)
 		return false;
@@ -78,8 +78,8 @@
 /* Returns whether the time that the caller allowed for the request is over. */
 bool gateway_request_is_overdue(const gateway_request_t *request, pd_time_t now)
 {
-	return request->call->patience > 0 &&
-	       now - request->arrived_at > request->call->patience;
+	return request->call->time_left > 0 &&
+	       now - request->arrived_at > request->call->time_left;
 }
 
 /* Returns what a request costs of its account's limit: tokens, or 1 for a request. */
@@ -87,10 +87,10 @@
 {
 	const forward_account_t *account = request->account;
 
-	if (!account->in_tokens)
+	if (!account->limits_tokens)
 		return 1;
 	if (!request->call->has_tokens)
-		return account->plain_tokens;
+		return account->default_tokens;
 	return (double)request->call->prompt_tokens + request->call->output_tokens;
 }
 
@@ -103,7 +103,7 @@
 	if (!config->accounts->len)
 		return true;
 	request->account = key ? forward_config_account(config, key) : NULL;
-	if (request->account || request->route->open)
+	if (request->account || request->route->is_public)
 		return true;
 	gateway_request_respond_error(request, 401, 0, "unknown key");
 	return false;
@@ -151,8 +151,8 @@
 {
 	pd_time_t allowed = request->route->timeout;
 
-	if (request->call->patience > 0)
-		allowed = MIN(allowed, request->call->patience);
+	if (request->call->time_left > 0)
+		allowed = MIN(allowed, request->call->time_left);
 	request->deadline = request->arrived_at + allowed;
 }
 
@@ -228,8 +228,9 @@
 	}
 	request_set_deadline(request);
 	request->rank = request_rank(request);
-	request->service = forward_route_service(request->route,
-						 g_rand_double(gateway->random));
+	request->service =
+		forward_route_pick_service(request->route,
+					   g_rand_double(gateway->random));
 	if (!request->service) {
 		gateway_request_respond_error(request, 503, RETRY_AFTER_NO_UPSTREAM,
 					      "route without a service");
@@ -237,7 +238,8 @@
 	}
 	if (!request_charge(request) || !gateway_request_admit(request))
 		return;
-	retry_windows_first(gateway->retries, request->service, request->read_at);
+	retry_windows_record_request(gateway->retries, request->service,
+				     request->read_at);
 	gateway_request_dispatch(request);
 }
 
@@ -255,7 +257,7 @@
 static pd_time_t queue_time_max(const gateway_request_t *request)
 {
 	pd_time_t part =
-		(pd_time_t)((double)request->route->goal * QUEUE_GOAL_FRACTION);
+		(pd_time_t)((double)request->route->latency_goal * QUEUE_GOAL_FRACTION);
 
 	return MAX(part, QUEUE_TIME_MIN);
 }
@@ -299,11 +301,11 @@
 		return request->link &&
 		       !upstream_link_is_connected(request->link) &&
 		       now - request->attempt_started_at > CONNECT_TIMEOUT;
-	if (request->route->kind != FORWARD_SAFE || !request->route->goal ||
+	if (request->route->kind != FORWARD_SAFE || !request->route->latency_goal ||
 	    request->possible_runs + 1 >= request->route->upstreams_max)
 		return false;
 	return now - request->sent_at >
-	       (pd_time_t)((double)request->route->goal * RESPONSE_TIMEOUT_GOALS);
+	       (pd_time_t)((double)request->route->latency_goal * RESPONSE_TIMEOUT_GOALS);
 }
 
 /*
@@ -314,14 +316,14 @@
 static bool attempt_upstream_restarted(const gateway_request_t *request)
 {
 	return request->upstream && request->link &&
-	       request->upstream_incarnation != request->upstream->starts;
+	       request->upstream_incarnation != request->upstream->incarnation;
 }
 
 /* Returns whether an attempt is still connecting to an upstream that left meanwhile. */
 static bool attempt_upstream_left(const gateway_request_t *request)
 {
 	return request->upstream && request->link && !request->sent_at &&
-	       !forward_upstream_serves(request->upstream);
+	       !forward_upstream_is_serving(request->upstream);
 }
 
 /* Closes the connection of an attempt and ends it. */
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -113,7 +113,7 @@
 	g_string_append(out, "\r\n");
 	caller_write(request->caller, out->str, out->len);
 	g_string_free(out, TRUE);
-	event_stream_passed(events);
+	event_stream_discard_complete(events);
 }
 
 /* Handles data of a streamed response; the first event shows that prefill has ended. */
@@ -130,9 +130,9 @@
 					   request->service,
 					   request->prefill_tokens,
 					   gateway_now() - request->sent_at);
-		request->upstream->reading -= request->prefill_tokens;
+		request->upstream->prefill_tokens -= request->prefill_tokens;
 		request->prefill_tokens = 0;
-		forward_upstream_answered(request->upstream);
+		forward_upstream_record_success(request->upstream);
 		gateway_request_record_first_event(request);
 		metrics_time(request->gateway->metrics, "gateway_first_event_ms",
 			     "route", request->route->name,
@@ -218,7 +218,7 @@
 					    "upstream failed");
 		return;
 	}
-	forward_upstream_answered(request->upstream);
+	forward_upstream_record_success(request->upstream);
 	gateway_request_clear_attempt(request);
 	request->possible_runs++;
 	gateway_request_finish(request);
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -43,15 +43,15 @@
 {
 	const gateway_t *gateway = request->gateway;
 	unsigned int gateways = gateway_count(gateway);
-	forward_ask_t ask = {
+	forward_criteria_t ask = {
 		.service = request->service,
 		.zone = gateway->settings->node_zone,
 		.call = request->call,
 		.has_prompt = request->route->has_prompt,
-		.overfill = request->route->has_prompt ? ENGINE_OVERFILL
-						       : PLAIN_OVERFILL,
+		.overcommit = request->route->has_prompt ? ENGINE_OVERFILL
+							 : PLAIN_OVERFILL,
 		.connections_max = connections_max(request, gateways),
-		.sample = gateways > SAMPLING_FLEET_SIZE ? SAMPLE_SIZE : 0,
+		.sample_size = gateways > SAMPLING_FLEET_SIZE ? SAMPLE_SIZE : 0,
 		.random = gateway->random,
 		.tried_count = request->tried_count,
 	};
@@ -126,8 +126,8 @@
 			return false;
 		break;
 	}
-	return retry_windows_repeat(request->gateway->retries, request->service,
-				    gateway_count(request->gateway), now);
+	return retry_windows_take(request->gateway->retries, request->service,
+				  gateway_count(request->gateway), now);
 }
 
 /* Records the outcome of the attempt at its upstream. */
@@ -138,21 +138,22 @@
 
 	switch (outcome) {
 	case ATTEMPT_UNSENT:
-		forward_upstream_unreachable(request->upstream, now);
+		forward_upstream_record_connect_failure(request->upstream, now);
 		break;
 	case ATTEMPT_UNKNOWN:
-		forward_upstream_failed(request->upstream, now);
+		forward_upstream_record_failure(request->upstream, now);
 		break;
 	case ATTEMPT_REJECTED:
 		/* 421: another upstream has the address now. */
 		if (request->status == 421)
-			forward_upstream_unreachable(request->upstream, now);
+			forward_upstream_record_connect_failure(request->upstream,
+								now);
 		else
-			forward_upstream_rejected(request->upstream, now);
+			forward_upstream_record_rejection(request->upstream, now);
 		gateway_request_record_outcome(request, true);
 		break;
 	case ATTEMPT_FAILED:
-		forward_upstream_answered(request->upstream);
+		forward_upstream_record_success(request->upstream);
 		break;
 	}
 }
@@ -174,7 +175,7 @@
 	gateway_request_clear_attempt(request);
 	request->sent_at = 0;
 	if (request->events)
-		event_stream_drop_partial(request->events);
+		event_stream_discard_partial(request->events);
 	if (is_retry_allowed(request, outcome)) {
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 			 "id=%s retry=%u reason=\"%s\" upstream=%s",
@@ -210,8 +211,9 @@
 	 * shared parts in its cache, perhaps from another gateway's request, is
 	 * not known.
 	 */
-	request->prefills_alone = forward_upstream_reading(request->upstream) < 1 &&
-				  forward_call_shared(call) <=
+	request->prefills_alone =
+		forward_upstream_prefill_tokens(request->upstream) < 1 &&
+		forward_call_shared_tokens(call) <=
 					  call->prompt_tokens * SHARED_PROMPT_MAX;
 	work_rate_add(request->gateway->work, request->service,
 		      uncached_tokens + output);
@@ -228,7 +230,7 @@
 	if (request->sends)
 		metrics_add(request->gateway->metrics, "gateway_resends_total", 1);
 	request->upstream = forward_upstream_ref(upstream);
-	request->upstream_incarnation = upstream->starts;
+	request->upstream_incarnation = upstream->incarnation;
 	request->tried[request->tried_count++] = g_strdup(upstream->id);
 	request->sends++;
 	request->attempt_started_at = now;
@@ -238,10 +240,10 @@
 		request->state = REQUEST_CONNECTING;
 	g_byte_array_set_size(request->response_body, 0);
 	if (request->route->has_prompt)
-		attempt_add_work(request, pick->unread);
+		attempt_add_work(request, pick->uncached_tokens);
 	upstream->running++;
-	upstream->reading += request->prefill_tokens;
-	forward_upstream_sent(upstream, request->call, now);
+	upstream->prefill_tokens += request->prefill_tokens;
+	forward_upstream_record_send(upstream, request->call, now);
 	request->link =
 		upstream_link_open(request->gateway, upstream,
 				   !gateway_request_is_retryable(request),
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -35,7 +35,7 @@
 	if (!upstream)
 		return;
 	upstream->running--;
-	upstream->reading -= request->prefill_tokens;
+	upstream->prefill_tokens -= request->prefill_tokens;
 	request->prefill_tokens = 0;
 }
 
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -31,7 +31,7 @@
 	const forward_call_t *call = request->call;
 	double rate = gateway_engine_rate(request->gateway, request->service);
 
-	return MAX(call->prompt_tokens - forward_call_shared(call), 0) +
+	return MAX(call->prompt_tokens - forward_call_shared_tokens(call), 0) +
 	       call->output_tokens * engine_tokens(rate, ENGINE_OUTPUT_TIME);
 }
 
@@ -47,7 +47,7 @@
 
 	if (!request->route->has_prompt)
 		return true;
-	if (shed_admits(get_shed(gateway, request->service), request->rank,
+	if (shed_admit(get_shed(gateway, request->service), request->rank,
 			work, g_rand_double(gateway->random)))
 		return true;
 	work_rate_add_away(gateway->work, request->service, work);
@@ -62,7 +62,7 @@
 		request->call->prompt_tokens * (double)PD_SEC /
 		gateway_engine_rate(request->gateway, request->service);
 
-	return request->route->goal + (pd_time_t)prefill_time;
+	return request->route->latency_goal + (pd_time_t)prefill_time;
 }
 
 /* Records once whether the request was delayed or rejected by PRESSED engines. */
@@ -71,7 +71,7 @@
 	if (request->outcome_recorded || !request->route->has_prompt)
 		return;
 	request->outcome_recorded = true;
-	shed_outcome(get_shed(request->gateway, request->service), pressed);
+	shed_record_outcome(get_shed(request->gateway, request->service), pressed);
 }
 
 /* Records that the first event was received, in time or late. */
@@ -86,7 +86,7 @@
 void gateway_request_check_first_event(gateway_request_t *request, pd_time_t now)
 {
 	if (!request->outcome_recorded && request->route->has_prompt &&
-	    request->route->goal &&
+	    request->route->latency_goal &&
 	    now - request->arrived_at > first_event_time_max(request))
 		gateway_request_record_outcome(request, true);
 }
@@ -97,21 +97,23 @@
 	GHashTableIter iter;
 	gpointer service;
 	gpointer shed;
-	shed_fill_t fill = {
-		.known = gateway_peers_know_loads(gateway->peers, now),
+	shed_utilization_t fill = {
+		.includes_peers = gateway_peers_know_loads(gateway->peers, now),
 	};
 
 	g_hash_table_iter_init(&iter, gateway->sheds);
 	while (g_hash_table_iter_next(&iter, &service, &shed)) {
 		/* Checked first, as the fill visits all upstreams. */
-		if (!shed_is_due(shed, now))
+		if (!shed_update_is_due(shed, now))
 			continue;
-		fill.part = forward_upstreams_fill(gateway->upstreams, service);
-		if (shed_run(shed, &fill, now))
+		fill.ratio = forward_upstreams_utilization(gateway->upstreams,
+							   service);
+		if (shed_update(shed, &fill, now))
 			log_line(G_LOG_LEVEL_INFO, "shed",
 				 "service=%s share=%.2f fill=%.2f known=%d "
 				 "pressed=%.2f",
-				 (const char *)service, shed_share(shed),
-				 fill.part, fill.known, shed_pressed(shed));
+				 (const char *)service,
+				 shed_admitted_share(shed), fill.ratio,
+				 fill.includes_peers, shed_overload_ratio(shed));
 	}
 }
--- a/adapters/gateway/upstream_link.c
+++ b/adapters/gateway/upstream_link.c
@@ -101,7 +101,7 @@
 		return NULL;
 	link = LIST_ENTRY(last, upstream_link_t, node);
 	if (now >= link->idle_until ||
-	    link->upstream_incarnation != upstream->starts ||
+	    link->upstream_incarnation != upstream->incarnation ||
 	    (recently_used && now - link->idle_since >= RECENT_USE_MAX))
 		return NULL;
 	list_remove(&link->node);
@@ -117,7 +117,7 @@
 
 	list_init(&link->node);
 	link->upstream = forward_upstream_ref(upstream);
-	link->upstream_incarnation = upstream->starts;
+	link->upstream_incarnation = upstream->incarnation;
 	upstream->connections++;
 	link->conn = http1_create(gateway->loop, HTTP1_CLIENT, &events, link);
 	if (http1_connect(link->conn, upstream->address, upstream->port) < 0) {
@@ -191,8 +191,9 @@
 	pd_time_t now = gateway_now();
 	pd_time_t idle = IDLE_DEFAULT;
 
-	if (http1_unsent(link->conn) || !forward_upstream_serves(link->upstream) ||
-	    link->upstream_incarnation != link->upstream->starts) {
+	if (http1_unsent(link->conn) ||
+	    !forward_upstream_is_serving(link->upstream) ||
+	    link->upstream_incarnation != link->upstream->incarnation) {
 		upstream_link_close(link);
 		return;
 	}
@@ -215,14 +216,14 @@
 	LIST_FOR_EACH (it, forward_upstreams_list(gateway->upstreams)) {
 		forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
-		bool leaving = !forward_upstream_serves(upstream);
+		bool leaving = !forward_upstream_is_serving(upstream);
 
 		LIST_FOR_EACH_SAFE (idle, &upstream->idle_links) {
 			upstream_link_t *link =
 				LIST_ENTRY(idle, upstream_link_t, node);
 
 			if (leaving ||
-			    link->upstream_incarnation != upstream->starts ||
+			    link->upstream_incarnation != upstream->incarnation ||
 			    now >= link->idle_until)
 				upstream_link_close(link);
 		}
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -1,4 +1,6 @@
-/* Which upstream gets a request; upstreams-notes.md weighs the ways. */
+/*
+ * Chooses an upstream for a request; upstreams-notes.md compares the methods.
+ */
 #include "core/forward/choice.h"
 
 #include <string.h>
@@ -6,21 +8,28 @@
 #include "core/forward/engine_cost.h"
 #include "core/hash.h"
 
-/* An upstream elsewhere costs bytes between zones and 0.5 ms each way. */
-#define OTHER_ZONE_SLOTS 0.15
-#define OTHER_ZONE_TIME (400 * PD_USEC)
+/*
+ * Cost of an upstream in another zone: paid traffic between zones, and 0.5 ms
+ * of latency each way.
+ */
+#define CROSS_ZONE_PENALTY_SLOTS 0.15
+#define CROSS_ZONE_PENALTY (400 * PD_USEC)
 
-static bool is_tried(const forward_ask_t *ask, const char *id)
+/* Returns whether the request has already tried the upstream with this id. */
+static bool is_tried(const forward_criteria_t *criteria, const char *id)
 {
-	for (unsigned int i = 0; i < ask->tried_count; i++) {
-		if (!strcmp(ask->tried[i], id))
+	for (unsigned int i = 0; i < criteria->tried_count; i++) {
+		if (!strcmp(criteria->tried[i], id))
 			return true;
 	}
 	return false;
 }
 
-/* Returns the part that requests about the same subject share; 0: none. */
-static uint64_t subject_of(const forward_call_t *call)
+/*
+ * Returns the id of the last prompt part that other requests may share; 0:
+ * none.
+ */
+static uint64_t shared_prefix_of(const forward_call_t *call)
 {
 	/* The last part is the request's own. */
 	if (call->part_count < 2)
@@ -28,226 +37,254 @@
 	return call->parts[call->part_count - 2].id;
 }
 
-/* The upstreams that a subject's requests go to first, borrowed; NULL: none. */
-typedef struct homes {
+/*
+ * The upstreams preferred for requests with the same prompt prefix, borrowed;
+ * NULL: none.
+ */
+typedef struct preferred {
 	forward_upstream_t *first;
-	forward_upstream_t *second; /* only where a choice compares a few */
-} homes_t;
+	forward_upstream_t *second; /* only where a choice compares a sample */
+} preferred_t;
 
 /*
- * All entries give a subject the same first upstreams without talking about it:
- * those for which the hash of both is highest. Only they need to read what the
- * subject's requests share. Where loads of others are known late, as a choice that
- * compares a few supposes, one is at times loaded before anybody hears of it; the
- * second then has the shared parts as well.
+ * Returns the preferred upstreams of a call's shared prefix, by rendezvous
+ * hashing: the upstreams with the highest hash of both. All gateways agree on
+ * them without communication, so only they process the shared parts. Where a
+ * choice compares a sample, loads are known late and the first one may be
+ * overloaded before others hear of it; the second then has the shared parts as
+ * well.
  */
-static homes_t subject_homes(const GPtrArray *serving, const forward_ask_t *ask)
+static preferred_t find_preferred(const GPtrArray *serving,
+				  const forward_criteria_t *criteria)
 {
-	homes_t homes = { 0 };
-	uint64_t subject = subject_of(ask->call);
-	uint64_t best = 0;
-	uint64_t next = 0;
+	preferred_t preferred = { 0 };
+	uint64_t prefix = shared_prefix_of(criteria->call);
+	uint64_t best_score = 0;
+	uint64_t second_score = 0;
 
-	if (!ask->has_prompt || !subject)
-		return homes;
+	if (!criteria->has_prompt || !prefix)
+		return preferred;
 	for (guint i = 0; i < serving->len; i++) {
 		forward_upstream_t *upstream = g_ptr_array_index(serving, i);
-		uint64_t rank = hash_number(subject ^ upstream->mark);
-
-		if (!homes.first || rank > best) {
-			homes.second = homes.first;
-			next = best;
-			homes.first = upstream;
-			best = rank;
-		} else if (!homes.second || rank > next) {
-			homes.second = upstream;
-			next = rank;
+		uint64_t score = hash_number(prefix ^ upstream->id_hash);
+
+		if (!preferred.first || score > best_score) {
+			preferred.second = preferred.first;
+			second_score = best_score;
+			preferred.first = upstream;
+			best_score = score;
+		} else if (!preferred.second || score > second_score) {
+			preferred.second = upstream;
+			second_score = score;
 		}
 	}
-	if (!ask->sample)
-		homes.second = NULL;
-	return homes;
+	if (!criteria->sample_size)
+		preferred.second = NULL;
+	return preferred;
 }
 
 /* An upstream that may be chosen. */
-typedef struct offer {
+typedef struct candidate {
 	forward_upstream_t *upstream; /* NULL: none yet */
-	bool avoided;
-	double unread; /* of the call's prompt, there */
+	bool in_backoff;
+	double uncached_tokens; /* of the call's prompt, there */
 	double cost;
-} offer_t;
+} candidate_t;
 
 /* A choice in progress; the upstreams are borrowed. */
 typedef struct search {
-	const forward_ask_t *ask;
+	const forward_criteria_t *criteria;
 	const GPtrArray *serving;
-	homes_t homes;
-	double rate; /* prompt tokens that an engine reads in a second */
+	preferred_t preferred;
+	/* prompt tokens that an engine processes per second */
+	double prefill_rate;
 	pd_time_t now;
-	offer_t best; /* so far */
-	bool any; /* one was not tried yet, full or not */
+	candidate_t best; /* so far */
+	bool any_untried; /* an upstream was not tried yet, full or not */
 } search_t;
 
 /*
- * Returns what an upstream has still to read of a call's prompt, by what all
- * entries send there: a subject's first upstreams have read what its requests
- * share, whoever sent them. By an entry's own requests alone, nine entries took
- * the work for twice of what it was, and ordered as many engines.
+ * Returns the tokens of a call's prompt that an upstream has to process.
+ * Preferred upstreams are taken to have the shared parts cached, whichever
+ * gateway sent them: by their own requests alone, nine gateways counted the
+ * work twice and ordered twice the engines.
  */
-static double unread_at(const search_t *search, const forward_upstream_t *upstream)
+static double uncached_tokens_at(const search_t *search,
+				 const forward_upstream_t *upstream)
 {
-	const forward_call_t *call = search->ask->call;
-	const homes_t *homes = &search->homes;
-	double unread = forward_upstream_unread(upstream, call, search->now);
-
-	if (upstream == homes->first || upstream == homes->second)
-		return MIN(unread,
-			   MAX(call->prompt_tokens - forward_call_shared(call), 0));
-	return unread;
+	const forward_call_t *call = search->criteria->call;
+	const preferred_t *preferred = &search->preferred;
+	double uncached_tokens =
+		forward_upstream_uncached_tokens(upstream, call, search->now);
+
+	if (upstream == preferred->first || upstream == preferred->second)
+		return MIN(uncached_tokens,
+			   MAX(call->prompt_tokens - forward_call_shared_tokens(call),
+			       0));
+	return uncached_tokens;
 }
 
 /*
- * What sending a call to an engine would cost it and its others, in prompt
- * tokens: what it has to read before, what it would have to read for this one,
- * and the slowing by what runs.
+ * Returns the cost of sending a call to an engine, in prompt tokens: what it
+ * has to process before, what this call adds, and the slowdown by the requests
+ * that run there.
  */
 static double engine_cost(const search_t *search,
-			  const forward_upstream_t *upstream, double unread,
-			  bool elsewhere)
+			  const forward_upstream_t *upstream,
+			  double uncached_tokens, bool other_zone)
 {
-	return forward_upstream_reading(upstream) + unread +
+	return forward_upstream_prefill_tokens(upstream) + uncached_tokens +
 	       forward_upstream_running(upstream) *
-		       engine_tokens(search->rate, ENGINE_RUNNING_TIME) +
-	       (elsewhere ? engine_tokens(search->rate, OTHER_ZONE_TIME) : 0);
+		       engine_tokens(search->prefill_rate, ENGINE_RUNNING_TIME) +
+	       (other_zone ? engine_tokens(search->prefill_rate, CROSS_ZONE_PENALTY)
+			   : 0);
 }
 
-static double plain_cost(const forward_upstream_t *upstream, bool elsewhere)
+/*
+ * Returns the cost of sending a call to a plain upstream, as a fraction of its
+ * slots in use.
+ */
+static double plain_cost(const forward_upstream_t *upstream, bool other_zone)
 {
 	return (double)forward_upstream_running(upstream) /
 		       MAX(upstream->slots, 1) +
-	       (elsewhere ? OTHER_ZONE_SLOTS : 0);
+	       (other_zone ? CROSS_ZONE_PENALTY_SLOTS : 0);
 }
 
-static offer_t make_offer(const search_t *search, forward_upstream_t *upstream)
+/* Returns an upstream as a candidate, with its cost. */
+static candidate_t make_candidate(const search_t *search,
+				  forward_upstream_t *upstream)
 {
-	const forward_ask_t *ask = search->ask;
-	bool elsewhere = strcmp(upstream->zone, ask->zone) != 0;
-	offer_t offer = {
+	const forward_criteria_t *criteria = search->criteria;
+	bool other_zone = strcmp(upstream->zone, criteria->zone) != 0;
+	candidate_t candidate = {
 		.upstream = upstream,
-		.avoided = forward_upstream_is_avoided(upstream, search->now),
+		.in_backoff = forward_upstream_in_backoff(upstream, search->now),
 	};
 
-	if (ask->has_prompt) {
-		offer.unread = unread_at(search, upstream);
-		offer.cost = engine_cost(search, upstream, offer.unread, elsewhere);
+	if (criteria->has_prompt) {
+		candidate.uncached_tokens = uncached_tokens_at(search, upstream);
+		candidate.cost = engine_cost(search, upstream,
+					     candidate.uncached_tokens,
+					     other_zone);
 	} else {
-		offer.cost = plain_cost(upstream, elsewhere);
+		candidate.cost = plain_cost(upstream, other_zone);
 	}
-	return offer;
+	return candidate;
 }
 
+/* Returns whether an upstream has no room for the request. */
 static bool is_full(const forward_upstream_t *upstream,
-		    const forward_ask_t *ask, pd_time_t now)
+		    const forward_criteria_t *criteria, pd_time_t now)
 {
 	if (now < upstream->full_until)
 		return true;
-	if (ask->connections_max && upstream->running >= ask->connections_max)
+	if (criteria->connections_max &&
+	    upstream->running >= criteria->connections_max)
 		return true;
-	return forward_upstream_running(upstream) >= upstream->slots * ask->overfill;
+	return forward_upstream_running(upstream) >=
+	       upstream->slots * criteria->overcommit;
 }
 
-static bool is_better(const offer_t *offer, const offer_t *best)
+/* Returns whether a candidate is preferable to the best so far. */
+static bool is_better(const candidate_t *candidate, const candidate_t *best)
 {
 	if (!best->upstream)
 		return true;
-	if (offer->avoided != best->avoided)
-		return !offer->avoided;
-	return offer->cost < best->cost;
+	if (candidate->in_backoff != best->in_backoff)
+		return !candidate->in_backoff;
+	return candidate->cost < best->cost;
 }
 
-/* Offers an upstream. Says whether it could be chosen. */
-static bool search_offer(search_t *search, forward_upstream_t *upstream)
+/*
+ * Makes an upstream the best candidate so far if it is better. Returns whether
+ * it can be chosen at all.
+ */
+static bool consider(search_t *search, forward_upstream_t *upstream)
 {
-	const forward_ask_t *ask = search->ask;
-	offer_t offer;
+	const forward_criteria_t *criteria = search->criteria;
+	candidate_t candidate;
 
-	if (is_tried(ask, upstream->id))
+	if (is_tried(criteria, upstream->id))
 		return false;
-	search->any = true;
-	if (is_full(upstream, ask, search->now))
+	search->any_untried = true;
+	if (is_full(upstream, criteria, search->now))
 		return false;
-	offer = make_offer(search, upstream);
-	if (is_better(&offer, &search->best))
-		search->best = offer;
+	candidate = make_candidate(search, upstream);
+	if (is_better(&candidate, &search->best))
+		search->best = candidate;
 	return true;
 }
 
 /*
- * Offers the first upstream from a random place on that can be chosen. False if
- * none can.
+ * Considers upstreams in order from a random index on until one can be chosen.
+ * Returns whether one can.
  */
-static bool offer_at_random(search_t *search)
+static bool consider_random(search_t *search)
 {
 	const GPtrArray *serving = search->serving;
-	guint from = (guint)g_rand_int_range(search->ask->random, 0,
+	guint from = (guint)g_rand_int_range(search->criteria->random, 0,
 					     (gint32)serving->len);
 
 	for (guint i = 0; i < serving->len; i++) {
 		guint at = (from + i) % serving->len;
 
-		if (search_offer(search, g_ptr_array_index(serving, at)))
+		if (consider(search, g_ptr_array_index(serving, at)))
 			return true;
 	}
 	return false;
 }
 
-static void offer_some(search_t *search)
+/* Considers a random sample of upstreams, and the preferred ones. */
+static void consider_sample(search_t *search)
 {
-	for (unsigned int i = 0; i < search->ask->sample; i++) {
-		if (!offer_at_random(search))
+	for (unsigned int i = 0; i < search->criteria->sample_size; i++) {
+		if (!consider_random(search))
 			return;
 	}
-	if (search->homes.first)
-		search_offer(search, search->homes.first);
-	if (search->homes.second)
-		search_offer(search, search->homes.second);
+	if (search->preferred.first)
+		consider(search, search->preferred.first);
+	if (search->preferred.second)
+		consider(search, search->preferred.second);
 }
 
-static void offer_all(search_t *search)
+/* Considers every upstream. */
+static void consider_all(search_t *search)
 {
 	for (guint i = 0; i < search->serving->len; i++)
-		search_offer(search, g_ptr_array_index(search->serving, i));
+		consider(search, g_ptr_array_index(search->serving, i));
 }
 
 /*
- * Picks the upstream with the least cost. Those that failed lately are taken
- * only if there is no other. Many entries that hear of each other late would
- * all pick the same one; compared with a few at random, they spread, and a
- * choice costs the same before ten upstreams and before a thousand.
+ * Chooses the upstream with the lowest cost; one in backoff only if there is no
+ * other. Fills in PICK, and returns whether one was chosen. Many gateways that
+ * learn of each other's loads late would all choose the same least loaded
+ * upstream; a choice from a random sample spreads them, and takes the same time
+ * for ten upstreams and for a thousand.
  */
 forward_choice_t forward_upstreams_choose(forward_upstreams_t *set,
-					  const forward_ask_t *ask,
+					  const forward_criteria_t *criteria,
 					  pd_time_t now, forward_pick_t *pick)
 {
 	search_t search = {
-		.ask = ask,
-		.serving = forward_upstreams_serving(set, ask->service),
-		.rate = engine_speeds_rate(forward_upstreams_speeds(set),
-					   ask->service),
+		.criteria = criteria,
+		.serving = forward_upstreams_serving(set, criteria->service),
+		.prefill_rate = engine_speeds_rate(forward_upstreams_speeds(set),
+						   criteria->service),
 		.now = now,
 	};
 
 	*pick = (forward_pick_t){ 0 };
 	if (!search.serving || !search.serving->len)
 		return FORWARD_NONE_LEFT;
-	search.homes = subject_homes(search.serving, ask);
-	if (ask->sample)
-		offer_some(&search);
+	search.preferred = find_preferred(search.serving, criteria);
+	if (criteria->sample_size)
+		consider_sample(&search);
 	else
-		offer_all(&search);
+		consider_all(&search);
 	pick->upstream = search.best.upstream;
-	pick->unread = search.best.unread;
+	pick->uncached_tokens = search.best.uncached_tokens;
 	if (pick->upstream)
 		return FORWARD_CHOSEN;
-	return search.any ? FORWARD_ALL_FULL : FORWARD_NONE_LEFT;
+	return search.any_untried ? FORWARD_ALL_FULL : FORWARD_NONE_LEFT;
 }
--- a/core/forward/config.c
+++ b/core/forward/config.c
@@ -1,24 +1,27 @@
-/* Building a version of the configuration, and looking things up in it. */
+/* Builds a version of the configuration, and looks things up in it. */
 #include "core/forward/config.h"
 
 #include <string.h>
 
-#define HEAD_MAX_DEFAULT 16384
-#define BODY_MAX_DEFAULT (4 * 1024 * 1024)
-#define HEAD_TIMEOUT_DEFAULT (5 * PD_SEC)
+#define HEADER_BYTES_MAX_DEFAULT 16384
+#define BODY_BYTES_MAX_DEFAULT (4 * 1024 * 1024)
+#define HEADER_TIMEOUT_DEFAULT (5 * PD_SEC)
 #define IDLE_TIMEOUT_DEFAULT (15 * PD_SEC)
-#define TIMEOUT_DEFAULT (30 * PD_SEC)
+#define ROUTE_TIMEOUT_DEFAULT (30 * PD_SEC)
 
-static void share_clear(void *data)
+/* Frees what a forward_weighted_service_t owns. */
+static void weighted_service_clear(void *data)
 {
-	g_free(((forward_share_t *)data)->service);
+	g_free(((forward_weighted_service_t *)data)->service);
 }
 
+/* Frees what a forward_zone_price_t owns. */
 static void zone_price_clear(void *data)
 {
 	g_free(((forward_zone_price_t *)data)->zone);
 }
 
+/* Frees a forward_route_t. */
 static void route_destroy(void *data)
 {
 	forward_route_t *route = data;
@@ -26,10 +29,11 @@
 	g_free(route->name);
 	g_free(route->host);
 	g_free(route->prefix);
-	g_array_unref(route->shares);
+	g_array_unref(route->weighted_services);
 	g_free(route);
 }
 
+/* Frees a forward_service_t. */
 static void service_destroy(void *data)
 {
 	forward_service_t *service = data;
@@ -39,6 +43,7 @@
 	g_free(service);
 }
 
+/* Frees a forward_account_t. */
 static void account_destroy(void *data)
 {
 	forward_account_t *account = data;
@@ -47,7 +52,10 @@
 	g_free(account);
 }
 
-/* Returns an empty version with usual limits; the caller holds a reference. */
+/*
+ * Returns an empty version with the default limits; the caller owns the
+ * reference.
+ */
 forward_config_t *forward_config_create(void)
 {
 	forward_config_t *config = g_new0(forward_config_t, 1);
@@ -60,21 +68,21 @@
 						(GDestroyNotify)g_ptr_array_unref);
 	config->by_key =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	config->head_max = HEAD_MAX_DEFAULT;
-	config->body_max = BODY_MAX_DEFAULT;
-	config->head_timeout = HEAD_TIMEOUT_DEFAULT;
+	config->header_bytes_max = HEADER_BYTES_MAX_DEFAULT;
+	config->body_bytes_max = BODY_BYTES_MAX_DEFAULT;
+	config->header_timeout = HEADER_TIMEOUT_DEFAULT;
 	config->idle_timeout = IDLE_TIMEOUT_DEFAULT;
 	return config;
 }
 
-/* Takes a reference. */
+/* Takes a reference. Returns CONFIG. */
 forward_config_t *forward_config_ref(forward_config_t *config)
 {
 	config->refs++;
 	return config;
 }
 
-/* Gives a reference up; NULL is allowed. */
+/* Drops a reference; the last one frees the version. NULL is allowed. */
 void forward_config_unref(forward_config_t *config)
 {
 	if (!config || --config->refs)
@@ -92,20 +100,22 @@
 {
 	forward_route_t *route = g_new0(forward_route_t, 1);
 
-	route->shares = g_array_new(FALSE, TRUE, sizeof(forward_share_t));
-	g_array_set_clear_func(route->shares, share_clear);
+	route->weighted_services =
+		g_array_new(FALSE, TRUE, sizeof(forward_weighted_service_t));
+	g_array_set_clear_func(route->weighted_services, weighted_service_clear);
 	route->upstreams_max = 1;
-	route->timeout = TIMEOUT_DEFAULT;
+	route->timeout = ROUTE_TIMEOUT_DEFAULT;
 	g_ptr_array_add(config->routes, route);
 	return route;
 }
 
-/* Lets a route send a share of its requests to a service. */
-void forward_route_share(forward_route_t *route, const char *service, double weight)
+/* Adds a service that gets requests of a route in proportion to its weight. */
+void forward_route_add_service(forward_route_t *route, const char *service,
+			       double weight)
 {
-	forward_share_t share = { g_strdup(service), weight };
+	forward_weighted_service_t weighted = { g_strdup(service), weight };
 
-	g_array_append_val(route->shares, share);
+	g_array_append_val(route->weighted_services, weighted);
 }
 
 /* Returns a new service, owned by the version, for the caller to fill in. */
@@ -130,14 +140,15 @@
 	return account;
 }
 
-/* Gives a key to an account of this version. */
+/* Assigns an API key to an account of this version. */
 void forward_config_add_key(forward_config_t *config, const char *key,
 			    forward_account_t *account)
 {
 	g_hash_table_insert(config->by_key, g_strdup(key), account);
 }
 
-static gint by_prefix_length(gconstpointer a, gconstpointer b)
+/* Compares routes for sorting, longest prefix first. */
+static gint compare_prefix_length(gconstpointer a, gconstpointer b)
 {
 	const forward_route_t *const *left = a;
 	const forward_route_t *const *right = b;
@@ -147,29 +158,30 @@
 	return (left_len < right_len) - (left_len > right_len);
 }
 
-/* Sorts the routes for lookups; to be called once, when all are added. */
-void forward_config_seal(forward_config_t *config)
+/* Indexes the routes for lookups; must be called once, after all are added. */
+void forward_config_index_routes(forward_config_t *config)
 {
 	for (guint i = 0; i < config->routes->len; i++) {
 		forward_route_t *route = g_ptr_array_index(config->routes, i);
-		GPtrArray *list = g_hash_table_lookup(config->by_host, route->host);
+		GPtrArray *routes =
+			g_hash_table_lookup(config->by_host, route->host);
 
-		if (!list) {
-			list = g_ptr_array_new();
-			g_hash_table_insert(config->by_host, route->host, list);
+		if (!routes) {
+			routes = g_ptr_array_new();
+			g_hash_table_insert(config->by_host, route->host, routes);
 		}
-		g_ptr_array_add(list, route);
+		g_ptr_array_add(routes, route);
 	}
 	GHashTableIter iter;
-	gpointer list;
+	gpointer routes;
 
 	g_hash_table_iter_init(&iter, config->by_host);
-	while (g_hash_table_iter_next(&iter, NULL, &list))
-		g_ptr_array_sort(list, by_prefix_length);
+	while (g_hash_table_iter_next(&iter, NULL, &routes))
+		g_ptr_array_sort(routes, compare_prefix_length);
 }
 
 /* Returns the host in lower case and without its port; the caller owns it. */
-static char *plain_host(const char *host)
+static char *normalize_host(const char *host)
 {
 	const char *colon = strrchr(host, ':');
 	size_t len = colon ? (size_t)(colon - host) : strlen(host);
@@ -178,19 +190,19 @@
 }
 
 /*
- * Returns the route with the longest prefix of the target's path, or NULL. A
- * query is no part of the path.
+ * Returns the route of a host with the longest prefix of the target's path, or
+ * NULL. The query is not part of the path.
  */
 const forward_route_t *forward_config_route(const forward_config_t *config,
 					    const char *host, const char *target)
 {
-	char *plain = plain_host(host);
-	GPtrArray *list = g_hash_table_lookup(config->by_host, plain);
+	char *normalized = normalize_host(host);
+	GPtrArray *routes = g_hash_table_lookup(config->by_host, normalized);
 	size_t path_len = strcspn(target, "?#");
 
-	g_free(plain);
-	for (guint i = 0; list && i < list->len; i++) {
-		const forward_route_t *route = g_ptr_array_index(list, i);
+	g_free(normalized);
+	for (guint i = 0; routes && i < routes->len; i++) {
+		const forward_route_t *route = g_ptr_array_index(routes, i);
 		size_t len = strlen(route->prefix);
 
 		if (len <= path_len && !strncmp(target, route->prefix, len))
@@ -199,7 +211,7 @@
 	return NULL;
 }
 
-/* Returns the account that holds a key, or NULL. */
+/* Returns the account of an API key, or NULL. */
 const forward_account_t *forward_config_account(const forward_config_t *config,
 						const char *key)
 {
@@ -220,28 +232,39 @@
 	return NULL;
 }
 
-/* Returns a service of the route, picked by its weight with DRAW in 0 to 1. */
-const char *forward_route_service(const forward_route_t *route, double draw)
+/*
+ * Returns the name of a service of the route, picked by weight with DRAW, a
+ * random number from 0 to 1; NULL if the route has none.
+ */
+const char *forward_route_pick_service(const forward_route_t *route, double draw)
 {
 	double total = 0;
 
-	for (guint i = 0; i < route->shares->len; i++)
-		total += g_array_index(route->shares, forward_share_t, i).weight;
+	for (guint i = 0; i < route->weighted_services->len; i++)
+		total += g_array_index(route->weighted_services,
+				       forward_weighted_service_t, i)
+				 .weight;
 	draw *= total;
-	for (guint i = 0; i < route->shares->len; i++) {
-		const forward_share_t *share =
-			&g_array_index(route->shares, forward_share_t, i);
+	for (guint i = 0; i < route->weighted_services->len; i++) {
+		const forward_weighted_service_t *weighted =
+			&g_array_index(route->weighted_services,
+				       forward_weighted_service_t, i);
 
-		draw -= share->weight;
+		draw -= weighted->weight;
 		if (draw < 0)
-			return share->service;
+			return weighted->service;
 	}
-	if (!route->shares->len)
+	if (!route->weighted_services->len)
 		return NULL;
-	return g_array_index(route->shares, forward_share_t, 0).service;
+	return g_array_index(route->weighted_services,
+			     forward_weighted_service_t, 0)
+		.service;
 }
 
-/* Returns the price of an upstream's second in a zone, 1 if none is stated. */
+/*
+ * Returns the price per second of an upstream in a zone, 1 if none is
+ * configured.
+ */
 double forward_service_price(const forward_service_t *service, const char *zone)
 {
 	for (guint i = 0; i < service->zone_prices->len; i++) {
--- a/core/forward/upstreams.c
+++ b/core/forward/upstreams.c
@@ -1,4 +1,4 @@
-/* The table of upstreams: what the platform lists and who gets a request. */
+/* The table of upstreams, indexed by id, short id and service. */
 #include "core/forward/upstreams.h"
 
 #include <string.h>
@@ -6,28 +6,34 @@
 #include "core/hash.h"
 
 /*
- * Entries of upstreams lapse while the store is away, though the upstreams
- * live; they are back about two seconds after it is. Taken as gone at once, the
- * whole fleet would vanish at the end of each outage.
+ * While the store is unreachable, registrations expire although their upstreams
+ * run; those are registered again within about 2 s of its recovery. If they
+ * counted as gone at once, the whole fleet would vanish at the end of each
+ * outage.
  */
-#define RELIST_GRACE (2300 * PD_MSEC)
-/* How long a record of a gone upstream guards against older news of it. */
-#define GONE_KEPT (60 * PD_SEC)
+#define REREGISTRATION_GRACE (2300 * PD_MSEC)
+/*
+ * How long a gone upstream is remembered, so that older updates about it are
+ * recognized.
+ */
+#define TOMBSTONE_TTL (60 * PD_SEC)
 
 struct forward_upstreams {
-	list_node_t list; /* of forward_upstream_t */
-	GHashTable *by_id; /* borrows the ids */
-	GHashTable *by_mark;
-	GHashTable *groups; /* service -> GPtrArray of those that serve it */
+	list_node_t list; /* of forward_upstream_t, the gone ones included */
+	GHashTable *by_id; /* id -> forward_upstream_t; the ids are borrowed */
+	GHashTable *by_short_id;
+	GHashTable *groups; /* service -> GPtrArray of its serving upstreams */
 	engine_speeds_t *speeds;
-	uint64_t digests[FORWARD_BUCKETS];
+	uint64_t digests[FORWARD_DIGEST_BUCKETS];
 	pd_time_t grace_until;
-	pd_time_t run_at; /* when time next changes something; 0: never */
+	/* next call of forward_upstreams_expire() that has work; 0: none */
+	pd_time_t next_expiry_at;
 };
 
-static gpointer mark_key(uint32_t mark)
+/* Returns the key of a short id in by_short_id. */
+static gpointer short_id_key(uint32_t short_id)
 {
-	return GUINT_TO_POINTER(mark);
+	return GUINT_TO_POINTER(short_id);
 }
 
 /* Returns an empty table; the caller owns it. */
@@ -37,26 +43,26 @@
 
 	list_init(&set->list);
 	set->by_id = g_hash_table_new(g_str_hash, g_str_equal);
-	set->by_mark = g_hash_table_new(g_direct_hash, g_direct_equal);
+	set->by_short_id = g_hash_table_new(g_direct_hash, g_direct_equal);
 	set->groups = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					    (GDestroyNotify)g_ptr_array_unref);
 	set->speeds = engine_speeds_create();
 	return set;
 }
 
-/* Takes a reference. */
+/* Takes a reference. Returns UPSTREAM. */
 forward_upstream_t *forward_upstream_ref(forward_upstream_t *upstream)
 {
 	upstream->refs++;
 	return upstream;
 }
 
-/* Gives a reference up; the last one frees the upstream. */
+/* Drops a reference; the last one frees the upstream. */
 void forward_upstream_unref(forward_upstream_t *upstream)
 {
 	if (--upstream->refs)
 		return;
-	g_hash_table_unref(upstream->parts);
+	g_hash_table_unref(upstream->cached_parts);
 	g_free(upstream->id);
 	g_free(upstream->service);
 	g_free(upstream->address);
@@ -64,7 +70,8 @@
 	g_free(upstream);
 }
 
-static void group_leave(forward_upstream_t *upstream)
+/* Removes an upstream from its group, if it is in one. */
+static void leave_group(forward_upstream_t *upstream)
 {
 	GPtrArray *group = upstream->group;
 	forward_upstream_t *last;
@@ -72,12 +79,13 @@
 	if (!group)
 		return;
 	last = g_ptr_array_index(group, group->len - 1);
-	last->group_at = upstream->group_at;
-	g_ptr_array_remove_index_fast(group, upstream->group_at);
+	last->group_index = upstream->group_index;
+	g_ptr_array_remove_index_fast(group, upstream->group_index);
 	upstream->group = NULL;
 }
 
-static void group_join(forward_upstreams_t *set, forward_upstream_t *upstream)
+/* Adds an upstream, which must be in no group, to the group of its service. */
+static void join_group(forward_upstreams_t *set, forward_upstream_t *upstream)
 {
 	GPtrArray *group = g_hash_table_lookup(set->groups, upstream->service);
 
@@ -87,56 +95,57 @@
 				    group);
 	}
 	upstream->group = group;
-	upstream->group_at = group->len;
+	upstream->group_index = group->len;
 	g_ptr_array_add(group, upstream);
 }
 
-/* Returns the part of the table, for digests, that an upstream belongs to. */
+/* Returns the digest bucket that an upstream belongs to. */
 unsigned int forward_upstream_bucket(const forward_upstream_t *upstream)
 {
-	return (unsigned int)(upstream->mark % FORWARD_BUCKETS);
+	return (unsigned int)(upstream->id_hash % FORWARD_DIGEST_BUCKETS);
 }
 
 /*
- * Brings the groups and digests in line with an upstream that changed. Gone ones
- * are left out of the digests, as they are forgotten at different times.
+ * Updates the group and the digest of an upstream that changed. Gone ones are
+ * left out of the digests, as gateways forget them at different times.
  */
-static void set_changed(forward_upstreams_t *set, forward_upstream_t *upstream)
+static void update_indexes(forward_upstreams_t *set, forward_upstream_t *upstream)
 {
 	uint64_t digest = upstream->stage == FORWARD_GONE
 				  ? 0
-				  : hash_number(upstream->mark ^
+				  : hash_number(upstream->id_hash ^
 						hash_number(upstream->revision));
 
 	set->digests[forward_upstream_bucket(upstream)] += digest - upstream->digest;
 	upstream->digest = digest;
-	group_leave(upstream);
-	if (forward_upstream_serves(upstream))
-		group_join(set, upstream);
+	leave_group(upstream);
+	if (forward_upstream_is_serving(upstream))
+		join_group(set, upstream);
 }
 
-static void set_drop(forward_upstreams_t *set, forward_upstream_t *upstream)
+/* Removes an upstream from the table and drops the table's reference. */
+static void set_delete(forward_upstreams_t *set, forward_upstream_t *upstream)
 {
-	uint32_t mark = forward_upstream_mark(upstream);
+	uint32_t short_id = forward_upstream_short_id(upstream);
 
 	upstream->stage = FORWARD_GONE;
-	set_changed(set, upstream);
+	update_indexes(set, upstream);
 	g_hash_table_remove(set->by_id, upstream->id);
-	if (forward_upstreams_marked(set, mark) == upstream)
-		g_hash_table_remove(set->by_mark, mark_key(mark));
+	if (forward_upstreams_find_by_short_id(set, short_id) == upstream)
+		g_hash_table_remove(set->by_short_id, short_id_key(short_id));
 	list_remove(&upstream->node);
 	forward_upstream_unref(upstream);
 }
 
-/* Frees the table; upstreams that are referred to live on. */
+/* Frees the table; NULL is allowed. Upstreams with other references live on. */
 void forward_upstreams_destroy(forward_upstreams_t *set)
 {
 	if (!set)
 		return;
 	LIST_FOR_EACH_SAFE (it, &set->list)
-		set_drop(set, LIST_ENTRY(it, forward_upstream_t, node));
+		set_delete(set, LIST_ENTRY(it, forward_upstream_t, node));
 	g_hash_table_unref(set->by_id);
-	g_hash_table_unref(set->by_mark);
+	g_hash_table_unref(set->by_short_id);
 	g_hash_table_unref(set->groups);
 	engine_speeds_destroy(set->speeds);
 	g_free(set);
@@ -148,13 +157,16 @@
 	return &set->list;
 }
 
-/* Returns what is learned of the speed of engines, borrowed. */
+/* Returns the measured speeds of engines, borrowed. */
 engine_speeds_t *forward_upstreams_speeds(const forward_upstreams_t *set)
 {
 	return set->speeds;
 }
 
-/* Returns the upstreams of a service that may get something new; NULL: none. */
+/*
+ * Returns the upstreams of a service that accept new requests, borrowed; NULL
+ * if there has been none.
+ */
 const GPtrArray *forward_upstreams_serving(const forward_upstreams_t *set,
 					   const char *service)
 {
@@ -162,10 +174,12 @@
 }
 
 /*
- * Returns the part of a service's places that requests of all entries take, as
- * far as is known; over 1: some wait at the upstreams. 0 if none serves.
+ * Returns the requests of all gateways, as far as they are known, divided by
+ * the slots of a service. Over 1, some requests queue at the upstreams. Returns
+ * 0 if no upstream serves.
  */
-double forward_upstreams_fill(const forward_upstreams_t *set, const char *service)
+double forward_upstreams_utilization(const forward_upstreams_t *set,
+				     const char *service)
 {
 	const GPtrArray *serving = forward_upstreams_serving(set, service);
 	double running = 0;
@@ -181,9 +195,10 @@
 }
 
 /*
- * Returns a digest of what is known of the upstreams of a bucket. Two tables
- * that hold the same have the same digests. The newest revision would not do:
- * whoever missed one piece of news and got the next has that as well.
+ * Returns a digest of the ids and revisions of the upstreams in a bucket. Two
+ * tables with the same upstreams at the same revisions have the same digests.
+ * The highest revision would not do: a gateway that missed one update and got
+ * the next has that as well.
  */
 uint64_t forward_upstreams_digest(const forward_upstreams_t *set, unsigned int bucket)
 {
@@ -191,48 +206,55 @@
 }
 
 /*
- * Returns the short name of an upstream, for messages that name many of them. Of
- * a thousand upstreams two have the same in one fleet of some ten thousand; then
- * one of these two is told the other's load.
+ * Returns the short id of an upstream, for messages that name many of them.
+ * Among a thousand upstreams two collide in about one fleet of ten thousand;
+ * one of these two is then given the other's load.
  */
-uint32_t forward_upstream_mark(const forward_upstream_t *upstream)
+uint32_t forward_upstream_short_id(const forward_upstream_t *upstream)
 {
-	return (uint32_t)upstream->mark;
+	return (uint32_t)upstream->id_hash;
 }
 
-/* Returns an upstream by its short name, or NULL. */
-forward_upstream_t *forward_upstreams_marked(forward_upstreams_t *set, uint32_t mark)
+/* Returns an upstream by its short id, borrowed, or NULL. */
+forward_upstream_t *forward_upstreams_find_by_short_id(forward_upstreams_t *set,
+						       uint32_t short_id)
 {
-	return g_hash_table_lookup(set->by_mark, mark_key(mark));
+	return g_hash_table_lookup(set->by_short_id, short_id_key(short_id));
 }
 
-/* Returns an upstream by its id, or NULL. */
+/* Returns an upstream by its id, borrowed, or NULL. */
 forward_upstream_t *forward_upstreams_find(forward_upstreams_t *set, const char *id)
 {
 	return g_hash_table_lookup(set->by_id, id);
 }
 
+/*
+ * Adds an upstream about which nothing but the id is known. Returns it,
+ * borrowed.
+ */
 static forward_upstream_t *set_add(forward_upstreams_t *set, const char *id)
 {
 	forward_upstream_t *upstream = g_new0(forward_upstream_t, 1);
 
 	upstream->refs = 1;
 	upstream->id = g_strdup(id);
-	upstream->mark = hash_number(hash_string(id));
+	upstream->id_hash = hash_number(hash_string(id));
 	upstream->service = g_strdup("");
 	upstream->address = g_strdup("");
 	upstream->zone = g_strdup("");
 	list_init(&upstream->idle_links);
-	upstream->parts = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						g_free, g_free);
+	upstream->cached_parts =
+		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	list_append(&set->list, &upstream->node);
 	g_hash_table_insert(set->by_id, upstream->id, upstream);
-	g_hash_table_insert(set->by_mark,
-			    mark_key(forward_upstream_mark(upstream)), upstream);
+	g_hash_table_insert(set->by_short_id,
+			    short_id_key(forward_upstream_short_id(upstream)),
+			    upstream);
 	return upstream;
 }
 
-static void replace(char **text, const char *with)
+/* Replaces an owned string by a copy of WITH, if they differ. */
+static void replace_string(char **text, const char *with)
 {
 	if (!strcmp(*text, with))
 		return;
@@ -240,60 +262,65 @@
 	*text = g_strdup(with);
 }
 
-/* Takes when an upstream was started; another time means another start. */
-static void take_born(forward_upstream_t *upstream, int64_t born)
+/*
+ * Sets the start time of an upstream; 0 is ignored. A time other than the one
+ * known means that it restarted.
+ */
+static void update_start_time(forward_upstream_t *upstream, int64_t start_time_ms)
 {
-	if (!born)
+	if (!start_time_ms)
 		return;
-	if (upstream->born && upstream->born != born)
-		forward_upstream_restarted(upstream);
-	upstream->born = born;
+	if (upstream->start_time_ms && upstream->start_time_ms != start_time_ms)
+		forward_upstream_record_restart(upstream);
+	upstream->start_time_ms = start_time_ms;
 }
 
 /*
- * Takes what the platform or a peer says of an upstream, unless something newer
- * is known. Returns whether that was news.
+ * Applies a registration from the platform or a peer, unless a newer revision
+ * is known. Returns whether it changed anything.
  */
 bool forward_upstreams_apply(forward_upstreams_t *set,
-			     const forward_listing_t *listing)
+			     const forward_registration_t *registration)
 {
-	forward_upstream_t *upstream = forward_upstreams_find(set, listing->id);
+	forward_upstream_t *upstream =
+		forward_upstreams_find(set, registration->id);
 
 	if (!upstream)
-		upstream = set_add(set, listing->id);
+		upstream = set_add(set, registration->id);
 	upstream->listed = true;
-	if (listing->revision <= upstream->revision)
+	if (registration->revision <= upstream->revision)
 		return false;
-	take_born(upstream, listing->born);
-	group_leave(upstream); /* the service may change */
+	update_start_time(upstream, registration->start_time_ms);
+	leave_group(upstream); /* the service may change */
 	/*
-	 * Listed anew after it had lapsed. The same revision, told once more by
-	 * a peer, is no sign of life: taken for one, it kept upstreams that had
-	 * left in use for seconds.
+	 * A new revision shows that it was registered again after it had
+	 * expired. The same revision, repeated by a peer, does not: when it
+	 * counted, upstreams that had left were used for seconds.
 	 */
 	upstream->gone_at = 0;
-	replace(&upstream->service, listing->service);
-	replace(&upstream->address, listing->address);
-	replace(&upstream->zone, listing->zone);
-	upstream->port = listing->port;
-	upstream->slots = listing->slots;
-	upstream->stage = listing->stage;
-	upstream->reclaimable = listing->reclaimable;
-	upstream->revision = listing->revision;
-	set_changed(set, upstream);
+	replace_string(&upstream->service, registration->service);
+	replace_string(&upstream->address, registration->address);
+	replace_string(&upstream->zone, registration->zone);
+	upstream->port = registration->port;
+	upstream->slots = registration->slots;
+	upstream->stage = registration->stage;
+	upstream->reclaimable = registration->reclaimable;
+	upstream->revision = registration->revision;
+	update_indexes(set, upstream);
 	return true;
 }
 
 /*
- * Takes it that an upstream's entry is gone as of a revision. Returns whether
- * that was news. An entry that lapsed in an outage of the store gets the time
+ * Marks an upstream as gone, as its registration was removed at a revision.
+ * Returns whether it is gone now and was not before. A registration that may
+ * have expired in an outage of the store gets until the end of the grace period
  * to come back.
  */
 bool forward_upstreams_remove(forward_upstreams_t *set, const char *id,
 			      uint64_t revision, pd_time_t now)
 {
 	forward_upstream_t *upstream = forward_upstreams_find(set, id);
-	bool lapsed = now < set->grace_until;
+	bool may_have_expired = now < set->grace_until;
 
 	if (!upstream)
 		upstream = set_add(set, id);
@@ -302,28 +329,30 @@
 	if (upstream->gone_at)
 		return false;
 	upstream->gone_at = now;
-	set->run_at = now;
-	if (lapsed && upstream->stage == FORWARD_SERVING && upstream->revision) {
+	set->next_expiry_at = now;
+	if (may_have_expired && upstream->stage == FORWARD_SERVING &&
+	    upstream->revision) {
 		upstream->gone_at = set->grace_until;
-		return false; /* news only when that time is over */
+		return false; /* forward_upstreams_expire() reports it */
 	}
 	upstream->stage = FORWARD_GONE;
 	upstream->revision = revision;
-	set_changed(set, upstream);
+	update_indexes(set, upstream);
 	return true;
 }
 
 /*
- * Takes what a peer says of the stage of an upstream that is known, as of a
- * revision. Returns whether that was news.
+ * Applies a change of stage from a peer to an upstream that is known, as of a
+ * revision. Returns whether it changed anything.
  */
-bool forward_upstreams_restage(forward_upstreams_t *set,
-			       forward_upstream_t *upstream,
-			       const forward_change_t *change, pd_time_t now)
+bool forward_upstreams_update_stage(forward_upstreams_t *set,
+				    forward_upstream_t *upstream,
+				    const forward_stage_update_t *change,
+				    pd_time_t now)
 {
-	const forward_listing_t listing = {
+	const forward_registration_t registration = {
 		.id = upstream->id,
-		.born = change->born,
+		.start_time_ms = change->start_time_ms,
 		.service = upstream->service,
 		.address = upstream->address,
 		.port = upstream->port,
@@ -337,17 +366,20 @@
 	if (change->stage == FORWARD_GONE)
 		return forward_upstreams_remove(set, upstream->id,
 						change->revision, now);
-	return forward_upstreams_apply(set, &listing);
+	return forward_upstreams_apply(set, &registration);
 }
 
-/* Begins to read a whole listing of the platform. */
+/* Begins to read a full listing of the platform. */
 void forward_upstreams_begin_listing(forward_upstreams_t *set)
 {
 	LIST_FOR_EACH (it, &set->list)
 		LIST_ENTRY(it, forward_upstream_t, node)->listed = false;
 }
 
-/* Ends it: what was not in it is gone, as of the listing's revision. */
+/*
+ * Ends a full listing: upstreams that were not in it are gone, as of its
+ * revision.
+ */
 void forward_upstreams_end_listing(forward_upstreams_t *set, uint64_t revision,
 				   pd_time_t now)
 {
@@ -360,28 +392,33 @@
 	}
 }
 
-/* Takes that an outage of the store, in which entries may have lapsed, ended at AT. */
-void forward_upstreams_store_back(forward_upstreams_t *set, pd_time_t at)
+/*
+ * Starts the grace period for registrations that may have expired in an outage
+ * of the store that ended at AT.
+ */
+void forward_upstreams_store_recovered(forward_upstreams_t *set, pd_time_t at)
 {
-	set->grace_until = at + RELIST_GRACE;
+	set->grace_until = at + REREGISTRATION_GRACE;
 }
 
-static void set_run_by(forward_upstreams_t *set, pd_time_t when)
+/* Has forward_upstreams_expire() do work at WHEN at the latest. */
+static void schedule_expiry(forward_upstreams_t *set, pd_time_t when)
 {
-	if (!set->run_at || when < set->run_at)
-		set->run_at = when;
+	if (!set->next_expiry_at || when < set->next_expiry_at)
+		set->next_expiry_at = when;
 }
 
 /*
- * Lets time pass: lapsed entries that did not come back are gone, and ON_GONE
- * is called for each.
+ * Marks upstreams as gone whose registration did not come back within the grace
+ * period, calling ON_GONE with CTX and the id of each, and deletes those that
+ * have been gone for TOMBSTONE_TTL.
  */
-void forward_upstreams_run(forward_upstreams_t *set, pd_time_t now,
-			   void (*on_gone)(void *ctx, const char *id), void *ctx)
+void forward_upstreams_expire(forward_upstreams_t *set, pd_time_t now,
+			      void (*on_gone)(void *ctx, const char *id), void *ctx)
 {
-	if (!set->run_at || now < set->run_at)
+	if (!set->next_expiry_at || now < set->next_expiry_at)
 		return;
-	set->run_at = 0;
+	set->next_expiry_at = 0;
 	LIST_FOR_EACH_SAFE (it, &set->list) {
 		forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
@@ -390,32 +427,39 @@
 			continue;
 		if (now >= upstream->gone_at && upstream->stage != FORWARD_GONE) {
 			upstream->stage = FORWARD_GONE;
-			set_changed(set, upstream);
+			update_indexes(set, upstream);
 			on_gone(ctx, upstream->id);
 		}
-		if (now - upstream->gone_at > GONE_KEPT)
-			set_drop(set, upstream);
+		if (now - upstream->gone_at > TOMBSTONE_TTL)
+			set_delete(set, upstream);
 		else
-			set_run_by(set, now >= upstream->gone_at
-						? upstream->gone_at + GONE_KEPT + 1
-						: upstream->gone_at);
+			schedule_expiry(set, now >= upstream->gone_at
+						     ? upstream->gone_at +
+							       TOMBSTONE_TTL + 1
+						     : upstream->gone_at);
 	}
 }
 
-/* Says whether an upstream may get something new. */
-bool forward_upstream_serves(const forward_upstream_t *upstream)
+/* Returns whether an upstream accepts new requests. */
+bool forward_upstream_is_serving(const forward_upstream_t *upstream)
 {
 	return upstream->stage == FORWARD_SERVING && upstream->revision;
 }
 
-/* Returns the requests of all entries there, as far as is known. */
+/*
+ * Returns the requests of all gateways that run there, as far as they are
+ * known.
+ */
 unsigned int forward_upstream_running(const forward_upstream_t *upstream)
 {
 	return upstream->running + upstream->peers_running;
 }
 
-/* Returns the prompt tokens that it has still to read for all entries. */
-double forward_upstream_reading(const forward_upstream_t *upstream)
+/*
+ * Returns the prompt tokens of all gateways' requests that it has yet to
+ * process.
+ */
+double forward_upstream_prefill_tokens(const forward_upstream_t *upstream)
 {
-	return upstream->reading + upstream->peers_reading;
+	return upstream->prefill_tokens + upstream->peers_prefill_tokens;
 }
--- a/tests/unit/test_scale_plan.c
+++ b/tests/unit/test_scale_plan.c
@@ -40,7 +40,7 @@
 	rig->config = forward_config_create();
 	rig->service = forward_config_add_service(rig->config);
 	rig->service->name = g_strdup("s");
-	rig->service->scaled = true;
+	rig->service->autoscaled = true;
 	rig->service->zone_min = 1;
 	rig->service->zone_max = 6;
 	rig->service->engine_slots = 96;
@@ -68,13 +68,13 @@
 static void start(rig_t *rig, const char *zone, unsigned int number, bool reclaimable)
 {
 	char id[32];
-	forward_listing_t listing = { .id = id,
-				      .service = "s",
-				      .address = "127.0.0.1",
-				      .port = 1,
-				      .zone = zone,
-				      .slots = 96,
-				      .reclaimable = reclaimable };
+	forward_registration_t listing = { .id = id,
+					   .service = "s",
+					   .address = "127.0.0.1",
+					   .port = 1,
+					   .zone = zone,
+					   .slots = 96,
+					   .reclaimable = reclaimable };
 
 	for (unsigned int i = 0; i < number; i++) {
 		listing.revision = ++rig->revision;
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -58,7 +58,7 @@
 	(void)state;
 	assert_string_equal(call->id, "9c41");
 	assert_string_equal(call->resume_after, "12");
-	assert_int_equal(call->patience, 1500 * PD_MSEC);
+	assert_int_equal(call->time_left, 1500 * PD_MSEC);
 	assert_int_equal(call->prompt_tokens, 1460);
 	assert_int_equal(call->output_tokens, 80);
 	assert_int_equal(call->part_count, 2);
@@ -140,19 +140,19 @@
 	(void)state;
 	assert_non_null(config);
 	assert_int_equal(config->version, 7);
-	assert_int_equal(config->body_max, 200);
+	assert_int_equal(config->body_bytes_max, 200);
 	assert_int_equal(config->idle_timeout, 400 * PD_MSEC);
 	route = forward_config_route(config, "h.example", "/a/x");
 	assert_int_equal(route->kind, FORWARD_STREAM);
 	assert_int_equal(route->timeout, 15 * PD_SEC);
-	assert_true(route->resumable && route->open && route->has_prompt);
-	assert_string_equal(forward_route_service(route, 0.95), "t");
+	assert_true(route->resumable && route->is_public && route->has_prompt);
+	assert_string_equal(forward_route_pick_service(route, 0.95), "t");
 	service = forward_config_service(config, "s");
-	assert_true(service->is_engine && service->scaled);
+	assert_true(service->is_engine && service->autoscaled);
 	assert_int_equal(service->boot_time, 4 * PD_SEC);
 	assert_true(forward_service_price(service, "b") == 0.8);
 	account = forward_config_account(config, "k");
-	assert_true(account->in_tokens);
+	assert_true(account->limits_tokens);
 	assert_true(account->rate == 10 && account->burst == 20);
 	forward_config_unref(config);
 }
@@ -193,7 +193,7 @@
 	static const char watch[] =
 		"{\"events\":[{\"tombstone\":true,\"object\":{\"metadata\":"
 		"{\"name\":\"i-1\",\"revision\":4}}}],\"asOf\":12}";
-	forward_listing_t listing;
+	forward_registration_t listing;
 	pd_error_t err;
 	wire_page_t *page = wire_page_read(list, strlen(list), &err);
 
@@ -222,14 +222,14 @@
 
 /* Reads a page of a sound entry, one with a spec, and another sound one. */
 static int read_between(const char *spec, size_t len,
-			forward_listing_t *between, pd_error_t *err)
+			forward_registration_t *between, pd_error_t *err)
 {
 	static const char head[] = "{\"items\":[" SOUND(
 		"i-1") ",{\"metadata\":"
 		       "{\"name\":\"i-2\",\"revision\":5},\"spec\":";
 	static const char tail[] = "}," SOUND("i-3") "],\"asOf\":9}";
 	GString *text = g_string_new(head);
-	forward_listing_t sound;
+	forward_registration_t sound;
 	wire_page_t *page;
 	int rc;
 
@@ -243,7 +243,7 @@
 		assert_int_equal(wire_page_upstream(page, i, &sound, err), 0);
 		assert_int_equal(sound.slots, 6);
 		assert_int_equal(sound.revision, 4);
-		assert_int_equal(sound.born, 1775915655123);
+		assert_int_equal(sound.start_time_ms, 1775915655123);
 	}
 	assert_string_equal(sound.id, "i-3");
 	rc = wire_page_upstream(page, 1, between, err);
@@ -284,7 +284,7 @@
 		"{\"service\":\"s\",\"address\":\"1.2.3.4:5\",\"zone\":\"a\","
 		"\"slots\":1,\"state\":\"ready\",\"born\":0.5}",
 	};
-	forward_listing_t listing;
+	forward_registration_t listing;
 	pd_error_t err;
 
 	(void)state;
@@ -308,7 +308,7 @@
 		"\\ud800",  "\\udc00\\ud800", "\\u0000x",
 		"a\x01z",   "a\nz",	      "\\\\\xf8",
 	};
-	forward_listing_t listing;
+	forward_registration_t listing;
 	pd_error_t err;
 
 	(void)state;
