--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -503,7 +503,7 @@
  */
 static void add_leader(gateway_checkpoint_t *checkpoint, checkpoint_record_t *record)
 {
-	const char *leader = gateway_peers_leader(checkpoint->gateway->peers);
+	const char *leader = gateway_peers_leader_vm(checkpoint->gateway->peers);
 
 	if (leader && g_strcmp0(leader, checkpoint->leader)) {
 		log_line(G_LOG_LEVEL_INFO, PART, "leader=%s before=%s", leader,
--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -233,8 +233,8 @@
 	if (duties->gateway->stop_at)
 		return duties->fence &&
 		       lease_fence(duties->lease) <= duties->fence &&
-		       !gateway_peers_has_holder_after(peers, duties->fence);
-	return duties->resumes || gateway_peers_stand_for_duties(peers);
+		       !gateway_peers_has_newer_leader(peers, duties->fence);
+	return duties->resumes || gateway_peers_may_acquire_lease(peers);
 }
 
 /*
@@ -279,14 +279,14 @@
 	if (!gateway_duties_may_hold(duties))
 		return;
 	watch_store(duties, now);
-	if (gateway_peers_holder_is_silent(duties->gateway->peers, now))
+	if (gateway_peers_leader_is_silent(duties->gateway->peers, now))
 		lease_hurry(duties->lease, now);
 	lease_step(duties, now);
 	end_resuming(duties);
 	follow_lease(duties, now);
-	gateway_peers_hold_duties(duties->gateway->peers,
-				  lease_is_held(duties->lease, now),
-				  lease_fence(duties->lease));
+	gateway_peers_set_leadership(duties->gateway->peers,
+				     lease_is_held(duties->lease, now),
+				     lease_fence(duties->lease));
 	if (!may_act(duties, now))
 		return;
 	duties_run_usage(duties, now);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -300,10 +300,10 @@
 	msgpack_pack_uint64(packer, (uint64_t)(now - peers->started_at));
 	msgpack_pack_uint8(packer, (uint8_t)state_flags(peers, asks));
 	msgpack_pack_uint64(packer, (uint64_t)(now - peers->store_heard_at));
-	msgpack_write_text(packer, peers->is_holder ? peers->address
-				   : peers->holder  ? peers->holder
+	msgpack_write_text(packer, peers->is_leader ? peers->address
+				   : peers->leader  ? peers->leader
 						    : "");
-	msgpack_pack_uint64(packer, peers->holder_fence);
+	msgpack_pack_uint64(packer, peers->leader_fence);
 	msgpack_pack_uint32(packer, peers_view(peers, now)->counted);
 }
 
--- a/adapters/gateway/peer_rank.c
+++ b/adapters/gateway/peer_rank.c
@@ -6,7 +6,7 @@
 /* A peer heard within this is alive; messages can be late by a lost packet. */
 #define HEARD_MAX (3 * PD_SEC)
 /* Four states of the holder were lost, or it has ended: the lease is looked at. */
-#define HOLDER_SILENT PD_SEC
+#define LEADER_SILENCE_MAX PD_SEC
 /* After its connection has failed a peer is sent no counts until it is heard. */
 #define LOST_PAUSE (2 * PD_SEC)
 /* Who was sent counts within this writes them. */
@@ -255,23 +255,23 @@
 }
 
 /* Says whether this gateway may take the lease on the duties. */
-bool gateway_peers_stand_for_duties(gateway_peers_t *peers)
+bool gateway_peers_may_acquire_lease(gateway_peers_t *peers)
 {
-	return peers->is_holder || gateway_peers_go_first(peers);
+	return peers->is_leader || gateway_peers_go_first(peers);
 }
 
 /*
  * Says whether the holder of the duties was heard of, and is silent now. It tells
  * its state every 0.25 s in a mesh.
  */
-bool gateway_peers_holder_is_silent(gateway_peers_t *peers, pd_time_t now)
+bool gateway_peers_leader_is_silent(gateway_peers_t *peers, pd_time_t now)
 {
-	const peer_t *holder = peers->holder && !peers->is_holder
-				       ? peers_find(peers, peers->holder)
+	const peer_t *leader = peers->leader && !peers->is_leader
+				       ? peers_find(peers, peers->leader)
 				       : NULL;
 
-	return holder && holder->heard_at &&
-	       now - holder->heard_at > HOLDER_SILENT &&
+	return leader && leader->heard_at &&
+	       now - leader->heard_at > LEADER_SILENCE_MAX &&
 	       peers_is_mesh(peers, now);
 }
 
--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -29,8 +29,8 @@
 	STATE_AGE, /* of the sender's process */
 	STATE_FLAGS,
 	STATE_STORE_AGE, /* since the store was last heard */
-	STATE_HOLDER, /* address of the holder of the duties */
-	STATE_FENCE, /* of that holder; the highest is the newest */
+	STATE_LEADER, /* address of the holder of the duties */
+	STATE_LEADER_FENCE, /* of that holder; the highest is the newest */
 	STATE_COUNT, /* of gateways that the sender counts */
 	STATE_TOTALS,
 	STATE_WORKS,
@@ -156,9 +156,9 @@
 	char *aggregator; /* whose summaries are followed; NULL: peers are heard */
 	pd_time_t summed_at; /* when its last summary came */
 	GArray *aggregator_loads; /* of load_t, from that summary */
-	char *holder; /* address of the duties' holder; NULL: unknown */
-	uint64_t holder_fence;
-	bool is_holder;
+	char *leader; /* address of the duties' holder; NULL: unknown */
+	uint64_t leader_fence;
+	bool is_leader;
 	pd_time_t store_heard_at; /* by anybody */
 	pd_time_t fetched_config_at;
 	pd_time_t fetched_upstreams_at;
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -283,18 +283,18 @@
  * fencing number, the many who had not heard of a new holder told the aggregators the
  * old one again and again, and usage was sent there for the rest of the day.
  */
-static void take_holder(gateway_peers_t *peers, const msgpack_object *object,
-			uint64_t fence)
+static void update_leader(gateway_peers_t *peers, const msgpack_object *object,
+			  uint64_t fence)
 {
-	char *holder = msgpack_field_text(object);
+	char *leader = msgpack_field_text(object);
 
-	if (holder && *holder && fence > peers->holder_fence) {
-		g_free(peers->holder);
-		peers->holder = g_steal_pointer(&holder);
-		peers->holder_fence = fence;
-		peers->is_holder = false;
+	if (leader && *leader && fence > peers->leader_fence) {
+		g_free(peers->leader);
+		peers->leader = g_steal_pointer(&leader);
+		peers->leader_fence = fence;
+		peers->is_leader = false;
 	}
-	g_free(holder);
+	g_free(leader);
 }
 
 /* Returns the id of the VM, which an incarnation begins with; owned by the caller. */
@@ -330,8 +330,8 @@
 	peer->has_store = flags & STATE_FLAG_HAS_STORE;
 	peer->zone = (uint16_t)msgpack_field_number(&fields[STATE_ZONE]);
 	take_store_age(peers, msgpack_field_number(&fields[STATE_STORE_AGE]));
-	take_holder(peers, &fields[STATE_HOLDER],
-		    msgpack_field_number(&fields[STATE_FENCE]));
+	update_leader(peers, &fields[STATE_LEADER],
+		      msgpack_field_number(&fields[STATE_LEADER_FENCE]));
 done:
 	g_free(address);
 	g_free(who);
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -251,29 +251,29 @@
 }
 
 /* Notes whether this gateway holds the duties: usage is told to the holder. */
-void gateway_peers_hold_duties(gateway_peers_t *peers, bool held, uint64_t fence)
+void gateway_peers_set_leadership(gateway_peers_t *peers, bool held, uint64_t fence)
 {
-	peers->is_holder = held && fence >= peers->holder_fence;
-	if (peers->is_holder)
-		peers->holder_fence = fence;
+	peers->is_leader = held && fence >= peers->leader_fence;
+	if (peers->is_leader)
+		peers->leader_fence = fence;
 }
 
 /* Returns the id of the leader's VM, borrowed; NULL: it is not known. */
-const char *gateway_peers_leader(const gateway_peers_t *peers)
+const char *gateway_peers_leader_vm(const gateway_peers_t *peers)
 {
 	const peer_t *peer;
 
-	if (peers->is_holder)
+	if (peers->is_leader)
 		return peers->gateway->settings->node_id;
-	peer = peers->holder ? peers_find((gateway_peers_t *)peers, peers->holder)
+	peer = peers->leader ? peers_find((gateway_peers_t *)peers, peers->leader)
 			     : NULL;
 	return peer ? peer->vm_id : NULL;
 }
 
 /* Says whether a later holder of the duties was heard of than that with FENCE. */
-bool gateway_peers_has_holder_after(const gateway_peers_t *peers, uint64_t fence)
+bool gateway_peers_has_newer_leader(const gateway_peers_t *peers, uint64_t fence)
 {
-	return peers->holder_fence > fence;
+	return peers->leader_fence > fence;
 }
 
 /* Returns the live peers, borrowed, in an array that the caller owns. */
@@ -515,7 +515,7 @@
 	bool is_aggregator = peers_view(peers, now)->rank < AGGREGATORS;
 	peer_t *first[AGGREGATORS + 1];
 	unsigned int count;
-	peer_t *holder;
+	peer_t *leader;
 
 	check_aggregator(peers, now);
 	count = peers_first(peers, first, AGGREGATORS, now);
@@ -524,14 +524,14 @@
 	for (unsigned int i = 0; i < count; i++)
 		peers_send_state(peers, first[i], !is_aggregator && i == 0, full);
 	/* It need not be among the members that this gateway was told. */
-	holder = peers->holder ? peers_add(peers, peers->holder) : NULL;
-	if (!holder || !full)
+	leader = peers->leader ? peers_add(peers, peers->leader) : NULL;
+	if (!leader || !full)
 		return;
 	for (unsigned int i = 0; i < count; i++) {
-		if (first[i] == holder)
+		if (first[i] == leader)
 			return;
 	}
-	peers_send_state(peers, holder, false, full);
+	peers_send_state(peers, leader, false, full);
 }
 
 static bool peer_is_lost(const peer_t *peer, pd_time_t now)
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -201,8 +201,8 @@
 	know_many(pair->gateways[0]);
 	know_many(pair->gateways[1]);
 	assert_null(peers_find(member, leader->address));
-	member->holder = g_strdup(leader->address);
-	member->holder_fence = 1;
+	member->leader = g_strdup(leader->address);
+	member->leader_fence = 1;
 	UNTIL_WITHIN(pair, peers_find(leader, member->address)->heard_at,
 		     FULL_STATE_MS);
 }
