--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -169,8 +169,8 @@
  * Adds what all gateways have running to a message. It is packed once for all
  * that are sent shortly after each other; receivers take off what is their own.
  */
-void peers_pack_all_loads(msgpack_sbuffer *buffer, gateway_peers_t *peers,
-			  pd_time_t now)
+void peers_pack_summed_loads(msgpack_sbuffer *buffer, gateway_peers_t *peers,
+			     pd_time_t now)
 {
 	msgpack_sbuffer *packed = &peers->loads_packed;
 	msgpack_packer packer;
@@ -249,8 +249,8 @@
 }
 
 /* Puts a peer's own loads in the place of those that it told before. */
-void peers_take_own_loads(gateway_peers_t *peers, GArray *loads,
-			  const msgpack_object *object)
+void peers_receive_loads(gateway_peers_t *peers, GArray *loads,
+			 const msgpack_object *object)
 {
 	peers_unload(peers, loads);
 	take_named(peers, loads, object, NULL);
@@ -280,7 +280,7 @@
 }
 
 /* Puts an aggregator's sums in the place of those before, less this gateway's part. */
-void peers_take_all_loads(gateway_peers_t *peers, const msgpack_object *object)
+void peers_receive_summed_loads(gateway_peers_t *peers, const msgpack_object *object)
 {
 	const msgpack_object *parts = msgpack_field_items(object, 2, NULL);
 	uint32_t count = 0;
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -391,7 +391,7 @@
 		  time_vote_wall(gateway->vote, now), false);
 	pack_totals(&packer, peers, receiver);
 	pack_works(&packer, peers, receiver);
-	peers_pack_all_loads(buffer, peers, now);
+	peers_pack_summed_loads(buffer, peers, now);
 	msgpack_pack_nil(&packer);
 	if (full)
 		pack_members(&packer, peers, now);
@@ -486,10 +486,10 @@
 }
 
 /* Packs the version of the configuration that was just taken. */
-void peers_pack_announce(msgpack_packer *packer, const gateway_peers_t *peers)
+void peers_pack_announcement(msgpack_packer *packer, const gateway_peers_t *peers)
 {
 	msgpack_pack_array(packer, 3);
-	msgpack_pack_uint8(packer, MESSAGE_ANNOUNCE);
+	msgpack_pack_uint8(packer, MESSAGE_ANNOUNCEMENT);
 	msgpack_write_text(packer, peers->address);
 	msgpack_pack_uint64(packer, peers_config_version(peers));
 }
--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -12,7 +12,7 @@
 	MESSAGE_STATE, /* what the sender itself did and knows */
 	MESSAGE_SUMMARY, /* the same of all gateways but the receiver */
 	MESSAGE_NEWS, /* upstreams that changed */
-	MESSAGE_ANNOUNCE, /* the version of a configuration just taken */
+	MESSAGE_ANNOUNCEMENT, /* the version of a configuration just taken */
 	MESSAGE_CONFIG,
 	MESSAGE_FETCH, /* asks for what the sender lacks */
 	MESSAGE_COUNTS /* what changed since the last, to who keeps the record */
@@ -178,11 +178,12 @@
 bool peer_is_alive(const peer_t *peer, pd_time_t now);
 void peers_unload(gateway_peers_t *peers, GArray *loads);
 void peers_pack_own_loads(msgpack_packer *packer, gateway_peers_t *peers);
-void peers_pack_all_loads(msgpack_sbuffer *buffer, gateway_peers_t *peers,
-			  pd_time_t now);
-void peers_take_own_loads(gateway_peers_t *peers, GArray *loads,
-			  const msgpack_object *object);
-void peers_take_all_loads(gateway_peers_t *peers, const msgpack_object *object);
+void peers_pack_summed_loads(msgpack_sbuffer *buffer, gateway_peers_t *peers,
+			     pd_time_t now);
+void peers_receive_loads(gateway_peers_t *peers, GArray *loads,
+			 const msgpack_object *object);
+void peers_receive_summed_loads(gateway_peers_t *peers,
+				const msgpack_object *object);
 void peers_forget_counts(gateway_peers_t *peers, peer_t *peer);
 const peer_view_t *peers_view(gateway_peers_t *peers, pd_time_t now);
 bool peers_is_mesh(gateway_peers_t *peers, pd_time_t now);
@@ -207,10 +208,10 @@
 void peers_send_config(gateway_peers_t *peers, peer_t *peer);
 void peers_send_upstreams(gateway_peers_t *peers, peer_t *peer,
 			  const uint64_t *digests);
-void peers_pack_announce(msgpack_packer *packer, const gateway_peers_t *peers);
+void peers_pack_announcement(msgpack_packer *packer, const gateway_peers_t *peers);
 void peers_pack_news(msgpack_packer *packer, const gateway_peers_t *peers,
 		     GHashTable *ids);
-int peers_take(gateway_peers_t *peers, const char *data, size_t len);
+int peers_receive(gateway_peers_t *peers, const char *data, size_t len);
 uint64_t peers_config_version(const gateway_peers_t *peers);
 uint64_t peers_digest(const gateway_peers_t *peers);
 
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -9,7 +9,7 @@
 
 #define PART "peers"
 /* Who all other gateways are, in the counts, when an aggregator sums them up. */
-#define EVERYBODY "everybody"
+#define ALL_PEERS "everybody"
 /* Levels of buckets are taken over from older peers so soon after the start. */
 #define ADOPT_MAX (3 * PD_SEC)
 /* What was asked for is asked for again only after so long. */
@@ -22,30 +22,31 @@
 #define FETCH_PERIOD_MAX (6400 * PD_MSEC)
 
 /* A peer's values by name, and the sums of all peers' that they are part of. */
-typedef struct part {
+typedef struct summed {
 	GHashTable *values;
 	GHashTable *sums;
-} part_t;
+} summed_values_t;
 
-static void part_set(const part_t *part, const char *name, double value)
+static void summed_values_set(const summed_values_t *summed, const char *name,
+			      double value)
 {
-	double *known = peers_value(part->values, name);
+	double *known = peers_value(summed->values, name);
 
-	*peers_value(part->sums, name) += value - *known;
+	*peers_value(summed->sums, name) += value - *known;
 	*known = value;
 }
 
 /* What a message says of one account's use. */
-typedef struct use_told {
+typedef struct limit_use {
 	char *account; /* owned */
 	double total;
 	double asked;
 	bool has_level;
 	double level;
-} use_told_t;
+} limit_use_t;
 
 /* Reads an account's use; false if it is not one. */
-static bool read_use(const msgpack_object *object, use_told_t *use)
+static bool read_limit_use(const msgpack_object *object, limit_use_t *use)
 {
 	const msgpack_object *fields =
 		msgpack_field_items(object, USE_FIELDS, NULL);
@@ -61,19 +62,19 @@
 }
 
 /* Takes what accounts used at a peer; ADOPT: it knows the levels better. */
-static void take_uses(gateway_peers_t *peers, peer_t *peer,
-		      const msgpack_object *object, bool adopt, bool recent)
+static void merge_limit_uses(gateway_peers_t *peers, peer_t *peer,
+			     const msgpack_object *object, bool adopt, bool recent)
 {
-	const part_t totals = { peer->totals, peers->totals };
-	const part_t asked = { peer->asked, peers->asked };
+	const summed_values_t totals = { peer->totals, peers->totals };
+	const summed_values_t asked = { peer->asked, peers->asked };
 	token_limits_t *limits = peers->gateway->limits;
 	pd_time_t now = gateway_now();
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
-	use_told_t use;
+	limit_use_t use;
 
 	for (uint32_t i = 0; i < count; i++) {
-		if (!read_use(&items[i], &use))
+		if (!read_limit_use(&items[i], &use))
 			continue;
 		if (adopt && use.has_level)
 			token_limits_adopt(limits, use.account, use.level, now);
@@ -81,35 +82,35 @@
 				   use.total, recent, now);
 		token_limits_asked(limits, use.account, peer->incarnation,
 				   use.asked, now);
-		part_set(&totals, use.account, use.total);
-		part_set(&asked, use.account, use.asked);
+		summed_values_set(&totals, use.account, use.total);
+		summed_values_set(&asked, use.account, use.asked);
 		g_free(use.account);
 	}
 }
 
 /* Takes what accounts used at all but this gateway, and the levels, from an aggregator. */
-static void take_sums(gateway_peers_t *peers, const msgpack_object *object)
+static void apply_limit_use_sums(gateway_peers_t *peers, const msgpack_object *object)
 {
 	token_limits_t *limits = peers->gateway->limits;
 	pd_time_t now = gateway_now();
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
-	use_told_t use;
+	limit_use_t use;
 
 	for (uint32_t i = 0; i < count; i++) {
-		if (!read_use(&items[i], &use))
+		if (!read_limit_use(&items[i], &use))
 			continue;
-		token_limits_heard(limits, use.account, EVERYBODY, use.total,
+		token_limits_heard(limits, use.account, ALL_PEERS, use.total,
 				   false, now);
-		token_limits_asked(limits, use.account, EVERYBODY, use.asked, now);
+		token_limits_asked(limits, use.account, ALL_PEERS, use.asked, now);
 		if (use.has_level)
 			token_limits_follow(limits, use.account, use.level, now);
 		g_free(use.account);
 	}
 }
 
-static void take_works(gateway_t *gateway, const char *who,
-		       const msgpack_object *object, const part_t *part)
+static void merge_work(gateway_t *gateway, const char *who,
+		       const msgpack_object *object, const summed_values_t *summed)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
@@ -124,14 +125,14 @@
 			continue;
 		total = msgpack_field_decimal(&pair[1]);
 		work_rate_heard(gateway->work, who, service, total);
-		if (part)
-			part_set(part, service, total);
+		if (summed)
+			summed_values_set(summed, service, total);
 		g_free(service);
 	}
 }
 
 /* Takes the speeds of engines that a peer has seen. */
-static void take_speeds(gateway_t *gateway, const msgpack_object *object)
+static void merge_engine_speeds(gateway_t *gateway, const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
@@ -153,7 +154,7 @@
 }
 
 /* Merges the counts of usage of one start of a peer. */
-static void take_usages(gateway_t *gateway, const char *incarnation,
+static void merge_usage(gateway_t *gateway, const char *incarnation,
 			const msgpack_object *object)
 {
 	uint32_t count = 0;
@@ -180,8 +181,8 @@
 }
 
 /* Takes up to which window the counts that came with a state are all of its sender's. */
-static void take_closed(gateway_t *gateway, const char *incarnation,
-			const msgpack_object *object)
+static void merge_watermark(gateway_t *gateway, const char *incarnation,
+			    const msgpack_object *object)
 {
 	if (object->type != MSGPACK_OBJECT_NIL)
 		usage_watermarks_take(gateway->watermarks,
@@ -189,7 +190,7 @@
 				      (int64_t)msgpack_field_number(object));
 }
 
-static void take_members(gateway_peers_t *peers, const msgpack_object *object)
+static void merge_members(gateway_peers_t *peers, const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
@@ -215,7 +216,7 @@
 }
 
 /* Says whether a peer of that age knows what was used before this start. */
-static bool peer_knows_more(gateway_peers_t *peers, uint64_t age)
+static bool should_adopt_levels(gateway_peers_t *peers, uint64_t age)
 {
 	if (peers->adopted || gateway_now() - peers->started_at > ADOPT_MAX ||
 	    (pd_time_t)age < limits_window(peers))
@@ -270,7 +271,7 @@
 		peers_send_fetch(peers, peer, what);
 }
 
-static void take_store_age(gateway_peers_t *peers, uint64_t age)
+static void update_store_age(gateway_peers_t *peers, uint64_t age)
 {
 	pd_time_t heard_at = gateway_now() - (pd_time_t)age;
 
@@ -304,7 +305,7 @@
 }
 
 /* Notes who sent a state or summary; NULL if that can't be read. */
-static peer_t *take_sender(gateway_peers_t *peers, const msgpack_object *fields)
+static peer_t *identify_sender(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	unsigned int flags =
 		(unsigned int)msgpack_field_number(&fields[STATE_FLAGS]);
@@ -329,7 +330,7 @@
 	peer->strong = flags & STATE_FLAG_STRONG;
 	peer->has_store = flags & STATE_FLAG_HAS_STORE;
 	peer->zone = (uint16_t)msgpack_field_number(&fields[STATE_ZONE]);
-	take_store_age(peers, msgpack_field_number(&fields[STATE_STORE_AGE]));
+	update_store_age(peers, msgpack_field_number(&fields[STATE_STORE_AGE]));
 	update_leader(peers, &fields[STATE_LEADER],
 		      msgpack_field_number(&fields[STATE_LEADER_FENCE]));
 done:
@@ -339,7 +340,7 @@
 }
 
 /* Takes the clock of a state's sender; times beyond all reason are left out. */
-static void take_clock(gateway_t *gateway, const peer_t *peer,
+static void vote_clock(gateway_t *gateway, const peer_t *peer,
 		       const msgpack_object *fields, pd_time_t now)
 {
 	uint64_t wall = msgpack_field_number(&fields[STATE_WALL]);
@@ -351,19 +352,20 @@
 }
 
 /* Takes from a peer's message whether it was served by the store. */
-static void peer_shows_store(gateway_t *gateway, const peer_t *peer, pd_time_t now)
+static void note_peer_store_health(gateway_t *gateway, const peer_t *peer,
+				   pd_time_t now)
 {
 	store_outage_peer_heard(gateway->outage, now);
 	if (!peer->has_store)
 		gateway_store_failed(gateway, now);
 }
 
-static int take_state(gateway_peers_t *peers, const msgpack_object *fields)
+static int handle_state(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	gateway_t *gateway = peers->gateway;
 	unsigned int flags =
 		(unsigned int)msgpack_field_number(&fields[STATE_FLAGS]);
-	peer_t *peer = take_sender(peers, fields);
+	peer_t *peer = identify_sender(peers, fields);
 	pd_time_t now = gateway_now();
 	uint64_t age = msgpack_field_number(&fields[STATE_AGE]);
 	bool first;
@@ -373,22 +375,22 @@
 	first = !peer_is_heard(peer, now);
 	peer->heard_at = now;
 	peer->started_at = now - (pd_time_t)MIN(age, PD_TIME_MAX);
-	peer_shows_store(gateway, peer, now);
-	take_clock(gateway, peer, fields, now);
-	take_usages(gateway, peer->incarnation, &fields[STATE_USAGES]);
-	take_closed(gateway, peer->incarnation, &fields[STATE_CLOSED]);
-	take_speeds(gateway, &fields[STATE_SPEEDS]);
-	take_members(peers, &fields[STATE_MEMBERS]);
+	note_peer_store_health(gateway, peer, now);
+	vote_clock(gateway, peer, fields, now);
+	merge_usage(gateway, peer->incarnation, &fields[STATE_USAGES]);
+	merge_watermark(gateway, peer->incarnation, &fields[STATE_CLOSED]);
+	merge_engine_speeds(gateway, &fields[STATE_SPEEDS]);
+	merge_members(peers, &fields[STATE_MEMBERS]);
 	/* The sums of the aggregator include this peer already. */
 	if (!peers->aggregator) {
-		const part_t works = { peer->works, peers->works };
+		const summed_values_t works = { peer->works, peers->works };
 
-		take_uses(peers, peer, &fields[STATE_TOTALS],
-			  peer_knows_more(peers, age),
-			  (pd_time_t)age < limits_window(peers));
-		take_works(gateway, peer->incarnation, &fields[STATE_WORKS],
+		merge_limit_uses(peers, peer, &fields[STATE_TOTALS],
+				 should_adopt_levels(peers, age),
+				 (pd_time_t)age < limits_window(peers));
+		merge_work(gateway, peer->incarnation, &fields[STATE_WORKS],
 			   &works);
-		peers_take_own_loads(peers, peer->loads, &fields[STATE_LOADS]);
+		peers_receive_loads(peers, peer->loads, &fields[STATE_LOADS]);
 	}
 	if (flags & STATE_FLAG_ASKS)
 		peers_send_summary(peers, peer,
@@ -401,18 +403,18 @@
 	return 0;
 }
 
-static int take_summary(gateway_peers_t *peers, const msgpack_object *fields)
+static int handle_summary(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	gateway_t *gateway = peers->gateway;
-	peer_t *peer = take_sender(peers, fields);
+	peer_t *peer = identify_sender(peers, fields);
 	pd_time_t now = gateway_now();
 	uint64_t wall;
 
 	if (!peer)
 		return -1;
 	peer->heard_at = now;
-	peer_shows_store(gateway, peer, now);
-	take_members(peers, &fields[STATE_MEMBERS]);
+	note_peer_store_health(gateway, peer, now);
+	merge_members(peers, &fields[STATE_MEMBERS]);
 	fetch_newer(peers, peer, msgpack_field_number(&fields[STATE_CONFIG]),
 		    msgpack_field_number(&fields[STATE_DIGEST]));
 	if (!peers->aggregator || strcmp(peers->aggregator, peer->address))
@@ -423,14 +425,14 @@
 	wall = msgpack_field_number(&fields[STATE_WALL]);
 	if (wall <= PD_TIME_MAX)
 		time_vote_follow(gateway->vote, (pd_time_t)wall, now);
-	take_sums(peers, &fields[STATE_TOTALS]);
-	take_works(gateway, EVERYBODY, &fields[STATE_WORKS], NULL);
-	take_speeds(gateway, &fields[STATE_SPEEDS]);
-	peers_take_all_loads(peers, &fields[STATE_LOADS]);
+	apply_limit_use_sums(peers, &fields[STATE_TOTALS]);
+	merge_work(gateway, ALL_PEERS, &fields[STATE_WORKS], NULL);
+	merge_engine_speeds(gateway, &fields[STATE_SPEEDS]);
+	peers_receive_summed_loads(peers, &fields[STATE_LOADS]);
 	return 0;
 }
 
-static int take_announce(gateway_peers_t *peers, const msgpack_object *fields)
+static int handle_announcement(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *address = msgpack_field_text(&fields[1]);
 	peer_t *peer = address ? peers_add(peers, address) : NULL;
@@ -442,7 +444,7 @@
 	return 0;
 }
 
-static int take_config(gateway_peers_t *peers, const msgpack_object *fields)
+static int handle_config(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *text = msgpack_field_text(&fields[1]);
 
@@ -453,19 +455,19 @@
 	return 0;
 }
 
-static gboolean was_asked_long_ago(gpointer mark, gpointer asked_at, gpointer now)
+static gboolean fetch_has_expired(gpointer mark, gpointer asked_at, gpointer now)
 {
 	(void)mark;
 	return (pd_time_t)(gintptr)now - (pd_time_t)(gintptr)asked_at > FETCH_PERIOD;
 }
 
 /* Returns whether an upstream's rest may be asked for: no peer was just now. */
-static bool may_ask(gateway_peers_t *peers, uint64_t mark)
+static bool may_fetch_mark(gateway_peers_t *peers, uint64_t mark)
 {
 	pd_time_t now = gateway_now();
 
 	if (now - peers->wanted_at > FETCH_PERIOD) {
-		g_hash_table_foreach_remove(peers->wanted, was_asked_long_ago,
+		g_hash_table_foreach_remove(peers->wanted, fetch_has_expired,
 					    (gpointer)(gintptr)now);
 		peers->wanted_at = now;
 	}
@@ -480,8 +482,8 @@
  * Takes the stage of an upstream; adds its mark to UNKNOWN if that is all that
  * is known of it. One that is gone is of no interest then.
  */
-static void take_stage(gateway_peers_t *peers, const msgpack_object *fields,
-		       GArray *unknown)
+static void apply_stage(gateway_peers_t *peers, const msgpack_object *fields,
+			GArray *unknown)
 {
 	gateway_t *gateway = peers->gateway;
 	uint64_t mark = msgpack_field_number(&fields[0]);
@@ -496,7 +498,7 @@
 	if (change.stage > FORWARD_GONE)
 		return;
 	if (!upstream || upstream->mark != mark) {
-		if (change.stage != FORWARD_GONE && may_ask(peers, mark))
+		if (change.stage != FORWARD_GONE && may_fetch_mark(peers, mark))
 			g_array_append_val(unknown, mark);
 		return;
 	}
@@ -506,8 +508,8 @@
 }
 
 /* Takes one upstream that a peer knows of. */
-static void take_upstream(gateway_peers_t *peers, const msgpack_object *object,
-			  GArray *unknown)
+static void apply_upstream(gateway_peers_t *peers, const msgpack_object *object,
+			   GArray *unknown)
 {
 	gateway_t *gateway = peers->gateway;
 	const msgpack_object *fields =
@@ -519,7 +521,7 @@
 	if (!fields) {
 		fields = msgpack_field_items(object, NEWS_BRIEF_FIELDS, NULL);
 		if (fields)
-			take_stage(peers, fields, unknown);
+			apply_stage(peers, fields, unknown);
 		return;
 	}
 	texts[0] = msgpack_field_text(&fields[0]);
@@ -552,7 +554,7 @@
 		g_free(texts[i]);
 }
 
-static int take_news(gateway_peers_t *peers, const msgpack_object *fields)
+static int handle_updates(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(&fields[3], 0, &count);
@@ -565,7 +567,7 @@
 		return -1;
 	unknown = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	for (uint32_t i = 0; i < count; i++)
-		take_upstream(peers, &items[i], unknown);
+		apply_upstream(peers, &items[i], unknown);
 	if (msgpack_field_number(&fields[2]))
 		peers->gateway->upstreams_known = true;
 	if (unknown->len)
@@ -574,8 +576,8 @@
 	return 0;
 }
 
-static void give_marked(gateway_peers_t *peers, peer_t *peer,
-			const msgpack_object *object)
+static void send_requested_upstreams(gateway_peers_t *peers, peer_t *peer,
+				     const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
@@ -591,7 +593,7 @@
 }
 
 /* Reads the digests that a peer sent along. False: it sent none. */
-static bool take_digests(const msgpack_object *object,
+static bool read_digests(const msgpack_object *object,
 			 uint64_t digests[FORWARD_BUCKETS])
 {
 	const msgpack_object *items =
@@ -604,7 +606,7 @@
 	return true;
 }
 
-static int take_fetch(gateway_peers_t *peers, const msgpack_object *fields)
+static int handle_fetch(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	uint64_t digests[FORWARD_BUCKETS];
 	uint64_t what = msgpack_field_number(&fields[2]);
@@ -617,15 +619,15 @@
 	if (what & FETCH_CONFIG)
 		peers_send_config(peers, peer);
 	if (what & FETCH_MARKED)
-		give_marked(peers, peer, &fields[3]);
+		send_requested_upstreams(peers, peer, &fields[3]);
 	if (what & FETCH_UPSTREAMS)
 		peers_send_upstreams(peers, peer,
-				     take_digests(&fields[3], digests) ? digests
+				     read_digests(&fields[3], digests) ? digests
 								       : NULL);
 	return 0;
 }
 
-static void take_flight(gateway_t *gateway, const msgpack_object *object)
+static void merge_flight(gateway_t *gateway, const msgpack_object *object)
 {
 	usage_flight_t *flight = flight_read(object);
 
@@ -633,7 +635,7 @@
 		usage_inflight_take(gateway->inflight, flight);
 }
 
-static int take_counts(gateway_peers_t *peers, const msgpack_object *fields)
+static int handle_counts(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *address = msgpack_field_text(&fields[1]);
 	char *who = msgpack_field_text(&fields[2]);
@@ -641,25 +643,25 @@
 	int rc;
 
 	if (who)
-		take_usages(peers->gateway, who, &fields[3]);
-	take_flight(peers->gateway, &fields[5]);
+		merge_usage(peers->gateway, who, &fields[3]);
+	merge_flight(peers->gateway, &fields[5]);
 	peers->counts_taken_at = gateway_now();
 	/* What it had used before it was first heard comes with its state. */
 	if (peer && who && !g_strcmp0(peer->incarnation, who) && !peers->aggregator)
-		take_uses(peers, peer, &fields[4], false, true);
+		merge_limit_uses(peers, peer, &fields[4], false, true);
 	rc = address && who ? 0 : -1;
 	g_free(address);
 	g_free(who);
 	return rc;
 }
 
-static int take_message(gateway_peers_t *peers, const msgpack_object *object)
+static int dispatch_message(gateway_peers_t *peers, const msgpack_object *object)
 {
 	static const uint32_t lengths[] = {
 		[MESSAGE_STATE] = STATE_FIELDS,
 		[MESSAGE_SUMMARY] = STATE_FIELDS,
 		[MESSAGE_NEWS] = NEWS_FIELDS,
-		[MESSAGE_ANNOUNCE] = 3,
+		[MESSAGE_ANNOUNCEMENT] = 3,
 		[MESSAGE_CONFIG] = 2,
 		[MESSAGE_FETCH] = FETCH_FIELDS,
 		[MESSAGE_COUNTS] = COUNTS_FIELDS,
@@ -672,25 +674,25 @@
 		return -1;
 	switch ((message_kind_t)kind) {
 	case MESSAGE_STATE:
-		return take_state(peers, fields);
+		return handle_state(peers, fields);
 	case MESSAGE_SUMMARY:
-		return take_summary(peers, fields);
+		return handle_summary(peers, fields);
 	case MESSAGE_NEWS:
-		return take_news(peers, fields);
-	case MESSAGE_ANNOUNCE:
-		return take_announce(peers, fields);
+		return handle_updates(peers, fields);
+	case MESSAGE_ANNOUNCEMENT:
+		return handle_announcement(peers, fields);
 	case MESSAGE_CONFIG:
-		return take_config(peers, fields);
+		return handle_config(peers, fields);
 	case MESSAGE_FETCH:
-		return take_fetch(peers, fields);
+		return handle_fetch(peers, fields);
 	case MESSAGE_COUNTS:
-		return take_counts(peers, fields);
+		return handle_counts(peers, fields);
 	}
 	return -1;
 }
 
 /* Takes one message; -1 if it can't be understood. */
-int peers_take(gateway_peers_t *peers, const char *data, size_t len)
+int peers_receive(gateway_peers_t *peers, const char *data, size_t len)
 {
 	msgpack_unpacked unpacked;
 	size_t offset = 0;
@@ -700,7 +702,7 @@
 	if (msgpack_sizes_fit(data, len) &&
 	    msgpack_unpack_next(&unpacked, data, len, &offset) ==
 		    MSGPACK_UNPACK_SUCCESS)
-		rc = take_message(peers, &unpacked.data);
+		rc = dispatch_message(peers, &unpacked.data);
 	msgpack_unpacked_destroy(&unpacked);
 	if (rc < 0)
 		log_line(G_LOG_LEVEL_WARNING, PART,
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -136,7 +136,7 @@
 
 static int on_frame(void *ctx, const char *data, size_t len)
 {
-	return peers_take(ctx, data, len);
+	return peers_receive(ctx, data, len);
 }
 
 /* Has the writers sent all counts and what is in flight once more. */
@@ -162,7 +162,7 @@
 }
 
 /* Takes the gateways to begin with from the settings. */
-void gateway_peers_take_seeds(gateway_peers_t *peers)
+void gateway_peers_add_seeds(gateway_peers_t *peers)
 {
 	char *const *seeds = peers->gateway->settings->peers_seeds;
 
@@ -221,7 +221,7 @@
 	log_line(G_LOG_LEVEL_INFO, PART, "listen peers=%u",
 		 frame_link_port(peers->link));
 	g_clear_pointer(&host, g_free);
-	gateway_peers_take_seeds(peers);
+	gateway_peers_add_seeds(peers);
 	return peers;
 error:
 	g_free(host);
@@ -333,7 +333,7 @@
 
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	peers_pack_announce(&packer, peers);
+	peers_pack_announcement(&packer, peers);
 	peers_spread(peers, &buffer, gateway_now());
 	msgpack_sbuffer_destroy(&buffer);
 }
--- a/adapters/gateway/peers.h
+++ b/adapters/gateway/peers.h
@@ -19,7 +19,7 @@
 #define CHECKPOINT_SLOTS USAGE_WRITERS
 
 gateway_peers_t *gateway_peers_create(gateway_t *gateway, pd_error_t *err);
-void gateway_peers_take_seeds(gateway_peers_t *peers);
+void gateway_peers_add_seeds(gateway_peers_t *peers);
 void gateway_peers_run(gateway_peers_t *peers, pd_time_t now);
 void gateway_peers_config(gateway_peers_t *peers);
 void gateway_peers_upstream(gateway_peers_t *peers, const char *id);
--- a/adapters/gateway/reload.c
+++ b/adapters/gateway/reload.c
@@ -60,7 +60,7 @@
 	else if (!strcmp(setting->key, "cloud.address"))
 		move_client(gateway->cloud, settings->cloud_address);
 	else if (!strcmp(setting->key, "peers.seeds"))
-		gateway_peers_take_seeds(gateway->peers);
+		gateway_peers_add_seeds(gateway->peers);
 	else if (g_str_has_prefix(setting->key, "retry.")) {
 		const retry_limits_t limits = gateway_settings_retries(settings);
 
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -255,7 +255,7 @@
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	peers_pack_news(&packer, from, ids);
-	assert_int_equal(peers_take(to, buffer.data, buffer.size), 0);
+	assert_int_equal(peers_receive(to, buffer.data, buffer.size), 0);
 	msgpack_sbuffer_destroy(&buffer);
 	g_hash_table_unref(ids);
 	return frame_link_bytes(to->link) - before;
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -122,7 +122,7 @@
 		usage_resend(gateway->usage);
 		break;
 	default:
-		peers_pack_announce(&packer, peers);
+		peers_pack_announcement(&packer, peers);
 		break;
 	}
 	bytes.assign(buffer.data, buffer.size);
@@ -136,7 +136,7 @@
 		auto kind = *rc::gen::inRange(0, 5);
 		auto bytes = mutated(message(gateway, kind));
 
-		peers_take(gateway->peers, bytes.data(), bytes.size());
+		peers_receive(gateway->peers, bytes.data(), bytes.size());
 		LIST_FOR_EACH (it, forward_upstreams_list(gateway->upstreams)) {
 			forward_upstream_t *upstream =
 				LIST_ENTRY(it, forward_upstream_t, node);
--- a/tests/unit/test_peer_loads.c
+++ b/tests/unit/test_peer_loads.c
@@ -82,12 +82,12 @@
 	size_t size;
 
 	msgpack_sbuffer_init(&buffer);
-	peers_pack_all_loads(&buffer, &from->peers, START);
+	peers_pack_summed_loads(&buffer, &from->peers, START);
 	msgpack_unpacked_init(&unpacked);
 	assert_int_equal(msgpack_unpack_next(&unpacked, buffer.data,
 					     buffer.size, &offset),
 			 MSGPACK_UNPACK_SUCCESS);
-	peers_take_all_loads(&to->peers, &unpacked.data);
+	peers_receive_summed_loads(&to->peers, &unpacked.data);
 	size = buffer.size;
 	msgpack_unpacked_destroy(&unpacked);
 	msgpack_sbuffer_destroy(&buffer);
