--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -157,7 +157,7 @@
 	gateway->config = config;
 	g_free(gateway->config_text);
 	gateway->config_text = g_strdup(text);
-	gateway_peers_config(gateway->peers);
+	gateway_peers_announce_config(gateway->peers);
 	return true;
 }
 
@@ -228,7 +228,7 @@
 		 id, stages[upstream->stage], upstream->service, upstream->zone,
 		 upstream->address, upstream->port, upstream->slots,
 		 upstream->reclaimable, upstream->revision, source);
-	gateway_peers_upstream(gateway->peers, id);
+	gateway_peers_queue_update(gateway->peers, id);
 }
 
 /* Says whether a request that may take seconds can still be taken. */
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -285,8 +285,8 @@
 	return flags;
 }
 
-static void pack_head(msgpack_packer *packer, gateway_peers_t *peers,
-		      message_kind_t kind, pd_time_t wall, bool asks)
+static void pack_state_header(msgpack_packer *packer, gateway_peers_t *peers,
+			      message_kind_t kind, pd_time_t wall, bool asks)
 {
 	pd_time_t now = gateway_now();
 
@@ -344,8 +344,8 @@
 	msgpack_packer packer;
 
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
-	pack_head(&packer, peers, MESSAGE_STATE, time_vote_own_wall(vote, now),
-		  asks);
+	pack_state_header(&packer, peers, MESSAGE_STATE,
+			  time_vote_own_wall(vote, now), asks);
 	pack_totals(&packer, peers, NULL);
 	pack_works(&packer, peers, NULL);
 	peers_pack_own_loads(&packer, peers);
@@ -387,8 +387,8 @@
 	msgpack_packer packer;
 
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
-	pack_head(&packer, peers, MESSAGE_SUMMARY,
-		  time_vote_wall(gateway->vote, now), false);
+	pack_state_header(&packer, peers, MESSAGE_SUMMARY,
+			  time_vote_wall(gateway->vote, now), false);
 	pack_totals(&packer, peers, receiver);
 	pack_works(&packer, peers, receiver);
 	peers_pack_summed_loads(buffer, peers, now);
@@ -425,8 +425,8 @@
 							     i));
 }
 
-static void pack_fetch_head(msgpack_packer *packer,
-			    const gateway_peers_t *peers, unsigned int what)
+static void pack_fetch_header(msgpack_packer *packer,
+			      const gateway_peers_t *peers, unsigned int what)
 {
 	msgpack_pack_array(packer, FETCH_FIELDS);
 	msgpack_pack_uint8(packer, MESSAGE_FETCH);
@@ -443,7 +443,7 @@
 
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	pack_fetch_head(&packer, peers, FETCH_MARKED);
+	pack_fetch_header(&packer, peers, FETCH_MARKED);
 	msgpack_pack_array(&packer, marks->len);
 	for (guint i = 0; i < marks->len; i++)
 		msgpack_pack_uint64(&packer, g_array_index(marks, uint64_t, i));
@@ -459,7 +459,7 @@
 
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	pack_fetch_head(&packer, peers, what);
+	pack_fetch_header(&packer, peers, what);
 	if ((what & FETCH_UPSTREAMS) && peers->gateway->upstreams_known)
 		pack_digests(&packer, peers);
 	else
@@ -496,7 +496,7 @@
 
 static void pack_upstream(msgpack_packer *packer, const forward_upstream_t *upstream)
 {
-	msgpack_pack_array(packer, NEWS_FULL_FIELDS);
+	msgpack_pack_array(packer, UPSTREAM_FIELDS);
 	msgpack_write_text(packer, upstream->id);
 	msgpack_write_text(packer, upstream->service);
 	msgpack_write_text(packer, upstream->address);
@@ -515,7 +515,7 @@
  */
 static void pack_stage(msgpack_packer *packer, const forward_upstream_t *upstream)
 {
-	msgpack_pack_array(packer, NEWS_BRIEF_FIELDS);
+	msgpack_pack_array(packer, STAGE_FIELDS);
 	msgpack_pack_uint64(packer, upstream->mark);
 	msgpack_pack_uint8(packer, (uint8_t)upstream->stage);
 	msgpack_pack_uint64(packer, upstream->revision);
@@ -523,49 +523,51 @@
 }
 
 /* Which upstreams a message tells about. */
-typedef struct news_choice {
+typedef struct update_filter {
 	GHashTable *ids; /* only these; NULL: any */
 	const uint64_t *digests; /* only in buckets with others; NULL: in any */
-} news_choice_t;
+} update_filter_t;
 
-static bool news_includes(const gateway_peers_t *peers, const news_choice_t *choice,
-			  const forward_upstream_t *upstream)
+static bool update_filter_matches(const gateway_peers_t *peers,
+				  const update_filter_t *filter,
+				  const forward_upstream_t *upstream)
 {
 	unsigned int bucket = forward_upstream_bucket(upstream);
 
-	if (choice->ids && !g_hash_table_contains(choice->ids, upstream->id))
+	if (filter->ids && !g_hash_table_contains(filter->ids, upstream->id))
 		return false;
-	return !choice->digests ||
-	       choice->digests[bucket] !=
+	return !filter->digests ||
+	       filter->digests[bucket] !=
 		       forward_upstreams_digest(peers->gateway->upstreams, bucket);
 }
 
-static void pack_news_head(msgpack_packer *packer, const gateway_peers_t *peers,
-			   bool all)
+static void pack_updates_header(msgpack_packer *packer,
+				const gateway_peers_t *peers, bool all)
 {
-	msgpack_pack_array(packer, NEWS_FIELDS);
-	msgpack_pack_uint8(packer, MESSAGE_NEWS);
+	msgpack_pack_array(packer, UPDATES_FIELDS);
+	msgpack_pack_uint8(packer, MESSAGE_UPDATES);
 	msgpack_write_text(packer, peers->address);
 	msgpack_pack_uint8(packer, all);
 }
 
-static uint32_t pack_news(msgpack_packer *packer, const gateway_peers_t *peers,
-			  const news_choice_t *choice)
+static uint32_t pack_updates(msgpack_packer *packer, const gateway_peers_t *peers,
+			     const update_filter_t *filter)
 {
 	list_node_t *list = forward_upstreams_list(peers->gateway->upstreams);
-	bool all = !choice->ids && !choice->digests;
+	bool all = !filter->ids && !filter->digests;
 	uint32_t count = 0;
 
 	LIST_FOR_EACH (it, list)
-		count += news_includes(peers, choice,
-				       LIST_ENTRY(it, forward_upstream_t, node));
-	pack_news_head(packer, peers, all);
+		count += update_filter_matches(peers, filter,
+					       LIST_ENTRY(it, forward_upstream_t,
+							  node));
+	pack_updates_header(packer, peers, all);
 	msgpack_pack_array(packer, count);
 	LIST_FOR_EACH (it, list) {
 		const forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
 
-		if (!news_includes(peers, choice, upstream))
+		if (!update_filter_matches(peers, filter, upstream))
 			continue;
 		if (!all)
 			pack_stage(packer, upstream);
@@ -576,12 +578,12 @@
 }
 
 /* Packs what is known of some upstreams. */
-void peers_pack_news(msgpack_packer *packer, const gateway_peers_t *peers,
-		     GHashTable *ids)
+void peers_pack_updates(msgpack_packer *packer, const gateway_peers_t *peers,
+			GHashTable *ids)
 {
-	const news_choice_t choice = { .ids = ids };
+	const update_filter_t filter = { .ids = ids };
 
-	pack_news(packer, peers, &choice);
+	pack_updates(packer, peers, &filter);
 }
 
 /*
@@ -593,7 +595,7 @@
 void peers_send_upstreams(gateway_peers_t *peers, peer_t *peer,
 			  const uint64_t *digests)
 {
-	const news_choice_t choice = { .digests = digests };
+	const update_filter_t filter = { .digests = digests };
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
@@ -601,7 +603,7 @@
 		return;
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	if (pack_news(&packer, peers, &choice) || !digests)
+	if (pack_updates(&packer, peers, &filter) || !digests)
 		peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
 }
@@ -624,7 +626,7 @@
 	}
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	pack_news_head(&packer, peers, false);
+	pack_updates_header(&packer, peers, false);
 	msgpack_pack_array(&packer, found->len);
 	for (guint i = 0; i < found->len; i++)
 		pack_upstream(&packer, g_ptr_array_index(found, i));
--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -11,7 +11,7 @@
 typedef enum message_kind {
 	MESSAGE_STATE, /* what the sender itself did and knows */
 	MESSAGE_SUMMARY, /* the same of all gateways but the receiver */
-	MESSAGE_NEWS, /* upstreams that changed */
+	MESSAGE_UPDATES, /* upstreams that changed */
 	MESSAGE_ANNOUNCEMENT, /* the version of a configuration just taken */
 	MESSAGE_CONFIG,
 	MESSAGE_FETCH, /* asks for what the sender lacks */
@@ -73,15 +73,15 @@
 #define READING_UNIT 64
 #define LOAD_FIELDS 3 /* of a load: mark, running, units to read */
 
-#define NEWS_FIELDS 4 /* kind, sender, whether these are all, upstreams */
+#define UPDATES_FIELDS 4 /* kind, sender, whether these are all, upstreams */
 #define FETCH_FIELDS 4 /* kind, sender, what, digests or marks */
 #define MEMBER_FIELDS 3 /* address, whether it is strong, zone */
 #define USE_FIELDS 4 /* account, total, level or nil, asked */
 #define COUNTS_FIELDS 6 /* kind, sender, its start, usage, limits, in flight */
 #define USAGE_FIELDS 3 /* window, account, count */
 /* An upstream in full, and just its mark, stage, revision and start. */
-#define NEWS_FULL_FIELDS 10
-#define NEWS_BRIEF_FIELDS 4
+#define UPSTREAM_FIELDS 10
+#define STAGE_FIELDS 4
 
 #define FETCH_CONFIG 1u
 #define FETCH_UPSTREAMS 2u /* those of the parts whose digests differ */
@@ -162,12 +162,12 @@
 	pd_time_t store_heard_at; /* by anybody */
 	pd_time_t fetched_config_at;
 	pd_time_t fetched_upstreams_at;
-	pd_time_t differs_since; /* from what a peer knows; 0: it did not */
-	pd_time_t fetch_pause; /* before upstreams are fetched again */
-	uint64_t fetched_for; /* the two digests that differed then */
-	GHashTable *news; /* ids of upstreams to tell about */
-	GHashTable *wanted; /* mark of an unknown upstream -> when it was asked for */
-	pd_time_t wanted_at; /* when old ones were dropped last */
+	pd_time_t diverged_since; /* from what a peer knows; 0: it did not */
+	pd_time_t fetch_backoff; /* before upstreams are fetched again */
+	uint64_t fetched_difference; /* the two digests that differed then */
+	GHashTable *pending_updates; /* ids of upstreams to tell about */
+	GHashTable *pending_fetches; /* mark of an unknown upstream -> when it was asked for */
+	pd_time_t pending_fetches_pruned_at; /* when old ones were dropped last */
 };
 
 GHashTable *peers_values_create(void);
@@ -209,8 +209,8 @@
 void peers_send_upstreams(gateway_peers_t *peers, peer_t *peer,
 			  const uint64_t *digests);
 void peers_pack_announcement(msgpack_packer *packer, const gateway_peers_t *peers);
-void peers_pack_news(msgpack_packer *packer, const gateway_peers_t *peers,
-		     GHashTable *ids);
+void peers_pack_updates(msgpack_packer *packer, const gateway_peers_t *peers,
+			GHashTable *ids);
 int peers_receive(gateway_peers_t *peers, const char *data, size_t len);
 uint64_t peers_config_version(const gateway_peers_t *peers);
 uint64_t peers_digest(const gateway_peers_t *peers);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -18,7 +18,7 @@
  * News is on its way for some tens of milliseconds, during which two gateways
  * differ; nothing is missing then.
  */
-#define DIFFERS_MIN (300 * PD_MSEC)
+#define DIVERGENCE_MIN (300 * PD_MSEC)
 #define FETCH_PERIOD_MAX (6400 * PD_MSEC)
 
 /* A peer's values by name, and the sums of all peers' that they are part of. */
@@ -236,19 +236,20 @@
 	uint64_t differing = digest ^ peers_digest(peers);
 
 	if (!differing)
-		peers->differs_since = 0;
-	else if (!peers->differs_since)
-		peers->differs_since = now;
+		peers->diverged_since = 0;
+	else if (!peers->diverged_since)
+		peers->diverged_since = now;
 	if (!differing || (peers->gateway->upstreams_known &&
-			   now - peers->differs_since < DIFFERS_MIN))
+			   now - peers->diverged_since < DIVERGENCE_MIN))
 		return false;
-	if (now - peers->fetched_upstreams_at < peers->fetch_pause)
+	if (now - peers->fetched_upstreams_at < peers->fetch_backoff)
 		return false;
-	if (differing == peers->fetched_for)
-		peers->fetch_pause = MIN(peers->fetch_pause * 2, FETCH_PERIOD_MAX);
+	if (differing == peers->fetched_difference)
+		peers->fetch_backoff =
+			MIN(peers->fetch_backoff * 2, FETCH_PERIOD_MAX);
 	else
-		peers->fetch_pause = FETCH_PERIOD;
-	peers->fetched_for = differing;
+		peers->fetch_backoff = FETCH_PERIOD;
+	peers->fetched_difference = differing;
 	peers->fetched_upstreams_at = now;
 	return true;
 }
@@ -466,14 +467,15 @@
 {
 	pd_time_t now = gateway_now();
 
-	if (now - peers->wanted_at > FETCH_PERIOD) {
-		g_hash_table_foreach_remove(peers->wanted, fetch_has_expired,
+	if (now - peers->pending_fetches_pruned_at > FETCH_PERIOD) {
+		g_hash_table_foreach_remove(peers->pending_fetches,
+					    fetch_has_expired,
 					    (gpointer)(gintptr)now);
-		peers->wanted_at = now;
+		peers->pending_fetches_pruned_at = now;
 	}
-	if (g_hash_table_contains(peers->wanted, GSIZE_TO_POINTER(mark)))
+	if (g_hash_table_contains(peers->pending_fetches, GSIZE_TO_POINTER(mark)))
 		return false;
-	g_hash_table_insert(peers->wanted, GSIZE_TO_POINTER(mark),
+	g_hash_table_insert(peers->pending_fetches, GSIZE_TO_POINTER(mark),
 			    (gpointer)(gintptr)now);
 	return true;
 }
@@ -513,13 +515,13 @@
 {
 	gateway_t *gateway = peers->gateway;
 	const msgpack_object *fields =
-		msgpack_field_items(object, NEWS_FULL_FIELDS, NULL);
+		msgpack_field_items(object, UPSTREAM_FIELDS, NULL);
 	char *texts[4] = { NULL };
 	forward_listing_t listing = { 0 };
-	bool news = false;
+	bool changed = false;
 
 	if (!fields) {
-		fields = msgpack_field_items(object, NEWS_BRIEF_FIELDS, NULL);
+		fields = msgpack_field_items(object, STAGE_FIELDS, NULL);
 		if (fields)
 			apply_stage(peers, fields, unknown);
 		return;
@@ -542,12 +544,13 @@
 	    listing.stage > FORWARD_GONE)
 		goto done;
 	if (listing.stage == FORWARD_GONE)
-		news = forward_upstreams_remove(gateway->upstreams, listing.id,
-						listing.revision, gateway_now());
+		changed = forward_upstreams_remove(gateway->upstreams,
+						   listing.id, listing.revision,
+						   gateway_now());
 	else
-		news = forward_upstreams_apply(gateway->upstreams, &listing);
+		changed = forward_upstreams_apply(gateway->upstreams, &listing);
 	/* Passed on, as a peer may reach some that the sender does not. */
-	if (news)
+	if (changed)
 		gateway_upstream_news(gateway, listing.id, "peer");
 done:
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
@@ -660,7 +663,7 @@
 	static const uint32_t lengths[] = {
 		[MESSAGE_STATE] = STATE_FIELDS,
 		[MESSAGE_SUMMARY] = STATE_FIELDS,
-		[MESSAGE_NEWS] = NEWS_FIELDS,
+		[MESSAGE_UPDATES] = UPDATES_FIELDS,
 		[MESSAGE_ANNOUNCEMENT] = 3,
 		[MESSAGE_CONFIG] = 2,
 		[MESSAGE_FETCH] = FETCH_FIELDS,
@@ -677,7 +680,7 @@
 		return handle_state(peers, fields);
 	case MESSAGE_SUMMARY:
 		return handle_summary(peers, fields);
-	case MESSAGE_NEWS:
+	case MESSAGE_UPDATES:
 		return handle_updates(peers, fields);
 	case MESSAGE_ANNOUNCEMENT:
 		return handle_announcement(peers, fields);
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -204,8 +204,9 @@
 	peers->asked = peers_values_create();
 	peers->works = peers_values_create();
 	msgpack_sbuffer_init(&peers->loads_packed);
-	peers->news = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	peers->wanted = g_hash_table_new(g_direct_hash, g_direct_equal);
+	peers->pending_updates =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	peers->pending_fetches = g_hash_table_new(g_direct_hash, g_direct_equal);
 	list_init(&peers->list);
 	if (!gateway_split_address(settings->peers_listen, &host, &config.port)) {
 		pd_error_set(err, PD_ERROR_SETTINGS, "peers.listen: %s",
@@ -232,8 +233,8 @@
 	g_hash_table_unref(peers->totals);
 	g_hash_table_unref(peers->asked);
 	g_hash_table_unref(peers->works);
-	g_hash_table_unref(peers->news);
-	g_hash_table_unref(peers->wanted);
+	g_hash_table_unref(peers->pending_updates);
+	g_hash_table_unref(peers->pending_fetches);
 	g_free(peers);
 	return NULL;
 }
@@ -294,8 +295,8 @@
  * Sends an update to a few of many peers; each passes it on if it is new there.
  * Digests in the states make up for the few gateways that it does not reach.
  */
-static void peers_spread_to_some(gateway_peers_t *peers, const GPtrArray *alive,
-				 const msgpack_sbuffer *buffer)
+static void peers_spread_to_sample(gateway_peers_t *peers, const GPtrArray *alive,
+				   const msgpack_sbuffer *buffer)
 {
 	uint16_t *zones = g_new(uint16_t, alive->len);
 	unsigned int chosen[SPREAD_FANOUT];
@@ -320,13 +321,13 @@
 		for (guint i = 0; i < alive->len; i++)
 			peers_send(peers, g_ptr_array_index(alive, i), buffer);
 	} else {
-		peers_spread_to_some(peers, alive, buffer);
+		peers_spread_to_sample(peers, alive, buffer);
 	}
 	g_ptr_array_unref(alive);
 }
 
 /* Tells of the configuration just taken; whoever lacks it asks for it. */
-void gateway_peers_config(gateway_peers_t *peers)
+void gateway_peers_announce_config(gateway_peers_t *peers)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
@@ -339,24 +340,24 @@
 }
 
 /* Notes an upstream of which the peers are to be told, with the next step. */
-void gateway_peers_upstream(gateway_peers_t *peers, const char *id)
+void gateway_peers_queue_update(gateway_peers_t *peers, const char *id)
 {
-	g_hash_table_add(peers->news, g_strdup(id));
+	g_hash_table_add(peers->pending_updates, g_strdup(id));
 }
 
-static void spread_news(gateway_peers_t *peers, pd_time_t now)
+static void spread_updates(gateway_peers_t *peers, pd_time_t now)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
-	if (!g_hash_table_size(peers->news))
+	if (!g_hash_table_size(peers->pending_updates))
 		return;
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	peers_pack_news(&packer, peers, peers->news);
+	peers_pack_updates(&packer, peers, peers->pending_updates);
 	peers_spread(peers, &buffer, now);
 	msgpack_sbuffer_destroy(&buffer);
-	g_hash_table_remove_all(peers->news);
+	g_hash_table_remove_all(peers->pending_updates);
 }
 
 /* Changes between hearing the peers oneself and following an aggregator's sums. */
@@ -559,7 +560,7 @@
 	bool mesh;
 	bool full;
 
-	spread_news(peers, now);
+	spread_updates(peers, now);
 	send_counts(peers, now);
 	if (now < peers->next_at)
 		return;
--- a/adapters/gateway/peers.h
+++ b/adapters/gateway/peers.h
@@ -21,8 +21,8 @@
 gateway_peers_t *gateway_peers_create(gateway_t *gateway, pd_error_t *err);
 void gateway_peers_add_seeds(gateway_peers_t *peers);
 void gateway_peers_run(gateway_peers_t *peers, pd_time_t now);
-void gateway_peers_config(gateway_peers_t *peers);
-void gateway_peers_upstream(gateway_peers_t *peers, const char *id);
+void gateway_peers_announce_config(gateway_peers_t *peers);
+void gateway_peers_queue_update(gateway_peers_t *peers, const char *id);
 void gateway_peers_store_heard(gateway_peers_t *peers);
 void gateway_peers_set_leadership(gateway_peers_t *peers, bool held,
 				  uint64_t fence);
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -254,7 +254,7 @@
 	g_hash_table_add(ids, (char *)id);
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	peers_pack_news(&packer, from, ids);
+	peers_pack_updates(&packer, from, ids);
 	assert_int_equal(peers_receive(to, buffer.data, buffer.size), 0);
 	msgpack_sbuffer_destroy(&buffer);
 	g_hash_table_unref(ids);
@@ -278,7 +278,7 @@
 	forward_upstreams_apply(pair->gateways[0]->upstreams, &listing);
 	assert_true(take_update(pair, "u3") > 0);
 	/* Old questions are dropped now and then; this one is not old. */
-	pair->gateways[1]->peers->wanted_at = 0;
+	pair->gateways[1]->peers->pending_fetches_pruned_at = 0;
 	assert_int_equal(take_update(pair, "u3"), 0);
 }
 
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -115,7 +115,7 @@
 		peers_pack_summary(&buffer, peers, peer, true);
 		break;
 	case 2:
-		peers_pack_news(&packer, peers, NULL);
+		peers_pack_updates(&packer, peers, NULL);
 		break;
 	case 3:
 		peers_pack_counts(&buffer, peers);
