--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -9,23 +9,24 @@
 #include "core/forward/engine_cost.h"
 
 /* Summaries that are sent within this share what they say of all loads. */
-#define PACKED_KEPT (50 * PD_MSEC)
+#define PACKED_LOADS_MAX_AGE (50 * PD_MSEC)
 
-static void pack_load(msgpack_packer *packer, uint32_t mark,
-		      unsigned int running, double reading)
+static void pack_load(msgpack_packer *packer, uint32_t short_id,
+		      unsigned int running, double prefill_tokens)
 {
-	msgpack_pack_uint32(packer, mark);
+	msgpack_pack_uint32(packer, short_id);
 	msgpack_pack_uint32(packer, running);
-	msgpack_pack_uint32(packer,
-			    (uint32_t)(MAX(reading, 0) / READING_UNIT + 0.5));
+	msgpack_pack_uint32(packer, (uint32_t)(MAX(prefill_tokens, 0) /
+						       PREFILL_UNIT_TOKENS +
+					       0.5));
 }
 
 /* Packs what this gateway itself has running, and notes that it told it. */
 void peers_pack_own_loads(msgpack_packer *packer, gateway_peers_t *peers)
 {
-	GArray *told = peers->loads_told;
+	GArray *sent = peers->last_sent_loads;
 
-	g_array_set_size(told, 0);
+	g_array_set_size(sent, 0);
 	LIST_FOR_EACH (it, forward_upstreams_list(peers->gateway->upstreams)) {
 		const forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
@@ -33,13 +34,14 @@
 				upstream->running, upstream->reading };
 
 		if (load.running)
-			g_array_append_val(told, load);
+			g_array_append_val(sent, load);
 	}
-	msgpack_pack_array(packer, told->len * LOAD_FIELDS);
-	for (guint i = 0; i < told->len; i++) {
-		const load_t *load = &g_array_index(told, load_t, i);
+	msgpack_pack_array(packer, sent->len * LOAD_FIELDS);
+	for (guint i = 0; i < sent->len; i++) {
+		const load_t *load = &g_array_index(sent, load_t, i);
 
-		pack_load(packer, load->mark, load->running, load->reading);
+		pack_load(packer, load->short_id, load->running,
+			  load->prefill_tokens);
 	}
 }
 
@@ -61,10 +63,10 @@
 
 static double load_weight(const load_t *load, double running_tokens)
 {
-	return load->reading + load->running * running_tokens;
+	return load->prefill_tokens + load->running * running_tokens;
 }
 
-static gint by_weight(gconstpointer a, gconstpointer b, gpointer tokens)
+static gint compare_weights(gconstpointer a, gconstpointer b, gpointer tokens)
 {
 	double left = load_weight(a, *(double *)tokens);
 	double right = load_weight(b, *(double *)tokens);
@@ -72,7 +74,7 @@
 	return (left < right) - (left > right);
 }
 
-static load_t load_of_all(const forward_upstream_t *upstream)
+static load_t fleet_load(const forward_upstream_t *upstream)
 {
 	load_t load = { forward_upstream_mark(upstream),
 			forward_upstream_running(upstream),
@@ -82,32 +84,32 @@
 }
 
 /* The loads of a service that are not named one by one. */
-typedef struct rest {
+typedef struct unlisted {
 	unsigned int count;
 	unsigned int running;
-	double reading;
-} rest_t;
+	double prefill_tokens;
+} unlisted_t;
 
-static rest_t rest_of(const GPtrArray *serving, const load_t *least,
-		      double running_tokens)
+static unlisted_t sum_unlisted(const GPtrArray *serving, const load_t *least,
+			       double running_tokens)
 {
-	rest_t rest = { 0 };
+	unlisted_t unlisted = { 0 };
 
 	for (guint i = 0; i < serving->len; i++) {
-		load_t load = load_of_all(g_ptr_array_index(serving, i));
+		load_t load = fleet_load(g_ptr_array_index(serving, i));
 
 		if (load_weight(&load, running_tokens) >=
 		    load_weight(least, running_tokens))
 			continue;
-		rest.count++;
-		rest.running += load.running;
-		rest.reading += load.reading;
+		unlisted.count++;
+		unlisted.running += load.running;
+		unlisted.prefill_tokens += load.prefill_tokens;
 	}
-	return rest;
+	return unlisted;
 }
 
-static void pack_rest(msgpack_packer *packer, const gateway_t *gateway,
-		      const load_t *least, double running_tokens)
+static void pack_unlisted_means(msgpack_packer *packer, const gateway_t *gateway,
+				const load_t *least, double running_tokens)
 {
 	const GPtrArray *services = gateway->config->services;
 
@@ -117,49 +119,52 @@
 		const GPtrArray *serving =
 			forward_upstreams_serving(gateway->upstreams,
 						  service->name);
-		rest_t rest = { 0 };
+		unlisted_t unlisted = { 0 };
 
 		if (serving)
-			rest = rest_of(serving, least, running_tokens);
+			unlisted = sum_unlisted(serving, least, running_tokens);
 		msgpack_pack_array(packer, 3);
 		msgpack_pack_str_with_body(packer, service->name,
 					   strlen(service->name));
-		msgpack_pack_float(packer, (float)rest.running /
-						   (float)MAX(rest.count, 1));
-		msgpack_pack_float(packer, (float)rest.reading /
-						   (float)MAX(rest.count, 1));
+		msgpack_pack_float(packer, (float)unlisted.running /
+						   (float)MAX(unlisted.count, 1));
+		msgpack_pack_float(packer, (float)unlisted.prefill_tokens /
+						   (float)MAX(unlisted.count, 1));
 	}
 }
 
-static void pack_all(msgpack_packer *packer, const gateway_peers_t *peers)
+static void pack_summed_loads(msgpack_packer *packer, const gateway_peers_t *peers)
 {
 	const gateway_t *gateway = peers->gateway;
 	GArray *loads = g_array_new(FALSE, FALSE, sizeof(load_t));
 	double tokens = 0;
-	bool some;
+	bool truncated;
 
 	LIST_FOR_EACH (it, forward_upstreams_list(gateway->upstreams)) {
-		load_t load =
-			load_of_all(LIST_ENTRY(it, forward_upstream_t, node));
+		load_t load = fleet_load(LIST_ENTRY(it, forward_upstream_t, node));
 
 		if (load.running)
 			g_array_append_val(loads, load);
 	}
-	some = loads->len > LOADS_TOLD && gateway->config;
-	if (some) {
+	truncated = loads->len > LOADS_LISTED_MAX && gateway->config;
+	if (truncated) {
 		tokens = running_tokens(gateway);
-		g_array_sort_with_data(loads, by_weight, &tokens);
+		g_array_sort_with_data(loads, compare_weights, &tokens);
 	}
 	msgpack_pack_array(packer, 2);
-	msgpack_pack_array(packer, (some ? LOADS_TOLD : loads->len) * LOAD_FIELDS);
-	for (guint i = 0; i < (some ? LOADS_TOLD : loads->len); i++) {
+	msgpack_pack_array(packer, (truncated ? LOADS_LISTED_MAX : loads->len) *
+					   LOAD_FIELDS);
+	for (guint i = 0; i < (truncated ? LOADS_LISTED_MAX : loads->len); i++) {
 		const load_t *load = &g_array_index(loads, load_t, i);
 
-		pack_load(packer, load->mark, load->running, load->reading);
+		pack_load(packer, load->short_id, load->running,
+			  load->prefill_tokens);
 	}
-	if (some)
-		pack_rest(packer, gateway,
-			  &g_array_index(loads, load_t, LOADS_TOLD - 1), tokens);
+	if (truncated)
+		pack_unlisted_means(packer, gateway,
+				    &g_array_index(loads, load_t,
+						   LOADS_LISTED_MAX - 1),
+				    tokens);
 	else
 		msgpack_pack_array(packer, 0);
 	g_array_unref(loads);
@@ -175,55 +180,55 @@
 	msgpack_sbuffer *packed = &peers->loads_packed;
 	msgpack_packer packer;
 
-	if (!packed->size || now - peers->loads_packed_at > PACKED_KEPT) {
+	if (!packed->size || now - peers->loads_packed_at > PACKED_LOADS_MAX_AGE) {
 		msgpack_sbuffer_clear(packed);
 		msgpack_packer_init(&packer, packed, msgpack_sbuffer_write);
-		pack_all(&packer, peers);
+		pack_summed_loads(&packer, peers);
 		peers->loads_packed_at = now;
 	}
 	msgpack_sbuffer_write(buffer, packed->data, packed->size);
 }
 
 /* Takes loads off the upstreams and empties the list. */
-void peers_unload(gateway_peers_t *peers, GArray *loads)
+void peers_remove_loads(gateway_peers_t *peers, GArray *loads)
 {
 	for (guint i = 0; i < loads->len; i++) {
 		const load_t *load = &g_array_index(loads, load_t, i);
 		forward_upstream_t *upstream =
 			forward_upstreams_marked(peers->gateway->upstreams,
-						 load->mark);
+						 load->short_id);
 
 		if (!upstream)
 			continue;
 		upstream->peers_running -=
 			MIN(upstream->peers_running, load->running);
 		upstream->peers_reading =
-			MAX(upstream->peers_reading - load->reading, 0);
+			MAX(upstream->peers_reading - load->prefill_tokens, 0);
 	}
 	g_array_set_size(loads, 0);
 }
 
-static void load_put(GArray *loads, forward_upstream_t *upstream, const load_t *load)
+static void add_load(GArray *loads, forward_upstream_t *upstream, const load_t *load)
 {
 	upstream->peers_running += load->running;
-	upstream->peers_reading += load->reading;
+	upstream->peers_reading += load->prefill_tokens;
 	g_array_append_val(loads, *load);
 }
 
-static const load_t *loads_find(const GArray *loads, uint32_t mark)
+static const load_t *loads_find(const GArray *loads, uint32_t short_id)
 {
 	for (guint i = 0; i < loads->len; i++) {
 		const load_t *load = &g_array_index(loads, load_t, i);
 
-		if (load->mark == mark)
+		if (load->short_id == short_id)
 			return load;
 	}
 	return NULL;
 }
 
 /* Adds the loads of a message to those heard; less WITHOUT, if not NULL. */
-static void take_named(gateway_peers_t *peers, GArray *loads,
-		       const msgpack_object *object, const GArray *without)
+static void add_listed_loads(gateway_peers_t *peers, GArray *loads,
+			     const msgpack_object *object, const GArray *excluded)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
@@ -232,19 +237,21 @@
 		load_t load = { (uint32_t)msgpack_field_number(&items[i]),
 				(unsigned int)msgpack_field_number(&items[i + 1]),
 				(double)msgpack_field_number(&items[i + 2]) *
-					READING_UNIT };
+					PREFILL_UNIT_TOKENS };
 		forward_upstream_t *upstream =
 			forward_upstreams_marked(peers->gateway->upstreams,
-						 load.mark);
-		const load_t *own = without ? loads_find(without, load.mark) : NULL;
+						 load.short_id);
+		const load_t *own =
+			excluded ? loads_find(excluded, load.short_id) : NULL;
 
 		if (!upstream)
 			continue;
 		if (own) {
 			load.running -= MIN(load.running, own->running);
-			load.reading = MAX(load.reading - own->reading, 0);
+			load.prefill_tokens =
+				MAX(load.prefill_tokens - own->prefill_tokens, 0);
 		}
-		load_put(loads, upstream, &load);
+		add_load(loads, upstream, &load);
 	}
 }
 
@@ -252,12 +259,12 @@
 void peers_receive_loads(gateway_peers_t *peers, GArray *loads,
 			 const msgpack_object *object)
 {
-	peers_unload(peers, loads);
-	take_named(peers, loads, object, NULL);
+	peers_remove_loads(peers, loads);
+	add_listed_loads(peers, loads, object, NULL);
 }
 
 /* Gives the upstreams of a service that were not named the mean of the rest. */
-static void take_rest(gateway_peers_t *peers, const msgpack_object *object)
+static void add_mean_loads(gateway_peers_t *peers, const msgpack_object *object)
 {
 	const msgpack_object *fields = msgpack_field_items(object, 3, NULL);
 	char *service = fields ? msgpack_field_text(&fields[0]) : NULL;
@@ -274,7 +281,7 @@
 				msgpack_field_decimal(&fields[2]) };
 
 		if (!upstream->peers_running && upstream->peers_reading <= 0)
-			load_put(peers->aggregator_loads, upstream, &load);
+			add_load(peers->aggregator_loads, upstream, &load);
 	}
 	g_free(service);
 }
@@ -284,13 +291,14 @@
 {
 	const msgpack_object *parts = msgpack_field_items(object, 2, NULL);
 	uint32_t count = 0;
-	const msgpack_object *rests;
+	const msgpack_object *means;
 
-	peers_unload(peers, peers->aggregator_loads);
+	peers_remove_loads(peers, peers->aggregator_loads);
 	if (!parts)
 		return;
-	take_named(peers, peers->aggregator_loads, &parts[0], peers->loads_told);
-	rests = msgpack_field_items(&parts[1], 0, &count);
+	add_listed_loads(peers, peers->aggregator_loads, &parts[0],
+			 peers->last_sent_loads);
+	means = msgpack_field_items(&parts[1], 0, &count);
 	for (uint32_t i = 0; i < count; i++)
-		take_rest(peers, &rests[i]);
+		add_mean_loads(peers, &means[i]);
 }
--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -63,14 +63,14 @@
  */
 #define MEMBERS_TOLD 100
 /* Upstreams whose loads one message names; of the others it tells the mean. */
-#define LOADS_TOLD 128
+#define LOADS_LISTED_MAX 128
 /* A peer not heard of for so long no longer counts as one of the fleet. */
 #define COUNT_KEPT (60 * PD_SEC)
 /*
  * Prompt tokens in a load are told in this unit: one byte for most upstreams,
  * and finer than one request's part of a prompt.
  */
-#define READING_UNIT 64
+#define PREFILL_UNIT_TOKENS 64
 #define LOAD_FIELDS 3 /* of a load: mark, running, units to read */
 
 #define UPDATES_FIELDS 4 /* kind, sender, whether these are all, upstreams */
@@ -89,9 +89,9 @@
 
 /* What gateways have running at an upstream. */
 typedef struct load {
-	uint32_t mark; /* of the upstream */
+	uint32_t short_id; /* of the upstream */
 	unsigned int running;
-	double reading;
+	double prefill_tokens;
 } load_t;
 
 /* What follows from who is alive; worked out anew every so often. */
@@ -143,7 +143,7 @@
 	GHashTable *works; /* service -> double: the same */
 	msgpack_sbuffer loads_packed; /* the loads of all, for summaries */
 	pd_time_t loads_packed_at;
-	GArray *loads_told; /* of load_t: own ones, as last told */
+	GArray *last_sent_loads; /* of load_t: own ones, as last told */
 	pd_time_t started_at;
 	pd_time_t next_at;
 	pd_time_t full_at; /* when members and usage are told next */
@@ -176,7 +176,7 @@
 peer_t *peers_add(gateway_peers_t *peers, const char *address);
 bool peer_is_heard(const peer_t *peer, pd_time_t now);
 bool peer_is_alive(const peer_t *peer, pd_time_t now);
-void peers_unload(gateway_peers_t *peers, GArray *loads);
+void peers_remove_loads(gateway_peers_t *peers, GArray *loads);
 void peers_pack_own_loads(msgpack_packer *packer, gateway_peers_t *peers);
 void peers_pack_summed_loads(msgpack_sbuffer *buffer, gateway_peers_t *peers,
 			     pd_time_t now);
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -119,7 +119,7 @@
 
 static void peer_destroy(gateway_peers_t *peers, peer_t *peer)
 {
-	peers_unload(peers, peer->loads);
+	peers_remove_loads(peers, peer->loads);
 	peers_forget_counts(peers, peer);
 	g_hash_table_remove(peers->by_address, peer->address);
 	list_remove(&peer->node);
@@ -198,7 +198,7 @@
 	peers->incarnation = g_strdup_printf("%s#%08x", settings->node_id,
 					     g_rand_int(gateway->random));
 	peers->aggregator_loads = loads_create();
-	peers->loads_told = loads_create();
+	peers->last_sent_loads = loads_create();
 	peers->by_address = g_hash_table_new(g_str_hash, g_str_equal);
 	peers->totals = peers_values_create();
 	peers->asked = peers_values_create();
@@ -228,7 +228,7 @@
 	g_free(host);
 	g_free(peers->incarnation);
 	g_array_unref(peers->aggregator_loads);
-	g_array_unref(peers->loads_told);
+	g_array_unref(peers->last_sent_loads);
 	g_hash_table_unref(peers->by_address);
 	g_hash_table_unref(peers->totals);
 	g_hash_table_unref(peers->asked);
@@ -379,9 +379,10 @@
 		token_limits_forget_peers(peers->gateway->limits);
 		work_rate_forget_peers(peers->gateway->work);
 		LIST_FOR_EACH (it, &peers->list)
-			peers_unload(peers, LIST_ENTRY(it, peer_t, node)->loads);
+			peers_remove_loads(peers,
+					   LIST_ENTRY(it, peer_t, node)->loads);
 	}
-	peers_unload(peers, peers->aggregator_loads);
+	peers_remove_loads(peers, peers->aggregator_loads);
 }
 
 static void tell_mesh(gateway_peers_t *peers, bool full)
@@ -548,7 +549,7 @@
 		peer_t *peer = LIST_ENTRY(it, peer_t, node);
 
 		if (now - peer->heard_at > LOAD_KEPT)
-			peers_unload(peers, peer->loads);
+			peers_remove_loads(peers, peer->loads);
 		if (peer_is_lost(peer, now))
 			peer_destroy(peers, peer);
 	}
--- a/tests/unit/test_peer_loads.c
+++ b/tests/unit/test_peer_loads.c
@@ -50,7 +50,7 @@
 	list_upstreams(fixture->gateway.upstreams, upstreams);
 	peers->gateway = &fixture->gateway;
 	peers->aggregator_loads = g_array_new(FALSE, FALSE, sizeof(load_t));
-	peers->loads_told = g_array_new(FALSE, FALSE, sizeof(load_t));
+	peers->last_sent_loads = g_array_new(FALSE, FALSE, sizeof(load_t));
 	msgpack_sbuffer_init(&peers->loads_packed);
 	return fixture;
 }
@@ -60,7 +60,7 @@
 	forward_upstreams_destroy(fixture->gateway.upstreams);
 	forward_config_unref(fixture->gateway.config);
 	g_array_unref(fixture->peers.aggregator_loads);
-	g_array_unref(fixture->peers.loads_told);
+	g_array_unref(fixture->peers.last_sent_loads);
 	msgpack_sbuffer_destroy(&fixture->peers.loads_packed);
 	g_free(fixture);
 }
@@ -146,10 +146,10 @@
 
 	(void)state;
 	for (unsigned int i = 0; i < MANY; i++) {
-		upstream_at(aggregator, i)->peers_running = i < LOADS_TOLD ? 12
-									   : 3;
+		upstream_at(aggregator, i)->peers_running =
+			i < LOADS_LISTED_MAX ? 12 : 3;
 		upstream_at(aggregator, i)->peers_reading =
-			i < LOADS_TOLD ? 20000 : 1000;
+			i < LOADS_LISTED_MAX ? 20000 : 1000;
 	}
 	size = tell_all(aggregator, node);
 	assert_true(size < MESSAGE_MAX);
