--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -211,10 +211,10 @@
 	return (store_feed_fleet_t){
 		.is_mesh = gateway_peers_is_mesh(peers),
 		.is_large = gateway_count(gateway) > GATEWAY_MESH_MAX,
-		.goes_first = gateway_peers_go_first(peers),
-		.asks = gateway_peers_watch_store(peers),
+		.goes_first = gateway_peers_is_top_ranked(peers),
+		.asks = gateway_peers_should_watch_store(peers),
 		.aggregator_lost = gateway_peers_aggregator_lost_store(peers),
-		.poll_group = gateway_peers_poll_group(peers, now),
+		.poll_group = gateway_peers_poll_group_size(peers, now),
 	};
 }
 
@@ -265,7 +265,7 @@
 	}
 	feed_regained(feed);
 	store_feed_answered(feed->calls, gateway_now());
-	gateway_peers_store_heard(feed->fleet->gateway->peers);
+	gateway_peers_note_store_answer(feed->fleet->gateway->peers);
 	feed_take(feed, page);
 	wire_page_destroy(page);
 	feed_run(feed, gateway_now());
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -330,7 +330,7 @@
 	know_accounts(gateway, now);
 	token_limits_set_entries(gateway->limits, gateway_count(gateway));
 	token_limits_set_lag(gateway->limits,
-			     gateway_peers_lag(gateway->peers, now));
+			     gateway_peers_propagation_delay(gateway->peers, now));
 	work_rate_run(gateway->work, now);
 	gateway_duties_run(gateway->duties, now);
 	gateway_reload_run(gateway, now);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -6,7 +6,7 @@
 #include "adapters/msgpack_write.h"
 
 /* Of the members that are named, so many are those that go first. */
-#define MEMBERS_FIRST 8
+#define MEMBERS_TOP_RANKED 8
 
 /* Sends a composed message to a peer. */
 void peers_send(const gateway_peers_t *peers, const peer_t *peer,
@@ -226,7 +226,7 @@
 {
 	msgpack_pack_array(packer, MEMBER_FIELDS);
 	msgpack_write_text(packer, peer->address);
-	msgpack_pack_uint8(packer, peer->strong);
+	msgpack_pack_uint8(packer, peer->high_capacity);
 	msgpack_pack_uint16(packer, peer->zone);
 }
 
@@ -243,8 +243,9 @@
 static void pack_members(msgpack_packer *packer, const gateway_peers_t *peers,
 			 pd_time_t now)
 {
-	peer_t *first[MEMBERS_FIRST + 1];
-	unsigned int firsts = peers_first(peers, first, MEMBERS_FIRST, now);
+	peer_t *first[MEMBERS_TOP_RANKED + 1];
+	unsigned int top_count =
+		peers_top_ranked(peers, first, MEMBERS_TOP_RANKED, now);
 	unsigned int heard = 0;
 	unsigned int left;
 
@@ -252,16 +253,16 @@
 		const peer_t *peer = LIST_ENTRY(it, peer_t, node);
 
 		heard += peer_is_heard(peer, now) &&
-			 !is_among(peer, first, firsts);
+			 !is_among(peer, first, top_count);
 	}
-	left = MIN(heard, MEMBERS_TOLD - MEMBERS_FIRST);
-	msgpack_pack_array(packer, firsts + left);
-	for (unsigned int i = 0; i < firsts; i++)
+	left = MIN(heard, MEMBERS_LISTED_MAX - MEMBERS_TOP_RANKED);
+	msgpack_pack_array(packer, top_count + left);
+	for (unsigned int i = 0; i < top_count; i++)
 		pack_member(packer, first[i]);
 	LIST_FOR_EACH (it, &peers->list) {
 		const peer_t *peer = LIST_ENTRY(it, peer_t, node);
 
-		if (!peer_is_heard(peer, now) || is_among(peer, first, firsts))
+		if (!peer_is_heard(peer, now) || is_among(peer, first, top_count))
 			continue;
 		/* Each of those left is as likely to be among the chosen. */
 		if (g_rand_double(peers->gateway->random) * heard < left) {
@@ -278,8 +279,8 @@
 
 	if (fleet_feed_is_back(peers->gateway->feed))
 		flags |= STATE_FLAG_HAS_STORE;
-	if (peers->strong)
-		flags |= STATE_FLAG_STRONG;
+	if (peers->high_capacity)
+		flags |= STATE_FLAG_HIGH_CAPACITY;
 	if (asks)
 		flags |= STATE_FLAG_ASKS;
 	return flags;
@@ -299,12 +300,12 @@
 	msgpack_pack_uint64(packer, peers_digest(peers));
 	msgpack_pack_uint64(packer, (uint64_t)(now - peers->started_at));
 	msgpack_pack_uint8(packer, (uint8_t)state_flags(peers, asks));
-	msgpack_pack_uint64(packer, (uint64_t)(now - peers->store_heard_at));
+	msgpack_pack_uint64(packer, (uint64_t)(now - peers->store_answered_at));
 	msgpack_write_text(packer, peers->is_leader ? peers->address
 				   : peers->leader  ? peers->leader
 						    : "");
 	msgpack_pack_uint64(packer, peers->leader_fence);
-	msgpack_pack_uint32(packer, peers_view(peers, now)->counted);
+	msgpack_pack_uint32(packer, peers_view(peers, now)->fleet_size);
 }
 
 static void add_speed(void *ctx, const char *service, double rate)
@@ -411,7 +412,7 @@
 	msgpack_sbuffer_init(&buffer);
 	peers_pack_summary(&buffer, peers, peer, full);
 	if (full)
-		peer->members_at = gateway_now();
+		peer->members_sent_at = gateway_now();
 	peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
 }
--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -23,15 +23,15 @@
 	STATE_KIND,
 	STATE_ADDRESS,
 	STATE_INCARNATION,
-	STATE_WALL, /* time of day: the own clock's, in a summary the fleet's */
+	STATE_WALL_TIME, /* time of day: the own clock's, in a summary the fleet's */
 	STATE_CONFIG,
 	STATE_DIGEST, /* of what is known of the upstreams */
-	STATE_AGE, /* of the sender's process */
+	STATE_UPTIME, /* of the sender's process */
 	STATE_FLAGS,
-	STATE_STORE_AGE, /* since the store was last heard */
+	STATE_STORE_ANSWER_AGE, /* since the store was last heard */
 	STATE_LEADER, /* address of the holder of the duties */
 	STATE_LEADER_FENCE, /* of that holder; the highest is the newest */
-	STATE_COUNT, /* of gateways that the sender counts */
+	STATE_FLEET_SIZE, /* of gateways that the sender counts */
 	STATE_TOTALS,
 	STATE_WORKS,
 	STATE_LOADS,
@@ -39,13 +39,13 @@
 	STATE_MEMBERS,
 	STATE_SPEEDS, /* at which engines read prompts, by service */
 	STATE_ZONE, /* of the sender */
-	STATE_CLOCK_AGE, /* since the sender's clock has jumped; 0: it has not */
+	STATE_CLOCK_STEP_AGE, /* since the sender's clock has jumped; 0: it has not */
 	STATE_CLOSED, /* the last window whose counts are all in usages; nil: none is */
 	STATE_FIELDS /* how many there are */
 } state_field_t;
 
 #define STATE_FLAG_HAS_STORE 1u
-#define STATE_FLAG_STRONG 2u
+#define STATE_FLAG_HIGH_CAPACITY 2u
 #define STATE_FLAG_ASKS 4u /* for a summary in return */
 
 /*
@@ -56,16 +56,16 @@
 
 /* So many gateways go first: two sum up, and three watch the store. */
 #define AGGREGATORS 2
-#define WATCHERS 3
+#define STORE_WATCHERS 3
 /*
  * Members that one message names: in larger fleets those that go first, and
  * others at random. Naming all, messages would grow with the fleet.
  */
-#define MEMBERS_TOLD 100
+#define MEMBERS_LISTED_MAX 100
 /* Upstreams whose loads one message names; of the others it tells the mean. */
 #define LOADS_LISTED_MAX 128
 /* A peer not heard of for so long no longer counts as one of the fleet. */
-#define COUNT_KEPT (60 * PD_SEC)
+#define FLEET_MEMBER_TIMEOUT (60 * PD_SEC)
 /*
  * Prompt tokens in a load are told in this unit: one byte for most upstreams,
  * and finer than one request's part of a prompt.
@@ -98,7 +98,7 @@
 typedef struct peer_view {
 	pd_time_t at; /* when that was */
 	unsigned int alive; /* gateways, this one included */
-	unsigned int counted; /* also those that were lost lately */
+	unsigned int fleet_size; /* also those that were lost lately */
 	unsigned int rank; /* live gateways that go before this one */
 } peer_view_t;
 
@@ -111,16 +111,16 @@
 	char *incarnation; /* NULL: not heard yet */
 	char *vm_id; /* NULL: not heard yet */
 	bool seed;
-	bool strong; /* its VM has a processor and a link to spare */
+	bool high_capacity; /* its VM has a processor and a link to spare */
 	uint16_t zone; /* a hash of its availability zone; 0: unknown */
 	bool has_store; /* it was being served when last heard */
 	pd_time_t added_at;
 	pd_time_t started_at; /* its process, as it said last; 0: never */
 	pd_time_t heard_at; /* 0: never */
 	pd_time_t mentioned_at; /* by another peer that hears it; 0: never */
-	pd_time_t members_at; /* when it was told the members last, as a summary */
-	pd_time_t passed_over_until; /* as an aggregator, for it did not answer */
-	pd_time_t lost_at; /* when a connection to it failed; 0: never */
+	pd_time_t members_sent_at; /* when it was told the members last, as a summary */
+	pd_time_t skipped_until; /* as an aggregator, for it did not answer */
+	pd_time_t disconnected_at; /* when a connection to it failed; 0: never */
 	GArray *loads; /* of load_t */
 	GHashTable *totals; /* account -> double */
 	GHashTable *asked; /* account -> double */
@@ -132,12 +132,12 @@
 	frame_link_t *link;
 	char *address; /* of this gateway, with the port it was given */
 	char *incarnation; /* the node's id and a number of this start */
-	bool strong;
+	bool high_capacity;
 	uint16_t zone; /* a hash of the availability zone */
 	list_node_t list; /* of peer_t */
 	GHashTable *by_address; /* address -> peer_t; borrows both */
 	peer_view_t view;
-	unsigned int told_count; /* gateways, as the aggregator counts them */
+	unsigned int summary_fleet_size; /* gateways, as the aggregator counts them */
 	GHashTable *totals; /* account -> double: the sum over all peers */
 	GHashTable *asked; /* account -> double: the same */
 	GHashTable *works; /* service -> double: the same */
@@ -145,8 +145,8 @@
 	pd_time_t loads_packed_at;
 	GArray *last_sent_loads; /* of load_t: own ones, as last told */
 	pd_time_t started_at;
-	pd_time_t next_at;
-	pd_time_t full_at; /* when members and usage are told next */
+	pd_time_t next_state_at;
+	pd_time_t next_full_state_at; /* when members and usage are told next */
 	pd_time_t uses_at; /* when the use of limits is sent next to the writers */
 	pd_time_t counts_sent_at; /* when they were sent counts last; 0: never */
 	pd_time_t flight_sent; /* when what they were sent last was in flight */
@@ -154,12 +154,12 @@
 	pd_time_t counts_taken_at; /* when others' counts came last; 0: never */
 	bool adopted; /* levels of buckets, from an older peer */
 	char *aggregator; /* whose summaries are followed; NULL: peers are heard */
-	pd_time_t summed_at; /* when its last summary came */
+	pd_time_t summary_received_at; /* when its last summary came */
 	GArray *aggregator_loads; /* of load_t, from that summary */
 	char *leader; /* address of the duties' holder; NULL: unknown */
 	uint64_t leader_fence;
 	bool is_leader;
-	pd_time_t store_heard_at; /* by anybody */
+	pd_time_t store_answered_at; /* by anybody */
 	pd_time_t fetched_config_at;
 	pd_time_t fetched_upstreams_at;
 	pd_time_t diverged_since; /* from what a peer knows; 0: it did not */
@@ -187,10 +187,11 @@
 void peers_forget_counts(gateway_peers_t *peers, peer_t *peer);
 const peer_view_t *peers_view(gateway_peers_t *peers, pd_time_t now);
 bool peers_is_mesh(gateway_peers_t *peers, pd_time_t now);
-pd_time_t peers_store_stale(gateway_peers_t *peers, pd_time_t now);
-unsigned int peers_first(const gateway_peers_t *peers, peer_t **first,
-			 unsigned int most, pd_time_t now);
-unsigned int peers_writers(gateway_peers_t *peers, peer_t **writers, pd_time_t now);
+pd_time_t peers_store_silence_max(gateway_peers_t *peers, pd_time_t now);
+unsigned int peers_top_ranked(const gateway_peers_t *peers, peer_t **first,
+			      unsigned int most, pd_time_t now);
+unsigned int peers_checkpoint_writers(gateway_peers_t *peers, peer_t **writers,
+				      pd_time_t now);
 void peers_send(const gateway_peers_t *peers, const peer_t *peer,
 		const msgpack_sbuffer *buffer);
 void peers_pack_state(msgpack_sbuffer *buffer, gateway_peers_t *peers,
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -203,7 +203,7 @@
 
 		if (peer) {
 			peer->mentioned_at = gateway_now();
-			peer->strong = msgpack_field_number(&fields[1]) != 0;
+			peer->high_capacity = msgpack_field_number(&fields[1]) != 0;
 			peer->zone = (uint16_t)msgpack_field_number(&fields[2]);
 		}
 		g_free(address);
@@ -272,11 +272,11 @@
 		peers_send_fetch(peers, peer, what);
 }
 
-static void update_store_age(gateway_peers_t *peers, uint64_t age)
+static void update_store_answer_age(gateway_peers_t *peers, uint64_t age)
 {
 	pd_time_t heard_at = gateway_now() - (pd_time_t)age;
 
-	peers->store_heard_at = MAX(peers->store_heard_at, heard_at);
+	peers->store_answered_at = MAX(peers->store_answered_at, heard_at);
 	gateway_store_answered(peers->gateway, heard_at);
 }
 
@@ -328,10 +328,11 @@
 	g_free(peer->vm_id);
 	peer->incarnation = g_strdup(who);
 	peer->vm_id = incarnation_vm(who);
-	peer->strong = flags & STATE_FLAG_STRONG;
+	peer->high_capacity = flags & STATE_FLAG_HIGH_CAPACITY;
 	peer->has_store = flags & STATE_FLAG_HAS_STORE;
 	peer->zone = (uint16_t)msgpack_field_number(&fields[STATE_ZONE]);
-	update_store_age(peers, msgpack_field_number(&fields[STATE_STORE_AGE]));
+	update_store_answer_age(peers, msgpack_field_number(
+					       &fields[STATE_STORE_ANSWER_AGE]));
 	update_leader(peers, &fields[STATE_LEADER],
 		      msgpack_field_number(&fields[STATE_LEADER_FENCE]));
 done:
@@ -344,8 +345,8 @@
 static void vote_clock(gateway_t *gateway, const peer_t *peer,
 		       const msgpack_object *fields, pd_time_t now)
 {
-	uint64_t wall = msgpack_field_number(&fields[STATE_WALL]);
-	uint64_t age = msgpack_field_number(&fields[STATE_CLOCK_AGE]);
+	uint64_t wall = msgpack_field_number(&fields[STATE_WALL_TIME]);
+	uint64_t age = msgpack_field_number(&fields[STATE_CLOCK_STEP_AGE]);
 
 	if (wall <= PD_TIME_MAX && age <= PD_TIME_MAX)
 		time_vote_receive(gateway->vote, peer->vm_id, (pd_time_t)wall,
@@ -368,7 +369,7 @@
 		(unsigned int)msgpack_field_number(&fields[STATE_FLAGS]);
 	peer_t *peer = identify_sender(peers, fields);
 	pd_time_t now = gateway_now();
-	uint64_t age = msgpack_field_number(&fields[STATE_AGE]);
+	uint64_t age = msgpack_field_number(&fields[STATE_UPTIME]);
 	bool first;
 
 	if (!peer)
@@ -395,7 +396,7 @@
 	}
 	if (flags & STATE_FLAG_ASKS)
 		peers_send_summary(peers, peer,
-				   first || now - peer->members_at >=
+				   first || now - peer->members_sent_at >=
 						    PEERS_FULL_PERIOD);
 	else if (first)
 		peers_send_state(peers, peer, false, true);
@@ -420,10 +421,10 @@
 		    msgpack_field_number(&fields[STATE_DIGEST]));
 	if (!peers->aggregator || strcmp(peers->aggregator, peer->address))
 		return 0;
-	peers->summed_at = now;
-	peers->told_count =
-		(unsigned int)msgpack_field_number(&fields[STATE_COUNT]);
-	wall = msgpack_field_number(&fields[STATE_WALL]);
+	peers->summary_received_at = now;
+	peers->summary_fleet_size =
+		(unsigned int)msgpack_field_number(&fields[STATE_FLEET_SIZE]);
+	wall = msgpack_field_number(&fields[STATE_WALL_TIME]);
 	if (wall <= PD_TIME_MAX)
 		time_vote_follow(gateway->vote, (pd_time_t)wall, now);
 	apply_limit_use_sums(peers, &fields[STATE_TOTALS]);
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -21,24 +21,24 @@
 #define USES_PERIOD (70 * PD_MSEC)
 #define USES_PERIOD_FACTOR_MAX 3
 /* Halves of periods until a state has come back in a summary to the slowest. */
-#define LAG_PERIODS_2 5
+#define PROPAGATION_HALF_PERIODS 5
 /* A peer not heard for so long runs nothing any more, as far as loads go. */
-#define LOAD_KEPT (2 * PD_SEC)
+#define PEER_LOADS_MAX_AGE (2 * PD_SEC)
 /* An aggregator that has not answered for so long is passed over for a while. */
-#define AGGREGATOR_SILENCE (1500 * PD_MSEC)
-#define AGGREGATOR_PAUSE (5 * PD_SEC)
+#define AGGREGATOR_TIMEOUT (1500 * PD_MSEC)
+#define AGGREGATOR_SKIP_TIME (5 * PD_SEC)
 /*
  * A watch for many answers every 0.8 s at least, and word of that takes two messages,
  * a period apart. If nobody has been served for longer, each gateway asks for itself,
  * as the store may turn away just those that watch.
  */
-#define STORE_STALE (1100 * PD_MSEC)
-#define STORE_STALE_PERIODS 2
+#define STORE_SILENCE_MAX (1100 * PD_MSEC)
+#define STORE_SILENCE_PERIODS 2
 /* A connection that fails again and again is logged once in such a time. */
-#define LOST_LOG_PERIOD (10 * PD_SEC)
+#define DISCONNECT_LOG_PERIOD (10 * PD_SEC)
 /* A VM with that much processor and link can carry an aggregator of some hundreds. */
-#define STRONG_CORES 0.24
-#define STRONG_MBPS 100
+#define HIGH_CAPACITY_CORES 0.24
+#define HIGH_CAPACITY_LINK_MBPS 100
 
 static GArray *loads_create(void)
 {
@@ -155,9 +155,10 @@
 
 	if (!peer)
 		return;
-	if (!peer->lost_at || now - peer->lost_at > LOST_LOG_PERIOD)
+	if (!peer->disconnected_at ||
+	    now - peer->disconnected_at > DISCONNECT_LOG_PERIOD)
 		log_line(G_LOG_LEVEL_WARNING, PART, "lost=%s", key);
-	peer->lost_at = now;
+	peer->disconnected_at = now;
 	resend_counts(peers);
 }
 
@@ -189,12 +190,12 @@
 
 	peers->gateway = gateway;
 	peers->started_at = gateway_now();
-	peers->store_heard_at = peers->started_at;
+	peers->store_answered_at = peers->started_at;
 	/* Gateways that start together don't send in step. */
 	peers->uses_at = peers->started_at + gateway_jitter(gateway, USES_PERIOD);
 	peers->zone = (uint16_t)g_str_hash(settings->node_zone);
-	peers->strong = settings->node_cores >= STRONG_CORES &&
-			settings->node_link_mbps >= STRONG_MBPS;
+	peers->high_capacity = settings->node_cores >= HIGH_CAPACITY_CORES &&
+			       settings->node_link_mbps >= HIGH_CAPACITY_LINK_MBPS;
 	peers->incarnation = g_strdup_printf("%s#%08x", settings->node_id,
 					     g_rand_int(gateway->random));
 	peers->aggregator_loads = loads_create();
@@ -246,9 +247,9 @@
 }
 
 /* Notes that the store answered this gateway. */
-void gateway_peers_store_heard(gateway_peers_t *peers)
+void gateway_peers_note_store_answer(gateway_peers_t *peers)
 {
-	peers->store_heard_at = gateway_now();
+	peers->store_answered_at = gateway_now();
 }
 
 /* Notes whether this gateway holds the duties: usage is told to the holder. */
@@ -373,7 +374,7 @@
 		 peers->aggregator ? peers->aggregator : "self");
 	g_free(peers->aggregator);
 	peers->aggregator = g_strdup(aggregator);
-	peers->summed_at = now;
+	peers->summary_received_at = now;
 	if (followed != (aggregator != NULL)) {
 		/* The same use would be counted by both. */
 		token_limits_forget_peers(peers->gateway->limits);
@@ -385,7 +386,7 @@
 	peers_remove_loads(peers, peers->aggregator_loads);
 }
 
-static void tell_mesh(gateway_peers_t *peers, bool full)
+static void send_to_mesh(gateway_peers_t *peers, bool full)
 {
 	follow_aggregator(peers, NULL, gateway_now());
 	LIST_FOR_EACH (it, &peers->list)
@@ -396,7 +397,7 @@
 static pd_time_t fleet_period(gateway_peers_t *peers, pd_time_t period,
 			      int factor_max, pd_time_t now)
 {
-	pd_time_t stretched = period * peers_view(peers, now)->counted /
+	pd_time_t stretched = period * peers_view(peers, now)->fleet_size /
 			      AGGREGATOR_PERIOD_FLEET;
 
 	return CLAMP(stretched, period, period * factor_max);
@@ -418,7 +419,7 @@
 /* Returns how soon after a message with counts the next one may be sent. */
 pd_time_t gateway_peers_counts_period(gateway_peers_t *peers, pd_time_t now)
 {
-	return usage_send_period(peers_view(peers, now)->counted);
+	return usage_send_period(peers_view(peers, now)->fleet_size);
 }
 
 /* Returns whether the writers don't know what this gateway has in flight. */
@@ -473,7 +474,7 @@
 	if (!counts_are_due(peers, now))
 		return;
 	peers->uses_at = now + uses_period(peers, now);
-	count = peers_writers(peers, writers, now);
+	count = peers_checkpoint_writers(peers, writers, now);
 	follow_writers(peers, writers, count);
 	if (!count)
 		return;
@@ -487,17 +488,18 @@
 }
 
 /* Returns how long it takes until all gateways know what one has done. */
-pd_time_t gateway_peers_lag(gateway_peers_t *peers, pd_time_t now)
+pd_time_t gateway_peers_propagation_delay(gateway_peers_t *peers, pd_time_t now)
 {
 	if (peers_is_mesh(peers, now))
 		return MESH_PERIOD * 2;
-	return aggregator_period(peers, now) * LAG_PERIODS_2 / 2;
+	return aggregator_period(peers, now) * PROPAGATION_HALF_PERIODS / 2;
 }
 
 /* After how long without news of the store each gateway asks for itself. */
-pd_time_t peers_store_stale(gateway_peers_t *peers, pd_time_t now)
+pd_time_t peers_store_silence_max(gateway_peers_t *peers, pd_time_t now)
 {
-	return STORE_STALE + STORE_STALE_PERIODS * aggregator_period(peers, now);
+	return STORE_SILENCE_MAX +
+	       STORE_SILENCE_PERIODS * aggregator_period(peers, now);
 }
 
 /* Passes an aggregator over that gives no summaries. */
@@ -506,10 +508,10 @@
 	peer_t *aggregator =
 		peers->aggregator ? peers_find(peers, peers->aggregator) : NULL;
 	pd_time_t silence =
-		MAX(AGGREGATOR_SILENCE, 3 * aggregator_period(peers, now));
+		MAX(AGGREGATOR_TIMEOUT, 3 * aggregator_period(peers, now));
 
-	if (aggregator && now - peers->summed_at > silence)
-		aggregator->passed_over_until = now + AGGREGATOR_PAUSE;
+	if (aggregator && now - peers->summary_received_at > silence)
+		aggregator->skipped_until = now + AGGREGATOR_SKIP_TIME;
 }
 
 static void send_to_aggregators(gateway_peers_t *peers, bool full, pd_time_t now)
@@ -520,7 +522,7 @@
 	peer_t *leader;
 
 	check_aggregator(peers, now);
-	count = peers_first(peers, first, AGGREGATORS, now);
+	count = peers_top_ranked(peers, first, AGGREGATORS, now);
 	follow_aggregator(peers,
 			  is_aggregator || !count ? NULL : first[0]->address, now);
 	for (unsigned int i = 0; i < count; i++)
@@ -536,21 +538,22 @@
 	peers_send_state(peers, leader, false, full);
 }
 
-static bool peer_is_lost(const peer_t *peer, pd_time_t now)
+static bool peer_has_expired(const peer_t *peer, pd_time_t now)
 {
 	pd_time_t last = MAX(peer->heard_at, peer->added_at);
 
-	return !peer->seed && now - MAX(last, peer->mentioned_at) > COUNT_KEPT;
+	return !peer->seed &&
+	       now - MAX(last, peer->mentioned_at) > FLEET_MEMBER_TIMEOUT;
 }
 
-static void forget_lost(gateway_peers_t *peers, pd_time_t now)
+static void remove_expired(gateway_peers_t *peers, pd_time_t now)
 {
 	LIST_FOR_EACH_SAFE (it, &peers->list) {
 		peer_t *peer = LIST_ENTRY(it, peer_t, node);
 
-		if (now - peer->heard_at > LOAD_KEPT)
+		if (now - peer->heard_at > PEER_LOADS_MAX_AGE)
 			peers_remove_loads(peers, peer->loads);
-		if (peer_is_lost(peer, now))
+		if (peer_has_expired(peer, now))
 			peer_destroy(peers, peer);
 	}
 }
@@ -563,17 +566,17 @@
 
 	spread_updates(peers, now);
 	send_counts(peers, now);
-	if (now < peers->next_at)
+	if (now < peers->next_state_at)
 		return;
 	mesh = peers_is_mesh(peers, now);
-	peers->next_at =
+	peers->next_state_at =
 		now + (mesh ? MESH_PERIOD : aggregator_period(peers, now));
-	forget_lost(peers, now);
-	full = now >= peers->full_at;
+	remove_expired(peers, now);
+	full = now >= peers->next_full_state_at;
 	if (full)
-		peers->full_at = now + PEERS_FULL_PERIOD;
+		peers->next_full_state_at = now + PEERS_FULL_PERIOD;
 	if (mesh)
-		tell_mesh(peers, full);
+		send_to_mesh(peers, full);
 	else
 		send_to_aggregators(peers, full, now);
 }
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -93,7 +93,7 @@
 	gpointer service;
 	gpointer shed;
 	shed_fill_t fill = {
-		.known = gateway_peers_know_loads(gateway->peers, now),
+		.known = gateway_peers_loads_are_current(gateway->peers, now),
 	};
 
 	g_hash_table_iter_init(&iter, gateway->sheds);
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -183,11 +183,11 @@
 		char *address = g_strdup_printf("127.0.0.1:%d", i + 1);
 		peer_t *peer = peers_add(gateway->peers, address);
 
-		peer->strong = true;
+		peer->high_capacity = true;
 		peer->mentioned_at = now;
 		g_free(address);
 	}
-	gateway->peers->strong = false;
+	gateway->peers->high_capacity = false;
 	gateway->peers->view.at = 0;
 }
 
