--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -51,7 +51,7 @@
 }
 
 /* Adds the peers' sums, without what EXCEPT told: it knows that itself. */
-static void add_peers(GHashTable *values, GHashTable *sums, GHashTable *except)
+static void add_peer_sums(GHashTable *values, GHashTable *sums, GHashTable *except)
 {
 	GHashTableIter iter;
 	gpointer name;
@@ -64,10 +64,10 @@
 	}
 }
 
-static void pack_use(msgpack_packer *packer, const char *account,
-		     const token_use_t *use)
+static void pack_limit_use(msgpack_packer *packer, const char *account,
+			   const token_use_t *use)
 {
-	msgpack_pack_array(packer, USE_FIELDS);
+	msgpack_pack_array(packer, LIMIT_USE_FIELDS);
 	msgpack_write_text(packer, account);
 	msgpack_pack_uint64(packer, (uint64_t)MAX(use->total, 0));
 	if (use->has_level)
@@ -89,33 +89,33 @@
 	return use;
 }
 
-static void add_own_use(void *ctx, const char *account, const token_use_t *use)
+static void add_own_limit_use(void *ctx, const char *account, const token_use_t *use)
 {
 	*sums_use(ctx, account) = *use;
 }
 
 /* Adds what the peers used, without what EXCEPT told: it knows that itself. */
-static void add_peers_use(GHashTable *sums, const gateway_peers_t *peers,
-			  const peer_t *except)
+static void add_peer_limit_uses(GHashTable *sums, const gateway_peers_t *peers,
+				const peer_t *except)
 {
 	GHashTableIter iter;
 	gpointer account;
 	gpointer total;
 
-	g_hash_table_iter_init(&iter, peers->totals);
+	g_hash_table_iter_init(&iter, peers->granted);
 	while (g_hash_table_iter_next(&iter, &account, &total)) {
 		token_use_t *use = sums_use(sums, account);
 
 		use->total += *(double *)total -
-			      value_or_zero(except->totals, account);
-		use->asked += value_or_zero(peers->asked, account) -
-			      value_or_zero(except->asked, account);
+			      value_or_zero(except->granted, account);
+		use->asked += value_or_zero(peers->requested, account) -
+			      value_or_zero(except->requested, account);
 	}
 }
 
 /* Packs what each account used, here or at all but EXCEPT, and the levels. */
-static void pack_totals(msgpack_packer *packer, const gateway_peers_t *peers,
-			const peer_t *except)
+static void pack_limit_uses(msgpack_packer *packer,
+			    const gateway_peers_t *peers, const peer_t *except)
 {
 	/* Of token_use_t; the names are those of the limits and the peers. */
 	GHashTable *sums =
@@ -124,13 +124,14 @@
 	gpointer account;
 	gpointer use;
 
-	token_limits_each(peers->gateway->limits, gateway_now(), add_own_use, sums);
+	token_limits_each(peers->gateway->limits, gateway_now(),
+			  add_own_limit_use, sums);
 	if (except)
-		add_peers_use(sums, peers, except);
+		add_peer_limit_uses(sums, peers, except);
 	msgpack_pack_array(packer, g_hash_table_size(sums));
 	g_hash_table_iter_init(&iter, sums);
 	while (g_hash_table_iter_next(&iter, &account, &use))
-		pack_use(packer, account, use);
+		pack_limit_use(packer, account, use);
 	g_hash_table_unref(sums);
 }
 
@@ -139,8 +140,8 @@
 	sums_add(ctx, service, total);
 }
 
-static void pack_works(msgpack_packer *packer, const gateway_peers_t *peers,
-		       const peer_t *except)
+static void pack_work(msgpack_packer *packer, const gateway_peers_t *peers,
+		      const peer_t *except)
 {
 	GHashTable *sums = peers_values_create();
 	GHashTableIter iter;
@@ -149,7 +150,7 @@
 
 	work_rate_each_own(peers->gateway->work, add_own_work, sums);
 	if (except)
-		add_peers(sums, peers->works, except->works);
+		add_peer_sums(sums, peers->work, except->work);
 	msgpack_pack_array(packer, g_hash_table_size(sums));
 	g_hash_table_iter_init(&iter, sums);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
@@ -171,8 +172,8 @@
 	msgpack_pack_uint64(&writer->packer, entry->count);
 }
 
-static void pack_usages(msgpack_sbuffer *out, msgpack_packer *packer,
-			const gateway_t *gateway)
+static void pack_usage_list(msgpack_sbuffer *out, msgpack_packer *packer,
+			    const gateway_t *gateway)
 {
 	int64_t from = gateway_first_window_due(gateway);
 	list_writer_t writer;
@@ -182,12 +183,13 @@
 	list_writer_end(&writer, out, packer);
 }
 
-static void add_new_use(void *ctx, const char *account, const token_use_t *use)
+static void pack_new_limit_use(void *ctx, const char *account,
+			       const token_use_t *use)
 {
 	list_writer_t *writer = ctx;
 
 	writer->count++;
-	pack_use(&writer->packer, account, use);
+	pack_limit_use(&writer->packer, account, use);
 }
 
 /*
@@ -206,7 +208,7 @@
 	list_writer_init(&uses);
 	usage_each_unsent(peers->gateway->usage, pack_usage, &usage);
 	token_limits_each_news(peers->gateway->limits, gateway_now(),
-			       add_new_use, &uses);
+			       pack_new_limit_use, &uses);
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, COUNTS_FIELDS);
 	msgpack_pack_uint8(&packer, MESSAGE_COUNTS);
@@ -218,7 +220,7 @@
 		flight_pack(&packer, flight);
 	else
 		msgpack_pack_nil(&packer);
-	peers->flight_sent = flight ? flight->told : 0;
+	peers->flight_sent_at = flight ? flight->told : 0;
 	return usage.count + uses.count + flight_is_new;
 }
 
@@ -317,7 +319,7 @@
  * Packs the speeds of engines that this gateway has seen itself. What it was only
  * told is not told on, or a wrong figure would go round for ever.
  */
-static void pack_speeds(msgpack_packer *packer, const gateway_peers_t *peers)
+static void pack_engine_speeds(msgpack_packer *packer, const gateway_peers_t *peers)
 {
 	GHashTable *speeds = peers_values_create();
 	GHashTableIter iter;
@@ -347,17 +349,17 @@
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
 	pack_state_header(&packer, peers, MESSAGE_STATE,
 			  time_vote_own_wall(vote, now), asks);
-	pack_totals(&packer, peers, NULL);
-	pack_works(&packer, peers, NULL);
+	pack_limit_uses(&packer, peers, NULL);
+	pack_work(&packer, peers, NULL);
 	peers_pack_own_loads(&packer, peers);
 	if (full) {
-		pack_usages(buffer, &packer, peers->gateway);
+		pack_usage_list(buffer, &packer, peers->gateway);
 		pack_members(&packer, peers, now);
 	} else {
 		msgpack_pack_nil(&packer);
 		msgpack_pack_nil(&packer);
 	}
-	pack_speeds(&packer, peers);
+	pack_engine_speeds(&packer, peers);
 	msgpack_pack_uint16(&packer, peers->zone);
 	msgpack_pack_uint64(&packer, (uint64_t)time_vote_own_step_age(vote, now));
 	if (full)
@@ -390,15 +392,15 @@
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
 	pack_state_header(&packer, peers, MESSAGE_SUMMARY,
 			  time_vote_wall(gateway->vote, now), false);
-	pack_totals(&packer, peers, receiver);
-	pack_works(&packer, peers, receiver);
+	pack_limit_uses(&packer, peers, receiver);
+	pack_work(&packer, peers, receiver);
 	peers_pack_summed_loads(buffer, peers, now);
 	msgpack_pack_nil(&packer);
 	if (full)
 		pack_members(&packer, peers, now);
 	else
 		msgpack_pack_nil(&packer);
-	pack_speeds(&packer, peers);
+	pack_engine_speeds(&packer, peers);
 	msgpack_pack_uint16(&packer, peers->zone);
 	msgpack_pack_uint64(&packer, 0);
 	msgpack_pack_nil(&packer);
--- a/adapters/gateway/peer_rank.c
+++ b/adapters/gateway/peer_rank.c
@@ -255,8 +255,8 @@
 	top_ranked_receivers(peers, first, &rank, now);
 	if (rank < CHECKPOINT_SLOTS)
 		return (int)rank;
-	if (peers->counts_taken_at &&
-	    now - peers->counts_taken_at < COUNTS_RECEIVED_MAX_AGE)
+	if (peers->counts_received_at &&
+	    now - peers->counts_received_at < COUNTS_RECEIVED_MAX_AGE)
 		return CHECKPOINT_SLOTS - 1;
 	return -1;
 }
--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -32,15 +32,15 @@
 	STATE_LEADER, /* address of the holder of the duties */
 	STATE_LEADER_FENCE, /* of that holder; the highest is the newest */
 	STATE_FLEET_SIZE, /* of gateways that the sender counts */
-	STATE_TOTALS,
-	STATE_WORKS,
+	STATE_LIMIT_USES,
+	STATE_WORK,
 	STATE_LOADS,
-	STATE_USAGES,
+	STATE_USAGE,
 	STATE_MEMBERS,
-	STATE_SPEEDS, /* at which engines read prompts, by service */
+	STATE_ENGINE_SPEEDS, /* at which engines read prompts, by service */
 	STATE_ZONE, /* of the sender */
 	STATE_CLOCK_STEP_AGE, /* since the sender's clock has jumped; 0: it has not */
-	STATE_CLOSED, /* the last window whose counts are all in usages; nil: none is */
+	STATE_WATERMARK, /* the last window whose counts are all in usages; nil: none is */
 	STATE_FIELDS /* how many there are */
 } state_field_t;
 
@@ -76,7 +76,7 @@
 #define UPDATES_FIELDS 4 /* kind, sender, whether these are all, upstreams */
 #define FETCH_FIELDS 4 /* kind, sender, what, digests or marks */
 #define MEMBER_FIELDS 3 /* address, whether it is strong, zone */
-#define USE_FIELDS 4 /* account, total, level or nil, asked */
+#define LIMIT_USE_FIELDS 4 /* account, total, level or nil, asked */
 #define COUNTS_FIELDS 6 /* kind, sender, its start, usage, limits, in flight */
 #define USAGE_FIELDS 3 /* window, account, count */
 /* An upstream in full, and just its mark, stage, revision and start. */
@@ -122,9 +122,9 @@
 	pd_time_t skipped_until; /* as an aggregator, for it did not answer */
 	pd_time_t disconnected_at; /* when a connection to it failed; 0: never */
 	GArray *loads; /* of load_t */
-	GHashTable *totals; /* account -> double */
-	GHashTable *asked; /* account -> double */
-	GHashTable *works; /* service -> double */
+	GHashTable *granted; /* account -> double */
+	GHashTable *requested; /* account -> double */
+	GHashTable *work; /* service -> double */
 } peer_t;
 
 struct gateway_peers {
@@ -138,21 +138,21 @@
 	GHashTable *by_address; /* address -> peer_t; borrows both */
 	peer_view_t view;
 	unsigned int summary_fleet_size; /* gateways, as the aggregator counts them */
-	GHashTable *totals; /* account -> double: the sum over all peers */
-	GHashTable *asked; /* account -> double: the same */
-	GHashTable *works; /* service -> double: the same */
+	GHashTable *granted; /* account -> double: the sum over all peers */
+	GHashTable *requested; /* account -> double: the same */
+	GHashTable *work; /* service -> double: the same */
 	msgpack_sbuffer loads_packed; /* the loads of all, for summaries */
 	pd_time_t loads_packed_at;
 	GArray *last_sent_loads; /* of load_t: own ones, as last told */
 	pd_time_t started_at;
 	pd_time_t next_state_at;
 	pd_time_t next_full_state_at; /* when members and usage are told next */
-	pd_time_t uses_at; /* when the use of limits is sent next to the writers */
+	pd_time_t next_limit_uses_at; /* when the use of limits is sent next to the writers */
 	pd_time_t counts_sent_at; /* when they were sent counts last; 0: never */
-	pd_time_t flight_sent; /* when what they were sent last was in flight */
-	char *counts_to[CHECKPOINT_SLOTS]; /* who those were last; NULL: none */
-	pd_time_t counts_taken_at; /* when others' counts came last; 0: never */
-	bool adopted; /* levels of buckets, from an older peer */
+	pd_time_t flight_sent_at; /* when what they were sent last was in flight */
+	char *counts_receivers[CHECKPOINT_SLOTS]; /* who those were last; NULL: none */
+	pd_time_t counts_received_at; /* when others' counts came last; 0: never */
+	bool levels_adopted; /* levels of buckets, from an older peer */
 	char *aggregator; /* whose summaries are followed; NULL: peers are heard */
 	pd_time_t summary_received_at; /* when its last summary came */
 	GArray *aggregator_loads; /* of load_t, from that summary */
@@ -184,7 +184,7 @@
 			 const msgpack_object *object);
 void peers_receive_summed_loads(gateway_peers_t *peers,
 				const msgpack_object *object);
-void peers_forget_counts(gateway_peers_t *peers, peer_t *peer);
+void peers_remove_values(gateway_peers_t *peers, peer_t *peer);
 const peer_view_t *peers_view(gateway_peers_t *peers, pd_time_t now);
 bool peers_is_mesh(gateway_peers_t *peers, pd_time_t now);
 pd_time_t peers_store_silence_max(gateway_peers_t *peers, pd_time_t now);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -11,7 +11,7 @@
 /* Who all other gateways are, in the counts, when an aggregator sums them up. */
 #define ALL_PEERS "everybody"
 /* Levels of buckets are taken over from older peers so soon after the start. */
-#define ADOPT_MAX (3 * PD_SEC)
+#define LEVEL_ADOPTION_WINDOW (3 * PD_SEC)
 /* What was asked for is asked for again only after so long. */
 #define FETCH_PERIOD (400 * PD_MSEC)
 /*
@@ -39,8 +39,8 @@
 /* What a message says of one account's use. */
 typedef struct limit_use {
 	char *account; /* owned */
-	double total;
-	double asked;
+	double granted;
+	double requested;
 	bool has_level;
 	double level;
 } limit_use_t;
@@ -49,15 +49,15 @@
 static bool read_limit_use(const msgpack_object *object, limit_use_t *use)
 {
 	const msgpack_object *fields =
-		msgpack_field_items(object, USE_FIELDS, NULL);
+		msgpack_field_items(object, LIMIT_USE_FIELDS, NULL);
 
 	if (!fields)
 		return false;
 	use->account = msgpack_field_text(&fields[0]);
-	use->total = msgpack_field_decimal(&fields[1]);
+	use->granted = msgpack_field_decimal(&fields[1]);
 	use->has_level = fields[2].type != MSGPACK_OBJECT_NIL;
 	use->level = msgpack_field_decimal(&fields[2]);
-	use->asked = msgpack_field_decimal(&fields[3]);
+	use->requested = msgpack_field_decimal(&fields[3]);
 	return use->account != NULL;
 }
 
@@ -65,8 +65,8 @@
 static void merge_limit_uses(gateway_peers_t *peers, peer_t *peer,
 			     const msgpack_object *object, bool adopt, bool recent)
 {
-	const summed_values_t totals = { peer->totals, peers->totals };
-	const summed_values_t asked = { peer->asked, peers->asked };
+	const summed_values_t granted = { peer->granted, peers->granted };
+	const summed_values_t requested = { peer->requested, peers->requested };
 	token_limits_t *limits = peers->gateway->limits;
 	pd_time_t now = gateway_now();
 	uint32_t count = 0;
@@ -79,11 +79,11 @@
 		if (adopt && use.has_level)
 			token_limits_adopt(limits, use.account, use.level, now);
 		token_limits_heard(limits, use.account, peer->incarnation,
-				   use.total, recent, now);
+				   use.granted, recent, now);
 		token_limits_asked(limits, use.account, peer->incarnation,
-				   use.asked, now);
-		summed_values_set(&totals, use.account, use.total);
-		summed_values_set(&asked, use.account, use.asked);
+				   use.requested, now);
+		summed_values_set(&granted, use.account, use.granted);
+		summed_values_set(&requested, use.account, use.requested);
 		g_free(use.account);
 	}
 }
@@ -100,9 +100,10 @@
 	for (uint32_t i = 0; i < count; i++) {
 		if (!read_limit_use(&items[i], &use))
 			continue;
-		token_limits_heard(limits, use.account, ALL_PEERS, use.total,
+		token_limits_heard(limits, use.account, ALL_PEERS, use.granted,
 				   false, now);
-		token_limits_asked(limits, use.account, ALL_PEERS, use.asked, now);
+		token_limits_asked(limits, use.account, ALL_PEERS,
+				   use.requested, now);
 		if (use.has_level)
 			token_limits_follow(limits, use.account, use.level, now);
 		g_free(use.account);
@@ -218,10 +219,11 @@
 /* Says whether a peer of that age knows what was used before this start. */
 static bool should_adopt_levels(gateway_peers_t *peers, uint64_t age)
 {
-	if (peers->adopted || gateway_now() - peers->started_at > ADOPT_MAX ||
+	if (peers->levels_adopted ||
+	    gateway_now() - peers->started_at > LEVEL_ADOPTION_WINDOW ||
 	    (pd_time_t)age < limits_window(peers))
 		return false;
-	peers->adopted = true;
+	peers->levels_adopted = true;
 	return true;
 }
 
@@ -272,7 +274,7 @@
 		peers_send_fetch(peers, peer, what);
 }
 
-static void update_store_answer_age(gateway_peers_t *peers, uint64_t age)
+static void update_store_answered_at(gateway_peers_t *peers, uint64_t age)
 {
 	pd_time_t heard_at = gateway_now() - (pd_time_t)age;
 
@@ -322,7 +324,7 @@
 		if (peer->incarnation)
 			token_limits_forget_peer(peers->gateway->limits,
 						 peer->incarnation);
-		peers_forget_counts(peers, peer);
+		peers_remove_values(peers, peer);
 	}
 	g_free(peer->incarnation);
 	g_free(peer->vm_id);
@@ -331,8 +333,8 @@
 	peer->high_capacity = flags & STATE_FLAG_HIGH_CAPACITY;
 	peer->has_store = flags & STATE_FLAG_HAS_STORE;
 	peer->zone = (uint16_t)msgpack_field_number(&fields[STATE_ZONE]);
-	update_store_answer_age(peers, msgpack_field_number(
-					       &fields[STATE_STORE_ANSWER_AGE]));
+	update_store_answered_at(peers, msgpack_field_number(
+						&fields[STATE_STORE_ANSWER_AGE]));
 	update_leader(peers, &fields[STATE_LEADER],
 		      msgpack_field_number(&fields[STATE_LEADER_FENCE]));
 done:
@@ -379,19 +381,18 @@
 	peer->started_at = now - (pd_time_t)MIN(age, PD_TIME_MAX);
 	note_peer_store_health(gateway, peer, now);
 	vote_clock(gateway, peer, fields, now);
-	merge_usage(gateway, peer->incarnation, &fields[STATE_USAGES]);
-	merge_watermark(gateway, peer->incarnation, &fields[STATE_CLOSED]);
-	merge_engine_speeds(gateway, &fields[STATE_SPEEDS]);
+	merge_usage(gateway, peer->incarnation, &fields[STATE_USAGE]);
+	merge_watermark(gateway, peer->incarnation, &fields[STATE_WATERMARK]);
+	merge_engine_speeds(gateway, &fields[STATE_ENGINE_SPEEDS]);
 	merge_members(peers, &fields[STATE_MEMBERS]);
 	/* The sums of the aggregator include this peer already. */
 	if (!peers->aggregator) {
-		const summed_values_t works = { peer->works, peers->works };
+		const summed_values_t work = { peer->work, peers->work };
 
-		merge_limit_uses(peers, peer, &fields[STATE_TOTALS],
+		merge_limit_uses(peers, peer, &fields[STATE_LIMIT_USES],
 				 should_adopt_levels(peers, age),
 				 (pd_time_t)age < limits_window(peers));
-		merge_work(gateway, peer->incarnation, &fields[STATE_WORKS],
-			   &works);
+		merge_work(gateway, peer->incarnation, &fields[STATE_WORK], &work);
 		peers_receive_loads(peers, peer->loads, &fields[STATE_LOADS]);
 	}
 	if (flags & STATE_FLAG_ASKS)
@@ -427,9 +428,9 @@
 	wall = msgpack_field_number(&fields[STATE_WALL_TIME]);
 	if (wall <= PD_TIME_MAX)
 		time_vote_follow(gateway->vote, (pd_time_t)wall, now);
-	apply_limit_use_sums(peers, &fields[STATE_TOTALS]);
-	merge_work(gateway, ALL_PEERS, &fields[STATE_WORKS], NULL);
-	merge_engine_speeds(gateway, &fields[STATE_SPEEDS]);
+	apply_limit_use_sums(peers, &fields[STATE_LIMIT_USES]);
+	merge_work(gateway, ALL_PEERS, &fields[STATE_WORK], NULL);
+	merge_engine_speeds(gateway, &fields[STATE_ENGINE_SPEEDS]);
 	peers_receive_summed_loads(peers, &fields[STATE_LOADS]);
 	return 0;
 }
@@ -649,7 +650,7 @@
 	if (who)
 		merge_usage(peers->gateway, who, &fields[3]);
 	merge_flight(peers->gateway, &fields[5]);
-	peers->counts_taken_at = gateway_now();
+	peers->counts_received_at = gateway_now();
 	/* What it had used before it was first heard comes with its state. */
 	if (peer && who && !g_strcmp0(peer->incarnation, who) && !peers->aggregator)
 		merge_limit_uses(peers, peer, &fields[4], false, true);
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -18,8 +18,8 @@
 #define AGGREGATOR_PERIOD_FLEET 100
 #define AGGREGATOR_PERIOD_FACTOR_MAX 4
 /* How often usage is sent to the checkpoint writers. */
-#define USES_PERIOD (70 * PD_MSEC)
-#define USES_PERIOD_FACTOR_MAX 3
+#define LIMIT_USES_PERIOD (70 * PD_MSEC)
+#define LIMIT_USES_PERIOD_FACTOR_MAX 3
 /* Halves of periods until a state has come back in a summary to the slowest. */
 #define PROPAGATION_HALF_PERIODS 5
 /* A peer not heard for so long runs nothing any more, as far as loads go. */
@@ -85,15 +85,15 @@
 	peer->hash = g_str_hash(address);
 	peer->added_at = gateway_now();
 	peer->loads = loads_create();
-	peer->totals = peers_values_create();
-	peer->asked = peers_values_create();
-	peer->works = peers_values_create();
+	peer->granted = peers_values_create();
+	peer->requested = peers_values_create();
+	peer->work = peers_values_create();
 	list_append(&peers->list, &peer->node);
 	g_hash_table_insert(peers->by_address, peer->address, peer);
 	return peer;
 }
 
-static void sum_without(GHashTable *sums, GHashTable *values)
+static void subtract_values(GHashTable *sums, GHashTable *values)
 {
 	GHashTableIter iter;
 	gpointer name;
@@ -110,23 +110,23 @@
 }
 
 /* Takes what a peer has told of its accounts and work out of the sums. */
-void peers_forget_counts(gateway_peers_t *peers, peer_t *peer)
+void peers_remove_values(gateway_peers_t *peers, peer_t *peer)
 {
-	sum_without(peers->totals, peer->totals);
-	sum_without(peers->asked, peer->asked);
-	sum_without(peers->works, peer->works);
+	subtract_values(peers->granted, peer->granted);
+	subtract_values(peers->requested, peer->requested);
+	subtract_values(peers->work, peer->work);
 }
 
 static void peer_destroy(gateway_peers_t *peers, peer_t *peer)
 {
 	peers_remove_loads(peers, peer->loads);
-	peers_forget_counts(peers, peer);
+	peers_remove_values(peers, peer);
 	g_hash_table_remove(peers->by_address, peer->address);
 	list_remove(&peer->node);
 	g_array_unref(peer->loads);
-	g_hash_table_unref(peer->totals);
-	g_hash_table_unref(peer->asked);
-	g_hash_table_unref(peer->works);
+	g_hash_table_unref(peer->granted);
+	g_hash_table_unref(peer->requested);
+	g_hash_table_unref(peer->work);
 	g_free(peer->address);
 	g_free(peer->host);
 	g_free(peer->incarnation);
@@ -143,7 +143,7 @@
 static void resend_counts(gateway_peers_t *peers)
 {
 	usage_resend(peers->gateway->usage);
-	peers->flight_sent = 0;
+	peers->flight_sent_at = 0;
 }
 
 /* Notes that frames to a peer may be lost, and that it may have died. */
@@ -192,7 +192,8 @@
 	peers->started_at = gateway_now();
 	peers->store_answered_at = peers->started_at;
 	/* Gateways that start together don't send in step. */
-	peers->uses_at = peers->started_at + gateway_jitter(gateway, USES_PERIOD);
+	peers->next_limit_uses_at =
+		peers->started_at + gateway_jitter(gateway, LIMIT_USES_PERIOD);
 	peers->zone = (uint16_t)g_str_hash(settings->node_zone);
 	peers->high_capacity = settings->node_cores >= HIGH_CAPACITY_CORES &&
 			       settings->node_link_mbps >= HIGH_CAPACITY_LINK_MBPS;
@@ -201,9 +202,9 @@
 	peers->aggregator_loads = loads_create();
 	peers->last_sent_loads = loads_create();
 	peers->by_address = g_hash_table_new(g_str_hash, g_str_equal);
-	peers->totals = peers_values_create();
-	peers->asked = peers_values_create();
-	peers->works = peers_values_create();
+	peers->granted = peers_values_create();
+	peers->requested = peers_values_create();
+	peers->work = peers_values_create();
 	msgpack_sbuffer_init(&peers->loads_packed);
 	peers->pending_updates =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -231,9 +232,9 @@
 	g_array_unref(peers->aggregator_loads);
 	g_array_unref(peers->last_sent_loads);
 	g_hash_table_unref(peers->by_address);
-	g_hash_table_unref(peers->totals);
-	g_hash_table_unref(peers->asked);
-	g_hash_table_unref(peers->works);
+	g_hash_table_unref(peers->granted);
+	g_hash_table_unref(peers->requested);
+	g_hash_table_unref(peers->work);
 	g_hash_table_unref(peers->pending_updates);
 	g_hash_table_unref(peers->pending_fetches);
 	g_free(peers);
@@ -411,9 +412,10 @@
 }
 
 /* How often the use of limits is sent to the checkpoint writers. */
-static pd_time_t uses_period(gateway_peers_t *peers, pd_time_t now)
+static pd_time_t limit_uses_period(gateway_peers_t *peers, pd_time_t now)
 {
-	return fleet_period(peers, USES_PERIOD, USES_PERIOD_FACTOR_MAX, now);
+	return fleet_period(peers, LIMIT_USES_PERIOD,
+			    LIMIT_USES_PERIOD_FACTOR_MAX, now);
 }
 
 /* Returns how soon after a message with counts the next one may be sent. */
@@ -431,13 +433,13 @@
 				    usage_own_start(gateway->usage));
 
 	return gateway->flight_changed ||
-	       (flight && flight->told > peers->flight_sent);
+	       (flight && flight->told > peers->flight_sent_at);
 }
 
 /* Counts that have changed are sent at once, unless others have just been sent. */
 static bool counts_are_due(gateway_peers_t *peers, pd_time_t now)
 {
-	if (now >= peers->uses_at)
+	if (now >= peers->next_limit_uses_at)
 		return true;
 	return (usage_has_unsent(peers->gateway->usage) ||
 		peers_flight_is_unsent(peers)) &&
@@ -446,7 +448,7 @@
 }
 
 /* Notes the checkpoint writers; a new one has not been sent what others have. */
-static void follow_writers(gateway_peers_t *peers, peer_t *const *writers,
+static void update_writers(gateway_peers_t *peers, peer_t *const *writers,
 			   unsigned int count)
 {
 	bool changed = false;
@@ -454,10 +456,10 @@
 	for (unsigned int i = 0; i < CHECKPOINT_SLOTS; i++) {
 		const char *address = i < count ? writers[i]->address : NULL;
 
-		if (!g_strcmp0(peers->counts_to[i], address))
+		if (!g_strcmp0(peers->counts_receivers[i], address))
 			continue;
-		g_free(peers->counts_to[i]);
-		peers->counts_to[i] = g_strdup(address);
+		g_free(peers->counts_receivers[i]);
+		peers->counts_receivers[i] = g_strdup(address);
 		changed = true;
 	}
 	if (changed)
@@ -473,9 +475,9 @@
 
 	if (!counts_are_due(peers, now))
 		return;
-	peers->uses_at = now + uses_period(peers, now);
+	peers->next_limit_uses_at = now + limit_uses_period(peers, now);
 	count = peers_checkpoint_writers(peers, writers, now);
-	follow_writers(peers, writers, count);
+	update_writers(peers, writers, count);
 	if (!count)
 		return;
 	msgpack_sbuffer_init(&buffer);
