--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -438,18 +438,18 @@
 }
 
 /* Asks a peer for upstreams by their marks. */
-void peers_send_fetch_marked(gateway_peers_t *peers, peer_t *peer,
-			     const GArray *marks)
+void peers_send_fetch_by_id_hash(gateway_peers_t *peers, peer_t *peer,
+				 const GArray *id_hashes)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	pack_fetch_header(&packer, peers, FETCH_MARKED);
-	msgpack_pack_array(&packer, marks->len);
-	for (guint i = 0; i < marks->len; i++)
-		msgpack_pack_uint64(&packer, g_array_index(marks, uint64_t, i));
+	pack_fetch_header(&packer, peers, FETCH_BY_ID_HASH);
+	msgpack_pack_array(&packer, id_hashes->len);
+	for (guint i = 0; i < id_hashes->len; i++)
+		msgpack_pack_uint64(&packer, g_array_index(id_hashes, uint64_t, i));
 	peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
 }
@@ -612,19 +612,20 @@
 }
 
 /* Sends upstreams in full that a peer named by their marks. */
-void peers_send_marked(gateway_peers_t *peers, peer_t *peer, const GArray *marks)
+void peers_send_by_id_hash(gateway_peers_t *peers, peer_t *peer,
+			   const GArray *id_hashes)
 {
 	GPtrArray *found = g_ptr_array_new();
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
-	for (guint i = 0; i < marks->len; i++) {
-		uint64_t mark = g_array_index(marks, uint64_t, i);
+	for (guint i = 0; i < id_hashes->len; i++) {
+		uint64_t id_hash = g_array_index(id_hashes, uint64_t, i);
 		forward_upstream_t *upstream =
 			forward_upstreams_marked(peers->gateway->upstreams,
-						 (uint32_t)mark);
+						 (uint32_t)id_hash);
 
-		if (upstream && upstream->mark == mark)
+		if (upstream && upstream->mark == id_hash)
 			g_ptr_array_add(found, upstream);
 	}
 	msgpack_sbuffer_init(&buffer);
--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -85,7 +85,7 @@
 
 #define FETCH_CONFIG 1u
 #define FETCH_UPSTREAMS 2u /* those of the parts whose digests differ */
-#define FETCH_MARKED 4u /* those that are named */
+#define FETCH_BY_ID_HASH 4u /* those that are named */
 
 /* What gateways have running at an upstream. */
 typedef struct load {
@@ -203,9 +203,10 @@
 bool peers_flight_is_unsent(const gateway_peers_t *peers);
 unsigned int peers_pack_counts(msgpack_sbuffer *buffer, gateway_peers_t *peers);
 void peers_send_fetch(gateway_peers_t *peers, peer_t *peer, unsigned int what);
-void peers_send_fetch_marked(gateway_peers_t *peers, peer_t *peer,
-			     const GArray *marks);
-void peers_send_marked(gateway_peers_t *peers, peer_t *peer, const GArray *marks);
+void peers_send_fetch_by_id_hash(gateway_peers_t *peers, peer_t *peer,
+				 const GArray *id_hashes);
+void peers_send_by_id_hash(gateway_peers_t *peers, peer_t *peer,
+			   const GArray *id_hashes);
 void peers_send_config(gateway_peers_t *peers, peer_t *peer);
 void peers_send_upstreams(gateway_peers_t *peers, peer_t *peer,
 			  const uint64_t *digests);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -458,14 +458,14 @@
 	return 0;
 }
 
-static gboolean fetch_has_expired(gpointer mark, gpointer asked_at, gpointer now)
+static gboolean fetch_has_expired(gpointer id_hash, gpointer asked_at, gpointer now)
 {
-	(void)mark;
+	(void)id_hash;
 	return (pd_time_t)(gintptr)now - (pd_time_t)(gintptr)asked_at > FETCH_PERIOD;
 }
 
 /* Returns whether an upstream's rest may be asked for: no peer was just now. */
-static bool may_fetch_mark(gateway_peers_t *peers, uint64_t mark)
+static bool may_fetch_id_hash(gateway_peers_t *peers, uint64_t id_hash)
 {
 	pd_time_t now = gateway_now();
 
@@ -475,35 +475,36 @@
 					    (gpointer)(gintptr)now);
 		peers->pending_fetches_pruned_at = now;
 	}
-	if (g_hash_table_contains(peers->pending_fetches, GSIZE_TO_POINTER(mark)))
+	if (g_hash_table_contains(peers->pending_fetches, GSIZE_TO_POINTER(id_hash)))
 		return false;
-	g_hash_table_insert(peers->pending_fetches, GSIZE_TO_POINTER(mark),
+	g_hash_table_insert(peers->pending_fetches, GSIZE_TO_POINTER(id_hash),
 			    (gpointer)(gintptr)now);
 	return true;
 }
 
 /*
- * Takes the stage of an upstream; adds its mark to UNKNOWN if that is all that
+ * Takes the stage of an upstream; adds its id_hash to UNKNOWN if that is all that
  * is known of it. One that is gone is of no interest then.
  */
 static void apply_stage(gateway_peers_t *peers, const msgpack_object *fields,
 			GArray *unknown)
 {
 	gateway_t *gateway = peers->gateway;
-	uint64_t mark = msgpack_field_number(&fields[0]);
+	uint64_t id_hash = msgpack_field_number(&fields[0]);
 	const forward_change_t change = {
 		.stage = (forward_stage_t)msgpack_field_number(&fields[1]),
 		.revision = msgpack_field_number(&fields[2]),
 		.born = (int64_t)msgpack_field_number(&fields[3]),
 	};
 	forward_upstream_t *upstream =
-		forward_upstreams_marked(gateway->upstreams, (uint32_t)mark);
+		forward_upstreams_marked(gateway->upstreams, (uint32_t)id_hash);
 
 	if (change.stage > FORWARD_GONE)
 		return;
-	if (!upstream || upstream->mark != mark) {
-		if (change.stage != FORWARD_GONE && may_fetch_mark(peers, mark))
-			g_array_append_val(unknown, mark);
+	if (!upstream || upstream->mark != id_hash) {
+		if (change.stage != FORWARD_GONE &&
+		    may_fetch_id_hash(peers, id_hash))
+			g_array_append_val(unknown, id_hash);
 		return;
 	}
 	if (forward_upstreams_restage(gateway->upstreams, upstream, &change,
@@ -576,7 +577,7 @@
 	if (msgpack_field_number(&fields[2]))
 		peers->gateway->upstreams_known = true;
 	if (unknown->len)
-		peers_send_fetch_marked(peers, peer, unknown);
+		peers_send_fetch_by_id_hash(peers, peer, unknown);
 	g_array_unref(unknown);
 	return 0;
 }
@@ -586,15 +587,15 @@
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
-	GArray *marks = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	GArray *id_hashes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 
 	for (uint32_t i = 0; i < count; i++) {
-		uint64_t mark = msgpack_field_number(&items[i]);
+		uint64_t id_hash = msgpack_field_number(&items[i]);
 
-		g_array_append_val(marks, mark);
+		g_array_append_val(id_hashes, id_hash);
 	}
-	peers_send_marked(peers, peer, marks);
-	g_array_unref(marks);
+	peers_send_by_id_hash(peers, peer, id_hashes);
+	g_array_unref(id_hashes);
 }
 
 /* Reads the digests that a peer sent along. False: it sent none. */
@@ -623,7 +624,7 @@
 		return -1;
 	if (what & FETCH_CONFIG)
 		peers_send_config(peers, peer);
-	if (what & FETCH_MARKED)
+	if (what & FETCH_BY_ID_HASH)
 		send_requested_upstreams(peers, peer, &fields[3]);
 	if (what & FETCH_UPSTREAMS)
 		peers_send_upstreams(peers, peer,
