--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -16,7 +16,7 @@
 #include "core/hash.h"
 #include "platform/wire.h"
 
-#define PART "checkpoint"
+#define LOG_COMPONENT "checkpoint"
 #define CALL_TIMEOUT_MS 1500
 /* Levels of limits may be that old, see token-limits-notes.md. */
 #define RECORD_PERIOD (280 * PD_MSEC)
@@ -215,7 +215,7 @@
 		time_vote_correct(gateway->vote, own ? NULL : entry->node,
 				  entry->offset);
 		if (own)
-			log_line(G_LOG_LEVEL_WARNING, PART,
+			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 				 "clock corrected own_off_ms=%" PRId64,
 				 entry->offset / PD_MSEC);
 	}
@@ -259,7 +259,7 @@
 	restore_clocks(checkpoint, record);
 	if (!g_strcmp0(record->leader, checkpoint->gateway->settings->node_id))
 		gateway_duties_resume(checkpoint->gateway->duties);
-	log_line(G_LOG_LEVEL_INFO, PART,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "restored revision=%" G_GUINT64_FORMAT
 		 " gateways=%u accounts=%u clocks_off=%u leader=%s",
 		 revision, record->gateways, record->accounts->len,
@@ -274,7 +274,7 @@
 	checkpoint_record_t *record = checkpoint_record_read(text, &err);
 
 	if (!record) {
-		log_error(PART, "record", &err);
+		log_error(LOG_COMPONENT, "record", &err);
 		return;
 	}
 	note_written(checkpoint, record);
@@ -310,7 +310,7 @@
 	pd_error_t err;
 
 	if (usage_table_merge(text, gateway->usage, gateway->inflight, &err) < 0)
-		log_error(PART, "counts", &err);
+		log_error(LOG_COMPONENT, "counts", &err);
 }
 
 static void take_counts(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
@@ -322,7 +322,7 @@
 			merge_counts(checkpoint, text);
 		g_free(text);
 	}
-	log_line(G_LOG_LEVEL_INFO, PART, "counts read objects=%zu more=%d",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "counts read objects=%zu more=%d",
 		 wire_page_count(page), wire_page_has_more(page));
 }
 
@@ -335,13 +335,13 @@
 	if (reply->status == 404)
 		return true;
 	if (reply->status != 200) {
-		log_line(G_LOG_LEVEL_WARNING, PART, "read failed status=%d",
-			 reply->status);
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
+			 "read failed status=%d", reply->status);
 		return false;
 	}
 	page = wire_page_read(reply->body, reply->len, &err);
 	if (!page) {
-		log_error(PART, "read", &err);
+		log_error(LOG_COMPONENT, "read", &err);
 		return false;
 	}
 	reading->take(reading->checkpoint, page);
@@ -414,10 +414,10 @@
 	if (end == WRITE_DONE || end == WRITE_CONFLICT) {
 		text = wire_record_read(reply->body, reply->len, &revision, &err);
 		if (!text)
-			log_error(PART, stored->name, &err);
+			log_error(LOG_COMPONENT, stored->name, &err);
 	} else {
-		log_line(G_LOG_LEVEL_WARNING, PART, "write=%s failed status=%d",
-			 stored->name, reply->status);
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
+			 "write=%s failed status=%d", stored->name, reply->status);
 	}
 	/* What another gateway wrote goes into the next write. */
 	if (text && end == WRITE_CONFLICT && stored->kind == WIRE_COUNTS)
@@ -506,8 +506,8 @@
 	const char *leader = gateway_peers_leader_vm(checkpoint->gateway->peers);
 
 	if (leader && g_strcmp0(leader, checkpoint->leader)) {
-		log_line(G_LOG_LEVEL_INFO, PART, "leader=%s before=%s", leader,
-			 leader_text(checkpoint->leader));
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "leader=%s before=%s",
+			 leader, leader_text(checkpoint->leader));
 		note_leader(checkpoint, leader);
 	}
 	record->leader = g_strdup(checkpoint->leader);
@@ -597,7 +597,8 @@
 		return;
 	checkpoint->record_reading.wanted = false;
 	token_limits_begin_empty(checkpoint->gateway->limits);
-	log_line(G_LOG_LEVEL_WARNING, PART, "not read in time, limits start empty");
+	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
+		 "not read in time, limits start empty");
 }
 
 /* Reads what is asked for, and writes if this gateway is a writer. */
@@ -612,8 +613,8 @@
 		return;
 	slot = gateway_peers_checkpoint_slot(checkpoint->gateway->peers, now);
 	if (slot != checkpoint->slot)
-		log_line(G_LOG_LEVEL_INFO, PART, "slot=%d before=%d", slot,
-			 checkpoint->slot);
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "slot=%d before=%d",
+			 slot, checkpoint->slot);
 	checkpoint->slot = slot;
 	if (slot >= 0)
 		write_slot(checkpoint, slot, now);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -7,7 +7,7 @@
 #include "adapters/log_glib.h"
 #include "adapters/msgpack_check.h"
 
-#define PART "peers"
+#define LOG_COMPONENT "peers"
 /* Who all other gateways are, in the counts, when an aggregator sums them up. */
 #define ALL_PEERS "everybody"
 /* Levels of buckets are taken over from older peers so soon after the start. */
@@ -319,8 +319,8 @@
 	if (!peer)
 		goto done;
 	if (!peer->incarnation || strcmp(peer->incarnation, who)) {
-		log_line(G_LOG_LEVEL_INFO, PART, "found=%s address=%s", who,
-			 address);
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "found=%s address=%s",
+			 who, address);
 		if (peer->incarnation)
 			token_limits_forget_peer(peers->gateway->limits,
 						 peer->incarnation);
@@ -711,7 +711,7 @@
 		rc = dispatch_message(peers, &unpacked.data);
 	msgpack_unpacked_destroy(&unpacked);
 	if (rc < 0)
-		log_line(G_LOG_LEVEL_WARNING, PART,
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 			 "dropped a message of %zu bytes: not understood", len);
 	return rc;
 }
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -8,7 +8,7 @@
 #include "adapters/log_glib.h"
 #include "core/forward/spread.h"
 
-#define PART "peers"
+#define LOG_COMPONENT "peers"
 /* A configuration of some thousand routes; longer frames end the connection. */
 #define FRAME_MAX (4 * 1024 * 1024)
 /* Loads of upstreams, by which requests are placed, are two periods old at most. */
@@ -157,7 +157,7 @@
 		return;
 	if (!peer->disconnected_at ||
 	    now - peer->disconnected_at > DISCONNECT_LOG_PERIOD)
-		log_line(G_LOG_LEVEL_WARNING, PART, "lost=%s", key);
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT, "lost=%s", key);
 	peer->disconnected_at = now;
 	resend_counts(peers);
 }
@@ -221,7 +221,7 @@
 		goto error;
 	peers->address =
 		g_strdup_printf("%s:%u", host, frame_link_port(peers->link));
-	log_line(G_LOG_LEVEL_INFO, PART, "listen peers=%u",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "listen peers=%u",
 		 frame_link_port(peers->link));
 	g_clear_pointer(&host, g_free);
 	gateway_peers_add_seeds(peers);
@@ -370,7 +370,7 @@
 
 	if (!g_strcmp0(peers->aggregator, aggregator))
 		return;
-	log_line(G_LOG_LEVEL_INFO, PART, "aggregator=%s before=%s",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "aggregator=%s before=%s",
 		 aggregator ? aggregator : "self",
 		 peers->aggregator ? peers->aggregator : "self");
 	g_free(peers->aggregator);
