--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -32,42 +32,43 @@
 
 static const char *const slot_names[CHECKPOINT_SLOTS] = { "slot-0", "slot-1" };
 
-typedef struct stored stored_t;
+typedef struct checkpoint_object checkpoint_object_t;
 
 /* A write that is out. */
-typedef struct stored_call {
-	stored_t *stored;
+typedef struct write_call {
+	checkpoint_object_t *object;
 	unsigned int number;
-} stored_call_t;
+} write_call_t;
 
 /* One object of the checkpoint. */
-struct stored {
+struct checkpoint_object {
 	gateway_checkpoint_t *checkpoint;
 	wire_kind_t kind;
 	const char *name;
 	object_writer_t *writer;
-	stored_call_t calls[CALL_PACER_CALLS];
+	write_call_t calls[CALL_PACER_CALLS];
 };
 
-typedef struct reading reading_t;
+typedef struct reader reader_t;
 
 /* A call for reading that is out. */
-typedef struct reading_call {
-	reading_t *reading;
+typedef struct read_call {
+	reader_t *reader;
 	unsigned int number;
-	pd_time_t begun_at;
-} reading_call_t;
+	pd_time_t started_at;
+} read_call_t;
 
 /* The reading of all objects of a kind. */
-struct reading {
+struct reader {
 	gateway_checkpoint_t *checkpoint;
 	wire_kind_t kind;
-	bool wanted;
-	pd_time_t wanted_at;
-	pd_time_t read_at; /* when the call that was answered began; 0: never */
+	bool requested;
+	pd_time_t requested_at;
+	pd_time_t read_started_at; /* when the call that was answered began; 0: never */
 	call_pacer_t *pacer;
-	reading_call_t calls[CALL_PACER_CALLS];
-	void (*take)(gateway_checkpoint_t *checkpoint, const wire_page_t *page);
+	read_call_t calls[CALL_PACER_CALLS];
+	void (*handle_page)(gateway_checkpoint_t *checkpoint,
+			    const wire_page_t *page);
 };
 
 struct gateway_checkpoint {
@@ -78,37 +79,40 @@
 	unsigned int gateways; /* as read */
 	char *leader; /* as read or written last; NULL: none was named */
 	pd_time_t written_at; /* time of day, before this start; 0: unknown */
-	reading_t record_reading;
-	reading_t counts_reading;
-	stored_t records[CHECKPOINT_SLOTS];
-	stored_t counts[CHECKPOINT_SLOTS];
+	reader_t record_reader;
+	reader_t counts_reader;
+	checkpoint_object_t records[CHECKPOINT_SLOTS];
+	checkpoint_object_t counts[CHECKPOINT_SLOTS];
 };
 
-static void take_records(gateway_checkpoint_t *checkpoint, const wire_page_t *page);
-static void take_counts(gateway_checkpoint_t *checkpoint, const wire_page_t *page);
+static void handle_records(gateway_checkpoint_t *checkpoint,
+			   const wire_page_t *page);
+static void handle_counts(gateway_checkpoint_t *checkpoint,
+			  const wire_page_t *page);
 
-static void reading_init(reading_t *reading, gateway_checkpoint_t *checkpoint,
-			 wire_kind_t kind)
+static void reader_init(reader_t *reader, gateway_checkpoint_t *checkpoint,
+			wire_kind_t kind)
 {
-	reading->checkpoint = checkpoint;
-	reading->kind = kind;
-	reading->pacer = call_pacer_create(READ_PERIOD);
+	reader->checkpoint = checkpoint;
+	reader->kind = kind;
+	reader->pacer = call_pacer_create(READ_PERIOD);
 	for (unsigned int i = 0; i < CALL_PACER_CALLS; i++) {
-		reading->calls[i].reading = reading;
-		reading->calls[i].number = i;
+		reader->calls[i].reader = reader;
+		reader->calls[i].number = i;
 	}
 }
 
-static void stored_init(stored_t *stored, gateway_checkpoint_t *checkpoint,
-			wire_kind_t kind, unsigned int slot)
+static void object_init(checkpoint_object_t *object,
+			gateway_checkpoint_t *checkpoint, wire_kind_t kind,
+			unsigned int slot)
 {
-	stored->checkpoint = checkpoint;
-	stored->kind = kind;
-	stored->name = slot_names[slot];
-	stored->writer = object_writer_create(RECORD_PERIOD);
+	object->checkpoint = checkpoint;
+	object->kind = kind;
+	object->name = slot_names[slot];
+	object->writer = object_writer_create(RECORD_PERIOD);
 	for (unsigned int i = 0; i < CALL_PACER_CALLS; i++) {
-		stored->calls[i].stored = stored;
-		stored->calls[i].number = i;
+		object->calls[i].object = object;
+		object->calls[i].number = i;
 	}
 }
 
@@ -119,14 +123,14 @@
 
 	checkpoint->gateway = gateway;
 	checkpoint->slot = -1;
-	reading_init(&checkpoint->record_reading, checkpoint, WIRE_RECORDS);
-	checkpoint->record_reading.take = take_records;
-	checkpoint->record_reading.wanted = true;
-	reading_init(&checkpoint->counts_reading, checkpoint, WIRE_COUNTS);
-	checkpoint->counts_reading.take = take_counts;
+	reader_init(&checkpoint->record_reader, checkpoint, WIRE_RECORDS);
+	checkpoint->record_reader.handle_page = handle_records;
+	checkpoint->record_reader.requested = true;
+	reader_init(&checkpoint->counts_reader, checkpoint, WIRE_COUNTS);
+	checkpoint->counts_reader.handle_page = handle_counts;
 	for (unsigned int i = 0; i < CHECKPOINT_SLOTS; i++) {
-		stored_init(&checkpoint->records[i], checkpoint, WIRE_RECORDS, i);
-		stored_init(&checkpoint->counts[i], checkpoint, WIRE_COUNTS, i);
+		object_init(&checkpoint->records[i], checkpoint, WIRE_RECORDS, i);
+		object_init(&checkpoint->counts[i], checkpoint, WIRE_COUNTS, i);
 	}
 	return checkpoint;
 }
@@ -135,7 +139,7 @@
 bool gateway_checkpoint_is_settled(const gateway_checkpoint_t *checkpoint,
 				   pd_time_t now)
 {
-	return checkpoint->record_reading.read_at || checkpoint->settled ||
+	return checkpoint->record_reader.read_started_at || checkpoint->settled ||
 	       now - checkpoint->gateway->started_at > WAIT_MAX;
 }
 
@@ -152,17 +156,17 @@
 		       : 0;
 }
 
-static void reading_want(reading_t *reading)
+static void reader_request(reader_t *reader)
 {
-	reading->wanted = true;
-	reading->wanted_at = gateway_now();
-	call_pacer_renew(reading->pacer, reading->wanted_at);
+	reader->requested = true;
+	reader->requested_at = gateway_now();
+	call_pacer_renew(reader->pacer, reader->requested_at);
 }
 
 /* Has the record read again for when it was written before this start. */
 void gateway_checkpoint_read_record(gateway_checkpoint_t *checkpoint)
 {
-	reading_want(&checkpoint->record_reading);
+	reader_request(&checkpoint->record_reader);
 }
 
 /* Returns the time of day of the last write before this start; 0: it is not known. */
@@ -174,13 +178,13 @@
 /* Has the counts of usage read and merged. */
 void gateway_checkpoint_read_counts(gateway_checkpoint_t *checkpoint)
 {
-	reading_want(&checkpoint->counts_reading);
+	reader_request(&checkpoint->counts_reader);
 }
 
 /* Returns when the last call began that has read the counts; 0: none has. */
 pd_time_t gateway_checkpoint_counts_read_at(const gateway_checkpoint_t *checkpoint)
 {
-	return checkpoint->counts_reading.read_at;
+	return checkpoint->counts_reader.read_started_at;
 }
 
 /* Levels are of use to a start only; later the peers' are newer. */
@@ -267,8 +271,8 @@
 }
 
 /* Takes a record; only a start that has not served yet restores from it. */
-static void take_record(gateway_checkpoint_t *checkpoint, const char *text,
-			uint64_t revision)
+static void handle_record(gateway_checkpoint_t *checkpoint, const char *text,
+			  uint64_t revision)
 {
 	pd_error_t err;
 	checkpoint_record_t *record = checkpoint_record_read(text, &err);
@@ -286,7 +290,7 @@
 }
 
 /* Takes the record that was written last. */
-static void take_records(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
+static void handle_records(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
 {
 	uint64_t revision = 0;
 	size_t newest = 0;
@@ -300,7 +304,7 @@
 	}
 	text = revision ? wire_page_spec(page, newest) : NULL;
 	if (text)
-		take_record(checkpoint, text, revision);
+		handle_record(checkpoint, text, revision);
 	g_free(text);
 }
 
@@ -313,7 +317,7 @@
 		log_error(LOG_COMPONENT, "counts", &err);
 }
 
-static void take_counts(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
+static void handle_counts(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
 {
 	for (size_t i = 0; i < wire_page_count(page); i++) {
 		char *text = wire_page_spec(page, i);
@@ -326,7 +330,7 @@
 		 wire_page_count(page), wire_page_has_more(page));
 }
 
-static bool reading_take(reading_t *reading, const http1_reply_t *reply)
+static bool reader_handle_reply(reader_t *reader, const http1_reply_t *reply)
 {
 	wire_page_t *page;
 	pd_error_t err;
@@ -344,50 +348,51 @@
 		log_error(LOG_COMPONENT, "read", &err);
 		return false;
 	}
-	reading->take(reading->checkpoint, page);
+	reader->handle_page(reader->checkpoint, page);
 	wire_page_destroy(page);
 	return true;
 }
 
-static void read_replied(void *ctx, const http1_reply_t *reply)
+static void on_read_reply(void *ctx, const http1_reply_t *reply)
 {
-	const reading_call_t *call = ctx;
-	reading_t *reading = call->reading;
+	const read_call_t *call = ctx;
+	reader_t *reader = call->reader;
 	call_end_t end = CALL_ANSWERED;
 
-	if (!reading->wanted) {
+	if (!reader->requested) {
 		end = reply->status ? CALL_ANSWERED : CALL_LOST;
-	} else if (reading_take(reading, reply)) {
-		reading->read_at = MAX(reading->read_at, call->begun_at);
-		reading->wanted = reading->read_at < reading->wanted_at;
+	} else if (reader_handle_reply(reader, reply)) {
+		reader->read_started_at =
+			MAX(reader->read_started_at, call->started_at);
+		reader->requested = reader->read_started_at < reader->requested_at;
 	} else {
 		end = reply->status ? CALL_REFUSED : CALL_LOST;
 	}
-	call_pacer_end(reading->pacer, call->number, end, gateway_now());
+	call_pacer_end(reader->pacer, call->number, end, gateway_now());
 }
 
-static void reading_run(reading_t *reading, pd_time_t now)
+static void reader_run(reader_t *reader, pd_time_t now)
 {
-	reading_call_t *call;
+	read_call_t *call;
 	char *path;
 
-	if (!reading->wanted || !call_pacer_is_due(reading->pacer, now))
+	if (!reader->requested || !call_pacer_is_due(reader->pacer, now))
 		return;
-	call = &reading->calls[call_pacer_begin(reading->pacer, now)];
-	call->begun_at = now;
-	path = wire_list_path(reading->kind, NULL);
-	http1_client_call(reading->checkpoint->gateway->store,
+	call = &reader->calls[call_pacer_begin(reader->pacer, now)];
+	call->started_at = now;
+	path = wire_list_path(reader->kind, NULL);
+	http1_client_call(reader->checkpoint->gateway->store,
 			  &(http1_ask_t){
 				  .method = "GET",
 				  .path = path,
 				  .timeout_ms = CALL_TIMEOUT_MS,
-				  .on_reply = read_replied,
+				  .on_reply = on_read_reply,
 				  .ctx = call,
 			  });
 	g_free(path);
 }
 
-static write_end_t write_end_of(const http1_reply_t *reply)
+static write_end_t write_outcome(const http1_reply_t *reply)
 {
 	switch (reply->status) {
 	case 200:
@@ -402,11 +407,11 @@
 	}
 }
 
-static void write_replied(void *ctx, const http1_reply_t *reply)
+static void on_write_reply(void *ctx, const http1_reply_t *reply)
 {
-	const stored_call_t *call = ctx;
-	stored_t *stored = call->stored;
-	write_end_t end = write_end_of(reply);
+	const write_call_t *call = ctx;
+	checkpoint_object_t *object = call->object;
+	write_end_t end = write_outcome(reply);
 	uint64_t revision = 0;
 	pd_error_t err;
 	char *text = NULL;
@@ -414,54 +419,56 @@
 	if (end == WRITE_DONE || end == WRITE_CONFLICT) {
 		text = wire_record_read(reply->body, reply->len, &revision, &err);
 		if (!text)
-			log_error(LOG_COMPONENT, stored->name, &err);
+			log_error(LOG_COMPONENT, object->name, &err);
 	} else {
 		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
-			 "write=%s failed status=%d", stored->name, reply->status);
+			 "write=%s failed status=%d", object->name, reply->status);
 	}
 	/* What another gateway wrote goes into the next write. */
-	if (text && end == WRITE_CONFLICT && stored->kind == WIRE_COUNTS)
-		merge_counts(stored->checkpoint, text);
+	if (text && end == WRITE_CONFLICT && object->kind == WIRE_COUNTS)
+		merge_counts(object->checkpoint, text);
 	else if (text && end == WRITE_CONFLICT)
-		take_record(stored->checkpoint, text, revision);
-	object_writer_end(stored->writer, call->number, end, revision,
+		handle_record(object->checkpoint, text, revision);
+	object_writer_end(object->writer, call->number, end, revision,
 			  gateway_now());
 	g_free(text);
 }
 
 /* Returns what an object is to hold, owned by the caller. */
-static char *stored_text(const stored_t *stored, const char *text, pd_time_t now)
+static char *object_spec(const checkpoint_object_t *object, const char *text,
+			 pd_time_t now)
 {
-	const time_vote_t *vote = stored->checkpoint->gateway->vote;
+	const time_vote_t *vote = object->checkpoint->gateway->vote;
 
-	if (stored->kind != WIRE_RECORDS)
+	if (object->kind != WIRE_RECORDS)
 		return g_strdup(text);
 	return checkpoint_record_stamp(text, time_vote_wall(vote, now));
 }
 
-static void stored_write(stored_t *stored, const char *text, pd_time_t now)
+static void object_write(checkpoint_object_t *object, const char *text,
+			 pd_time_t now)
 {
-	uint64_t revision = object_writer_revision(stored->writer);
+	uint64_t revision = object_writer_revision(object->writer);
 	uint64_t digest = hash_string(text);
 	unsigned int number;
 	char *spec;
 	char *path;
 	char *body;
 
-	if (!object_writer_needs(stored->writer, digest, now))
+	if (!object_writer_needs(object->writer, digest, now))
 		return;
-	number = object_writer_begin(stored->writer, digest, now);
-	path = wire_object_path(stored->kind, revision ? stored->name : NULL);
-	spec = stored_text(stored, text, now);
-	body = wire_record_write(stored->name, spec, revision);
-	http1_client_call(stored->checkpoint->gateway->store,
+	number = object_writer_begin(object->writer, digest, now);
+	path = wire_object_path(object->kind, revision ? object->name : NULL);
+	spec = object_spec(object, text, now);
+	body = wire_record_write(object->name, spec, revision);
+	http1_client_call(object->checkpoint->gateway->store,
 			  &(http1_ask_t){
 				  .method = revision ? "PUT" : "POST",
 				  .path = path,
 				  .body = body,
 				  .timeout_ms = CALL_TIMEOUT_MS,
-				  .on_reply = write_replied,
-				  .ctx = &stored->calls[number],
+				  .on_reply = on_write_reply,
+				  .ctx = &object->calls[number],
 			  });
 	g_free(spec);
 	g_free(path);
@@ -535,8 +542,8 @@
 static void write_slot(gateway_checkpoint_t *checkpoint, int slot, pd_time_t now)
 {
 	gateway_t *gateway = checkpoint->gateway;
-	stored_t *counts = &checkpoint->counts[slot];
-	stored_t *record = &checkpoint->records[slot];
+	checkpoint_object_t *counts = &checkpoint->counts[slot];
+	checkpoint_object_t *record = &checkpoint->records[slot];
 	pd_time_t period =
 		usage_write_period(gateway_window_length(gateway),
 				   gateway_peers_counts_period(gateway->peers, now),
@@ -552,12 +559,12 @@
 		gateway_requests_note_flight(gateway);
 		text = usage_table_write(gateway->usage, gateway->inflight,
 					 gateway_first_window_due(gateway));
-		stored_write(counts, text, now);
+		object_write(counts, text, now);
 		g_free(text);
 	}
 	if (object_writer_is_due(record->writer, now)) {
 		text = compose_record(checkpoint, now);
-		stored_write(record, text, now);
+		object_write(record, text, now);
 		g_free(text);
 	}
 }
@@ -574,7 +581,7 @@
 /* Has writes take as long as the first read did, until some were answered. */
 static void expect_answers(gateway_checkpoint_t *checkpoint)
 {
-	pd_time_t time = call_pacer_answer_time(checkpoint->record_reading.pacer);
+	pd_time_t time = call_pacer_answer_time(checkpoint->record_reader.pacer);
 
 	for (unsigned int i = 0; i < CHECKPOINT_SLOTS; i++) {
 		object_writer_expect(checkpoint->records[i].writer, time);
@@ -593,9 +600,9 @@
 	checkpoint->settled = true;
 	checkpoint->first_write_at = first_write_at(checkpoint);
 	expect_answers(checkpoint);
-	if (checkpoint->record_reading.read_at)
+	if (checkpoint->record_reader.read_started_at)
 		return;
-	checkpoint->record_reading.wanted = false;
+	checkpoint->record_reader.requested = false;
 	token_limits_begin_empty(checkpoint->gateway->limits);
 	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 		 "not read in time, limits start empty");
@@ -607,8 +614,8 @@
 	int slot;
 
 	end_wait(checkpoint, now);
-	reading_run(&checkpoint->record_reading, now);
-	reading_run(&checkpoint->counts_reading, now);
+	reader_run(&checkpoint->record_reader, now);
+	reader_run(&checkpoint->counts_reader, now);
 	if (!checkpoint->settled || now < checkpoint->first_write_at)
 		return;
 	slot = gateway_peers_checkpoint_slot(checkpoint->gateway->peers, now);
