--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -26,9 +26,9 @@
  * A start waits so long for the record before it serves without it: the store may
  * turn this call away and serve the others.
  */
-#define WAIT_MAX PD_SEC
+#define RECOVERY_TIMEOUT PD_SEC
 /* So long after a start the fleet is taken to be as large as in the record. */
-#define SIZE_KEPT (60 * PD_SEC)
+#define FLEET_SIZE_MAX_AGE (60 * PD_SEC)
 
 static const char *const slot_names[CHECKPOINT_SLOTS] = { "slot-0", "slot-1" };
 
@@ -74,11 +74,11 @@
 struct gateway_checkpoint {
 	gateway_t *gateway;
 	pd_time_t first_write_at;
-	bool settled; /* the wait for the first read is over */
+	bool recovery_ended; /* the wait for the first read is over */
 	int slot; /* that is written, as seen last; -1: none */
-	unsigned int gateways; /* as read */
+	unsigned int fleet_size; /* as read */
 	char *leader; /* as read or written last; NULL: none was named */
-	pd_time_t written_at; /* time of day, before this start; 0: unknown */
+	pd_time_t previous_write_at; /* time of day, before this start; 0: unknown */
 	reader_t record_reader;
 	reader_t counts_reader;
 	checkpoint_object_t records[CHECKPOINT_SLOTS];
@@ -136,11 +136,12 @@
 }
 
 /* Returns whether the record was read, or is not waited for any longer. */
-bool gateway_checkpoint_is_settled(const gateway_checkpoint_t *checkpoint,
-				   pd_time_t now)
+bool gateway_checkpoint_recovery_has_ended(const gateway_checkpoint_t *checkpoint,
+					   pd_time_t now)
 {
-	return checkpoint->record_reader.read_started_at || checkpoint->settled ||
-	       now - checkpoint->gateway->started_at > WAIT_MAX;
+	return checkpoint->record_reader.read_started_at ||
+	       checkpoint->recovery_ended ||
+	       now - checkpoint->gateway->started_at > RECOVERY_TIMEOUT;
 }
 
 /*
@@ -148,11 +149,11 @@
  * any more. Until they have heard each other, gateways that all start at once
  * would each take themselves for one of a few and use the share of many.
  */
-unsigned int gateway_checkpoint_gateways(const gateway_checkpoint_t *checkpoint,
-					 pd_time_t now)
+unsigned int gateway_checkpoint_fleet_size(const gateway_checkpoint_t *checkpoint,
+					   pd_time_t now)
 {
-	return now - checkpoint->gateway->started_at < SIZE_KEPT
-		       ? checkpoint->gateways
+	return now - checkpoint->gateway->started_at < FLEET_SIZE_MAX_AGE
+		       ? checkpoint->fleet_size
 		       : 0;
 }
 
@@ -164,19 +165,19 @@
 }
 
 /* Has the record read again for when it was written before this start. */
-void gateway_checkpoint_read_record(gateway_checkpoint_t *checkpoint)
+void gateway_checkpoint_request_record(gateway_checkpoint_t *checkpoint)
 {
 	reader_request(&checkpoint->record_reader);
 }
 
 /* Returns the time of day of the last write before this start; 0: it is not known. */
-pd_time_t gateway_checkpoint_written_at(const gateway_checkpoint_t *checkpoint)
+pd_time_t gateway_checkpoint_previous_write_at(const gateway_checkpoint_t *checkpoint)
 {
-	return checkpoint->written_at;
+	return checkpoint->previous_write_at;
 }
 
 /* Has the counts of usage read and merged. */
-void gateway_checkpoint_read_counts(gateway_checkpoint_t *checkpoint)
+void gateway_checkpoint_request_counts(gateway_checkpoint_t *checkpoint)
 {
 	reader_request(&checkpoint->counts_reader);
 }
@@ -225,13 +226,13 @@
 	}
 }
 
-static const char *leader_text(const char *leader)
+static const char *leader_or_none(const char *leader)
 {
 	return leader ? leader : "none";
 }
 
 /* Notes whom the record names as the leader, copied; NULL: nobody. */
-static void note_leader(gateway_checkpoint_t *checkpoint, const char *leader)
+static void set_leader(gateway_checkpoint_t *checkpoint, const char *leader)
 {
 	g_free(checkpoint->leader);
 	checkpoint->leader = g_strdup(leader);
@@ -241,24 +242,24 @@
  * Takes when the last record before this start was written. Others that have started
  * since may have written over it, and say in theirs when that was.
  */
-static void note_written(gateway_checkpoint_t *checkpoint,
-			 const checkpoint_record_t *record)
+static void set_previous_write_at(gateway_checkpoint_t *checkpoint,
+				  const checkpoint_record_t *record)
 {
 	const gateway_t *gateway = checkpoint->gateway;
 	pd_time_t start = time_vote_wall(gateway->vote, gateway->started_at);
 
-	if (checkpoint->written_at)
+	if (checkpoint->previous_write_at)
 		return;
 	if (record->written_at < start)
-		checkpoint->written_at = record->written_at;
-	else if (record->before < start)
-		checkpoint->written_at = record->before;
+		checkpoint->previous_write_at = record->written_at;
+	else if (record->previous_write_at < start)
+		checkpoint->previous_write_at = record->previous_write_at;
 }
 
 static void restore_record(gateway_checkpoint_t *checkpoint,
 			   const checkpoint_record_t *record, uint64_t revision)
 {
-	checkpoint->gateways = record->gateways;
+	checkpoint->fleet_size = record->fleet_size;
 	restore_accounts(checkpoint, record);
 	restore_clocks(checkpoint, record);
 	if (!g_strcmp0(record->leader, checkpoint->gateway->settings->node_id))
@@ -266,8 +267,8 @@
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "restored revision=%" G_GUINT64_FORMAT
 		 " gateways=%u accounts=%u clocks_off=%u leader=%s",
-		 revision, record->gateways, record->accounts->len,
-		 record->clocks->len, leader_text(record->leader));
+		 revision, record->fleet_size, record->accounts->len,
+		 record->clocks->len, leader_or_none(record->leader));
 }
 
 /* Takes a record; only a start that has not served yet restores from it. */
@@ -281,10 +282,10 @@
 		log_error(LOG_COMPONENT, "record", &err);
 		return;
 	}
-	note_written(checkpoint, record);
+	set_previous_write_at(checkpoint, record);
 	if (!checkpoint->leader)
-		note_leader(checkpoint, record->leader);
-	if (!checkpoint->settled)
+		set_leader(checkpoint, record->leader);
+	if (!checkpoint->recovery_ended)
 		restore_record(checkpoint, record, revision);
 	checkpoint_record_destroy(record);
 }
@@ -514,14 +515,14 @@
 
 	if (leader && g_strcmp0(leader, checkpoint->leader)) {
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "leader=%s before=%s",
-			 leader, leader_text(checkpoint->leader));
-		note_leader(checkpoint, leader);
+			 leader, leader_or_none(checkpoint->leader));
+		set_leader(checkpoint, leader);
 	}
 	record->leader = g_strdup(checkpoint->leader);
 }
 
 /* Returns the record as of now, owned by the caller. */
-static char *compose_record(gateway_checkpoint_t *checkpoint, pd_time_t now)
+static char *create_record_text(gateway_checkpoint_t *checkpoint, pd_time_t now)
 {
 	gateway_t *gateway = checkpoint->gateway;
 	checkpoint_record_t *record = checkpoint_record_create();
@@ -529,8 +530,8 @@
 	clock_writer_t clocks = { record, gateway->settings->node_id };
 	char *text;
 
-	record->gateways = gateway_count(gateway);
-	record->before = checkpoint->written_at;
+	record->fleet_size = gateway_count(gateway);
+	record->previous_write_at = checkpoint->previous_write_at;
 	add_leader(checkpoint, record);
 	token_limits_each(gateway->limits, now, add_account, &accounts);
 	time_vote_each_off(gateway->vote, now, add_clock, &clocks);
@@ -563,7 +564,7 @@
 		g_free(text);
 	}
 	if (object_writer_is_due(record->writer, now)) {
-		text = compose_record(checkpoint, now);
+		text = create_record_text(checkpoint, now);
 		object_write(record, text, now);
 		g_free(text);
 	}
@@ -579,7 +580,7 @@
 }
 
 /* Has writes take as long as the first read did, until some were answered. */
-static void expect_answers(gateway_checkpoint_t *checkpoint)
+static void set_expected_write_time(gateway_checkpoint_t *checkpoint)
 {
 	pd_time_t time = call_pacer_answer_time(checkpoint->record_reader.pacer);
 
@@ -593,13 +594,14 @@
  * Ends the wait of a start for the record. What accounts have used is not known
  * then; taken for nothing, each kill of all would grant their limits once more.
  */
-static void end_wait(gateway_checkpoint_t *checkpoint, pd_time_t now)
+static void end_recovery(gateway_checkpoint_t *checkpoint, pd_time_t now)
 {
-	if (checkpoint->settled || !gateway_checkpoint_is_settled(checkpoint, now))
+	if (checkpoint->recovery_ended ||
+	    !gateway_checkpoint_recovery_has_ended(checkpoint, now))
 		return;
-	checkpoint->settled = true;
+	checkpoint->recovery_ended = true;
 	checkpoint->first_write_at = first_write_at(checkpoint);
-	expect_answers(checkpoint);
+	set_expected_write_time(checkpoint);
 	if (checkpoint->record_reader.read_started_at)
 		return;
 	checkpoint->record_reader.requested = false;
@@ -613,10 +615,10 @@
 {
 	int slot;
 
-	end_wait(checkpoint, now);
+	end_recovery(checkpoint, now);
 	reader_run(&checkpoint->record_reader, now);
 	reader_run(&checkpoint->counts_reader, now);
-	if (!checkpoint->settled || now < checkpoint->first_write_at)
+	if (!checkpoint->recovery_ended || now < checkpoint->first_write_at)
 		return;
 	slot = gateway_peers_checkpoint_slot(checkpoint->gateway->peers, now);
 	if (slot != checkpoint->slot)
--- a/adapters/gateway/checkpoint.h
+++ b/adapters/gateway/checkpoint.h
@@ -12,13 +12,13 @@
 
 gateway_checkpoint_t *gateway_checkpoint_create(gateway_t *gateway);
 void gateway_checkpoint_run(gateway_checkpoint_t *checkpoint, pd_time_t now);
-void gateway_checkpoint_read_counts(gateway_checkpoint_t *checkpoint);
+void gateway_checkpoint_request_counts(gateway_checkpoint_t *checkpoint);
 pd_time_t gateway_checkpoint_counts_read_at(const gateway_checkpoint_t *checkpoint);
-bool gateway_checkpoint_is_settled(const gateway_checkpoint_t *checkpoint,
-				   pd_time_t now);
-void gateway_checkpoint_read_record(gateway_checkpoint_t *checkpoint);
-pd_time_t gateway_checkpoint_written_at(const gateway_checkpoint_t *checkpoint);
-unsigned int gateway_checkpoint_gateways(const gateway_checkpoint_t *checkpoint,
-					 pd_time_t now);
+bool gateway_checkpoint_recovery_has_ended(const gateway_checkpoint_t *checkpoint,
+					   pd_time_t now);
+void gateway_checkpoint_request_record(gateway_checkpoint_t *checkpoint);
+pd_time_t gateway_checkpoint_previous_write_at(const gateway_checkpoint_t *checkpoint);
+unsigned int gateway_checkpoint_fleet_size(const gateway_checkpoint_t *checkpoint,
+					   pd_time_t now);
 
 #endif
--- a/adapters/gateway/checkpoint_record.c
+++ b/adapters/gateway/checkpoint_record.c
@@ -122,12 +122,12 @@
 	if (!root)
 		return NULL;
 	record = checkpoint_record_create();
-	record->gateways =
+	record->fleet_size =
 		(unsigned int)MIN(natural(json_object_get(root, "gateways")),
 				  GATEWAYS_MAX);
 	record->leader = g_strdup(json_string_or(root, "leader", NULL));
 	record->written_at = read_time(root, "at");
-	record->before = read_time(root, "before");
+	record->previous_write_at = read_time(root, "before");
 	read_accounts(record, json_object_get(root, "accounts"));
 	read_clocks(record, json_object_get(root, "clocks"));
 	json_decref(root);
@@ -167,7 +167,7 @@
 char *checkpoint_record_write(const checkpoint_record_t *record)
 {
 	json_t *root = json_pack("{s:i, s:o, s:o}", "gateways",
-				 (int)record->gateways, "accounts",
+				 (int)record->fleet_size, "accounts",
 				 write_accounts(record), "clocks",
 				 write_clocks(record));
 	char *text;
@@ -175,9 +175,10 @@
 
 	if (record->leader)
 		json_object_set_new(root, "leader", json_string(record->leader));
-	if (record->before)
+	if (record->previous_write_at)
 		json_object_set_new(root, "before",
-				    json_integer(record->before / PD_MSEC));
+				    json_integer(record->previous_write_at /
+						 PD_MSEC));
 	text = json_dumps(root, JSON_COMPACT | JSON_SORT_KEYS);
 	copy = g_strdup(text);
 
--- a/adapters/gateway/checkpoint_record.h
+++ b/adapters/gateway/checkpoint_record.h
@@ -25,10 +25,10 @@
 } clock_record_t;
 
 typedef struct checkpoint_record {
-	unsigned int gateways; /* that share what is limited in sum */
+	unsigned int fleet_size; /* that share what is limited in sum */
 	char *leader; /* id of its VM; NULL: none is known */
 	pd_time_t written_at; /* time of day; 0: unknown */
-	pd_time_t before; /* when one was written last before its writer started */
+	pd_time_t previous_write_at; /* when one was written last before its writer started */
 	GArray *accounts; /* of account_record_t */
 	GArray *clocks; /* of clock_record_t */
 } checkpoint_record_t;
--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -157,8 +157,9 @@
 		g_hash_table_remove_all(duties->plans);
 		log_line(G_LOG_LEVEL_INFO, PART, "holder=self fence=%" PRIu64,
 			 fence);
-		if (!gateway_checkpoint_written_at(duties->gateway->checkpoint))
-			gateway_checkpoint_read_record(duties->gateway->checkpoint);
+		if (!gateway_checkpoint_previous_write_at(duties->gateway->checkpoint))
+			gateway_checkpoint_request_record(
+				duties->gateway->checkpoint);
 	}
 	if (duties->held && !lease_is_held(duties->lease, now)) {
 		duties->held = false;
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -112,7 +112,7 @@
 
 	if (!duties->counts_asked_at) {
 		duties->counts_asked_at = now;
-		gateway_checkpoint_read_counts(checkpoint);
+		gateway_checkpoint_request_counts(checkpoint);
 	}
 	return gateway_checkpoint_counts_read_at(checkpoint) >=
 		       duties->counts_asked_at ||
@@ -154,7 +154,7 @@
 	const gateway_t *gateway = duties->gateway;
 	pd_time_t oldest = gateway_peers_oldest_start(gateway->peers, now);
 	const usage_gap_t gap = {
-		.from = gateway_checkpoint_written_at(gateway->checkpoint),
+		.from = gateway_checkpoint_previous_write_at(gateway->checkpoint),
 		.to = time_vote_wall(gateway->vote, oldest),
 	};
 	pd_time_t missing = usage_gap_in_window(&gap, window,
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -111,8 +111,8 @@
 		zones++;
 	/* There is at least one in each zone, also before it was heard. */
 	zones = MAX(zones, 1);
-	zones = MAX(zones, gateway_checkpoint_gateways(gateway->checkpoint,
-						       gateway_now()));
+	zones = MAX(zones, gateway_checkpoint_fleet_size(gateway->checkpoint,
+							 gateway_now()));
 	return MAX(gateway_peers_count(gateway->peers), zones);
 }
 
@@ -121,7 +121,8 @@
 {
 	return gateway->config &&
 	       (gateway->upstreams_usable || gateway->upstreams_known) &&
-	       gateway_checkpoint_is_settled(gateway->checkpoint, gateway_now());
+	       gateway_checkpoint_recovery_has_ended(gateway->checkpoint,
+						     gateway_now());
 }
 
 /* Says whether callers may be sent here. */
--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -25,19 +25,19 @@
 	char *stamped;
 
 	(void)state;
-	record->gateways = 63;
+	record->fleet_size = 63;
 	record->leader = g_strdup("g5");
-	record->before = 3 * PD_SEC;
+	record->previous_write_at = 3 * PD_SEC;
 	checkpoint_record_account(record, "mill", -500, 9000);
 	checkpoint_record_clock(record, "g1", -2500 * PD_MSEC);
 	text = checkpoint_record_write(record);
 	stamped = checkpoint_record_stamp(text, 7 * PD_SEC);
 	read = checkpoint_record_read(stamped, &err);
 	assert_int_equal(read->written_at, 7 * PD_SEC);
-	assert_int_equal(read->before, 3 * PD_SEC);
+	assert_int_equal(read->previous_write_at, 3 * PD_SEC);
 	again = checkpoint_record_write(read);
 	assert_string_equal(again, text);
-	assert_int_equal(read->gateways, 63);
+	assert_int_equal(read->fleet_size, 63);
 	assert_string_equal(read->leader, "g5");
 	assert_true(g_array_index(read->accounts, account_record_t, 0).level ==
 		    -500);
