--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -276,7 +276,7 @@
 			  uint64_t revision)
 {
 	pd_error_t err;
-	checkpoint_record_t *record = checkpoint_record_read(text, &err);
+	checkpoint_record_t *record = checkpoint_record_parse(text, &err);
 
 	if (!record) {
 		log_error(LOG_COMPONENT, "record", &err);
@@ -487,9 +487,10 @@
 	const account_writer_t *writer = ctx;
 
 	if (use->has_level)
-		checkpoint_record_account(writer->record, account, use->level,
-					  token_limits_demand(writer->limits, account,
-							      writer->now));
+		checkpoint_record_add_account(writer->record, account, use->level,
+					      token_limits_demand(writer->limits,
+								  account,
+								  writer->now));
 }
 
 typedef struct clock_writer {
@@ -501,8 +502,8 @@
 {
 	const clock_writer_t *writer = ctx;
 
-	checkpoint_record_clock(writer->record, who ? who : writer->own_node,
-				offset);
+	checkpoint_record_add_clock(writer->record,
+				    who ? who : writer->own_node, offset);
 }
 
 /*
@@ -535,7 +536,7 @@
 	add_leader(checkpoint, record);
 	token_limits_each(gateway->limits, now, add_account, &accounts);
 	time_vote_each_off(gateway->vote, now, add_clock, &clocks);
-	text = checkpoint_record_write(record);
+	text = checkpoint_record_format(record);
 	checkpoint_record_destroy(record);
 	return text;
 }
@@ -558,8 +559,8 @@
 	    (usage_is_turn(wall, period, slot) ||
 	     !object_writer_is_regular(counts->writer))) {
 		gateway_requests_note_flight(gateway);
-		text = usage_table_write(gateway->usage, gateway->inflight,
-					 gateway_first_window_due(gateway));
+		text = usage_table_encode(gateway->usage, gateway->inflight,
+					  gateway_first_window_due(gateway));
 		object_write(counts, text, now);
 		g_free(text);
 	}
--- a/adapters/gateway/checkpoint_record.c
+++ b/adapters/gateway/checkpoint_record.c
@@ -9,9 +9,9 @@
 /* More than any fleet has; a larger number is a mistake. */
 #define GATEWAYS_MAX 100000
 /* Offsets of clocks change by less all the time, and the record with them. */
-#define OFFSET_UNIT (100 * PD_MSEC)
+#define CLOCK_OFFSET_UNIT (100 * PD_MSEC)
 /* A clock that is off by more is set wrong, and no offset helps. */
-#define OFFSET_MAX (3600 * PD_SEC)
+#define CLOCK_OFFSET_MAX (3600 * PD_SEC)
 
 static void account_clear(void *data)
 {
@@ -47,8 +47,8 @@
 }
 
 /* Adds what is left of an account's limit. */
-void checkpoint_record_account(checkpoint_record_t *record, const char *account,
-			       double level, double demand)
+void checkpoint_record_add_account(checkpoint_record_t *record,
+				   const char *account, double level, double demand)
 {
 	const account_record_t entry = { g_strdup(account), level, demand };
 
@@ -56,8 +56,8 @@
 }
 
 /* Adds a clock that is off. */
-void checkpoint_record_clock(checkpoint_record_t *record, const char *node,
-			     pd_time_t offset)
+void checkpoint_record_add_clock(checkpoint_record_t *record, const char *node,
+				 pd_time_t offset)
 {
 	const clock_record_t entry = { g_strdup(node), offset };
 
@@ -65,7 +65,7 @@
 }
 
 /* A number that may not be below zero; 0 for anything else. */
-static uint64_t natural(const json_t *value)
+static uint64_t non_negative(const json_t *value)
 {
 	json_int_t number = json_integer_value(value);
 
@@ -83,9 +83,9 @@
 		const json_t *demand = json_array_get(pair, 1);
 
 		if (json_is_integer(level) && json_is_integer(demand))
-			checkpoint_record_account(record, account,
-						  (double)json_integer_value(level),
-						  (double)natural(demand));
+			checkpoint_record_add_account(
+				record, account, (double)json_integer_value(level),
+				(double)non_negative(demand));
 	}
 }
 
@@ -98,23 +98,24 @@
 	{
 		json_int_t units = json_integer_value(offset);
 
-		if (units && units > -OFFSET_MAX / OFFSET_UNIT &&
-		    units < OFFSET_MAX / OFFSET_UNIT)
-			checkpoint_record_clock(record, node, units * OFFSET_UNIT);
+		if (units && units > -CLOCK_OFFSET_MAX / CLOCK_OFFSET_UNIT &&
+		    units < CLOCK_OFFSET_MAX / CLOCK_OFFSET_UNIT)
+			checkpoint_record_add_clock(record, node,
+						    units * CLOCK_OFFSET_UNIT);
 	}
 }
 
 /* A time of day; 0 for anything else. */
 static pd_time_t read_time(const json_t *root, const char *key)
 {
-	return pd_time_of_ms(natural(json_object_get(root, key)));
+	return pd_time_of_ms(non_negative(json_object_get(root, key)));
 }
 
 /*
  * Reads a record; NULL with ERR set if it is none. Parts that are not as a
  * gateway writes them are left out: what they said is then unknown.
  */
-checkpoint_record_t *checkpoint_record_read(const char *text, pd_error_t *err)
+checkpoint_record_t *checkpoint_record_parse(const char *text, pd_error_t *err)
 {
 	json_t *root = json_parse(text, strlen(text), err);
 	checkpoint_record_t *record;
@@ -122,9 +123,8 @@
 	if (!root)
 		return NULL;
 	record = checkpoint_record_create();
-	record->fleet_size =
-		(unsigned int)MIN(natural(json_object_get(root, "gateways")),
-				  GATEWAYS_MAX);
+	record->fleet_size = (unsigned int)MIN(
+		non_negative(json_object_get(root, "gateways")), GATEWAYS_MAX);
 	record->leader = g_strdup(json_string_or(root, "leader", NULL));
 	record->written_at = read_time(root, "at");
 	record->previous_write_at = read_time(root, "before");
@@ -158,13 +158,13 @@
 			&g_array_index(record->clocks, clock_record_t, i);
 
 		json_object_set_new(clocks, entry->node,
-				    json_integer(entry->offset / OFFSET_UNIT));
+				    json_integer(entry->offset / CLOCK_OFFSET_UNIT));
 	}
 	return clocks;
 }
 
 /* Returns the record as text but for when it is written, owned by the caller. */
-char *checkpoint_record_write(const checkpoint_record_t *record)
+char *checkpoint_record_format(const checkpoint_record_t *record)
 {
 	json_t *root = json_pack("{s:i, s:o, s:o}", "gateways",
 				 (int)record->fleet_size, "accounts",
--- a/adapters/gateway/checkpoint_record.h
+++ b/adapters/gateway/checkpoint_record.h
@@ -34,13 +34,13 @@
 } checkpoint_record_t;
 
 checkpoint_record_t *checkpoint_record_create(void);
-checkpoint_record_t *checkpoint_record_read(const char *text, pd_error_t *err);
+checkpoint_record_t *checkpoint_record_parse(const char *text, pd_error_t *err);
 void checkpoint_record_destroy(checkpoint_record_t *record);
-void checkpoint_record_account(checkpoint_record_t *record, const char *account,
-			       double level, double demand);
-void checkpoint_record_clock(checkpoint_record_t *record, const char *node,
-			     pd_time_t offset);
-char *checkpoint_record_write(const checkpoint_record_t *record);
+void checkpoint_record_add_account(checkpoint_record_t *record, const char *account,
+				   double level, double demand);
+void checkpoint_record_add_clock(checkpoint_record_t *record, const char *node,
+				 pd_time_t offset);
+char *checkpoint_record_format(const checkpoint_record_t *record);
 char *checkpoint_record_stamp(const char *text, pd_time_t at);
 
 #endif
--- a/adapters/gateway/flight_pack.c
+++ b/adapters/gateway/flight_pack.c
@@ -4,7 +4,7 @@
 #include "adapters/msgpack_fields.h"
 #include "adapters/msgpack_write.h"
 
-#define HEAD_FIELDS 5 /* start, booted, begun, told, window */
+#define HEADER_FIELDS 5 /* start, booted, begun, told, window */
 #define CELL_FIELDS 2 /* account, count */
 
 static void pack_time(msgpack_packer *packer, pd_time_t time)
@@ -17,7 +17,7 @@
 {
 	const GArray *expected = flight->expected;
 
-	msgpack_pack_array(packer, HEAD_FIELDS + CELL_FIELDS * expected->len);
+	msgpack_pack_array(packer, HEADER_FIELDS + CELL_FIELDS * expected->len);
 	msgpack_pack_uint64(packer, flight->start);
 	pack_time(packer, flight->booted);
 	pack_time(packer, flight->begun);
@@ -33,11 +33,11 @@
 }
 
 /* Returns what a start has in flight, owned by the caller; NULL: it is none. */
-usage_flight_t *flight_read(const msgpack_object *object)
+usage_flight_t *flight_unpack(const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *fields =
-		msgpack_field_items(object, HEAD_FIELDS, &count);
+		msgpack_field_items(object, HEADER_FIELDS, &count);
 	usage_flight_t *flight;
 
 	if (!fields)
@@ -47,7 +47,7 @@
 	flight->begun = pd_time_of_ms(msgpack_field_number(&fields[2]));
 	flight->told = pd_time_of_ms(msgpack_field_number(&fields[3]));
 	flight->window = (int64_t)msgpack_field_number(&fields[4]);
-	for (uint32_t i = HEAD_FIELDS; i + 1 < count; i += CELL_FIELDS) {
+	for (uint32_t i = HEADER_FIELDS; i + 1 < count; i += CELL_FIELDS) {
 		char *account = msgpack_field_text(&fields[i]);
 
 		if (account)
--- a/adapters/gateway/flight_pack.h
+++ b/adapters/gateway/flight_pack.h
@@ -10,6 +10,6 @@
 #include "core/forward/usage_inflight.h"
 
 void flight_pack(msgpack_packer *packer, const usage_flight_t *flight);
-usage_flight_t *flight_read(const msgpack_object *object);
+usage_flight_t *flight_unpack(const msgpack_object *object);
 
 #endif
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -635,7 +635,7 @@
 
 static void merge_flight(gateway_t *gateway, const msgpack_object *object)
 {
-	usage_flight_t *flight = flight_read(object);
+	usage_flight_t *flight = flight_unpack(object);
 
 	if (flight)
 		usage_inflight_take(gateway->inflight, flight);
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -20,13 +20,13 @@
 #include "adapters/msgpack_write.h"
 
 #define FORMAT 1
-#define ROW_HEAD 2 /* window and start */
+#define ROW_HEADER_FIELDS 2 /* window and start */
 #define CELL_FIELDS 2 /* place of an account, and its count */
 
 /* A row is gathered whole, as its length goes first. */
 typedef struct table_writer {
 	GPtrArray *accounts; /* borrowed names */
-	GHashTable *places; /* name -> place in accounts + 1 */
+	GHashTable *indexes; /* name -> place in accounts + 1 */
 	msgpack_sbuffer rows;
 	uint32_t row_count;
 	int64_t window; /* of the row that is gathered */
@@ -34,14 +34,14 @@
 	GArray *cells; /* uint64_t: place, count, place, count... */
 } table_writer_t;
 
-static void end_row(table_writer_t *writer)
+static void flush_row(table_writer_t *writer)
 {
 	msgpack_packer packer;
 
 	if (!writer->cells->len)
 		return;
 	msgpack_packer_init(&packer, &writer->rows, msgpack_sbuffer_write);
-	msgpack_pack_array(&packer, ROW_HEAD + writer->cells->len);
+	msgpack_pack_array(&packer, ROW_HEADER_FIELDS + writer->cells->len);
 	msgpack_pack_int64(&packer, writer->window);
 	msgpack_pack_uint64(&packer, writer->start);
 	for (guint i = 0; i < writer->cells->len; i++)
@@ -51,15 +51,15 @@
 	g_array_set_size(writer->cells, 0);
 }
 
-static uint64_t account_place(table_writer_t *writer, const char *account)
+static uint64_t account_index(table_writer_t *writer, const char *account)
 {
-	guint place =
-		GPOINTER_TO_UINT(g_hash_table_lookup(writer->places, account));
+	guint index =
+		GPOINTER_TO_UINT(g_hash_table_lookup(writer->indexes, account));
 
-	if (place)
-		return place - 1;
+	if (index)
+		return index - 1;
 	g_ptr_array_add(writer->accounts, (char *)account);
-	g_hash_table_insert(writer->places, (char *)account,
+	g_hash_table_insert(writer->indexes, (char *)account,
 			    GUINT_TO_POINTER(writer->accounts->len));
 	return writer->accounts->len - 1;
 }
@@ -67,14 +67,14 @@
 static void add_entry(void *ctx, const usage_entry_t *entry)
 {
 	table_writer_t *writer = ctx;
-	uint64_t place = account_place(writer, entry->account);
+	uint64_t index = account_index(writer, entry->account);
 	uint64_t count = entry->count;
 
 	if (entry->window != writer->window || entry->start != writer->start)
-		end_row(writer);
+		flush_row(writer);
 	writer->window = entry->window;
 	writer->start = entry->start;
-	g_array_append_val(writer->cells, place);
+	g_array_append_val(writer->cells, index);
 	g_array_append_val(writer->cells, count);
 }
 
@@ -135,21 +135,21 @@
  * Returns the counts of the windows from FROM on, and what is in flight in them, as JSON,
  * owned by the caller.
  */
-char *usage_table_write(const usage_t *usage, const usage_inflight_t *inflight,
-			int64_t from)
+char *usage_table_encode(const usage_t *usage, const usage_inflight_t *inflight,
+			 int64_t from)
 {
 	char *flights = flights_encode(inflight, from);
 	char *counts;
 	table_writer_t writer = {
 		.accounts = g_ptr_array_new(),
-		.places = g_hash_table_new(g_str_hash, g_str_equal),
+		.indexes = g_hash_table_new(g_str_hash, g_str_equal),
 		.cells = g_array_new(FALSE, FALSE, sizeof(uint64_t)),
 	};
 	char *text;
 
 	msgpack_sbuffer_init(&writer.rows);
 	usage_each(usage, from, add_entry, &writer);
-	end_row(&writer);
+	flush_row(&writer);
 	counts = table_encode(&writer);
 	text = g_strdup_printf("{\"format\":%d,\"counts\":\"%s\",\"in_flight\":"
 			       "\"%s\"}",
@@ -158,7 +158,7 @@
 	g_free(flights);
 	msgpack_sbuffer_destroy(&writer.rows);
 	g_ptr_array_unref(writer.accounts);
-	g_hash_table_unref(writer.places);
+	g_hash_table_unref(writer.indexes);
 	g_array_unref(writer.cells);
 	return text;
 }
@@ -169,19 +169,20 @@
 {
 	uint32_t count = 0;
 	const msgpack_object *fields =
-		msgpack_field_items(object, ROW_HEAD, &count);
+		msgpack_field_items(object, ROW_HEADER_FIELDS, &count);
 
-	for (uint32_t i = ROW_HEAD; fields && i + 1 < count; i += CELL_FIELDS) {
-		uint64_t place = msgpack_field_number(&fields[i]);
+	for (uint32_t i = ROW_HEADER_FIELDS; fields && i + 1 < count;
+	     i += CELL_FIELDS) {
+		uint64_t index = msgpack_field_number(&fields[i]);
 		usage_entry_t entry = {
 			.window = (int64_t)msgpack_field_number(&fields[0]),
 			.start = msgpack_field_number(&fields[1]),
 			.count = msgpack_field_number(&fields[i + 1]),
 		};
 
-		if (place >= accounts->len)
+		if (index >= accounts->len)
 			continue;
-		entry.account = g_ptr_array_index(accounts, place);
+		entry.account = g_ptr_array_index(accounts, index);
 		usage_merge(usage, &entry);
 	}
 }
@@ -209,7 +210,8 @@
 	uint32_t count;
 } packed_list_t;
 
-static void packed_list_open(packed_list_t *list, const char *encoded, uint32_t least)
+static void packed_list_open(packed_list_t *list, const char *encoded,
+			     uint32_t count_min)
 {
 	size_t offset = 0;
 	gsize len;
@@ -221,8 +223,8 @@
 	if (msgpack_sizes_fit((const char *)list->data, len) &&
 	    msgpack_unpack_next(&list->unpacked, (const char *)list->data, len,
 				&offset) == MSGPACK_UNPACK_SUCCESS)
-		list->items = msgpack_field_items(&list->unpacked.data, least,
-						  &list->count);
+		list->items = msgpack_field_items(&list->unpacked.data,
+						  count_min, &list->count);
 }
 
 static void packed_list_close(packed_list_t *list)
@@ -260,7 +262,7 @@
 
 	packed_list_open(&list, encoded, 0);
 	for (uint32_t i = 0; i < list.count; i++) {
-		usage_flight_t *flight = flight_read(&list.items[i]);
+		usage_flight_t *flight = flight_unpack(&list.items[i]);
 
 		if (flight)
 			usage_inflight_take(inflight, flight);
--- a/adapters/gateway/usage_table.h
+++ b/adapters/gateway/usage_table.h
@@ -5,8 +5,8 @@
 #include "core/error.h"
 #include "core/forward/usage_inflight.h"
 
-char *usage_table_write(const usage_t *usage, const usage_inflight_t *inflight,
-			int64_t from);
+char *usage_table_encode(const usage_t *usage, const usage_inflight_t *inflight,
+			 int64_t from);
 int usage_table_merge(const char *text, usage_t *usage,
 		      usage_inflight_t *inflight, pd_error_t *err);
 
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -313,7 +313,7 @@
 
 	read_counts(rig, usage, inflight);
 	usage_inflight_each(inflight, 0, add_rebooted, moved);
-	text = usage_table_write(usage, moved, 0);
+	text = usage_table_encode(usage, moved, 0);
 	rig_remove(rig, "counts", "slot-1");
 	rig_put(rig, "counts", "slot-0", text);
 	g_free(text);
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -223,7 +223,7 @@
 		char *text = wire_record_read(bytes.data(), bytes.size(),
 					      &revision, &err);
 		checkpoint_record_t *record =
-			text ? checkpoint_record_read(text, &err) : nullptr;
+			text ? checkpoint_record_parse(text, &err) : nullptr;
 
 		checkpoint_record_destroy(record);
 		g_free(text);
@@ -272,7 +272,7 @@
 	flight->window = 8;
 	usage_flight_add(flight, "mill", 3);
 	usage_inflight_take(inflight, flight);
-	text = usage_table_write(usage, inflight, 0);
+	text = usage_table_encode(usage, inflight, 0);
 	packed = { decoded(text, "counts"), decoded(text, "in_flight") };
 	g_free(text);
 	usage_inflight_destroy(inflight);
--- a/tests/property/test_usage.cc
+++ b/tests/property/test_usage.cc
@@ -256,7 +256,8 @@
 	     !usage_is_turn(all.now, period, (int)slot)))
 		return;
 	usage_inflight_take(writer.inflight.get(), flight_of(all, writer));
-	text = usage_table_write(writer.usage.get(), writer.inflight.get(), window);
+	text = usage_table_encode(writer.usage.get(), writer.inflight.get(),
+				  window);
 	made.text = text;
 	g_free(text);
 	made.gateway = number;
--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -28,14 +28,14 @@
 	record->fleet_size = 63;
 	record->leader = g_strdup("g5");
 	record->previous_write_at = 3 * PD_SEC;
-	checkpoint_record_account(record, "mill", -500, 9000);
-	checkpoint_record_clock(record, "g1", -2500 * PD_MSEC);
-	text = checkpoint_record_write(record);
+	checkpoint_record_add_account(record, "mill", -500, 9000);
+	checkpoint_record_add_clock(record, "g1", -2500 * PD_MSEC);
+	text = checkpoint_record_format(record);
 	stamped = checkpoint_record_stamp(text, 7 * PD_SEC);
-	read = checkpoint_record_read(stamped, &err);
+	read = checkpoint_record_parse(stamped, &err);
 	assert_int_equal(read->written_at, 7 * PD_SEC);
 	assert_int_equal(read->previous_write_at, 3 * PD_SEC);
-	again = checkpoint_record_write(read);
+	again = checkpoint_record_format(read);
 	assert_string_equal(again, text);
 	assert_int_equal(read->fleet_size, 63);
 	assert_string_equal(read->leader, "g5");
@@ -58,7 +58,7 @@
 static void test_offsets_of_no_sense_are_left_out(void **state)
 {
 	pd_error_t err;
-	checkpoint_record_t *record = checkpoint_record_read(
+	checkpoint_record_t *record = checkpoint_record_parse(
 		"{\"gateways\":6,\"accounts\":{},\"clocks\":{\"g0\":\"5\","
 		"\"g1\":9223372036854775807,\"g2\":-9223372036854775808}}",
 		&err);
@@ -67,7 +67,7 @@
 	assert_non_null(record);
 	assert_int_equal(record->clocks->len, 0);
 	checkpoint_record_destroy(record);
-	record = checkpoint_record_read("{\"gateways\":6,\"clocks\":[7]}", &err);
+	record = checkpoint_record_parse("{\"gateways\":6,\"clocks\":[7]}", &err);
 	assert_non_null(record);
 	assert_int_equal(record->clocks->len, 0);
 	checkpoint_record_destroy(record);
@@ -109,7 +109,7 @@
 	merge(usage, 7, 5, "gin \"\\", 20);
 	merge(usage, 8, 5, "gin \"\\", 3);
 	merge(usage, 6, 5, "mill", 9);
-	text = usage_table_write(usage, inflight, 7);
+	text = usage_table_encode(usage, inflight, 7);
 	assert_int_equal(usage_table_merge(text, read, inflight, &err), 0);
 	assert_int_equal(usage_table_merge(text, read, inflight, &err), 0);
 	assert_int_equal(sum_of(read, 7), 1021);
@@ -138,7 +138,7 @@
 			merge(usage, 353445120, start << 40, account, 2);
 		}
 	}
-	text = usage_table_write(usage, inflight, 0);
+	text = usage_table_encode(usage, inflight, 0);
 	assert_true(strlen(text) < FLEET_BYTES_MAX);
 	g_free(text);
 	usage_destroy(usage);
@@ -168,7 +168,7 @@
 		}
 		usage_inflight_take(inflight, flight);
 	}
-	text = usage_table_write(usage, inflight, 0);
+	text = usage_table_encode(usage, inflight, 0);
 	assert_true(strlen(text) < FLEET_BYTES_MAX);
 	g_free(text);
 	usage_destroy(usage);
--- a/tests/unit/test_flight_pack.c
+++ b/tests/unit/test_flight_pack.c
@@ -19,7 +19,7 @@
 	assert_int_equal(msgpack_unpack_next(&unpacked, buffer->data,
 					     buffer->size, &offset),
 			 MSGPACK_UNPACK_SUCCESS);
-	flight = flight_read(&unpacked.data);
+	flight = flight_unpack(&unpacked.data);
 	msgpack_unpacked_destroy(&unpacked);
 	return flight;
 }
