--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -145,7 +145,7 @@
  * News names upstreams briefly; the other has to ask for the rest, or it would
  * never send anything there.
  */
-static void test_a_new_upstream_becomes_known_in_full(void **state)
+static void test_new_upstream_is_fetched_in_full(void **state)
 {
 	pair_t *pair = *state;
 	const gateway_t *other = pair->gateways[1];
@@ -161,7 +161,7 @@
  * Only one gateway hears that an upstream leaves. Sent on to it, requests would
  * be cut off when it ends.
  */
-static void test_a_leaving_upstream_is_told(void **state)
+static void test_draining_upstream_is_propagated(void **state)
 {
 	pair_t *pair = *state;
 	const gateway_t *other = pair->gateways[1];
@@ -192,7 +192,7 @@
 }
 
 /* Guards against a leader that is not sent the counts of who was not told of it. */
-static void test_a_leader_that_is_no_member_is_sent_states(void **state)
+static void test_leader_outside_members_is_sent_states(void **state)
 {
 	pair_t *pair = *state;
 	gateway_peers_t *member = pair->gateways[0]->peers;
@@ -208,7 +208,7 @@
 }
 
 /* Guards against a former leader that does not stand as others go before it. */
-static void test_a_former_leader_stands_for_the_lease(void **state)
+static void test_former_leader_may_acquire_lease(void **state)
 {
 	pair_t *pair = *state;
 	gateway_t *gateway = pair->gateways[0];
@@ -223,7 +223,7 @@
  * News is lost with a connection, and nothing else changes afterwards. The
  * digests that gateways tell show the difference, and what differs is fetched.
  */
-static void test_lost_news_is_made_up_for(void **state)
+static void test_lost_update_is_fetched(void **state)
 {
 	pair_t *pair = *state;
 	gateway_t *other = pair->gateways[1];
@@ -262,7 +262,7 @@
 }
 
 /* Guards against asking for an upstream again while the answer is on its way. */
-static void test_an_unknown_upstream_is_asked_for_once(void **state)
+static void test_unknown_upstream_is_fetched_once(void **state)
 {
 	pair_t *pair = *state;
 	const forward_listing_t listing = { .id = "u3",
@@ -286,16 +286,13 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup(test_counts_of_old_windows_are_dropped, setup),
-		cmocka_unit_test_setup(test_a_new_upstream_becomes_known_in_full,
-				       setup),
-		cmocka_unit_test_setup(test_a_leaving_upstream_is_told, setup),
-		cmocka_unit_test_setup(test_a_leader_that_is_no_member_is_sent_states,
-				       setup),
-		cmocka_unit_test_setup(test_a_former_leader_stands_for_the_lease,
-				       setup),
-		cmocka_unit_test_setup(test_lost_news_is_made_up_for, setup),
-		cmocka_unit_test_setup(test_an_unknown_upstream_is_asked_for_once,
+		cmocka_unit_test_setup(test_new_upstream_is_fetched_in_full, setup),
+		cmocka_unit_test_setup(test_draining_upstream_is_propagated, setup),
+		cmocka_unit_test_setup(test_leader_outside_members_is_sent_states,
 				       setup),
+		cmocka_unit_test_setup(test_former_leader_may_acquire_lease, setup),
+		cmocka_unit_test_setup(test_lost_update_is_fetched, setup),
+		cmocka_unit_test_setup(test_unknown_upstream_is_fetched_once, setup),
 	};
 
 	/* As the program does; peers close connections at any time. */
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -225,7 +225,7 @@
 }
 
 /* Guards against reports without the counts of a gateway that is cut off meanwhile. */
-static void test_a_report_waits_for_a_gateway_that_has_counted(void **state)
+static void test_report_waits_for_suspended_gateway(void **state)
 {
 	gateway_rig_t *rig = *state;
 	guint before;
@@ -252,7 +252,7 @@
 }
 
 /* Guards against reports without what was counted before a kill of all. */
-static void test_usage_outlives_a_kill_of_all(void **state)
+static void test_usage_survives_kill_of_all_gateways(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -336,7 +336,7 @@
 }
 
 /* Guards against reports without what upstreams ran after power was lost. */
-static void test_calls_in_flight_are_reported_when_power_is_lost(void **state)
+static void test_calls_in_flight_are_reported_after_power_loss(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -348,7 +348,7 @@
 }
 
 /* Guards against bills for calls that were dropped with their connections. */
-static void test_calls_in_flight_end_with_a_killed_process(void **state)
+static void test_calls_in_flight_are_not_reported_after_process_kill(void **state)
 {
 	gateway_rig_t *rig = *state;
 	guint before;
@@ -362,7 +362,7 @@
 }
 
 /* Guards against counts that are dropped while their report is still due. */
-static void test_usage_outlives_some_seconds_without_gateways(void **state)
+static void test_usage_survives_downtime(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -373,7 +373,7 @@
 }
 
 /* Guards against counts that a second kill loses before their report. */
-static void test_usage_outlives_two_kills(void **state)
+static void test_usage_survives_two_kills(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -402,7 +402,7 @@
 }
 
 /* Guards against counts that are sent to a writer that has died. */
-static void test_counts_are_kept_when_the_writer_dies(void **state)
+static void test_counts_survive_death_of_checkpoint_writer(void **state)
 {
 	gateway_rig_t *rig = *state;
 	int number = -1;
@@ -415,7 +415,7 @@
 }
 
 /* Guards against counts that wait for the answer to a write before them. */
-static void test_counts_are_kept_while_answers_are_lost(void **state)
+static void test_counts_are_written_while_store_answers_are_lost(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
@@ -431,7 +431,7 @@
 }
 
 /* Guards against refusals while a start has not read the configuration yet. */
-static void test_a_call_that_comes_before_the_configuration_is_served(void **state)
+static void test_call_before_configuration_is_served(void **state)
 {
 	gateway_rig_t *rig = *state;
 	bool served = false;
@@ -456,7 +456,7 @@
 }
 
 /* Guards against refusals until a start has listed the last of many upstreams. */
-static void test_a_start_serves_from_the_first_page(void **state)
+static void test_restart_serves_from_first_page(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
@@ -472,7 +472,7 @@
 }
 
 /* Guards against calls of hundreds of starts that do not know yet who watches. */
-static void test_a_start_does_not_watch_at_once(void **state)
+static void test_restart_delays_first_watch(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -486,7 +486,7 @@
 }
 
 /* Guards against a clock that is off and taken for right after a kill of all. */
-static void test_a_start_corrects_its_clock_by_the_checkpoint(void **state)
+static void test_restart_corrects_clock_from_checkpoint(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -505,7 +505,7 @@
 }
 
 /* Guards against a takeover that is waited for though the former leader is back. */
-static void test_a_former_leader_asks_for_the_lease_at_once(void **state)
+static void test_former_leader_requests_lease_at_once(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -528,7 +528,7 @@
 }
 
 /* Guards against reports that may be short and nobody knows which. */
-static void test_windows_without_a_checkpoint_are_named(void **state)
+static void test_usage_gaps_are_logged(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -545,7 +545,7 @@
 }
 
 /* Guards against a start that forgets the leader before it has heard of one. */
-static void test_a_start_keeps_the_name_of_the_leader(void **state)
+static void test_restart_keeps_recorded_leader(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -573,7 +573,7 @@
 }
 
 /* Guards against a new leader that gives up on-demand upstreams in a shortage. */
-static void test_on_demand_orders_wait_for_answers_to_the_others(void **state)
+static void test_on_demand_orders_wait_for_spot_answers(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -594,7 +594,7 @@
 }
 
 /* Guards against a report that is late as its leader was told to stop. */
-static void test_a_stopping_holder_goes_on_until_it_ends(void **state)
+static void test_stopping_leader_reports_until_exit(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
@@ -621,43 +621,42 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_usage_outlives_a_kill_of_all,
+		cmocka_unit_test_setup_teardown(test_usage_survives_kill_of_all_gateways,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(
-			test_a_report_waits_for_a_gateway_that_has_counted,
-			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_usage_outlives_some_seconds_without_gateways,
+		cmocka_unit_test_setup_teardown(test_report_waits_for_suspended_gateway,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_usage_survives_downtime,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_usage_outlives_two_kills,
+		cmocka_unit_test_setup_teardown(test_usage_survives_two_kills,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(
-			test_calls_in_flight_are_reported_when_power_is_lost,
+			test_calls_in_flight_are_reported_after_power_loss,
 			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_calls_in_flight_end_with_a_killed_process,
-						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_counts_are_kept_when_the_writer_dies,
-						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_counts_are_kept_while_answers_are_lost,
+		cmocka_unit_test_setup_teardown(
+			test_calls_in_flight_are_not_reported_after_process_kill,
+			setup, teardown),
+		cmocka_unit_test_setup_teardown(test_counts_survive_death_of_checkpoint_writer,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(
-			test_a_call_that_comes_before_the_configuration_is_served,
+			test_counts_are_written_while_store_answers_are_lost,
 			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_start_serves_from_the_first_page,
+		cmocka_unit_test_setup_teardown(test_call_before_configuration_is_served,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_start_does_not_watch_at_once,
+		cmocka_unit_test_setup_teardown(test_restart_serves_from_first_page,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_start_corrects_its_clock_by_the_checkpoint,
+		cmocka_unit_test_setup_teardown(test_restart_delays_first_watch,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_former_leader_asks_for_the_lease_at_once,
+		cmocka_unit_test_setup_teardown(test_restart_corrects_clock_from_checkpoint,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_windows_without_a_checkpoint_are_named,
+		cmocka_unit_test_setup_teardown(test_former_leader_requests_lease_at_once,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_start_keeps_the_name_of_the_leader,
+		cmocka_unit_test_setup_teardown(test_usage_gaps_are_logged,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(
-			test_on_demand_orders_wait_for_answers_to_the_others,
-			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_stopping_holder_goes_on_until_it_ends,
+		cmocka_unit_test_setup_teardown(test_restart_keeps_recorded_leader,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_on_demand_orders_wait_for_spot_answers,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_stopping_leader_reports_until_exit,
 						setup, teardown),
 	};
 
--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -15,7 +15,7 @@
 #define ACCOUNTS_IN_FLIGHT 4 /* of a gateway */
 #define FLEET_BYTES_MAX 40000 /* of one window of a fleet of that size */
 
-static void test_a_record_survives_the_round_trip(void **state)
+static void test_record_round_trip(void **state)
 {
 	checkpoint_record_t *record = checkpoint_record_create();
 	checkpoint_record_t *read;
@@ -55,7 +55,7 @@
 }
 
 /* Guards against offsets of clocks that are no numbers, or beyond all reason. */
-static void test_offsets_of_no_sense_are_left_out(void **state)
+static void test_invalid_clock_offsets_are_ignored(void **state)
 {
 	pd_error_t err;
 	checkpoint_record_t *record = checkpoint_record_parse(
@@ -95,7 +95,7 @@
 	usage_merge(usage, &entry);
 }
 
-static void test_counts_survive_the_round_trip(void **state)
+static void test_counts_round_trip(void **state)
 {
 	usage_t *usage = usage_create("g0#1");
 	usage_t *read = usage_create("g0#2");
@@ -122,7 +122,7 @@
 }
 
 /* Guards against a checkpoint that fills the links of a fleet of hundreds. */
-static void test_counts_of_a_large_fleet_are_small(void **state)
+static void test_counts_of_large_fleet_are_small(void **state)
 {
 	usage_t *usage = usage_create("g0#1");
 	usage_inflight_t *inflight = usage_inflight_create();
@@ -146,7 +146,7 @@
 }
 
 /* Guards against requests in flight that take more of a link than the counts do. */
-static void test_flights_of_a_large_fleet_are_small(void **state)
+static void test_flights_of_large_fleet_are_small(void **state)
 {
 	usage_t *usage = usage_create("g0#1");
 	usage_inflight_t *inflight = usage_inflight_create();
@@ -176,7 +176,7 @@
 }
 
 /* Guards against a checkpoint of another program that ends service or is believed. */
-static void test_what_is_no_table_is_told_by_type(void **state)
+static void test_invalid_table_is_rejected(void **state)
 {
 	static const struct {
 		const char *text;
@@ -212,12 +212,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_record_survives_the_round_trip),
-		cmocka_unit_test(test_offsets_of_no_sense_are_left_out),
-		cmocka_unit_test(test_counts_survive_the_round_trip),
-		cmocka_unit_test(test_counts_of_a_large_fleet_are_small),
-		cmocka_unit_test(test_flights_of_a_large_fleet_are_small),
-		cmocka_unit_test(test_what_is_no_table_is_told_by_type),
+		cmocka_unit_test(test_record_round_trip),
+		cmocka_unit_test(test_invalid_clock_offsets_are_ignored),
+		cmocka_unit_test(test_counts_round_trip),
+		cmocka_unit_test(test_counts_of_large_fleet_are_small),
+		cmocka_unit_test(test_flights_of_large_fleet_are_small),
+		cmocka_unit_test(test_invalid_table_is_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_flight_pack.c
+++ b/tests/unit/test_flight_pack.c
@@ -24,7 +24,7 @@
 	return flight;
 }
 
-static void test_a_flight_survives_the_round_trip(void **state)
+static void test_flight_round_trip(void **state)
 {
 	usage_flight_t *flight = usage_flight_create(usage_start("g0#1"));
 	usage_flight_t *read;
@@ -59,7 +59,7 @@
 }
 
 /* Guards against times that overflow. */
-static void test_times_of_no_sense_are_bounded(void **state)
+static void test_out_of_range_times_are_clamped(void **state)
 {
 	usage_flight_t *read;
 	msgpack_sbuffer buffer;
@@ -79,7 +79,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-static void test_what_is_no_flight_is_none(void **state)
+static void test_malformed_flight_is_rejected(void **state)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
@@ -97,9 +97,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_flight_survives_the_round_trip),
-		cmocka_unit_test(test_times_of_no_sense_are_bounded),
-		cmocka_unit_test(test_what_is_no_flight_is_none),
+		cmocka_unit_test(test_flight_round_trip),
+		cmocka_unit_test(test_out_of_range_times_are_clamped),
+		cmocka_unit_test(test_malformed_flight_is_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_peer_loads.c
+++ b/tests/unit/test_peer_loads.c
@@ -138,7 +138,7 @@
  * VMs, and answers reach their callers late. The most loaded are named, the
  * others get the mean of the rest.
  */
-static void test_a_message_does_not_grow_with_the_fleet(void **state)
+static void test_message_size_is_bounded_in_large_fleet(void **state)
 {
 	fixture_t *aggregator = fixture_create(MANY);
 	fixture_t *node = fixture_create(MANY);
@@ -164,7 +164,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_own_requests_are_not_counted_twice),
-		cmocka_unit_test(test_a_message_does_not_grow_with_the_fleet),
+		cmocka_unit_test(test_message_size_is_bounded_in_large_fleet),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
