--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -15,18 +15,18 @@
 #include "adapters/log_glib.h"
 
 #define TIMEOUT_MS 10000 /* of a wait for a condition */
-#define FULL_STATE_MS \
+#define FULL_STATE_TIMEOUT_MS \
 	3200 /* twice its period; gateways are forgotten after 6 s */
 #define PAIR 2
 
 typedef struct pair {
 	uv_loop_t loop;
-	uv_timer_t pacer;
+	uv_timer_t wakeup_timer;
 	gateway_settings_t settings[PAIR];
 	gateway_t *gateways[PAIR];
 } pair_t;
 
-static void on_pace(uv_timer_t *timer)
+static void on_wakeup(uv_timer_t *timer)
 {
 	(void)timer;
 }
@@ -50,23 +50,24 @@
 	settings->stop_grace_s = 8;
 }
 
-static void turn(pair_t *pair)
+static void run_loop_once(pair_t *pair)
 {
 	uv_run(&pair->loop, UV_RUN_ONCE);
 }
 
 /* Turns the loop until a condition holds; fails the test after MS. */
-#define UNTIL_WITHIN(pair, condition, ms)                                \
+#define WAIT_UNTIL_WITHIN(pair, condition, ms)                           \
 	do {                                                             \
 		uint64_t end = uv_hrtime() / 1000000 + (ms);             \
 		while (!(condition) && uv_hrtime() / 1000000 < end)      \
-			turn(pair);                                      \
+			run_loop_once(pair);                             \
 		if (!(condition))                                        \
 			fail_msg("gave up waiting for: %s", #condition); \
 	} while (0)
 
 /* The same, with the usual timeout. */
-#define UNTIL(pair, condition) UNTIL_WITHIN(pair, condition, TIMEOUT_MS)
+#define WAIT_UNTIL(pair, condition) \
+	WAIT_UNTIL_WITHIN(pair, condition, TIMEOUT_MS)
 
 /* Starts both; the second has the first for its seed. */
 static int setup(void **state)
@@ -75,8 +76,8 @@
 	pd_error_t err;
 
 	uv_loop_init(&pair->loop);
-	uv_timer_init(&pair->loop, &pair->pacer);
-	uv_timer_start(&pair->pacer, on_pace, 1, 5);
+	uv_timer_init(&pair->loop, &pair->wakeup_timer);
+	uv_timer_start(&pair->wakeup_timer, on_wakeup, 1, 5);
 	for (unsigned int i = 0; i < PAIR; i++) {
 		fill_settings(&pair->settings[i], i);
 		if (i > 0)
@@ -91,8 +92,8 @@
 	return 0;
 }
 
-static void tell(gateway_t *gateway, const char *id, forward_stage_t stage,
-		 uint64_t revision)
+static void change_upstream(gateway_t *gateway, const char *id,
+			    forward_stage_t stage, uint64_t revision)
 {
 	const forward_listing_t listing = { .id = id,
 					    .service = "s",
@@ -107,22 +108,23 @@
 	gateway_upstream_news(gateway, id, "test");
 }
 
-static const forward_upstream_t *known(const gateway_t *gateway, const char *id)
+static const forward_upstream_t *find_upstream(const gateway_t *gateway,
+					       const char *id)
 {
 	return forward_upstreams_find(gateway->upstreams, id);
 }
 
-static void add_up(void *ctx, const char *account, uint64_t sum)
+static void add_to_sum(void *ctx, const char *account, uint64_t sum)
 {
 	(void)account;
 	*(uint64_t *)ctx += sum;
 }
 
-static uint64_t counted(const gateway_t *gateway, int64_t window)
+static uint64_t window_sum(const gateway_t *gateway, int64_t window)
 {
 	uint64_t sum = 0;
 
-	usage_sum(gateway->usage, window, add_up, &sum);
+	usage_sum(gateway->usage, window, add_to_sum, &sum);
 	return sum;
 }
 
@@ -136,8 +138,8 @@
 	pair_t *pair = *state;
 
 	usage_add(pair->gateways[1]->usage, 3, "mill");
-	assert_int_equal(counted(pair->gateways[1], 3), 1);
-	UNTIL(pair, counted(pair->gateways[1], 3) == 0);
+	assert_int_equal(window_sum(pair->gateways[1], 3), 1);
+	WAIT_UNTIL(pair, window_sum(pair->gateways[1], 3) == 0);
 }
 
 /*
@@ -150,11 +152,11 @@
 	pair_t *pair = *state;
 	const gateway_t *other = pair->gateways[1];
 
-	UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
-	tell(pair->gateways[0], "u1", FORWARD_SERVING, 5);
-	UNTIL(pair, known(other, "u1") != NULL);
-	assert_string_equal(known(other, "u1")->address, "10.0.0.9");
-	assert_int_equal(known(other, "u1")->revision, 5);
+	WAIT_UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
+	change_upstream(pair->gateways[0], "u1", FORWARD_SERVING, 5);
+	WAIT_UNTIL(pair, find_upstream(other, "u1") != NULL);
+	assert_string_equal(find_upstream(other, "u1")->address, "10.0.0.9");
+	assert_int_equal(find_upstream(other, "u1")->revision, 5);
 }
 
 /*
@@ -166,16 +168,16 @@
 	pair_t *pair = *state;
 	const gateway_t *other = pair->gateways[1];
 
-	UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
-	tell(pair->gateways[0], "u1", FORWARD_SERVING, 5);
-	UNTIL(pair, known(other, "u1") != NULL);
-	tell(pair->gateways[0], "u1", FORWARD_DRAINING, 6);
-	UNTIL(pair, known(other, "u1")->stage == FORWARD_DRAINING);
-	assert_false(forward_upstream_serves(known(other, "u1")));
+	WAIT_UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
+	change_upstream(pair->gateways[0], "u1", FORWARD_SERVING, 5);
+	WAIT_UNTIL(pair, find_upstream(other, "u1") != NULL);
+	change_upstream(pair->gateways[0], "u1", FORWARD_DRAINING, 6);
+	WAIT_UNTIL(pair, find_upstream(other, "u1")->stage == FORWARD_DRAINING);
+	assert_false(forward_upstream_serves(find_upstream(other, "u1")));
 }
 
 /* Has a gateway know a large fleet, in which it goes last. */
-static void know_many(gateway_t *gateway)
+static void add_high_ranked_peers(gateway_t *gateway)
 {
 	pd_time_t now = gateway_now();
 
@@ -198,13 +200,13 @@
 	gateway_peers_t *member = pair->gateways[0]->peers;
 	gateway_peers_t *leader = pair->gateways[1]->peers;
 
-	know_many(pair->gateways[0]);
-	know_many(pair->gateways[1]);
+	add_high_ranked_peers(pair->gateways[0]);
+	add_high_ranked_peers(pair->gateways[1]);
 	assert_null(peers_find(member, leader->address));
 	member->leader = g_strdup(leader->address);
 	member->leader_fence = 1;
-	UNTIL_WITHIN(pair, peers_find(leader, member->address)->heard_at,
-		     FULL_STATE_MS);
+	WAIT_UNTIL_WITHIN(pair, peers_find(leader, member->address)->heard_at,
+			  FULL_STATE_TIMEOUT_MS);
 }
 
 /* Guards against a former leader that does not stand as others go before it. */
@@ -213,7 +215,7 @@
 	pair_t *pair = *state;
 	gateway_t *gateway = pair->gateways[0];
 
-	know_many(gateway);
+	add_high_ranked_peers(gateway);
 	assert_false(gateway_duties_may_hold(gateway->duties));
 	gateway_duties_resume(gateway->duties);
 	assert_true(gateway_duties_may_hold(gateway->duties));
@@ -235,14 +237,14 @@
 					    .slots = 6,
 					    .revision = 7 };
 
-	UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
+	WAIT_UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
 	forward_upstreams_apply(pair->gateways[0]->upstreams, &listing);
-	UNTIL(pair, known(other, "u2") != NULL);
-	assert_string_equal(known(other, "u2")->address, "10.0.0.8");
+	WAIT_UNTIL(pair, find_upstream(other, "u2") != NULL);
+	assert_string_equal(find_upstream(other, "u2")->address, "10.0.0.8");
 }
 
 /* Has a gateway take the other's update of an upstream; returns the bytes it sent. */
-static uint64_t take_update(pair_t *pair, const char *id)
+static uint64_t deliver_update(pair_t *pair, const char *id)
 {
 	gateway_peers_t *from = pair->gateways[0]->peers;
 	gateway_peers_t *to = pair->gateways[1]->peers;
@@ -273,13 +275,13 @@
 					    .slots = 6,
 					    .revision = 8 };
 
-	UNTIL(pair, peers_view(pair->gateways[1]->peers, gateway_now())->alive ==
-			    PAIR);
+	WAIT_UNTIL(pair, peers_view(pair->gateways[1]->peers, gateway_now())->alive ==
+				 PAIR);
 	forward_upstreams_apply(pair->gateways[0]->upstreams, &listing);
-	assert_true(take_update(pair, "u3") > 0);
+	assert_true(deliver_update(pair, "u3") > 0);
 	/* Old questions are dropped now and then; this one is not old. */
 	pair->gateways[1]->peers->pending_fetches_pruned_at = 0;
-	assert_int_equal(take_update(pair, "u3"), 0);
+	assert_int_equal(deliver_update(pair, "u3"), 0);
 }
 
 int main(void)
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -14,27 +14,30 @@
 
 #define CALLS 24
 /* What may be lost is what was counted in this time before the kill. */
-#define COUNTS_AGE_MS 250
+#define COUNTS_MAX_AGE_MS 250
 #define REPORTS_TIMEOUT_MS 20000
 #define STARTS 10
 /* With the second until another keeps the record: less than until a dead peer no
  * longer counts as alive, three seconds. */
-#define WRITER_TOLD_MS 1000
-#define FIRST_WATCH_MS 150 /* a start has heard its peers by then */
-#define DOWN_MS 2500 /* some windows of the rig */
-#define ORDERS_WAIT_MS 500 /* less than the timeout of an order, 1.5 s */
-#define RESUME_MS 300 /* of up to 2 s until a start looks at the lease */
+#define WRITER_FAILOVER_MS 1000
+#define FIRST_WATCH_DELAY_MS 150 /* a start has heard its peers by then */
+#define DOWNTIME_MS 2500 /* some windows of the rig */
+#define ORDERS_OBSERVED_MS 500 /* less than the timeout of an order, 1.5 s */
+#define RESUME_TIMEOUT_MS \
+	300 /* of up to 2 s until a start looks at the lease */
 #define WINDOW_MS 1000 /* of the rig */
-#define SENT_MS 100 /* until counts are sent, or sooner */
-#define SETTLED_MS \
+#define COUNTS_SENT_MS 100 /* until counts are sent, or sooner */
+#define REPORT_LAG_MAX_MS \
 	4000 /* a report comes 2.2 s after its window, 5 s if it waits */
-#define FROZEN_MS 3000 /* beyond the moment at which the report does not wait */
-#define BOOTS_APART (3600 * PD_SEC)
-#define LEFTOVERS_MS 50 /* until a stand-in has read what the dead have sent */
-#define READ_MS 20 /* until a gateway has read a call for certain */
+#define SUSPENDED_MS \
+	3000 /* beyond the moment at which the report does not wait */
+#define BOOT_TIME_SHIFT (3600 * PD_SEC)
+#define SOCKET_DRAIN_MS \
+	50 /* until a stand-in has read what the dead have sent */
+#define CALL_READ_MS 20 /* until a gateway has read a call for certain */
 
 /* Counts what a gateway has logged, in all its starts so far. */
-static int times_logged(gateway_rig_t *rig, int number, const char *text)
+static int count_logged(gateway_rig_t *rig, int number, const char *text)
 {
 	char *log = NULL;
 	int times = 0;
@@ -54,16 +57,16 @@
 	memset(rig->peer_ports, 0, sizeof(rig->peer_ports));
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		rig_start(rig, i);
-		RIG_UNTIL(rig, times_logged(rig, i, "gateway: start") == starts);
+		RIG_UNTIL(rig, count_logged(rig, i, "gateway: start") == starts);
 		rig->peer_ports[i] = rig_port(rig, i, "peers");
 	}
 	for (int i = 0; i < RIG_GATEWAYS; i++)
 		RIG_UNTIL(rig, rig_is_ready(rig, i) &&
-				       times_logged(rig, i, "found=") >=
+				       count_logged(rig, i, "found=") >=
 					       starts * (RIG_GATEWAYS - 1));
 }
 
-static void pass(gateway_rig_t *rig, uint64_t ms)
+static void run_for(gateway_rig_t *rig, uint64_t ms)
 {
 	uint64_t end = uv_hrtime() / 1000000 + ms;
 
@@ -78,7 +81,7 @@
 		process_destroy(rig->gateways[i]);
 		rig->gateways[i] = NULL;
 	}
-	pass(rig, LEFTOVERS_MS);
+	run_for(rig, SOCKET_DRAIN_MS);
 }
 
 static int setup(void **state)
@@ -100,7 +103,7 @@
 }
 
 /* Makes calls at all gateways that run in turn, and waits for their answers. */
-static void make_calls(gateway_rig_t *rig)
+static void send_calls(gateway_rig_t *rig)
 {
 	for (int i = 0; i < CALLS; i++) {
 		int number = i % RIG_GATEWAYS;
@@ -122,8 +125,8 @@
 }
 
 /* Merges what is checkpointed of the usage. */
-static void read_counts(gateway_rig_t *rig, usage_t *usage,
-			usage_inflight_t *inflight)
+static void merge_checkpointed_counts(gateway_rig_t *rig, usage_t *usage,
+				      usage_inflight_t *inflight)
 {
 	const char *name;
 	json_t *object;
@@ -140,13 +143,13 @@
 }
 
 /* Returns how many calls are checkpointed in the store. */
-static json_int_t calls_recorded(gateway_rig_t *rig)
+static json_int_t calls_checkpointed(gateway_rig_t *rig)
 {
 	usage_t *usage = usage_create("reader#1");
 	usage_inflight_t *inflight = usage_inflight_create();
 	json_int_t sum = 0;
 
-	read_counts(rig, usage, inflight);
+	merge_checkpointed_counts(rig, usage, inflight);
 	usage_each(usage, 0, add_entry, &sum);
 	usage_destroy(usage);
 	usage_inflight_destroy(inflight);
@@ -184,16 +187,16 @@
 /* Kills all gateways a twentieth of a window of 5 s after their last answer. */
 static void serve_and_kill_all(gateway_rig_t *rig)
 {
-	make_calls(rig);
-	pass(rig, COUNTS_AGE_MS);
+	send_calls(rig);
+	run_for(rig, COUNTS_MAX_AGE_MS);
 	kill_all(rig);
 }
 
 /* Returns a gateway that does not lead, while another does; -1: none leads. */
-static int follower_of(gateway_rig_t *rig)
+static int find_follower(gateway_rig_t *rig)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
-		if (times_logged(rig, i, "duties: holder=self"))
+		if (count_logged(rig, i, "duties: holder=self"))
 			return (i + 1) % RIG_GATEWAYS;
 	}
 	return -1;
@@ -211,7 +214,7 @@
 }
 
 /* Waits until all calls are reported, each once. */
-static void await_reports(gateway_rig_t *rig)
+static void wait_for_reports(gateway_rig_t *rig)
 {
 	RIG_UNTIL_WITHIN(rig, calls_reported(rig) >= CALLS, REPORTS_TIMEOUT_MS);
 	assert_int_equal(calls_reported(rig), CALLS);
@@ -232,19 +235,20 @@
 	int number;
 	rig_caller_t *caller;
 
-	RIG_UNTIL_WITHIN(rig, rig->usage->len > 0 && report_lag(rig) < SETTLED_MS,
+	RIG_UNTIL_WITHIN(rig,
+			 rig->usage->len > 0 && report_lag(rig) < REPORT_LAG_MAX_MS,
 			 REPORTS_TIMEOUT_MS);
-	number = follower_of(rig);
+	number = find_follower(rig);
 	assert_true(number >= 0);
 	RIG_UNTIL(rig, window_has_begun(rig));
 	caller = rig_call_at(rig, number, "POST", "/safe/x", "c0");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
-	pass(rig, SENT_MS);
+	run_for(rig, COUNTS_SENT_MS);
 	process_signal(rig->gateways[number], SIGSTOP);
-	pass(rig, FROZEN_MS);
+	run_for(rig, SUSPENDED_MS);
 	before = rig->usage->len;
-	pass(rig, WINDOW_MS);
+	run_for(rig, WINDOW_MS);
 	assert_int_equal(rig->usage->len, before);
 	process_signal(rig->gateways[number], SIGCONT);
 	RIG_UNTIL(rig, rig->usage->len > before);
@@ -258,9 +262,9 @@
 
 	serve_and_kill_all(rig);
 	start_all(rig, 2);
-	await_reports(rig);
+	wait_for_reports(rig);
 	/* No later report may count them again. */
-	pass(rig, 2000);
+	run_for(rig, 2000);
 	assert_int_equal(calls_reported(rig), CALLS);
 }
 
@@ -278,7 +282,7 @@
 	usage_inflight_t *inflight = usage_inflight_create();
 	uint64_t sum = 0;
 
-	read_counts(rig, usage, inflight);
+	merge_checkpointed_counts(rig, usage, inflight);
 	usage_inflight_each(inflight, 0, add_expected, &sum);
 	usage_destroy(usage);
 	usage_inflight_destroy(inflight);
@@ -286,11 +290,11 @@
 }
 
 /* Adds a flight as if its VM had lost power since. */
-static void add_rebooted(void *ctx, const usage_flight_t *flight)
+static void add_with_earlier_boot(void *ctx, const usage_flight_t *flight)
 {
 	usage_flight_t *moved = usage_flight_create(flight->start);
 
-	moved->booted = flight->booted - BOOTS_APART;
+	moved->booted = flight->booted - BOOT_TIME_SHIFT;
 	moved->begun = flight->begun;
 	moved->told = flight->told;
 	moved->window = flight->window;
@@ -304,15 +308,15 @@
 }
 
 /* Has the checkpoint say that the VMs of all starts have lost power since. */
-static void lose_power(gateway_rig_t *rig)
+static void simulate_power_loss(gateway_rig_t *rig)
 {
 	usage_t *usage = usage_create("reader#1");
 	usage_inflight_t *inflight = usage_inflight_create();
 	usage_inflight_t *moved = usage_inflight_create();
 	char *text;
 
-	read_counts(rig, usage, inflight);
-	usage_inflight_each(inflight, 0, add_rebooted, moved);
+	merge_checkpointed_counts(rig, usage, inflight);
+	usage_inflight_each(inflight, 0, add_with_earlier_boot, moved);
 	text = usage_table_encode(usage, moved, 0);
 	rig_remove(rig, "counts", "slot-1");
 	rig_put(rig, "counts", "slot-0", text);
@@ -341,7 +345,7 @@
 	gateway_rig_t *rig = *state;
 
 	kill_all_with_a_call_in_flight(rig);
-	lose_power(rig);
+	simulate_power_loss(rig);
 	start_all(rig, 2);
 	RIG_UNTIL_WITHIN(rig, calls_reported(rig) > 0, REPORTS_TIMEOUT_MS);
 	assert_int_equal(calls_reported(rig), 1);
@@ -357,7 +361,7 @@
 	start_all(rig, 2);
 	before = rig->usage->len;
 	RIG_UNTIL_WITHIN(rig, rig->usage->len > before + 2, REPORTS_TIMEOUT_MS);
-	pass(rig, 2000);
+	run_for(rig, 2000);
 	assert_int_equal(calls_reported(rig), 0);
 }
 
@@ -367,9 +371,9 @@
 	gateway_rig_t *rig = *state;
 
 	serve_and_kill_all(rig);
-	pass(rig, DOWN_MS);
+	run_for(rig, DOWNTIME_MS);
 	start_all(rig, 2);
-	await_reports(rig);
+	wait_for_reports(rig);
 }
 
 /* Guards against counts that a second kill loses before their report. */
@@ -381,11 +385,11 @@
 	start_all(rig, 2);
 	kill_all(rig);
 	start_all(rig, 3);
-	await_reports(rig);
+	wait_for_reports(rig);
 }
 
 /* Returns a gateway that writes a slot of the checkpoint; -1: none says so. */
-static int writer_of(gateway_rig_t *rig, int slot)
+static int find_writer(gateway_rig_t *rig, int slot)
 {
 	char *now = g_strdup_printf("checkpoint: slot=%d ", slot);
 	char *before = g_strdup_printf(" before=%d\n", slot);
@@ -393,7 +397,7 @@
 
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		if (rig->gateways[i] &&
-		    times_logged(rig, i, now) > times_logged(rig, i, before))
+		    count_logged(rig, i, now) > count_logged(rig, i, before))
 			writer = i;
 	}
 	g_free(now);
@@ -407,11 +411,11 @@
 	gateway_rig_t *rig = *state;
 	int number = -1;
 
-	RIG_UNTIL(rig, (number = writer_of(rig, 0)) >= 0);
+	RIG_UNTIL(rig, (number = find_writer(rig, 0)) >= 0);
 	process_destroy(rig->gateways[number]);
 	rig->gateways[number] = NULL;
-	make_calls(rig);
-	RIG_UNTIL_WITHIN(rig, calls_recorded(rig) == CALLS, WRITER_TOLD_MS);
+	send_calls(rig);
+	RIG_UNTIL_WITHIN(rig, calls_checkpointed(rig) == CALLS, WRITER_FAILOVER_MS);
 }
 
 /* Guards against counts that wait for the answer to a write before them. */
@@ -420,14 +424,15 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	RIG_UNTIL(rig, writer_of(rig, 0) >= 0);
+	RIG_UNTIL(rig, find_writer(rig, 0) >= 0);
 	rig->answers_lost = 2;
 	caller = rig_call_at(rig, 0, "POST", "/safe/x", "first");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
 	RIG_UNTIL(rig, rig->answers_lost == 0);
-	make_calls(rig);
-	RIG_UNTIL_WITHIN(rig, calls_recorded(rig) == CALLS + 1, WRITER_TOLD_MS);
+	send_calls(rig);
+	RIG_UNTIL_WITHIN(rig, calls_checkpointed(rig) == CALLS + 1,
+			 WRITER_FAILOVER_MS);
 }
 
 /* Guards against refusals while a start has not read the configuration yet. */
@@ -442,9 +447,9 @@
 
 		rig_remove(rig, "config", "main");
 		rig_start(rig, 0);
-		RIG_UNTIL(rig, times_logged(rig, 0, "gateway: start") == i + 2);
+		RIG_UNTIL(rig, count_logged(rig, 0, "gateway: start") == i + 2);
 		caller = rig_call_at(rig, 0, "POST", "/safe/x", "c1");
-		pass(rig, READ_MS);
+		run_for(rig, CALL_READ_MS);
 		rig_put_config(rig, i + 2, "");
 		RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 "));
 		served = rig_heard(caller, "HTTP/1.1 200");
@@ -464,7 +469,7 @@
 	kill_all(rig);
 	rig->first_page_only = true;
 	rig_start(rig, 0);
-	RIG_UNTIL(rig, times_logged(rig, 0, "gateway: start") == 2);
+	RIG_UNTIL(rig, count_logged(rig, 0, "gateway: start") == 2);
 	caller = rig_call_at(rig, 0, "POST", "/safe/x", "c1");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 "));
 	assert_true(rig_heard(caller, "HTTP/1.1 200"));
@@ -482,7 +487,7 @@
 	rig->watched_ms = 0;
 	rig_start(rig, 0);
 	RIG_UNTIL(rig, rig->listed_ms && rig->watched_ms);
-	assert_true(rig->watched_ms - rig->listed_ms >= FIRST_WATCH_MS);
+	assert_true(rig->watched_ms - rig->listed_ms >= FIRST_WATCH_DELAY_MS);
 }
 
 /* Guards against a clock that is off and taken for right after a kill of all. */
@@ -494,8 +499,8 @@
 	rig_put(rig, "records", "slot-0",
 		"{\"gateways\":1,\"accounts\":{},\"clocks\":{\"g0\":-25}}");
 	rig_start(rig, 0);
-	RIG_UNTIL(rig, times_logged(rig, 0, " fleet_step_ms=") &&
-			       times_logged(rig, 0, " own_off_ms=-2500\n") == 2);
+	RIG_UNTIL(rig, count_logged(rig, 0, " fleet_step_ms=") &&
+			       count_logged(rig, 0, " own_off_ms=-2500\n") == 2);
 }
 
 static bool has_object(gateway_rig_t *rig, const char *kind, const char *name)
@@ -514,8 +519,9 @@
 		"{\"gateways\":1,\"accounts\":{},\"leader\":\"g0\"}");
 	rig_remove(rig, "leases", "duties");
 	rig_start(rig, 0);
-	RIG_UNTIL(rig, times_logged(rig, 0, "duties: resume") == 1);
-	RIG_UNTIL_WITHIN(rig, has_object(rig, "leases", "duties"), RESUME_MS);
+	RIG_UNTIL(rig, count_logged(rig, 0, "duties: resume") == 1);
+	RIG_UNTIL_WITHIN(rig, has_object(rig, "leases", "duties"),
+			 RESUME_TIMEOUT_MS);
 }
 
 /* Returns the leader that a record of the checkpoint names, borrowed, or NULL. */
@@ -534,13 +540,13 @@
 
 	RIG_UNTIL_WITHIN(rig, rig->usage->len > 0, REPORTS_TIMEOUT_MS);
 	kill_all(rig);
-	pass(rig, DOWN_MS);
+	run_for(rig, DOWNTIME_MS);
 	start_all(rig, 2);
 	RIG_UNTIL_WITHIN(rig,
-			 times_logged(rig, 0, "usage gap window=") +
-					 times_logged(rig, 1, "usage gap window=") +
-					 times_logged(rig, 2, "usage gap window=") >=
-				 DOWN_MS / WINDOW_MS,
+			 count_logged(rig, 0, "usage gap window=") +
+					 count_logged(rig, 1, "usage gap window=") +
+					 count_logged(rig, 2, "usage gap window=") >=
+				 DOWNTIME_MS / WINDOW_MS,
 			 REPORTS_TIMEOUT_MS);
 }
 
@@ -587,7 +593,7 @@
 	rig->orders_unanswered = true;
 	rig_start(rig, 0);
 	RIG_UNTIL(rig, rig->orders->len > 0);
-	pass(rig, ORDERS_WAIT_MS);
+	run_for(rig, ORDERS_OBSERVED_MS);
 	assert_int_equal(on_demand_orders(rig), 0);
 	rig->orders_unanswered = false;
 	RIG_UNTIL(rig, on_demand_orders(rig) > 0);
@@ -602,7 +608,7 @@
 
 	kill_all(rig);
 	rig_start(rig, 0);
-	RIG_UNTIL(rig, times_logged(rig, 0, "gateway: start") == 2);
+	RIG_UNTIL(rig, count_logged(rig, 0, "gateway: start") == 2);
 	RIG_UNTIL(rig, rig_is_ready(rig, 0));
 	before = rig->usage->len;
 	RIG_UNTIL(rig, rig->usage->len > before);
@@ -611,7 +617,7 @@
 	caller = rig_call_at(rig, 0, "POST", "/unsafe/x", "c1");
 	RIG_UNTIL(rig, rig->upstreams[0].arrivals + rig->upstreams[1].arrivals);
 	process_signal(rig->gateways[0], SIGTERM);
-	RIG_UNTIL(rig, times_logged(rig, 0, "gateway: stop grace_s"));
+	RIG_UNTIL(rig, count_logged(rig, 0, "gateway: stop grace_s"));
 	before = rig->usage->len;
 	RIG_UNTIL(rig, rig->usage->len > before || process_ended(rig->gateways[0]));
 	assert_true(rig->usage->len > before);
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -52,7 +52,7 @@
 	"{\"holder\":\"g\",\"fence\":2,\"note\":\"5 {}\"}}";
 
 /* A gateway that listens on loopback and whose loop is not run. */
-static gateway_t *gateway_idle()
+static gateway_t *create_idle_gateway()
 {
 	static gateway_settings_t settings;
 	char any[] = "127.0.0.1:0";
@@ -75,7 +75,7 @@
 }
 
 /* Gives the gateway something to tell, so that its messages have all parts. */
-static void gateway_fill(gateway_t *gateway)
+static void fill_gateway(gateway_t *gateway)
 {
 	gateway_take_config(gateway, config_text, "test");
 	for (unsigned int i = 0; i < 4; i++) {
@@ -361,10 +361,10 @@
 	bool ok = true;
 
 	log_init("error");
-	gateway = gateway_idle();
+	gateway = create_idle_gateway();
 	if (!gateway)
 		return 1;
-	gateway_fill(gateway);
+	fill_gateway(gateway);
 	ok &= prop_peers(gateway);
 	ok &= prop_config();
 	ok &= prop_pages();
--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -10,7 +10,7 @@
 #include "adapters/gateway/checkpoint_record.h"
 #include "adapters/gateway/usage_table.h"
 
-#define STARTS 300
+#define INCARNATIONS 300
 #define ACCOUNTS 40
 #define ACCOUNTS_IN_FLIGHT 4 /* of a gateway */
 #define FLEET_BYTES_MAX 40000 /* of one window of a fleet of that size */
@@ -73,22 +73,22 @@
 	checkpoint_record_destroy(record);
 }
 
-static void add_up(void *ctx, const char *account, uint64_t sum)
+static void add_to_sum(void *ctx, const char *account, uint64_t sum)
 {
 	(void)account;
 	*(uint64_t *)ctx += sum;
 }
 
-static uint64_t sum_of(const usage_t *usage, int64_t window)
+static uint64_t window_sum(const usage_t *usage, int64_t window)
 {
 	uint64_t sum = 0;
 
-	usage_sum(usage, window, add_up, &sum);
+	usage_sum(usage, window, add_to_sum, &sum);
 	return sum;
 }
 
-static void merge(usage_t *usage, int64_t window, uint64_t start,
-		  const char *account, uint64_t count)
+static void merge_count(usage_t *usage, int64_t window, uint64_t start,
+			const char *account, uint64_t count)
 {
 	const usage_entry_t entry = { window, start, account, count };
 
@@ -105,16 +105,16 @@
 
 	(void)state;
 	usage_add(usage, 7, "mill");
-	merge(usage, 7, UINT64_MAX, "mill", 1000);
-	merge(usage, 7, 5, "gin \"\\", 20);
-	merge(usage, 8, 5, "gin \"\\", 3);
-	merge(usage, 6, 5, "mill", 9);
+	merge_count(usage, 7, UINT64_MAX, "mill", 1000);
+	merge_count(usage, 7, 5, "gin \"\\", 20);
+	merge_count(usage, 8, 5, "gin \"\\", 3);
+	merge_count(usage, 6, 5, "mill", 9);
 	text = usage_table_encode(usage, inflight, 7);
 	assert_int_equal(usage_table_merge(text, read, inflight, &err), 0);
 	assert_int_equal(usage_table_merge(text, read, inflight, &err), 0);
-	assert_int_equal(sum_of(read, 7), 1021);
-	assert_int_equal(sum_of(read, 8), 3);
-	assert_int_equal(sum_of(read, 6), 0);
+	assert_int_equal(window_sum(read, 7), 1021);
+	assert_int_equal(window_sum(read, 8), 3);
+	assert_int_equal(window_sum(read, 6), 0);
 	g_free(text);
 	usage_destroy(usage);
 	usage_destroy(read);
@@ -129,13 +129,13 @@
 	char *text;
 
 	(void)state;
-	for (uint64_t start = 0; start < STARTS; start++) {
+	for (uint64_t start = 0; start < INCARNATIONS; start++) {
 		for (uint64_t i = 0; i < ACCOUNTS; i += 2) {
 			char account[16];
 
 			g_snprintf(account, sizeof(account), "account-%u",
 				   (unsigned int)i);
-			merge(usage, 353445120, start << 40, account, 2);
+			merge_count(usage, 353445120, start << 40, account, 2);
 		}
 	}
 	text = usage_table_encode(usage, inflight, 0);
@@ -153,7 +153,7 @@
 	char *text;
 
 	(void)state;
-	for (uint64_t start = 0; start < STARTS; start++) {
+	for (uint64_t start = 0; start < INCARNATIONS; start++) {
 		usage_flight_t *flight = usage_flight_create(start << 40);
 
 		flight->booted = 1772338322000 * PD_MSEC;
--- a/tests/unit/test_flight_pack.c
+++ b/tests/unit/test_flight_pack.c
@@ -9,7 +9,7 @@
 #include "adapters/gateway/flight_pack.h"
 
 /* Reads what was packed; NULL: it is nothing that is in flight. */
-static usage_flight_t *read_packed(const msgpack_sbuffer *buffer)
+static usage_flight_t *unpack_flight(const msgpack_sbuffer *buffer)
 {
 	usage_flight_t *flight;
 	msgpack_unpacked unpacked;
@@ -41,7 +41,7 @@
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	flight_pack(&packer, flight);
-	read = read_packed(&buffer);
+	read = unpack_flight(&buffer);
 	assert_non_null(read);
 	assert_true(read->start == flight->start);
 	assert_int_equal(read->booted, flight->booted);
@@ -71,7 +71,7 @@
 	msgpack_pack_array(&packer, 5);
 	for (int i = 0; i < 5; i++)
 		msgpack_pack_uint64(&packer, UINT64_MAX);
-	read = read_packed(&buffer);
+	read = unpack_flight(&buffer);
 	assert_non_null(read);
 	assert_true(read->booted > 0 && read->booted <= (pd_time_t)PD_TIME_MAX);
 	assert_true(read->told > 0 && read->told <= (pd_time_t)PD_TIME_MAX);
@@ -90,7 +90,7 @@
 	msgpack_pack_array(&packer, 4);
 	for (int i = 0; i < 4; i++)
 		msgpack_pack_nil(&packer);
-	assert_null(read_packed(&buffer));
+	assert_null(unpack_flight(&buffer));
 	msgpack_sbuffer_destroy(&buffer);
 }
 
--- a/tests/unit/test_peer_loads.c
+++ b/tests/unit/test_peer_loads.c
@@ -10,9 +10,9 @@
 #include "adapters/gateway/peer_state.h"
 
 #define START (1000 * PD_SEC)
-#define FEW 20
-#define MANY 1000
-#define MESSAGE_MAX 2048 /* bytes */
+#define UPSTREAMS_FEW 20
+#define UPSTREAMS_MANY 1000
+#define MESSAGE_BYTES_MAX 2048 /* bytes */
 
 /* A gateway of which only the table of upstreams and the loads are used. */
 typedef struct fixture {
@@ -74,7 +74,7 @@
 }
 
 /* Has one gateway tell the other all loads; returns the message's size. */
-static size_t tell_all(fixture_t *from, fixture_t *to)
+static size_t send_summed_loads(fixture_t *from, fixture_t *to)
 {
 	msgpack_sbuffer buffer;
 	msgpack_unpacked unpacked;
@@ -95,7 +95,7 @@
 }
 
 /* Has a gateway note what it told last of its own requests. */
-static void tell_own(fixture_t *fixture)
+static void send_own_loads(fixture_t *fixture)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
@@ -113,8 +113,8 @@
  */
 static void test_own_requests_are_not_counted_twice(void **state)
 {
-	fixture_t *aggregator = fixture_create(FEW);
-	fixture_t *node = fixture_create(FEW);
+	fixture_t *aggregator = fixture_create(UPSTREAMS_FEW);
+	fixture_t *node = fixture_create(UPSTREAMS_FEW);
 
 	(void)state;
 	upstream_at(aggregator, 3)->running = 2;
@@ -122,12 +122,12 @@
 	upstream_at(aggregator, 3)->peers_reading = 6400;
 	upstream_at(node, 3)->running = 1;
 	upstream_at(node, 3)->reading = 640;
-	tell_own(node);
-	tell_all(aggregator, node);
+	send_own_loads(node);
+	send_summed_loads(aggregator, node);
 	assert_int_equal(upstream_at(node, 3)->peers_running, 4);
 	assert_int_equal((int)upstream_at(node, 3)->peers_reading, 5760);
 	assert_int_equal(upstream_at(node, 4)->peers_running, 0);
-	tell_all(aggregator, node);
+	send_summed_loads(aggregator, node);
 	assert_int_equal(upstream_at(node, 3)->peers_running, 4);
 	fixture_destroy(aggregator);
 	fixture_destroy(node);
@@ -140,22 +140,23 @@
  */
 static void test_message_size_is_bounded_in_large_fleet(void **state)
 {
-	fixture_t *aggregator = fixture_create(MANY);
-	fixture_t *node = fixture_create(MANY);
+	fixture_t *aggregator = fixture_create(UPSTREAMS_MANY);
+	fixture_t *node = fixture_create(UPSTREAMS_MANY);
 	size_t size;
 
 	(void)state;
-	for (unsigned int i = 0; i < MANY; i++) {
+	for (unsigned int i = 0; i < UPSTREAMS_MANY; i++) {
 		upstream_at(aggregator, i)->peers_running =
 			i < LOADS_LISTED_MAX ? 12 : 3;
 		upstream_at(aggregator, i)->peers_reading =
 			i < LOADS_LISTED_MAX ? 20000 : 1000;
 	}
-	size = tell_all(aggregator, node);
-	assert_true(size < MESSAGE_MAX);
+	size = send_summed_loads(aggregator, node);
+	assert_true(size < MESSAGE_BYTES_MAX);
 	assert_int_equal(upstream_at(node, 5)->peers_running, 12);
-	assert_int_equal(upstream_at(node, MANY - 1)->peers_running, 3);
-	assert_int_equal((int)upstream_at(node, MANY - 1)->peers_reading, 1000);
+	assert_int_equal(upstream_at(node, UPSTREAMS_MANY - 1)->peers_running, 3);
+	assert_int_equal((int)upstream_at(node, UPSTREAMS_MANY - 1)->peers_reading,
+			 1000);
 	fixture_destroy(aggregator);
 	fixture_destroy(node);
 }
