--- a/adapters/gateway/flight_pack.c
+++ b/adapters/gateway/inflight_pack.c
@@ -1,5 +1,5 @@
 /* Requests in flight as msgpack, and back. */
-#include "adapters/gateway/flight_pack.h"
+#include "adapters/gateway/inflight_pack.h"
 
 #include "adapters/msgpack_fields.h"
 #include "adapters/msgpack_write.h"
@@ -13,16 +13,16 @@
 }
 
 /* Packs what a start has in flight. */
-void flight_pack(msgpack_packer *packer, const usage_flight_t *flight)
+void inflight_pack(msgpack_packer *packer, const usage_flight_t *snapshot)
 {
-	const GArray *expected = flight->expected;
+	const GArray *expected = snapshot->expected;
 
 	msgpack_pack_array(packer, HEADER_FIELDS + CELL_FIELDS * expected->len);
-	msgpack_pack_uint64(packer, flight->start);
-	pack_time(packer, flight->booted);
-	pack_time(packer, flight->begun);
-	pack_time(packer, flight->told);
-	msgpack_pack_int64(packer, flight->window);
+	msgpack_pack_uint64(packer, snapshot->start);
+	pack_time(packer, snapshot->booted);
+	pack_time(packer, snapshot->begun);
+	pack_time(packer, snapshot->told);
+	msgpack_pack_int64(packer, snapshot->window);
 	for (guint i = 0; i < expected->len; i++) {
 		const usage_expected_t *cell =
 			&g_array_index(expected, usage_expected_t, i);
@@ -33,27 +33,27 @@
 }
 
 /* Returns what a start has in flight, owned by the caller; NULL: it is none. */
-usage_flight_t *flight_unpack(const msgpack_object *object)
+usage_flight_t *inflight_unpack(const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *fields =
 		msgpack_field_items(object, HEADER_FIELDS, &count);
-	usage_flight_t *flight;
+	usage_flight_t *snapshot;
 
 	if (!fields)
 		return NULL;
-	flight = usage_flight_create(msgpack_field_number(&fields[0]));
-	flight->booted = pd_time_of_ms(msgpack_field_number(&fields[1]));
-	flight->begun = pd_time_of_ms(msgpack_field_number(&fields[2]));
-	flight->told = pd_time_of_ms(msgpack_field_number(&fields[3]));
-	flight->window = (int64_t)msgpack_field_number(&fields[4]);
+	snapshot = usage_flight_create(msgpack_field_number(&fields[0]));
+	snapshot->booted = pd_time_of_ms(msgpack_field_number(&fields[1]));
+	snapshot->begun = pd_time_of_ms(msgpack_field_number(&fields[2]));
+	snapshot->told = pd_time_of_ms(msgpack_field_number(&fields[3]));
+	snapshot->window = (int64_t)msgpack_field_number(&fields[4]);
 	for (uint32_t i = HEADER_FIELDS; i + 1 < count; i += CELL_FIELDS) {
 		char *account = msgpack_field_text(&fields[i]);
 
 		if (account)
-			usage_flight_add(flight, account,
+			usage_flight_add(snapshot, account,
 					 msgpack_field_number(&fields[i + 1]));
 		g_free(account);
 	}
-	return flight;
+	return snapshot;
 }
--- a/adapters/gateway/flight_pack.h
+++ b/adapters/gateway/inflight_pack.h
@@ -2,14 +2,14 @@
  * What a start has in flight as msgpack, in messages and in the checkpoint:
  * [start, booted, begun, told, window, account, count, account, count...], times in ms.
  */
-#ifndef PISTACHIO_GATEWAY_FLIGHT_PACK_H
-#define PISTACHIO_GATEWAY_FLIGHT_PACK_H
+#ifndef PISTACHIO_GATEWAY_INFLIGHT_PACK_H
+#define PISTACHIO_GATEWAY_INFLIGHT_PACK_H
 
 #include <msgpack.h>
 
 #include "core/forward/usage_inflight.h"
 
-void flight_pack(msgpack_packer *packer, const usage_flight_t *flight);
-usage_flight_t *flight_unpack(const msgpack_object *object);
+void inflight_pack(msgpack_packer *packer, const usage_flight_t *snapshot);
+usage_flight_t *inflight_unpack(const msgpack_object *object);
 
 #endif
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -1,6 +1,6 @@
 /* Composes the messages between gateways. */
 #include "adapters/gateway/fleet_feed.h"
-#include "adapters/gateway/flight_pack.h"
+#include "adapters/gateway/inflight_pack.h"
 #include "adapters/gateway/peer_state.h"
 #include "adapters/gateway/request_flight.h"
 #include "adapters/msgpack_write.h"
@@ -198,8 +198,9 @@
  */
 unsigned int peers_pack_counts(msgpack_sbuffer *buffer, gateway_peers_t *peers)
 {
-	bool flight_is_new = peers_flight_is_unsent(peers);
-	const usage_flight_t *flight = gateway_requests_note_flight(peers->gateway);
+	bool snapshot_is_new = peers_snapshot_is_unsent(peers);
+	const usage_flight_t *snapshot =
+		gateway_requests_note_flight(peers->gateway);
 	list_writer_t usage;
 	list_writer_t uses;
 	msgpack_packer packer;
@@ -216,12 +217,12 @@
 	msgpack_write_text(&packer, peers->incarnation);
 	list_writer_end(&usage, buffer, &packer);
 	list_writer_end(&uses, buffer, &packer);
-	if (flight)
-		flight_pack(&packer, flight);
+	if (snapshot)
+		inflight_pack(&packer, snapshot);
 	else
 		msgpack_pack_nil(&packer);
-	peers->flight_sent_at = flight ? flight->told : 0;
-	return usage.count + uses.count + flight_is_new;
+	peers->snapshot_sent_at = snapshot ? snapshot->told : 0;
+	return usage.count + uses.count + snapshot_is_new;
 }
 
 static void pack_member(msgpack_packer *packer, const peer_t *peer)
--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -149,7 +149,7 @@
 	pd_time_t next_full_state_at; /* when members and usage are told next */
 	pd_time_t next_limit_uses_at; /* when the use of limits is sent next to the writers */
 	pd_time_t counts_sent_at; /* when they were sent counts last; 0: never */
-	pd_time_t flight_sent_at; /* when what they were sent last was in flight */
+	pd_time_t snapshot_sent_at; /* when what they were sent last was in flight */
 	char *counts_receivers[CHECKPOINT_SLOTS]; /* who those were last; NULL: none */
 	pd_time_t counts_received_at; /* when others' counts came last; 0: never */
 	bool levels_adopted; /* levels of buckets, from an older peer */
@@ -200,7 +200,7 @@
 			const peer_t *receiver, bool full);
 void peers_send_state(gateway_peers_t *peers, peer_t *peer, bool asks, bool full);
 void peers_send_summary(gateway_peers_t *peers, peer_t *peer, bool full);
-bool peers_flight_is_unsent(const gateway_peers_t *peers);
+bool peers_snapshot_is_unsent(const gateway_peers_t *peers);
 unsigned int peers_pack_counts(msgpack_sbuffer *buffer, gateway_peers_t *peers);
 void peers_send_fetch(gateway_peers_t *peers, peer_t *peer, unsigned int what);
 void peers_send_fetch_by_id_hash(gateway_peers_t *peers, peer_t *peer,
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -1,7 +1,7 @@
 /* Takes in the messages of other gateways. */
 #include <string.h>
 
-#include "adapters/gateway/flight_pack.h"
+#include "adapters/gateway/inflight_pack.h"
 #include "adapters/gateway/gateway.h"
 #include "adapters/gateway/peer_state.h"
 #include "adapters/log_glib.h"
@@ -633,12 +633,12 @@
 	return 0;
 }
 
-static void merge_flight(gateway_t *gateway, const msgpack_object *object)
+static void merge_inflight(gateway_t *gateway, const msgpack_object *object)
 {
-	usage_flight_t *flight = flight_unpack(object);
+	usage_flight_t *snapshot = inflight_unpack(object);
 
-	if (flight)
-		usage_inflight_take(gateway->inflight, flight);
+	if (snapshot)
+		usage_inflight_take(gateway->inflight, snapshot);
 }
 
 static int handle_counts(gateway_peers_t *peers, const msgpack_object *fields)
@@ -650,7 +650,7 @@
 
 	if (who)
 		merge_usage(peers->gateway, who, &fields[3]);
-	merge_flight(peers->gateway, &fields[5]);
+	merge_inflight(peers->gateway, &fields[5]);
 	peers->counts_received_at = gateway_now();
 	/* What it had used before it was first heard comes with its state. */
 	if (peer && who && !g_strcmp0(peer->incarnation, who) && !peers->aggregator)
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -143,7 +143,7 @@
 static void resend_counts(gateway_peers_t *peers)
 {
 	usage_resend(peers->gateway->usage);
-	peers->flight_sent_at = 0;
+	peers->snapshot_sent_at = 0;
 }
 
 /* Notes that frames to a peer may be lost, and that it may have died. */
@@ -425,15 +425,15 @@
 }
 
 /* Returns whether the writers don't know what this gateway has in flight. */
-bool peers_flight_is_unsent(const gateway_peers_t *peers)
+bool peers_snapshot_is_unsent(const gateway_peers_t *peers)
 {
 	const gateway_t *gateway = peers->gateway;
-	const usage_flight_t *flight =
+	const usage_flight_t *snapshot =
 		usage_inflight_find(gateway->inflight,
 				    usage_own_start(gateway->usage));
 
 	return gateway->flight_changed ||
-	       (flight && flight->told > peers->flight_sent_at);
+	       (snapshot && snapshot->told > peers->snapshot_sent_at);
 }
 
 /* Counts that have changed are sent at once, unless others have just been sent. */
@@ -442,7 +442,7 @@
 	if (now >= peers->next_limit_uses_at)
 		return true;
 	return (usage_has_unsent(peers->gateway->usage) ||
-		peers_flight_is_unsent(peers)) &&
+		peers_snapshot_is_unsent(peers)) &&
 	       now - peers->counts_sent_at >=
 		       gateway_peers_counts_period(peers, now);
 }
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -5,7 +5,7 @@
  *
  * {"format": 1, "counts": base64 of msgpack [accounts, row, row...], "in_flight": base64
  * of msgpack [flight, flight...]}, where a row is [window, start, place of an account, its
- * count, place, count...] and flight_pack.h has a flight.
+ * count, place, count...] and inflight_pack.h has a flight.
  */
 #include "adapters/gateway/usage_table.h"
 
@@ -13,7 +13,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "adapters/gateway/flight_pack.h"
+#include "adapters/gateway/inflight_pack.h"
 #include "adapters/json.h"
 #include "adapters/msgpack_check.h"
 #include "adapters/msgpack_fields.h"
@@ -108,23 +108,23 @@
 	return buffer_encode(&buffer);
 }
 
-static void add_flight(void *ctx, const usage_flight_t *flight)
+static void add_snapshot(void *ctx, const usage_flight_t *snapshot)
 {
 	list_writer_t *writer = ctx;
 
 	writer->count++;
-	flight_pack(&writer->packer, flight);
+	inflight_pack(&writer->packer, snapshot);
 }
 
 /* Returns what is in flight in base64, owned by the caller. */
-static char *flights_encode(const usage_inflight_t *inflight, int64_t from)
+static char *snapshots_encode(const usage_inflight_t *inflight, int64_t from)
 {
 	list_writer_t writer;
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	list_writer_init(&writer);
-	usage_inflight_each(inflight, from, add_flight, &writer);
+	usage_inflight_each(inflight, from, add_snapshot, &writer);
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	list_writer_end(&writer, &buffer, &packer);
@@ -138,7 +138,7 @@
 char *usage_table_encode(const usage_t *usage, const usage_inflight_t *inflight,
 			 int64_t from)
 {
-	char *flights = flights_encode(inflight, from);
+	char *snapshots = snapshots_encode(inflight, from);
 	char *counts;
 	table_writer_t writer = {
 		.accounts = g_ptr_array_new(),
@@ -153,9 +153,9 @@
 	counts = table_encode(&writer);
 	text = g_strdup_printf("{\"format\":%d,\"counts\":\"%s\",\"in_flight\":"
 			       "\"%s\"}",
-			       FORMAT, counts, flights);
+			       FORMAT, counts, snapshots);
 	g_free(counts);
-	g_free(flights);
+	g_free(snapshots);
 	msgpack_sbuffer_destroy(&writer.rows);
 	g_ptr_array_unref(writer.accounts);
 	g_hash_table_unref(writer.indexes);
@@ -254,18 +254,18 @@
 	return rc;
 }
 
-static int merge_flights(const char *encoded, usage_inflight_t *inflight,
-			 pd_error_t *err)
+static int merge_snapshots(const char *encoded, usage_inflight_t *inflight,
+			   pd_error_t *err)
 {
 	packed_list_t list;
 	int rc = 0;
 
 	packed_list_open(&list, encoded, 0);
 	for (uint32_t i = 0; i < list.count; i++) {
-		usage_flight_t *flight = flight_unpack(&list.items[i]);
+		usage_flight_t *snapshot = inflight_unpack(&list.items[i]);
 
-		if (flight)
-			usage_inflight_take(inflight, flight);
+		if (snapshot)
+			usage_inflight_take(inflight, snapshot);
 	}
 	if (!list.items)
 		rc = pd_error_set(err, PD_ERROR_INPUT,
@@ -285,7 +285,7 @@
 {
 	json_t *root = json_parse(text, strlen(text), err);
 	const char *encoded;
-	const char *flights;
+	const char *snapshots;
 	int64_t format;
 	int rc = -1;
 
@@ -301,9 +301,9 @@
 		goto done;
 	}
 	rc = merge_counts(encoded, usage, err);
-	flights = json_string_or(root, "in_flight", NULL);
-	if (rc == 0 && flights)
-		rc = merge_flights(flights, inflight, err);
+	snapshots = json_string_or(root, "in_flight", NULL);
+	if (rc == 0 && snapshots)
+		rc = merge_snapshots(snapshots, inflight, err);
 done:
 	json_decref(root);
 	return rc;
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -268,11 +268,11 @@
 	assert_int_equal(calls_reported(rig), CALLS);
 }
 
-static void add_expected(void *ctx, const usage_flight_t *flight)
+static void add_expected(void *ctx, const usage_flight_t *snapshot)
 {
-	for (guint i = 0; i < flight->expected->len; i++)
+	for (guint i = 0; i < snapshot->expected->len; i++)
 		*(uint64_t *)ctx +=
-			g_array_index(flight->expected, usage_expected_t, i).count;
+			g_array_index(snapshot->expected, usage_expected_t, i).count;
 }
 
 /* Returns how many calls are checkpointed as in flight. */
@@ -290,17 +290,17 @@
 }
 
 /* Adds a flight as if its VM had lost power since. */
-static void add_with_earlier_boot(void *ctx, const usage_flight_t *flight)
+static void add_with_earlier_boot(void *ctx, const usage_flight_t *snapshot)
 {
-	usage_flight_t *moved = usage_flight_create(flight->start);
+	usage_flight_t *moved = usage_flight_create(snapshot->start);
 
-	moved->booted = flight->booted - BOOT_TIME_SHIFT;
-	moved->begun = flight->begun;
-	moved->told = flight->told;
-	moved->window = flight->window;
-	for (guint i = 0; i < flight->expected->len; i++) {
+	moved->booted = snapshot->booted - BOOT_TIME_SHIFT;
+	moved->begun = snapshot->begun;
+	moved->told = snapshot->told;
+	moved->window = snapshot->window;
+	for (guint i = 0; i < snapshot->expected->len; i++) {
 		const usage_expected_t *expected =
-			&g_array_index(flight->expected, usage_expected_t, i);
+			&g_array_index(snapshot->expected, usage_expected_t, i);
 
 		usage_flight_add(moved, expected->account, expected->count);
 	}
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -260,18 +260,18 @@
 {
 	usage_t *usage = usage_create("g#1");
 	usage_inflight_t *inflight = usage_inflight_create();
-	usage_flight_t *flight = usage_flight_create(usage_own_start(usage));
+	usage_flight_t *snapshot = usage_flight_create(usage_own_start(usage));
 	std::pair<std::string, std::string> packed;
 	char *text;
 
 	usage_add(usage, 7, "mill");
 	usage_add(usage, 7, "gin");
 	usage_add(usage, 8, "mill");
-	flight->booted = PD_SEC;
-	flight->told = PD_SEC;
-	flight->window = 8;
-	usage_flight_add(flight, "mill", 3);
-	usage_inflight_take(inflight, flight);
+	snapshot->booted = PD_SEC;
+	snapshot->told = PD_SEC;
+	snapshot->window = 8;
+	usage_flight_add(snapshot, "mill", 3);
+	usage_inflight_take(inflight, snapshot);
 	text = usage_table_encode(usage, inflight, 0);
 	packed = { decoded(text, "counts"), decoded(text, "in_flight") };
 	g_free(text);
@@ -280,10 +280,10 @@
 	return packed;
 }
 
-static std::string table(const std::string &counts, const std::string &flights)
+static std::string table(const std::string &counts, const std::string &snapshots)
 {
 	return "{\"format\":1,\"counts\":\"" + encoded(counts) +
-	       "\",\"in_flight\":\"" + encoded(flights) + "\"}";
+	       "\",\"in_flight\":\"" + encoded(snapshots) + "\"}";
 }
 
 static void add_lost(void *ctx, const usage_entry_t *entry)
@@ -296,7 +296,7 @@
 	return rc::check("the checkpoint's counts", [] {
 		auto packed = packed_counts();
 		auto counts = table(mutated(packed.first), packed.second);
-		auto flights = table(packed.first, mutated(packed.second));
+		auto snapshots = table(packed.first, mutated(packed.second));
 		auto text = mutated(counts);
 		usage_t *usage = usage_create("g#2");
 		usage_inflight_t *inflight = usage_inflight_create();
@@ -304,7 +304,7 @@
 		pd_error_t err;
 
 		usage_table_merge(counts.c_str(), usage, inflight, &err);
-		usage_table_merge(flights.c_str(), usage, inflight, &err);
+		usage_table_merge(snapshots.c_str(), usage, inflight, &err);
 		usage_table_merge(text.c_str(), usage, inflight, &err);
 		usage_inflight_each_lost(inflight, usage, 8, add_lost, &sum);
 		usage_inflight_destroy(inflight);
--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -146,7 +146,7 @@
 }
 
 /* Guards against requests in flight that take more of a link than the counts do. */
-static void test_flights_of_large_fleet_are_small(void **state)
+static void test_snapshots_of_large_fleet_are_small(void **state)
 {
 	usage_t *usage = usage_create("g0#1");
 	usage_inflight_t *inflight = usage_inflight_create();
@@ -154,19 +154,19 @@
 
 	(void)state;
 	for (uint64_t start = 0; start < INCARNATIONS; start++) {
-		usage_flight_t *flight = usage_flight_create(start << 40);
+		usage_flight_t *snapshot = usage_flight_create(start << 40);
 
-		flight->booted = 1772338322000 * PD_MSEC;
-		flight->begun = 94107805 * PD_MSEC;
-		flight->told = 94107905 * PD_MSEC;
-		flight->window = 353445120;
+		snapshot->booted = 1772338322000 * PD_MSEC;
+		snapshot->begun = 94107805 * PD_MSEC;
+		snapshot->told = 94107905 * PD_MSEC;
+		snapshot->window = 353445120;
 		for (int i = 0; i < ACCOUNTS_IN_FLIGHT; i++) {
 			char account[16];
 
 			g_snprintf(account, sizeof(account), "account-%d", i);
-			usage_flight_add(flight, account, 200);
+			usage_flight_add(snapshot, account, 200);
 		}
-		usage_inflight_take(inflight, flight);
+		usage_inflight_take(inflight, snapshot);
 	}
 	text = usage_table_encode(usage, inflight, 0);
 	assert_true(strlen(text) < FLEET_BYTES_MAX);
@@ -216,7 +216,7 @@
 		cmocka_unit_test(test_invalid_clock_offsets_are_ignored),
 		cmocka_unit_test(test_counts_round_trip),
 		cmocka_unit_test(test_counts_of_large_fleet_are_small),
-		cmocka_unit_test(test_flights_of_large_fleet_are_small),
+		cmocka_unit_test(test_snapshots_of_large_fleet_are_small),
 		cmocka_unit_test(test_invalid_table_is_rejected),
 	};
 
--- a/tests/unit/test_flight_pack.c
+++ b/tests/unit/test_inflight_pack.c
@@ -6,12 +6,12 @@
 
 #include <cmocka.h>
 
-#include "adapters/gateway/flight_pack.h"
+#include "adapters/gateway/inflight_pack.h"
 
 /* Reads what was packed; NULL: it is nothing that is in flight. */
-static usage_flight_t *unpack_flight(const msgpack_sbuffer *buffer)
+static usage_flight_t *unpack_snapshot(const msgpack_sbuffer *buffer)
 {
-	usage_flight_t *flight;
+	usage_flight_t *snapshot;
 	msgpack_unpacked unpacked;
 	size_t offset = 0;
 
@@ -19,42 +19,42 @@
 	assert_int_equal(msgpack_unpack_next(&unpacked, buffer->data,
 					     buffer->size, &offset),
 			 MSGPACK_UNPACK_SUCCESS);
-	flight = flight_unpack(&unpacked.data);
+	snapshot = inflight_unpack(&unpacked.data);
 	msgpack_unpacked_destroy(&unpacked);
-	return flight;
+	return snapshot;
 }
 
-static void test_flight_round_trip(void **state)
+static void test_round_trip(void **state)
 {
-	usage_flight_t *flight = usage_flight_create(usage_start("g0#1"));
+	usage_flight_t *snapshot = usage_flight_create(usage_start("g0#1"));
 	usage_flight_t *read;
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	(void)state;
-	flight->booted = 1772338322000 * PD_MSEC;
-	flight->begun = 94107805 * PD_MSEC;
-	flight->told = 94107905 * PD_MSEC;
-	flight->window = 354467664;
-	usage_flight_add(flight, "mill", 7);
-	usage_flight_add(flight, "gin \"\\", 1);
+	snapshot->booted = 1772338322000 * PD_MSEC;
+	snapshot->begun = 94107805 * PD_MSEC;
+	snapshot->told = 94107905 * PD_MSEC;
+	snapshot->window = 354467664;
+	usage_flight_add(snapshot, "mill", 7);
+	usage_flight_add(snapshot, "gin \"\\", 1);
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	flight_pack(&packer, flight);
-	read = unpack_flight(&buffer);
+	inflight_pack(&packer, snapshot);
+	read = unpack_snapshot(&buffer);
 	assert_non_null(read);
-	assert_true(read->start == flight->start);
-	assert_int_equal(read->booted, flight->booted);
-	assert_int_equal(read->begun, flight->begun);
-	assert_int_equal(read->told, flight->told);
-	assert_int_equal(read->window, flight->window);
+	assert_true(read->start == snapshot->start);
+	assert_int_equal(read->booted, snapshot->booted);
+	assert_int_equal(read->begun, snapshot->begun);
+	assert_int_equal(read->told, snapshot->told);
+	assert_int_equal(read->window, snapshot->window);
 	assert_int_equal(read->expected->len, 2);
 	assert_string_equal(g_array_index(read->expected, usage_expected_t, 1).account,
 			    "gin \"\\");
 	assert_int_equal(g_array_index(read->expected, usage_expected_t, 0).count,
 			 7);
 	usage_flight_destroy(read);
-	usage_flight_destroy(flight);
+	usage_flight_destroy(snapshot);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
@@ -71,7 +71,7 @@
 	msgpack_pack_array(&packer, 5);
 	for (int i = 0; i < 5; i++)
 		msgpack_pack_uint64(&packer, UINT64_MAX);
-	read = unpack_flight(&buffer);
+	read = unpack_snapshot(&buffer);
 	assert_non_null(read);
 	assert_true(read->booted > 0 && read->booted <= (pd_time_t)PD_TIME_MAX);
 	assert_true(read->told > 0 && read->told <= (pd_time_t)PD_TIME_MAX);
@@ -79,7 +79,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-static void test_malformed_flight_is_rejected(void **state)
+static void test_malformed_snapshot_is_rejected(void **state)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
@@ -90,16 +90,16 @@
 	msgpack_pack_array(&packer, 4);
 	for (int i = 0; i < 4; i++)
 		msgpack_pack_nil(&packer);
-	assert_null(unpack_flight(&buffer));
+	assert_null(unpack_snapshot(&buffer));
 	msgpack_sbuffer_destroy(&buffer);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_flight_round_trip),
+		cmocka_unit_test(test_round_trip),
 		cmocka_unit_test(test_out_of_range_times_are_clamped),
-		cmocka_unit_test(test_malformed_flight_is_rejected),
+		cmocka_unit_test(test_malformed_snapshot_is_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
