--- a/adapters/gateway/peer_rank.c
+++ b/adapters/gateway/peer_rank.c
@@ -1,33 +1,40 @@
-/* Which gateways are alive, which of them go first, and what follows for this. */
+/* Liveness and ranking of gateways, and the roles that follow from them. */
 #include <string.h>
 
 #include "adapters/gateway/peer_state.h"
 
-/* A peer heard within this is alive; messages can be late by a lost packet. */
+/* A peer heard from within this is alive. A lost packet can delay messages. */
 #define PEER_TIMEOUT (3 * PD_SEC)
-/* Four states of the holder were lost, or it has ended: the lease is looked at. */
+/* Four lost states, or the leader has ended: the lease is checked then. */
 #define LEADER_SILENCE_MAX PD_SEC
-/* After its connection has failed a peer is sent no counts until it is heard. */
+/*
+ * After a failed connection no counts are sent to a peer until it is heard
+ * from, or this has passed.
+ */
 #define DISCONNECT_PAUSE (2 * PD_SEC)
-/* Who was sent counts within this writes them. */
+/* A gateway that was sent counts within this time writes them. */
 #define COUNTS_RECEIVED_MAX_AGE PD_SEC
-/* A mention comes with every few states of whoever hears the peer. */
+/* Peers list a live member in every few of their states. */
 #define MENTION_TIMEOUT (6 * PD_SEC)
-/* Sums of loads older than this say little: most requests have ended since. */
+/* Summed loads older than this are useless: most requests have ended since. */
 #define LOADS_MAX_AGE (2 * PD_SEC)
 /*
- * Who is alive changes within seconds, and is asked for many times a tick, which
- * in a fleet of hundreds cost more than the requests did.
+ * Liveness changes within seconds, but is queried many times per tick.
+ * Recomputing it for each query cost more than the requests in a fleet of
+ * hundreds.
  */
 #define VIEW_MAX_AGE (100 * PD_MSEC)
 
-/* Says whether the peer itself was heard lately. */
+/* Returns whether the peer itself was heard from recently. */
 bool peer_is_heard(const peer_t *peer, pd_time_t now)
 {
 	return peer->heard_at && now - peer->heard_at < PEER_TIMEOUT;
 }
 
-/* Says whether the peer was heard lately, here or by somebody who told. */
+/*
+ * Returns whether the peer was recently heard from, by this gateway or by
+ * another.
+ */
 bool peer_is_alive(const peer_t *peer, pd_time_t now)
 {
 	return peer_is_heard(peer, now) ||
@@ -41,7 +48,10 @@
 	return last && now - last < FLEET_MEMBER_TIMEOUT;
 }
 
-/* Says whether one gateway goes before another, by address, hash and strength. */
+/*
+ * Returns whether one gateway ranks before OTHER: by capacity, hash and
+ * address.
+ */
 static bool ranks_before(bool high_capacity, guint hash, const char *address,
 			 const peer_t *other)
 {
@@ -57,7 +67,10 @@
 	return ranks_before(peer->high_capacity, peer->hash, peer->address, other);
 }
 
-/* Returns what follows from who is alive. */
+/*
+ * Returns the current membership view, borrowed; recomputes it if it is too
+ * old.
+ */
 const peer_view_t *peers_view(gateway_peers_t *peers, pd_time_t now)
 {
 	peer_view_t view = { .at = now, .alive = 1, .fleet_size = 1 };
@@ -76,7 +89,10 @@
 		view.rank += !ranks_before(peers->high_capacity, hash,
 					   peers->address, peer);
 	}
-	/* An aggregator hears all; its followers hear of some of many only. */
+	/*
+	 * Unlike an aggregator, its followers know only some members of a large
+	 * fleet.
+	 */
 	if (peers->aggregator && peers->summary_fleet_size > MEMBERS_LISTED_MAX) {
 		view.alive = MAX(view.alive, peers->summary_fleet_size);
 		view.fleet_size = MAX(view.fleet_size, peers->summary_fleet_size);
@@ -85,7 +101,10 @@
 	return &peers->view;
 }
 
-/* Inserts a peer among COUNT that are sorted, of which MOST are kept; returns how many. */
+/*
+ * Inserts a peer into FIRST, sorted by rank with COUNT entries, and keeps MOST
+ * of them. Returns the new count.
+ */
 static unsigned int insert_by_rank(peer_t **first, unsigned int count,
 				   unsigned int most, peer_t *peer)
 {
@@ -102,7 +121,10 @@
 	return count;
 }
 
-/* Fills in the live peers that go first; returns how many there are. */
+/*
+ * Fills in the MOST live peers that rank first, without skipped ones. Returns
+ * their number.
+ */
 unsigned int peers_top_ranked(const gateway_peers_t *peers, peer_t **first,
 			      unsigned int most, pd_time_t now)
 {
@@ -117,25 +139,28 @@
 	return count;
 }
 
-/* Says whether all gateways tell each other, as there are few. */
+/* Returns whether the fleet is small enough for a full mesh. */
 bool peers_is_mesh(gateway_peers_t *peers, pd_time_t now)
 {
 	return peers_view(peers, now)->alive <= GATEWAY_MESH_MAX;
 }
 
-/* The same, as of now. */
+/* Returns the same as of now. */
 bool gateway_peers_is_mesh(gateway_peers_t *peers)
 {
 	return peers_is_mesh(peers, gateway_now());
 }
 
-/* Returns how many gateways there are, this one included. */
+/* Returns the fleet size, including this gateway and those lost recently. */
 unsigned int gateway_peers_count(gateway_peers_t *peers)
 {
 	return peers_view(peers, gateway_now())->fleet_size;
 }
 
-/* Returns when the first of the gateways that are heard has started, this one included. */
+/*
+ * Returns when the longest-running gateway started, among this one and those
+ * heard from recently.
+ */
 pd_time_t gateway_peers_oldest_start(const gateway_peers_t *peers, pd_time_t now)
 {
 	pd_time_t oldest = peers->started_at;
@@ -149,7 +174,10 @@
 	return oldest;
 }
 
-/* Says whether this gateway is one of the few that ask the store for all. */
+/*
+ * Returns whether this gateway is one of the few that call the store on behalf
+ * of all; in a mesh all are.
+ */
 bool gateway_peers_is_top_ranked(gateway_peers_t *peers)
 {
 	pd_time_t now = gateway_now();
@@ -158,7 +186,7 @@
 	       peers_view(peers, now)->rank < STORE_WATCHERS;
 }
 
-/* Says whether this gateway asks the store itself. */
+/* Returns whether this gateway watches the store itself. */
 bool gateway_peers_should_watch_store(gateway_peers_t *peers)
 {
 	pd_time_t now = gateway_now();
@@ -170,8 +198,8 @@
 }
 
 /*
- * Returns how many gateways share the polling of the store, as the aggregator passes
- * on what one of them learns; 1 if this one hears no aggregator.
+ * Returns how many gateways share the polling of the store, as the aggregator
+ * forwards what one of them learns. Returns 1 if no aggregator is heard.
  */
 unsigned int gateway_peers_poll_group_size(gateway_peers_t *peers, pd_time_t now)
 {
@@ -181,7 +209,10 @@
 	return heard ? peers_view(peers, now)->alive : 1;
 }
 
-/* Returns whether the aggregator, which watches the store, is not served by it. */
+/*
+ * Returns whether the aggregator, which watches the store, gets no answers from
+ * it.
+ */
 bool gateway_peers_aggregator_lost_store(const gateway_peers_t *peers)
 {
 	const peer_t *aggregator =
@@ -192,7 +223,7 @@
 	return aggregator && !aggregator->has_store;
 }
 
-/* Returns whether counts may be sent to a peer: it is alive and was reached. */
+/* Returns whether counts may be sent to a peer: it is alive and reachable. */
 static bool peer_accepts_counts(const peer_t *peer, pd_time_t now)
 {
 	bool lost = peer->disconnected_at &&
@@ -203,8 +234,9 @@
 }
 
 /*
- * Fills in the first peers that counts may be sent to, CHECKPOINT_SLOTS at most.
- * Returns how many those are; RANK is how many of them go before this gateway.
+ * Fills in the top-ranked peers that counts may be sent to, at most
+ * CHECKPOINT_SLOTS. Returns their number. RANK is set to how many of them rank
+ * before this gateway.
  */
 static unsigned int top_ranked_receivers(const gateway_peers_t *peers,
 					 peer_t **first, unsigned int *rank,
@@ -228,8 +260,8 @@
 }
 
 /*
- * Fills in the peers that write the checkpoint, as far as this gateway knows, at most
- * CHECKPOINT_SLOTS. Returns how many.
+ * Fills in the other gateways that write the checkpoint as far as this one
+ * knows, at most CHECKPOINT_SLOTS. Returns their number.
  */
 unsigned int peers_checkpoint_writers(gateway_peers_t *peers, peer_t **writers,
 				      pd_time_t now)
@@ -237,15 +269,16 @@
 	unsigned int rank;
 	unsigned int count = top_ranked_receivers(peers, writers, &rank, now);
 
-	/* This gateway is one of the writers itself. */
+	/* This gateway is a writer itself. */
 	if (rank < CHECKPOINT_SLOTS)
 		count = MIN(count, CHECKPOINT_SLOTS - 1);
 	return count;
 }
 
 /*
- * Returns which of the checkpoint's objects this gateway writes, -1 if none: one of
- * the first, or whoever is sent counts, as others may know more of who is alive.
+ * Returns the slot of the checkpoint that this gateway writes, or -1. The
+ * top-ranked gateways write, and so does one that is sent counts, as peers may
+ * know a different set of live gateways.
  */
 int gateway_peers_checkpoint_slot(gateway_peers_t *peers, pd_time_t now)
 {
@@ -261,15 +294,15 @@
 	return -1;
 }
 
-/* Says whether this gateway may take the lease on the duties. */
+/* Returns whether this gateway may acquire the leader's lease. */
 bool gateway_peers_may_acquire_lease(gateway_peers_t *peers)
 {
 	return peers->is_leader || gateway_peers_is_top_ranked(peers);
 }
 
 /*
- * Says whether the holder of the duties was heard of, and is silent now. It tells
- * its state every 0.25 s in a mesh.
+ * Returns whether the leader was heard from before and is silent now. Only
+ * meaningful in a mesh, where it sends its state every 0.25 s; false otherwise.
  */
 bool gateway_peers_leader_is_silent(gateway_peers_t *peers, pd_time_t now)
 {
@@ -283,9 +316,9 @@
 }
 
 /*
- * Says whether the loads at the upstreams include those of the other gateways. A
- * gateway that is cut off sees only its own requests, and would take upstreams
- * that are full for empty.
+ * Returns whether the loads of upstreams include those of the other gateways. A
+ * partitioned gateway sees only its own requests and would take full upstreams
+ * for idle ones.
  */
 bool gateway_peers_loads_are_current(gateway_peers_t *peers, pd_time_t now)
 {
--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -1,4 +1,6 @@
-/* What the files of the peers' gossip share. Private to them. */
+/*
+ * Declarations shared by the source files of the gossip module. Private to it.
+ */
 #ifndef PISTACHIO_PEER_STATE_H
 #define PISTACHIO_PEER_STATE_H
 
@@ -9,97 +11,111 @@
 #include "adapters/msgpack_fields.h"
 
 typedef enum message_kind {
-	MESSAGE_STATE, /* what the sender itself did and knows */
-	MESSAGE_SUMMARY, /* the same of all gateways but the receiver */
+	MESSAGE_STATE, /* the sender's own counters and knowledge */
+	/* the same summed over all gateways but the receiver */
+	MESSAGE_SUMMARY,
 	MESSAGE_UPDATES, /* upstreams that changed */
-	MESSAGE_ANNOUNCEMENT, /* the version of a configuration just taken */
+	MESSAGE_ANNOUNCEMENT, /* version of a newly applied configuration */
 	MESSAGE_CONFIG,
-	MESSAGE_FETCH, /* asks for what the sender lacks */
-	MESSAGE_COUNTS /* what changed since the last, to who keeps the record */
+	MESSAGE_FETCH, /* requests a configuration or upstreams */
+	/* counters changed since the last one, for checkpoint writers */
+	MESSAGE_COUNTS
 } message_kind_t;
 
-/* The fields of a state and a summary, in their order on the wire. */
+/* Fields of a state and a summary, in wire order. */
 typedef enum state_field {
 	STATE_KIND,
 	STATE_ADDRESS,
 	STATE_INCARNATION,
-	STATE_WALL_TIME, /* time of day: the own clock's, in a summary the fleet's */
+	/* time of day: by the sender's clock, in a summary the fleet's */
+	STATE_WALL_TIME,
 	STATE_CONFIG,
-	STATE_DIGEST, /* of what is known of the upstreams */
+	STATE_DIGEST, /* of the sender's table of upstreams */
 	STATE_UPTIME, /* of the sender's process */
 	STATE_FLAGS,
-	STATE_STORE_ANSWER_AGE, /* since the store was last heard */
-	STATE_LEADER, /* address of the holder of the duties */
-	STATE_LEADER_FENCE, /* of that holder; the highest is the newest */
-	STATE_FLEET_SIZE, /* of gateways that the sender counts */
+	STATE_STORE_ANSWER_AGE, /* time since the store last answered anyone */
+	STATE_LEADER, /* address of the leader */
+	/* the leader's fencing token; the highest is the newest */
+	STATE_LEADER_FENCE,
+	STATE_FLEET_SIZE, /* number of gateways known to the sender */
 	STATE_LIMIT_USES,
 	STATE_WORK,
 	STATE_LOADS,
 	STATE_USAGE,
 	STATE_MEMBERS,
-	STATE_ENGINE_SPEEDS, /* at which engines read prompts, by service */
-	STATE_ZONE, /* of the sender */
-	STATE_CLOCK_STEP_AGE, /* since the sender's clock has jumped; 0: it has not */
-	STATE_WATERMARK, /* the last window whose counts are all in usages; nil: none is */
-	STATE_FIELDS /* how many there are */
+	STATE_ENGINE_SPEEDS, /* observed prefill speed of engines, by service */
+	STATE_ZONE, /* hash of the sender's availability zone */
+	/* time since the sender's clock stepped; 0: it has not */
+	STATE_CLOCK_STEP_AGE,
+	/* last window whose usage counts are complete; nil: unknown */
+	STATE_WATERMARK,
+	STATE_FIELDS /* number of fields */
 } state_field_t;
 
 #define STATE_FLAG_HAS_STORE 1u
 #define STATE_FLAG_HIGH_CAPACITY 2u
-#define STATE_FLAG_ASKS 4u /* for a summary in return */
+#define STATE_FLAG_ASKS 4u /* requests a summary in return */
 
 /*
- * Members and usage need not be as fresh as loads, but they must come several times
- * before a mention runs out, whatever the period of the messages is.
+ * Period of messages with members and usage. They may be older than loads, but
+ * must arrive several times within MENTION_TIMEOUT at any message period.
  */
 #define PEERS_FULL_PERIOD (1600 * PD_MSEC)
 
-/* So many gateways go first: two sum up, and three watch the store. */
+/* Numbers of top-ranked gateways that aggregate, and that watch the store. */
 #define AGGREGATORS 2
 #define STORE_WATCHERS 3
 /*
- * Members that one message names: in larger fleets those that go first, and
- * others at random. Naming all, messages would grow with the fleet.
+ * Members listed in one message: the top-ranked ones and, in larger fleets, a
+ * random sample of the others, so that messages do not grow with the fleet.
  */
 #define MEMBERS_LISTED_MAX 100
-/* Upstreams whose loads one message names; of the others it tells the mean. */
+/*
+ * Upstreams whose loads are listed in one message; for the others it has the
+ * mean.
+ */
 #define LOADS_LISTED_MAX 128
-/* A peer not heard of for so long no longer counts as one of the fleet. */
+/* A peer not heard of for this long no longer counts towards the fleet size. */
 #define FLEET_MEMBER_TIMEOUT (60 * PD_SEC)
 /*
- * Prompt tokens in a load are told in this unit: one byte for most upstreams,
- * and finer than one request's part of a prompt.
+ * Unit of prompt tokens in a load: it fits one byte for most upstreams, and is
+ * finer than one request's part of a prompt.
  */
 #define PREFILL_UNIT_TOKENS 64
-#define LOAD_FIELDS 3 /* of a load: mark, running, units to read */
+/* short id of the upstream, running requests, prefill units */
+#define LOAD_FIELDS 3
 
-#define UPDATES_FIELDS 4 /* kind, sender, whether these are all, upstreams */
-#define FETCH_FIELDS 4 /* kind, sender, what, digests or marks */
-#define MEMBER_FIELDS 3 /* address, whether it is strong, zone */
-#define LIMIT_USE_FIELDS 4 /* account, total, level or nil, asked */
-#define COUNTS_FIELDS 6 /* kind, sender, its start, usage, limits, in flight */
+/* kind, sender, whether all upstreams are listed, upstreams */
+#define UPDATES_FIELDS 4
+#define FETCH_FIELDS 4 /* kind, sender, FETCH_ flags, digests or id hashes */
+#define MEMBER_FIELDS 3 /* address, whether it has high capacity, zone */
+/* account, granted tokens, bucket level or nil, requested */
+#define LIMIT_USE_FIELDS 4
+/* kind, sender, incarnation, usage, limits, in flight */
+#define COUNTS_FIELDS 6
 #define USAGE_FIELDS 3 /* window, account, count */
-/* An upstream in full, and just its mark, stage, revision and start. */
+/* An upstream in full, or only its id hash, stage, revision and start time. */
 #define UPSTREAM_FIELDS 10
 #define STAGE_FIELDS 4
 
 #define FETCH_CONFIG 1u
-#define FETCH_UPSTREAMS 2u /* those of the parts whose digests differ */
-#define FETCH_BY_ID_HASH 4u /* those that are named */
+#define FETCH_UPSTREAMS 2u /* those in buckets whose digests differ */
+#define FETCH_BY_ID_HASH 4u /* those listed by id hash */
 
-/* What gateways have running at an upstream. */
+/* Requests running at an upstream, of one gateway or of several. */
 typedef struct load {
 	uint32_t short_id; /* of the upstream */
 	unsigned int running;
 	double prefill_tokens;
 } load_t;
 
-/* What follows from who is alive; worked out anew every so often. */
+/* Membership as seen by this gateway; recomputed every VIEW_MAX_AGE. */
 typedef struct peer_view {
-	pd_time_t at; /* when that was */
-	unsigned int alive; /* gateways, this one included */
-	unsigned int fleet_size; /* also those that were lost lately */
-	unsigned int rank; /* live gateways that go before this one */
+	pd_time_t at; /* when it was computed */
+	unsigned int alive; /* live gateways, including this one */
+	/* the same plus those lost within FLEET_MEMBER_TIMEOUT */
+	unsigned int fleet_size;
+	unsigned int rank; /* number of live gateways ranked before this one */
 } peer_view_t;
 
 typedef struct peer {
@@ -107,67 +123,87 @@
 	char *address; /* address:port */
 	char *host;
 	uint16_t port;
-	guint hash; /* of the address, for ranks */
-	char *incarnation; /* NULL: not heard yet */
-	char *vm_id; /* NULL: not heard yet */
+	guint hash; /* of the address, for ranking */
+	char *incarnation; /* NULL: not heard from yet */
+	char *vm_id; /* NULL: not heard from yet */
 	bool seed;
-	bool high_capacity; /* its VM has a processor and a link to spare */
-	uint16_t zone; /* a hash of its availability zone; 0: unknown */
-	bool has_store; /* it was being served when last heard */
+	bool high_capacity; /* its VM has CPU and bandwidth for an aggregator */
+	uint16_t zone; /* hash of its availability zone; 0: unknown */
+	bool has_store; /* the store was serving it when last heard from */
 	pd_time_t added_at;
-	pd_time_t started_at; /* its process, as it said last; 0: never */
-	pd_time_t heard_at; /* 0: never */
-	pd_time_t mentioned_at; /* by another peer that hears it; 0: never */
-	pd_time_t members_sent_at; /* when it was told the members last, as a summary */
-	pd_time_t skipped_until; /* as an aggregator, for it did not answer */
-	pd_time_t disconnected_at; /* when a connection to it failed; 0: never */
+	/* start of its process, as last reported; 0: never */
+	pd_time_t started_at;
+	pd_time_t heard_at; /* when it last sent a state or summary; 0: never */
+	/* when another peer last listed it as live; 0: never */
+	pd_time_t mentioned_at;
+	/* when a summary with members was last sent to it */
+	pd_time_t members_sent_at;
+	/* not used as aggregator until then, as it did not answer */
+	pd_time_t skipped_until;
+	/* when a connection to it last failed; 0: never */
+	pd_time_t disconnected_at;
 	GArray *loads; /* of load_t */
-	GHashTable *granted; /* account -> double */
-	GHashTable *requested; /* account -> double */
+	GHashTable *granted; /* account -> double, tokens */
+	GHashTable *requested; /* account -> double, tokens */
 	GHashTable *work; /* service -> double */
 } peer_t;
 
 struct gateway_peers {
 	gateway_t *gateway;
 	frame_link_t *link;
-	char *address; /* of this gateway, with the port it was given */
-	char *incarnation; /* the node's id and a number of this start */
+	char *address; /* of this gateway, with the port that it listens on */
+	/* node id and a random number of this process start */
+	char *incarnation;
 	bool high_capacity;
-	uint16_t zone; /* a hash of the availability zone */
+	uint16_t zone; /* hash of this gateway's availability zone */
 	list_node_t list; /* of peer_t */
 	GHashTable *by_address; /* address -> peer_t; borrows both */
 	peer_view_t view;
-	unsigned int summary_fleet_size; /* gateways, as the aggregator counts them */
+	/* number of gateways in the last summary */
+	unsigned int summary_fleet_size;
 	GHashTable *granted; /* account -> double: the sum over all peers */
-	GHashTable *requested; /* account -> double: the same */
-	GHashTable *work; /* service -> double: the same */
-	msgpack_sbuffer loads_packed; /* the loads of all, for summaries */
+	GHashTable *requested; /* account -> double: the sum over all peers */
+	GHashTable *work; /* service -> double: the sum over all peers */
+	/* loads of all gateways, cached for summaries */
+	msgpack_sbuffer loads_packed;
 	pd_time_t loads_packed_at;
-	GArray *last_sent_loads; /* of load_t: own ones, as last told */
+	GArray *last_sent_loads; /* of load_t: own loads as last sent */
 	pd_time_t started_at;
 	pd_time_t next_state_at;
-	pd_time_t next_full_state_at; /* when members and usage are told next */
-	pd_time_t next_limit_uses_at; /* when the use of limits is sent next to the writers */
-	pd_time_t counts_sent_at; /* when they were sent counts last; 0: never */
-	pd_time_t snapshot_sent_at; /* when what they were sent last was in flight */
-	char *counts_receivers[CHECKPOINT_SLOTS]; /* who those were last; NULL: none */
-	pd_time_t counts_received_at; /* when others' counts came last; 0: never */
-	bool levels_adopted; /* levels of buckets, from an older peer */
-	char *aggregator; /* whose summaries are followed; NULL: peers are heard */
-	pd_time_t summary_received_at; /* when its last summary came */
+	pd_time_t next_full_state_at; /* when members and usage are sent next */
+	/* when limit uses are sent next to the checkpoint writers */
+	pd_time_t next_limit_uses_at;
+	/* when counts were last sent to them; 0: never */
+	pd_time_t counts_sent_at;
+	/* time of the in-flight snapshot last sent to them */
+	pd_time_t snapshot_sent_at;
+	/* addresses of the current writers; NULL: none */
+	char *counts_receivers[CHECKPOINT_SLOTS];
+	/* when a peer last sent counts; 0: never */
+	pd_time_t counts_received_at;
+	/* bucket levels were taken over from a longer-running peer */
+	bool levels_adopted;
+	/* address whose summaries are applied; NULL: peers' states are */
+	char *aggregator;
+	pd_time_t summary_received_at; /* when its last summary arrived */
 	GArray *aggregator_loads; /* of load_t, from that summary */
-	char *leader; /* address of the duties' holder; NULL: unknown */
+	char *leader; /* address of the leader; NULL: unknown */
 	uint64_t leader_fence;
 	bool is_leader;
-	pd_time_t store_answered_at; /* by anybody */
+	/* when the store last answered any gateway */
+	pd_time_t store_answered_at;
 	pd_time_t fetched_config_at;
 	pd_time_t fetched_upstreams_at;
-	pd_time_t diverged_since; /* from what a peer knows; 0: it did not */
+	/* since when a peer's digest differs; 0: it does not */
+	pd_time_t diverged_since;
 	pd_time_t fetch_backoff; /* before upstreams are fetched again */
-	uint64_t fetched_difference; /* the two digests that differed then */
-	GHashTable *pending_updates; /* ids of upstreams to tell about */
-	GHashTable *pending_fetches; /* mark of an unknown upstream -> when it was asked for */
-	pd_time_t pending_fetches_pruned_at; /* when old ones were dropped last */
+	/* XOR of the two digests at the last fetch */
+	uint64_t fetched_difference;
+	GHashTable *pending_updates; /* ids of changed upstreams to send */
+	/* id hash of an unknown upstream -> when it was requested */
+	GHashTable *pending_fetches;
+	/* when expired ones were last removed */
+	pd_time_t pending_fetches_pruned_at;
 };
 
 GHashTable *peers_values_create(void);
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -1,4 +1,4 @@
-/* Who the other gateways are, and who tells whom. */
+/* Membership of the gossip, and the schedule of its messages. */
 #include "adapters/gateway/peers.h"
 
 #include <stdlib.h>
@@ -9,34 +9,49 @@
 #include "core/forward/spread.h"
 
 #define LOG_COMPONENT "peers"
-/* A configuration of some thousand routes; longer frames end the connection. */
+/*
+ * Fits a configuration with some thousand routes; longer frames end the
+ * connection.
+ */
 #define FRAME_MAX (4 * 1024 * 1024)
-/* Loads of upstreams, by which requests are placed, are two periods old at most. */
+/*
+ * Requests are placed by the loads of upstreams, which are at most two periods
+ * old.
+ */
 #define MESH_PERIOD (250 * PD_MSEC)
 #define AGGREGATOR_PERIOD (200 * PD_MSEC)
-/* Beyond so many gateways the period grows with them, to bound an aggregator's load. */
+/*
+ * In fleets larger than this the period grows in proportion, to bound the load
+ * of an aggregator.
+ */
 #define AGGREGATOR_PERIOD_FLEET 100
 #define AGGREGATOR_PERIOD_FACTOR_MAX 4
-/* How often usage is sent to the checkpoint writers. */
+/* Period of sending limit uses to the checkpoint writers. */
 #define LIMIT_USES_PERIOD (70 * PD_MSEC)
 #define LIMIT_USES_PERIOD_FACTOR_MAX 3
-/* Halves of periods until a state has come back in a summary to the slowest. */
+/* Half-periods until a state has reached the last gateway in a summary. */
 #define PROPAGATION_HALF_PERIODS 5
-/* A peer not heard for so long runs nothing any more, as far as loads go. */
+/*
+ * Loads of a peer not heard from for this long are dropped: most of its
+ * requests have ended by then.
+ */
 #define PEER_LOADS_MAX_AGE (2 * PD_SEC)
-/* An aggregator that has not answered for so long is passed over for a while. */
+/*
+ * An aggregator that has sent no summary for this long is skipped for a while.
+ */
 #define AGGREGATOR_TIMEOUT (1500 * PD_MSEC)
 #define AGGREGATOR_SKIP_TIME (5 * PD_SEC)
 /*
- * A watch for many answers every 0.8 s at least, and word of that takes two messages,
- * a period apart. If nobody has been served for longer, each gateway asks for itself,
- * as the store may turn away just those that watch.
+ * The store answers a watch on many objects at least every 0.8 s, and the
+ * gossip of that takes two messages, one period apart. If no gateway has had an
+ * answer for longer, each one calls the store itself, as the store may be
+ * rejecting only those that watch.
  */
 #define STORE_SILENCE_MAX (1100 * PD_MSEC)
 #define STORE_SILENCE_PERIODS 2
-/* A connection that fails again and again is logged once in such a time. */
+/* A connection that keeps failing is logged at most once in this time. */
 #define DISCONNECT_LOG_PERIOD (10 * PD_SEC)
-/* A VM with that much processor and link can carry an aggregator of some hundreds. */
+/* Smallest VM that can aggregate for some hundreds of gateways. */
 #define HIGH_CAPACITY_CORES 0.24
 #define HIGH_CAPACITY_LINK_MBPS 100
 
@@ -45,13 +60,16 @@
 	return g_array_new(FALSE, TRUE, sizeof(load_t));
 }
 
-/* Returns an empty table of numbers by name; the caller owns it. */
+/* Returns an empty table from name to double; the caller owns it. */
 GHashTable *peers_values_create(void)
 {
 	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-/* Returns the number of that name in a table, added as 0 if it is not there. */
+/*
+ * Returns a pointer to the value of NAME, added as 0 if it is missing. The
+ * table owns it.
+ */
 double *peers_value(GHashTable *values, const char *name)
 {
 	double *value = g_hash_table_lookup(values, name);
@@ -63,13 +81,16 @@
 	return value;
 }
 
-/* Returns the peer at an address, or NULL. */
+/* Returns the peer at ADDRESS, borrowed, or NULL. */
 peer_t *peers_find(gateway_peers_t *peers, const char *address)
 {
 	return g_hash_table_lookup(peers->by_address, address);
 }
 
-/* Returns the peer at an address, a new one if need be; NULL: it is oneself. */
+/*
+ * Returns the peer at ADDRESS, borrowed, adding it if it is new. Returns NULL
+ * for this gateway's own address and for an invalid one.
+ */
 peer_t *peers_add(gateway_peers_t *peers, const char *address)
 {
 	peer_t *peer = peers_find(peers, address);
@@ -109,7 +130,10 @@
 	g_hash_table_remove_all(values);
 }
 
-/* Takes what a peer has told of its accounts and work out of the sums. */
+/*
+ * Subtracts a peer's limit uses and work from the sums over all peers, and
+ * clears them.
+ */
 void peers_remove_values(gateway_peers_t *peers, peer_t *peer)
 {
 	subtract_values(peers->granted, peer->granted);
@@ -139,14 +163,19 @@
 	return peers_receive(ctx, data, len);
 }
 
-/* Has the writers sent all counts and what is in flight once more. */
+/*
+ * Makes the next counts contain everything: all usage and the in-flight
+ * snapshot.
+ */
 static void resend_counts(gateway_peers_t *peers)
 {
 	usage_resend(peers->gateway->usage);
 	peers->snapshot_sent_at = 0;
 }
 
-/* Notes that frames to a peer may be lost, and that it may have died. */
+/*
+ * Handles a failed connection: frames may be lost, and the peer may have died.
+ */
 static void on_lost(void *ctx, const char *key)
 {
 	gateway_peers_t *peers = ctx;
@@ -162,7 +191,7 @@
 	resend_counts(peers);
 }
 
-/* Takes the gateways to begin with from the settings. */
+/* Adds the peers listed in the settings. */
 void gateway_peers_add_seeds(gateway_peers_t *peers)
 {
 	char *const *seeds = peers->gateway->settings->peers_seeds;
@@ -175,7 +204,10 @@
 	}
 }
 
-/* Starts to listen and to talk to the seeds. NULL with ERR set on failure. */
+/*
+ * Creates the gossip module, listens for peers and adds the seeds. Returns it,
+ * owned by the caller, or NULL with ERR set.
+ */
 gateway_peers_t *gateway_peers_create(gateway_t *gateway, pd_error_t *err)
 {
 	const gateway_settings_t *settings = gateway->settings;
@@ -191,7 +223,7 @@
 	peers->gateway = gateway;
 	peers->started_at = gateway_now();
 	peers->store_answered_at = peers->started_at;
-	/* Gateways that start together don't send in step. */
+	/* Jitter keeps gateways that start together from sending in step. */
 	peers->next_limit_uses_at =
 		peers->started_at + gateway_jitter(gateway, LIMIT_USES_PERIOD);
 	peers->zone = (uint16_t)g_str_hash(settings->node_zone);
@@ -241,19 +273,22 @@
 	return NULL;
 }
 
-/* Returns the name of this gateway's start, borrowed. */
+/* Returns the name of this process's incarnation, borrowed. */
 const char *gateway_peers_incarnation(const gateway_peers_t *peers)
 {
 	return peers->incarnation;
 }
 
-/* Notes that the store answered this gateway. */
+/* Records that the store answered this gateway just now. */
 void gateway_peers_note_store_answer(gateway_peers_t *peers)
 {
 	peers->store_answered_at = gateway_now();
 }
 
-/* Notes whether this gateway holds the duties: usage is told to the holder. */
+/*
+ * Records whether this gateway is the leader. FENCE is its fencing token; a
+ * leader with an older one than is known is ignored.
+ */
 void gateway_peers_set_leadership(gateway_peers_t *peers, bool held, uint64_t fence)
 {
 	peers->is_leader = held && fence >= peers->leader_fence;
@@ -261,7 +296,10 @@
 		peers->leader_fence = fence;
 }
 
-/* Returns the id of the leader's VM, borrowed; NULL: it is not known. */
+/*
+ * Returns the id of the leader's VM, borrowed, or NULL if the leader is
+ * unknown.
+ */
 const char *gateway_peers_leader_vm(const gateway_peers_t *peers)
 {
 	const peer_t *peer;
@@ -273,7 +311,7 @@
 	return peer ? peer->vm_id : NULL;
 }
 
-/* Says whether a later holder of the duties was heard of than that with FENCE. */
+/* Returns whether a leader with a higher fencing token than FENCE is known. */
 bool gateway_peers_has_newer_leader(const gateway_peers_t *peers, uint64_t fence)
 {
 	return peers->leader_fence > fence;
@@ -294,8 +332,9 @@
 }
 
 /*
- * Sends an update to a few of many peers; each passes it on if it is new there.
- * Digests in the states make up for the few gateways that it does not reach.
+ * Sends an update to a few of many peers, each of which forwards it if it is
+ * new to it. The few gateways that it misses detect this by the digests in
+ * states.
  */
 static void peers_spread_to_sample(gateway_peers_t *peers, const GPtrArray *alive,
 				   const msgpack_sbuffer *buffer)
@@ -313,7 +352,7 @@
 	g_free(zones);
 }
 
-/* Sends an update to all peers of a mesh, or to some of a larger fleet. */
+/* Sends an update to all peers of a mesh, or to a sample in a larger fleet. */
 static void peers_spread(gateway_peers_t *peers, const msgpack_sbuffer *buffer,
 			 pd_time_t now)
 {
@@ -328,7 +367,10 @@
 	g_ptr_array_unref(alive);
 }
 
-/* Tells of the configuration just taken; whoever lacks it asks for it. */
+/*
+ * Announces the version of the configuration just applied. Peers that lack it
+ * fetch it.
+ */
 void gateway_peers_announce_config(gateway_peers_t *peers)
 {
 	msgpack_sbuffer buffer;
@@ -341,7 +383,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Notes an upstream of which the peers are to be told, with the next step. */
+/* Queues the change of an upstream, which the next run sends to peers. */
 void gateway_peers_queue_update(gateway_peers_t *peers, const char *id)
 {
 	g_hash_table_add(peers->pending_updates, g_strdup(id));
@@ -362,7 +404,10 @@
 	g_hash_table_remove_all(peers->pending_updates);
 }
 
-/* Changes between hearing the peers oneself and following an aggregator's sums. */
+/*
+ * Switches between summing the states of peers and applying the summaries of
+ * AGGREGATOR; NULL: sum the states.
+ */
 static void follow_aggregator(gateway_peers_t *peers, const char *aggregator,
 			      pd_time_t now)
 {
@@ -377,7 +422,7 @@
 	peers->aggregator = g_strdup(aggregator);
 	peers->summary_received_at = now;
 	if (followed != (aggregator != NULL)) {
-		/* The same use would be counted by both. */
+		/* Both would count the same use, work and loads. */
 		token_limits_forget_peers(peers->gateway->limits);
 		work_rate_forget_peers(peers->gateway->work);
 		LIST_FOR_EACH (it, &peers->list)
@@ -394,7 +439,10 @@
 		peers_send_state(peers, LIST_ENTRY(it, peer_t, node), false, full);
 }
 
-/* Stretches a period with the fleet, up to a bound, so that an aggregator's load stays. */
+/*
+ * Returns PERIOD scaled with the fleet size, up to FACTOR_MAX times, to bound
+ * the load of an aggregator.
+ */
 static pd_time_t fleet_period(gateway_peers_t *peers, pd_time_t period,
 			      int factor_max, pd_time_t now)
 {
@@ -404,27 +452,30 @@
 	return CLAMP(stretched, period, period * factor_max);
 }
 
-/* How often aggregators are told and tell. */
+/* Returns the period of states and summaries in a fleet with aggregators. */
 static pd_time_t aggregator_period(gateway_peers_t *peers, pd_time_t now)
 {
 	return fleet_period(peers, AGGREGATOR_PERIOD,
 			    AGGREGATOR_PERIOD_FACTOR_MAX, now);
 }
 
-/* How often the use of limits is sent to the checkpoint writers. */
+/* Returns the period of sending limit uses to the checkpoint writers. */
 static pd_time_t limit_uses_period(gateway_peers_t *peers, pd_time_t now)
 {
 	return fleet_period(peers, LIMIT_USES_PERIOD,
 			    LIMIT_USES_PERIOD_FACTOR_MAX, now);
 }
 
-/* Returns how soon after a message with counts the next one may be sent. */
+/* Returns the minimum time between two messages with counts. */
 pd_time_t gateway_peers_counts_period(gateway_peers_t *peers, pd_time_t now)
 {
 	return usage_send_period(peers_view(peers, now)->fleet_size);
 }
 
-/* Returns whether the writers don't know what this gateway has in flight. */
+/*
+ * Returns whether the checkpoint writers lack this gateway's latest in-flight
+ * snapshot.
+ */
 bool peers_snapshot_is_unsent(const gateway_peers_t *peers)
 {
 	const gateway_t *gateway = peers->gateway;
@@ -436,7 +487,10 @@
 	       (snapshot && snapshot->told > peers->snapshot_sent_at);
 }
 
-/* Counts that have changed are sent at once, unless others have just been sent. */
+/*
+ * Returns whether to send counts: changed ones go out at once, at least one
+ * counts period apart.
+ */
 static bool counts_are_due(gateway_peers_t *peers, pd_time_t now)
 {
 	if (now >= peers->next_limit_uses_at)
@@ -447,7 +501,10 @@
 		       gateway_peers_counts_period(peers, now);
 }
 
-/* Notes the checkpoint writers; a new one has not been sent what others have. */
+/*
+ * Records the current checkpoint writers. If one is new, everything is sent
+ * again, as it has not received the earlier counts.
+ */
 static void update_writers(gateway_peers_t *peers, peer_t *const *writers,
 			   unsigned int count)
 {
@@ -466,7 +523,9 @@
 		resend_counts(peers);
 }
 
-/* Sends the checkpoint writers what was counted here since the last time. */
+/*
+ * Sends the checkpoint writers the counts that changed since the last message.
+ */
 static void send_counts(gateway_peers_t *peers, pd_time_t now)
 {
 	peer_t *writers[CHECKPOINT_SLOTS];
@@ -489,7 +548,9 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Returns how long it takes until all gateways know what one has done. */
+/*
+ * Returns the time until all gateways have received a change of one's counters.
+ */
 pd_time_t gateway_peers_propagation_delay(gateway_peers_t *peers, pd_time_t now)
 {
 	if (peers_is_mesh(peers, now))
@@ -497,14 +558,16 @@
 	return aggregator_period(peers, now) * PROPAGATION_HALF_PERIODS / 2;
 }
 
-/* After how long without news of the store each gateway asks for itself. */
+/*
+ * Returns how long the store may be silent before each gateway calls it itself.
+ */
 pd_time_t peers_store_silence_max(gateway_peers_t *peers, pd_time_t now)
 {
 	return STORE_SILENCE_MAX +
 	       STORE_SILENCE_PERIODS * aggregator_period(peers, now);
 }
 
-/* Passes an aggregator over that gives no summaries. */
+/* Skips the current aggregator for a while if it sends no summaries. */
 static void check_aggregator(gateway_peers_t *peers, pd_time_t now)
 {
 	peer_t *aggregator =
@@ -529,7 +592,9 @@
 			  is_aggregator || !count ? NULL : first[0]->address, now);
 	for (unsigned int i = 0; i < count; i++)
 		peers_send_state(peers, first[i], !is_aggregator && i == 0, full);
-	/* It need not be among the members that this gateway was told. */
+	/*
+	 * The leader may be missing from the members that this gateway knows.
+	 */
 	leader = peers->leader ? peers_add(peers, peers->leader) : NULL;
 	if (!leader || !full)
 		return;
@@ -560,7 +625,7 @@
 	}
 }
 
-/* Tells the peers what is due, and forgets those that are gone. */
+/* Sends the messages that are due and removes expired peers. */
 void gateway_peers_run(gateway_peers_t *peers, pd_time_t now)
 {
 	bool mesh;
--- a/adapters/gateway/peers.h
+++ b/adapters/gateway/peers.h
@@ -1,7 +1,7 @@
 /*
- * What the gateways tell each other: who they are, the newest configuration,
- * upstreams that come and go, and the counts that only their sum gives sense.
- * peers-notes.md has the messages, who tells whom, and what that costs.
+ * Gossip between gateways: membership, the newest configuration, changes of
+ * upstreams, and counters that are only meaningful as a sum over all gateways.
+ * peers-notes.md describes the messages, their receivers and their cost.
  */
 #ifndef PISTACHIO_GATEWAY_PEERS_H
 #define PISTACHIO_GATEWAY_PEERS_H
@@ -10,12 +10,13 @@
 #include "core/error.h"
 
 /*
- * Up to so many gateways all send to each other. Beyond, each sends to two aggregators,
- * and one of them sends it the sums: the cost of a node is the same in any fleet, and
- * an aggregator's grows with the fleet by one message each way for a node.
+ * Up to this many gateways form a full mesh. In larger fleets each gateway
+ * sends its state to two aggregators and receives sums from one of them: a
+ * node's cost does not depend on the fleet size, and an aggregator's grows by
+ * one message each way per node.
  */
 #define GATEWAY_MESH_MAX 12
-/* So many gateways write the checkpoint, each an object of its own. */
+/* Number of gateways that write the checkpoint, each to its own object. */
 #define CHECKPOINT_SLOTS USAGE_WRITERS
 
 gateway_peers_t *gateway_peers_create(gateway_t *gateway, pd_error_t *err);
