--- a/adapters/gateway/inflight_pack.c
+++ b/adapters/gateway/inflight_pack.c
@@ -1,10 +1,10 @@
-/* Requests in flight as msgpack, and back. */
+/* Packs and unpacks snapshots of the requests in flight. */
 #include "adapters/gateway/inflight_pack.h"
 
 #include "adapters/msgpack_fields.h"
 #include "adapters/msgpack_write.h"
 
-#define HEADER_FIELDS 5 /* start, booted, begun, told, window */
+#define HEADER_FIELDS 5 /* incarnation, boot time, start, time taken, window */
 #define CELL_FIELDS 2 /* account, count */
 
 static void pack_time(msgpack_packer *packer, pd_time_t time)
@@ -12,7 +12,7 @@
 	msgpack_pack_uint64(packer, (uint64_t)MAX(time / PD_MSEC, 0));
 }
 
-/* Packs what a start has in flight. */
+/* Packs the in-flight snapshot of one incarnation. */
 void inflight_pack(msgpack_packer *packer, const usage_flight_t *snapshot)
 {
 	const GArray *expected = snapshot->expected;
@@ -32,7 +32,11 @@
 	}
 }
 
-/* Returns what a start has in flight, owned by the caller; NULL: it is none. */
+/*
+ * Returns the unpacked snapshot, owned by the caller, or NULL if it is
+ * malformed. Out-of-range times are clamped; accounts that are no text are
+ * skipped.
+ */
 usage_flight_t *inflight_unpack(const msgpack_object *object)
 {
 	uint32_t count = 0;
--- a/adapters/gateway/inflight_pack.h
+++ b/adapters/gateway/inflight_pack.h
@@ -1,6 +1,7 @@
 /*
- * What a start has in flight as msgpack, in messages and in the checkpoint:
- * [start, booted, begun, told, window, account, count, account, count...], times in ms.
+ * Encoding of in-flight snapshots as msgpack, in messages and in the
+ * checkpoint: [incarnation, boot time, start, time taken, window, account,
+ * count, account, count...], times in ms.
  */
 #ifndef PISTACHIO_GATEWAY_INFLIGHT_PACK_H
 #define PISTACHIO_GATEWAY_INFLIGHT_PACK_H
--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -1,14 +1,14 @@
 /*
- * What gateways have running at upstreams, as they tell each other. A message
- * names the most loaded upstreams and gives the mean of the rest, so that it does
- * not grow with the fleet.
+ * Exchange of the loads of upstreams between gateways. A message lists the most
+ * loaded upstreams and has the mean of the others, so that its size does not
+ * grow with the fleet.
  */
 #include <string.h>
 
 #include "adapters/gateway/peer_state.h"
 #include "core/forward/engine_cost.h"
 
-/* Summaries that are sent within this share what they say of all loads. */
+/* Summaries sent within this time share one encoding of all loads. */
 #define PACKED_LOADS_MAX_AGE (50 * PD_MSEC)
 
 static void pack_load(msgpack_packer *packer, uint32_t short_id,
@@ -21,7 +21,10 @@
 					       0.5));
 }
 
-/* Packs what this gateway itself has running, and notes that it told it. */
+/*
+ * Packs this gateway's own loads, and stores them for subtracting them from the
+ * next summary.
+ */
 void peers_pack_own_loads(msgpack_packer *packer, gateway_peers_t *peers)
 {
 	GArray *sent = peers->last_sent_loads;
@@ -45,7 +48,10 @@
 	}
 }
 
-/* The tokens that one running request stands for; the same for all loads. */
+/*
+ * Returns the prompt tokens that weigh as much as one running request. All
+ * loads use the same value, so that they can be compared.
+ */
 static double running_tokens(const gateway_t *gateway)
 {
 	double rate = 0;
@@ -83,7 +89,7 @@
 	return load;
 }
 
-/* The loads of a service that are not named one by one. */
+/* Sum of the loads of a service's upstreams that are not listed. */
 typedef struct unlisted {
 	unsigned int count;
 	unsigned int running;
@@ -171,8 +177,8 @@
 }
 
 /*
- * Adds what all gateways have running to a message. It is packed once for all
- * that are sent shortly after each other; receivers take off what is their own.
+ * Appends the loads of all gateways to a message. The encoding is shared by
+ * messages sent shortly after each other; receivers subtract their own part.
  */
 void peers_pack_summed_loads(msgpack_sbuffer *buffer, gateway_peers_t *peers,
 			     pd_time_t now)
@@ -189,7 +195,7 @@
 	msgpack_sbuffer_write(buffer, packed->data, packed->size);
 }
 
-/* Takes loads off the upstreams and empties the list. */
+/* Subtracts loads from the upstreams' totals and empties the array. */
 void peers_remove_loads(gateway_peers_t *peers, GArray *loads)
 {
 	for (guint i = 0; i < loads->len; i++) {
@@ -226,7 +232,10 @@
 	return NULL;
 }
 
-/* Adds the loads of a message to those heard; less WITHOUT, if not NULL. */
+/*
+ * Adds the loads listed in a message to the upstreams' totals and to LOADS,
+ * less those in EXCLUDED, which may be NULL.
+ */
 static void add_listed_loads(gateway_peers_t *peers, GArray *loads,
 			     const msgpack_object *object, const GArray *excluded)
 {
@@ -255,7 +264,7 @@
 	}
 }
 
-/* Puts a peer's own loads in the place of those that it told before. */
+/* Replaces the earlier loads of a peer, in LOADS, by those of its state. */
 void peers_receive_loads(gateway_peers_t *peers, GArray *loads,
 			 const msgpack_object *object)
 {
@@ -263,7 +272,7 @@
 	add_listed_loads(peers, loads, object, NULL);
 }
 
-/* Gives the upstreams of a service that were not named the mean of the rest. */
+/* Sets the loads of a service's unlisted upstreams to their mean. */
 static void add_mean_loads(gateway_peers_t *peers, const msgpack_object *object)
 {
 	const msgpack_object *fields = msgpack_field_items(object, 3, NULL);
@@ -286,7 +295,10 @@
 	g_free(service);
 }
 
-/* Puts an aggregator's sums in the place of those before, less this gateway's part. */
+/*
+ * Replaces the loads of the earlier summary by those of a new one, less what
+ * this gateway last sent.
+ */
 void peers_receive_summed_loads(gateway_peers_t *peers, const msgpack_object *object)
 {
 	const msgpack_object *parts = msgpack_field_items(object, 2, NULL);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -1,14 +1,14 @@
-/* Composes the messages between gateways. */
+/* Encodes the messages between gateways. */
 #include "adapters/gateway/fleet_feed.h"
 #include "adapters/gateway/inflight_pack.h"
 #include "adapters/gateway/peer_state.h"
 #include "adapters/gateway/request_flight.h"
 #include "adapters/msgpack_write.h"
 
-/* Of the members that are named, so many are those that go first. */
+/* Number of top-ranked members listed in each message. */
 #define MEMBERS_TOP_RANKED 8
 
-/* Sends a composed message to a peer. */
+/* Sends an encoded message to a peer. The buffer is copied. */
 void peers_send(const gateway_peers_t *peers, const peer_t *peer,
 		const msgpack_sbuffer *buffer)
 {
@@ -18,7 +18,7 @@
 	g_bytes_unref(body);
 }
 
-/* Returns the version of the configuration in force, 0 for none. */
+/* Returns the version of the configuration in force, or 0 if there is none. */
 uint64_t peers_config_version(const gateway_peers_t *peers)
 {
 	const forward_config_t *config = peers->gateway->config;
@@ -26,7 +26,9 @@
 	return config ? config->version : 0;
 }
 
-/* Returns a digest of what is known of the upstreams, 0 before a listing. */
+/*
+ * Returns a digest of the table of upstreams, or 0 before a complete listing.
+ */
 uint64_t peers_digest(const gateway_peers_t *peers)
 {
 	uint64_t digest = 1;
@@ -50,7 +52,9 @@
 	return value ? *value : 0;
 }
 
-/* Adds the peers' sums, without what EXCEPT told: it knows that itself. */
+/*
+ * Adds the sums over all peers, without the part of EXCEPT, which adds its own.
+ */
 static void add_peer_sums(GHashTable *values, GHashTable *sums, GHashTable *except)
 {
 	GHashTableIter iter;
@@ -77,7 +81,10 @@
 	msgpack_pack_uint64(packer, (uint64_t)MAX(use->asked, 0));
 }
 
-/* Returns an account's use in a table of sums, added as none if it is not there. */
+/*
+ * Returns the use of an account in a table of sums, borrowed, adding it as zero
+ * if it is missing.
+ */
 static token_use_t *sums_use(GHashTable *sums, const char *account)
 {
 	token_use_t *use = g_hash_table_lookup(sums, account);
@@ -94,7 +101,9 @@
 	*sums_use(ctx, account) = *use;
 }
 
-/* Adds what the peers used, without what EXCEPT told: it knows that itself. */
+/*
+ * Adds the peers' limit uses, without the part of EXCEPT, which adds its own.
+ */
 static void add_peer_limit_uses(GHashTable *sums, const gateway_peers_t *peers,
 				const peer_t *except)
 {
@@ -113,11 +122,14 @@
 	}
 }
 
-/* Packs what each account used, here or at all but EXCEPT, and the levels. */
+/*
+ * Packs the limit use and bucket level of each account: this gateway's own, or
+ * summed over all gateways but EXCEPT if that is not NULL.
+ */
 static void pack_limit_uses(msgpack_packer *packer,
 			    const gateway_peers_t *peers, const peer_t *except)
 {
-	/* Of token_use_t; the names are those of the limits and the peers. */
+	/* account -> token_use_t; the names are borrowed. */
 	GHashTable *sums =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 	GHashTableIter iter;
@@ -193,8 +205,8 @@
 }
 
 /*
- * Packs what the checkpoint writers have not been sent yet: usage, the use of limits and
- * the requests in flight. Returns how many numbers that are.
+ * Packs the counts that the checkpoint writers have not been sent: usage, limit
+ * uses and the in-flight snapshot. Returns the number of values.
  */
 unsigned int peers_pack_counts(msgpack_sbuffer *buffer, gateway_peers_t *peers)
 {
@@ -242,7 +254,10 @@
 	return false;
 }
 
-/* Packs peers that are heard: those that go first, and others at random. */
+/*
+ * Packs the live members: the top-ranked ones and a random sample of the
+ * others.
+ */
 static void pack_members(msgpack_packer *packer, const gateway_peers_t *peers,
 			 pd_time_t now)
 {
@@ -267,7 +282,10 @@
 
 		if (!peer_is_heard(peer, now) || is_among(peer, first, top_count))
 			continue;
-		/* Each of those left is as likely to be among the chosen. */
+		/*
+		 * Selection sampling: each remaining peer is equally likely to
+		 * be chosen.
+		 */
 		if (g_rand_double(peers->gateway->random) * heard < left) {
 			pack_member(packer, peer);
 			left--;
@@ -317,8 +335,8 @@
 }
 
 /*
- * Packs the speeds of engines that this gateway has seen itself. What it was only
- * told is not told on, or a wrong figure would go round for ever.
+ * Packs the engine speeds observed by this gateway. Speeds received from peers
+ * are not forwarded, or a wrong value would circulate for ever.
  */
 static void pack_engine_speeds(msgpack_packer *packer, const gateway_peers_t *peers)
 {
@@ -339,7 +357,10 @@
 	g_hash_table_unref(speeds);
 }
 
-/* Packs what this gateway did; FULL: with usage and members. */
+/*
+ * Packs this gateway's state. ASKS: requests a summary in return. FULL:
+ * includes usage and members.
+ */
 void peers_pack_state(msgpack_sbuffer *buffer, gateway_peers_t *peers,
 		      bool asks, bool full)
 {
@@ -369,7 +390,10 @@
 		msgpack_pack_nil(&packer);
 }
 
-/* Sends what this gateway did. */
+/*
+ * Sends this gateway's state to a peer. ASKS and FULL are those of
+ * peers_pack_state().
+ */
 void peers_send_state(gateway_peers_t *peers, peer_t *peer, bool asks, bool full)
 {
 	msgpack_sbuffer buffer;
@@ -382,7 +406,10 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Packs what all gateways but the receiver did; FULL: with the members. */
+/*
+ * Packs the sums over all gateways but the receiver. FULL: includes the
+ * members.
+ */
 void peers_pack_summary(msgpack_sbuffer *buffer, gateway_peers_t *peers,
 			const peer_t *receiver, bool full)
 {
@@ -407,7 +434,7 @@
 	msgpack_pack_nil(&packer);
 }
 
-/* Sends what all gateways but the receiver did. */
+/* Sends a peer the sums over all other gateways. FULL: includes the members. */
 void peers_send_summary(gateway_peers_t *peers, peer_t *peer, bool full)
 {
 	msgpack_sbuffer buffer;
@@ -438,7 +465,7 @@
 	msgpack_pack_uint8(packer, (uint8_t)what);
 }
 
-/* Asks a peer for upstreams by their marks. */
+/* Requests upstreams in full from a peer. ID_HASHES is an array of uint64_t. */
 void peers_send_fetch_by_id_hash(gateway_peers_t *peers, peer_t *peer,
 				 const GArray *id_hashes)
 {
@@ -455,7 +482,10 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Asks a peer for what this gateway lacks. */
+/*
+ * Requests what the FETCH_ flags in WHAT name. If this gateway has a complete
+ * listing of upstreams, its digests limit the answer to what differs.
+ */
 void peers_send_fetch(gateway_peers_t *peers, peer_t *peer, unsigned int what)
 {
 	msgpack_sbuffer buffer;
@@ -472,7 +502,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Sends the configuration in force, if there is one. */
+/* Sends the configuration in force to a peer, if there is one. */
 void peers_send_config(gateway_peers_t *peers, peer_t *peer)
 {
 	msgpack_sbuffer buffer;
@@ -489,7 +519,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Packs the version of the configuration that was just taken. */
+/* Packs an announcement of the version of the configuration in force. */
 void peers_pack_announcement(msgpack_packer *packer, const gateway_peers_t *peers)
 {
 	msgpack_pack_array(packer, 3);
@@ -514,8 +544,9 @@
 }
 
 /*
- * Packs the stage of an upstream: a sixth of the bytes of all of it. Everybody
- * hears it from several peers, and who does not know it asks one for the rest.
+ * Packs the stage of an upstream, in a sixth of the bytes of the whole entry. A
+ * gateway receives it from several peers and fetches an unknown upstream from
+ * one.
  */
 static void pack_stage(msgpack_packer *packer, const forward_upstream_t *upstream)
 {
@@ -526,10 +557,11 @@
 	msgpack_pack_int64(packer, upstream->born);
 }
 
-/* Which upstreams a message tells about. */
+/* Selects the upstreams of a message. */
 typedef struct update_filter {
 	GHashTable *ids; /* only these; NULL: any */
-	const uint64_t *digests; /* only in buckets with others; NULL: in any */
+	/* only in buckets whose digests differ from these; NULL: any */
+	const uint64_t *digests;
 } update_filter_t;
 
 static bool update_filter_matches(const gateway_peers_t *peers,
@@ -581,7 +613,10 @@
 	return count;
 }
 
-/* Packs what is known of some upstreams. */
+/*
+ * Packs the stages of the upstreams in IDS, or all upstreams in full if it is
+ * NULL.
+ */
 void peers_pack_updates(msgpack_packer *packer, const gateway_peers_t *peers,
 			GHashTable *ids)
 {
@@ -591,10 +626,11 @@
 }
 
 /*
- * Sends upstreams, if a whole listing is known: the stages of those in buckets in
- * which the receiver's digests differ, or all in full. A thousand upstreams are
- * 90 KB, and in a large fleet one of them changes nearly always: whole lists
- * would fill the links of small VMs.
+ * Sends upstreams to a peer if a complete listing is known: the stages of those
+ * in buckets whose digests differ from DIGESTS, or all in full if that is NULL.
+ * A thousand upstreams take 90 KB, and in a large fleet one of them changes
+ * almost all the time: sending complete lists would fill the links of small
+ * VMs.
  */
 void peers_send_upstreams(gateway_peers_t *peers, peer_t *peer,
 			  const uint64_t *digests)
@@ -612,7 +648,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Sends upstreams in full that a peer named by their marks. */
+/* Sends in full the known upstreams among ID_HASHES, an array of uint64_t. */
 void peers_send_by_id_hash(gateway_peers_t *peers, peer_t *peer,
 			   const GArray *id_hashes)
 {
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -1,4 +1,4 @@
-/* Takes in the messages of other gateways. */
+/* Decodes and applies the messages of other gateways. */
 #include <string.h>
 
 #include "adapters/gateway/inflight_pack.h"
@@ -8,20 +8,26 @@
 #include "adapters/msgpack_check.h"
 
 #define LOG_COMPONENT "peers"
-/* Who all other gateways are, in the counts, when an aggregator sums them up. */
+/*
+ * Stands for all other gateways when an aggregator sends the sum of their
+ * counters.
+ */
 #define ALL_PEERS "everybody"
-/* Levels of buckets are taken over from older peers so soon after the start. */
+/*
+ * Bucket levels are adopted from longer-running peers only this soon after the
+ * start.
+ */
 #define LEVEL_ADOPTION_WINDOW (3 * PD_SEC)
-/* What was asked for is asked for again only after so long. */
+/* Minimum time before the same data is fetched again. */
 #define FETCH_PERIOD (400 * PD_MSEC)
 /*
- * News is on its way for some tens of milliseconds, during which two gateways
- * differ; nothing is missing then.
+ * Updates take some tens of milliseconds to spread. Digests that differ for
+ * less than this do not mean that an update was lost.
  */
 #define DIVERGENCE_MIN (300 * PD_MSEC)
 #define FETCH_PERIOD_MAX (6400 * PD_MSEC)
 
-/* A peer's values by name, and the sums of all peers' that they are part of. */
+/* A peer's values by name, and the sums over all peers that include them. */
 typedef struct summed {
 	GHashTable *values;
 	GHashTable *sums;
@@ -36,7 +42,7 @@
 	*known = value;
 }
 
-/* What a message says of one account's use. */
+/* One account's limit use, as sent. */
 typedef struct limit_use {
 	char *account; /* owned */
 	double granted;
@@ -45,7 +51,10 @@
 	double level;
 } limit_use_t;
 
-/* Reads an account's use; false if it is not one. */
+/*
+ * Decodes an account's limit use. Returns false if it is malformed; otherwise
+ * the caller frees the account.
+ */
 static bool read_limit_use(const msgpack_object *object, limit_use_t *use)
 {
 	const msgpack_object *fields =
@@ -61,7 +70,11 @@
 	return use->account != NULL;
 }
 
-/* Takes what accounts used at a peer; ADOPT: it knows the levels better. */
+/*
+ * Applies a peer's limit uses. ADOPT: take over its bucket levels too, as it
+ * has run for longer. RECENT: it started within the limits' window, so all of
+ * its use counts and not only what it uses from now on.
+ */
 static void merge_limit_uses(gateway_peers_t *peers, peer_t *peer,
 			     const msgpack_object *object, bool adopt, bool recent)
 {
@@ -88,7 +101,10 @@
 	}
 }
 
-/* Takes what accounts used at all but this gateway, and the levels, from an aggregator. */
+/*
+ * Applies an aggregator's limit uses, summed over all gateways but this one,
+ * and its bucket levels.
+ */
 static void apply_limit_use_sums(gateway_peers_t *peers, const msgpack_object *object)
 {
 	token_limits_t *limits = peers->gateway->limits;
@@ -132,7 +148,7 @@
 	}
 }
 
-/* Takes the speeds of engines that a peer has seen. */
+/* Applies the engine speeds observed by a peer. */
 static void merge_engine_speeds(gateway_t *gateway, const msgpack_object *object)
 {
 	uint32_t count = 0;
@@ -143,7 +159,7 @@
 			msgpack_field_items(&items[i], 2, NULL);
 		char *service = pair ? msgpack_field_text(&pair[0]) : NULL;
 
-		/* A peer may not have this gateway keep services of its own. */
+		/* A peer must not add services unknown to this gateway. */
 		if (service && gateway->config &&
 		    forward_config_service(gateway->config, service))
 			engine_speeds_told(forward_upstreams_speeds(
@@ -154,7 +170,7 @@
 	}
 }
 
-/* Merges the counts of usage of one start of a peer. */
+/* Merges the usage counts of one incarnation of a peer. */
 static void merge_usage(gateway_t *gateway, const char *incarnation,
 			const msgpack_object *object)
 {
@@ -181,7 +197,10 @@
 	}
 }
 
-/* Takes up to which window the counts that came with a state are all of its sender's. */
+/*
+ * Applies the watermark of a state: all usage of its sender up to that window
+ * is known.
+ */
 static void merge_watermark(gateway_t *gateway, const char *incarnation,
 			    const msgpack_object *object)
 {
@@ -216,7 +235,10 @@
 	return (pd_time_t)(peers->gateway->settings->limits_window_s * PD_SEC);
 }
 
-/* Says whether a peer of that age knows what was used before this start. */
+/*
+ * Returns whether to adopt the bucket levels of a peer with that uptime, as it
+ * knows what was used before this gateway started. True at most once.
+ */
 static bool should_adopt_levels(gateway_peers_t *peers, uint64_t age)
 {
 	if (peers->levels_adopted ||
@@ -228,9 +250,9 @@
 }
 
 /*
- * Says whether upstreams may be fetched from a peer with another digest. If
- * fetching did not help, as the peer is the one that is behind, it is done less
- * and less often until one of the two learns something.
+ * Returns whether to fetch upstreams from a peer whose digest is DIGEST. The
+ * time between fetches doubles while fetching does not help, as the peer may be
+ * the one that is behind, until either digest changes.
  */
 static bool may_fetch_upstreams(gateway_peers_t *peers, uint64_t digest,
 				pd_time_t now)
@@ -256,7 +278,10 @@
 	return true;
 }
 
-/* Asks for what the peer has newer, or knows otherwise; 0: not told. */
+/*
+ * Fetches what the peer has in a newer version or knows differently. A VERSION
+ * or DIGEST of 0 is not compared.
+ */
 static void fetch_newer(gateway_peers_t *peers, peer_t *peer, uint64_t version,
 			uint64_t digest)
 {
@@ -283,9 +308,10 @@
 }
 
 /*
- * Takes who holds the duties, if that is newer than what is known. Without the
- * fencing number, the many who had not heard of a new holder told the aggregators the
- * old one again and again, and usage was sent there for the rest of the day.
+ * Applies a peer's view of the leader if its fencing token is newer. Without
+ * the token, the many gateways that had not heard of a new leader would keep
+ * reporting the old one to the aggregators, and usage would go on being sent to
+ * it.
  */
 static void update_leader(gateway_peers_t *peers, const msgpack_object *object,
 			  uint64_t fence)
@@ -301,13 +327,19 @@
 	g_free(leader);
 }
 
-/* Returns the id of the VM, which an incarnation begins with; owned by the caller. */
+/*
+ * Returns the id of the VM, which is the first part of an incarnation's name;
+ * owned by the caller.
+ */
 static char *incarnation_vm(const char *incarnation)
 {
 	return g_strndup(incarnation, usage_vm_len(incarnation));
 }
 
-/* Notes who sent a state or summary; NULL if that can't be read. */
+/*
+ * Applies the fields that describe the sender of a state or summary. Returns
+ * its peer, borrowed, or NULL if the fields are malformed.
+ */
 static peer_t *identify_sender(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	unsigned int flags =
@@ -343,7 +375,7 @@
 	return peer;
 }
 
-/* Takes the clock of a state's sender; times beyond all reason are left out. */
+/* Applies the clock of a state's sender. Out-of-range times are ignored. */
 static void vote_clock(gateway_t *gateway, const peer_t *peer,
 		       const msgpack_object *fields, pd_time_t now)
 {
@@ -355,7 +387,7 @@
 				  (pd_time_t)age, now);
 }
 
-/* Takes from a peer's message whether it was served by the store. */
+/* Records that a peer was heard from, and whether the store was serving it. */
 static void note_peer_store_health(gateway_t *gateway, const peer_t *peer,
 				   pd_time_t now)
 {
@@ -385,7 +417,7 @@
 	merge_watermark(gateway, peer->incarnation, &fields[STATE_WATERMARK]);
 	merge_engine_speeds(gateway, &fields[STATE_ENGINE_SPEEDS]);
 	merge_members(peers, &fields[STATE_MEMBERS]);
-	/* The sums of the aggregator include this peer already. */
+	/* An aggregator's sums already include this peer. */
 	if (!peers->aggregator) {
 		const summed_values_t work = { peer->work, peers->work };
 
@@ -464,7 +496,10 @@
 	return (pd_time_t)(gintptr)now - (pd_time_t)(gintptr)asked_at > FETCH_PERIOD;
 }
 
-/* Returns whether an upstream's rest may be asked for: no peer was just now. */
+/*
+ * Returns whether to request an upstream in full: no peer was asked for it
+ * within FETCH_PERIOD.
+ */
 static bool may_fetch_id_hash(gateway_peers_t *peers, uint64_t id_hash)
 {
 	pd_time_t now = gateway_now();
@@ -483,8 +518,8 @@
 }
 
 /*
- * Takes the stage of an upstream; adds its id_hash to UNKNOWN if that is all that
- * is known of it. One that is gone is of no interest then.
+ * Applies the stage of an upstream. If the upstream is not known and not gone,
+ * adds its id hash to UNKNOWN.
  */
 static void apply_stage(gateway_peers_t *peers, const msgpack_object *fields,
 			GArray *unknown)
@@ -512,7 +547,7 @@
 		gateway_upstream_news(gateway, upstream->id, "peer");
 }
 
-/* Takes one upstream that a peer knows of. */
+/* Applies one upstream of an update, in full or only its stage. */
 static void apply_upstream(gateway_peers_t *peers, const msgpack_object *object,
 			   GArray *unknown)
 {
@@ -552,7 +587,7 @@
 						   gateway_now());
 	else
 		changed = forward_upstreams_apply(gateway->upstreams, &listing);
-	/* Passed on, as a peer may reach some that the sender does not. */
+	/* Forwarded, as it may reach peers that the sender does not reach. */
 	if (changed)
 		gateway_upstream_news(gateway, listing.id, "peer");
 done:
@@ -598,7 +633,7 @@
 	g_array_unref(id_hashes);
 }
 
-/* Reads the digests that a peer sent along. False: it sent none. */
+/* Decodes the digests of a fetch. Returns false if it has none. */
 static bool read_digests(const msgpack_object *object,
 			 uint64_t digests[FORWARD_BUCKETS])
 {
@@ -652,7 +687,10 @@
 		merge_usage(peers->gateway, who, &fields[3]);
 	merge_inflight(peers->gateway, &fields[5]);
 	peers->counts_received_at = gateway_now();
-	/* What it had used before it was first heard comes with its state. */
+	/*
+	 * What the peer used before this gateway first heard from it is in its
+	 * state.
+	 */
 	if (peer && who && !g_strcmp0(peer->incarnation, who) && !peers->aggregator)
 		merge_limit_uses(peers, peer, &fields[4], false, true);
 	rc = address && who ? 0 : -1;
@@ -697,7 +735,7 @@
 	return -1;
 }
 
-/* Takes one message; -1 if it can't be understood. */
+/* Decodes and applies one message. Returns 0, or -1 if it is malformed. */
 int peers_receive(gateway_peers_t *peers, const char *data, size_t len)
 {
 	msgpack_unpacked unpacked;
@@ -712,6 +750,6 @@
 	msgpack_unpacked_destroy(&unpacked);
 	if (rc < 0)
 		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
-			 "dropped a message of %zu bytes: not understood", len);
+			 "dropped a malformed message of %zu bytes", len);
 	return rc;
 }
--- a/tests/unit/test_inflight_pack.c
+++ b/tests/unit/test_inflight_pack.c
@@ -1,4 +1,7 @@
-/* What is in flight, as messages and the checkpoint carry it. */
+/*
+ * Tests of the encoding of in-flight snapshots in messages and in the
+ * checkpoint.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -8,7 +11,10 @@
 
 #include "adapters/gateway/inflight_pack.h"
 
-/* Reads what was packed; NULL: it is nothing that is in flight. */
+/*
+ * Returns the unpacked snapshot, owned by the caller, or NULL if it is
+ * malformed.
+ */
 static usage_flight_t *unpack_snapshot(const msgpack_sbuffer *buffer)
 {
 	usage_flight_t *snapshot;
@@ -58,7 +64,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Guards against times that overflow. */
+/* Guards against times that overflow when converted from ms. */
 static void test_out_of_range_times_are_clamped(void **state)
 {
 	usage_flight_t *read;
--- a/tests/unit/test_peer_loads.c
+++ b/tests/unit/test_peer_loads.c
@@ -1,4 +1,4 @@
-/* What gateways tell each other of the load of upstreams. */
+/* Tests of the exchange of upstream loads between gateways. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,9 +12,9 @@
 #define START (1000 * PD_SEC)
 #define UPSTREAMS_FEW 20
 #define UPSTREAMS_MANY 1000
-#define MESSAGE_BYTES_MAX 2048 /* bytes */
+#define MESSAGE_BYTES_MAX 2048
 
-/* A gateway of which only the table of upstreams and the loads are used. */
+/* A gateway with only a table of upstreams and the state of the exchange. */
 typedef struct fixture {
 	gateway_t gateway;
 	gateway_peers_t peers;
@@ -73,7 +73,10 @@
 	return forward_upstreams_find(fixture->gateway.upstreams, id);
 }
 
-/* Has one gateway tell the other all loads; returns the message's size. */
+/*
+ * Sends a summary's loads from one gateway to the other. Returns their size in
+ * bytes.
+ */
 static size_t send_summed_loads(fixture_t *from, fixture_t *to)
 {
 	msgpack_sbuffer buffer;
@@ -94,7 +97,7 @@
 	return size;
 }
 
-/* Has a gateway note what it told last of its own requests. */
+/* Packs a gateway's own loads, which stores them as last sent. */
 static void send_own_loads(fixture_t *fixture)
 {
 	msgpack_sbuffer buffer;
@@ -107,9 +110,8 @@
 }
 
 /*
- * An aggregator sums up its own requests and its peers'. A gateway that counted its own
- * part of these sums as well would think the upstreams that it uses itself twice
- * as loaded as they are.
+ * Guards against a gateway that adds its own part of an aggregator's sums once
+ * more and takes its upstreams for twice as loaded as they are.
  */
 static void test_own_requests_are_not_counted_twice(void **state)
 {
@@ -134,9 +136,9 @@
 }
 
 /*
- * In a large fleet a message that names every upstream fills the links of small
- * VMs, and answers reach their callers late. The most loaded are named, the
- * others get the mean of the rest.
+ * Guards against messages that list every upstream of a large fleet: they fill
+ * the links of small VMs and delay answers to callers. The most loaded
+ * upstreams are listed; the others get the mean.
  */
 static void test_message_size_is_bounded_in_large_fleet(void **state)
 {
