--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -1,4 +1,4 @@
-/* The store calls of the checkpoint, and what goes into it. */
+/* Reads and writes the checkpoint, and collects its contents. */
 #include "adapters/gateway/checkpoint.h"
 
 #include <inttypes.h>
@@ -18,23 +18,23 @@
 
 #define LOG_COMPONENT "checkpoint"
 #define CALL_TIMEOUT_MS 1500
-/* Levels of limits may be that old, see token-limits-notes.md. */
+/* Bound on the age of bucket levels, see token-limits-notes.md. */
 #define RECORD_PERIOD (280 * PD_MSEC)
-/* How often a call for reading is repeated that was not answered. */
+/* Minimum time before an unanswered read is repeated. */
 #define READ_PERIOD (100 * PD_MSEC)
 /*
- * A start waits so long for the record before it serves without it: the store may
- * turn this call away and serve the others.
+ * A process waits this long for the record before it serves without it, as the
+ * store may reject this call while it answers others.
  */
 #define RECOVERY_TIMEOUT PD_SEC
-/* So long after a start the fleet is taken to be as large as in the record. */
+/* The recorded fleet size is used for this long after the start. */
 #define FLEET_SIZE_MAX_AGE (60 * PD_SEC)
 
 static const char *const slot_names[CHECKPOINT_SLOTS] = { "slot-0", "slot-1" };
 
 typedef struct checkpoint_object checkpoint_object_t;
 
-/* A write that is out. */
+/* A write in flight. */
 typedef struct write_call {
 	checkpoint_object_t *object;
 	unsigned int number;
@@ -51,20 +51,21 @@
 
 typedef struct reader reader_t;
 
-/* A call for reading that is out. */
+/* A read in flight. */
 typedef struct read_call {
 	reader_t *reader;
 	unsigned int number;
 	pd_time_t started_at;
 } read_call_t;
 
-/* The reading of all objects of a kind. */
+/* Reads all objects of a kind. */
 struct reader {
 	gateway_checkpoint_t *checkpoint;
 	wire_kind_t kind;
 	bool requested;
 	pd_time_t requested_at;
-	pd_time_t read_started_at; /* when the call that was answered began; 0: never */
+	/* start of the latest read that was answered; 0: none */
+	pd_time_t read_started_at;
 	call_pacer_t *pacer;
 	read_call_t calls[CALL_PACER_CALLS];
 	void (*handle_page)(gateway_checkpoint_t *checkpoint,
@@ -74,11 +75,13 @@
 struct gateway_checkpoint {
 	gateway_t *gateway;
 	pd_time_t first_write_at;
-	bool recovery_ended; /* the wait for the first read is over */
-	int slot; /* that is written, as seen last; -1: none */
+	/* the record was read, or RECOVERY_TIMEOUT has passed */
+	bool recovery_ended;
+	int slot; /* slot that this gateway writes; -1: none */
 	unsigned int fleet_size; /* as read */
-	char *leader; /* as read or written last; NULL: none was named */
-	pd_time_t previous_write_at; /* time of day, before this start; 0: unknown */
+	char *leader; /* id of its VM, as last read or written; NULL: none */
+	/* time of day, before this start; 0: unknown */
+	pd_time_t previous_write_at;
 	reader_t record_reader;
 	reader_t counts_reader;
 	checkpoint_object_t records[CHECKPOINT_SLOTS];
@@ -116,7 +119,9 @@
 	}
 }
 
-/* Returns a checkpoint that is read first; the caller owns it. */
+/*
+ * Returns a checkpoint that begins by reading the record; the caller owns it.
+ */
 gateway_checkpoint_t *gateway_checkpoint_create(gateway_t *gateway)
 {
 	gateway_checkpoint_t *checkpoint = g_new0(gateway_checkpoint_t, 1);
@@ -135,7 +140,7 @@
 	return checkpoint;
 }
 
-/* Returns whether the record was read, or is not waited for any longer. */
+/* Returns whether the record was read or its time-out has passed. */
 bool gateway_checkpoint_recovery_has_ended(const gateway_checkpoint_t *checkpoint,
 					   pd_time_t now)
 {
@@ -145,9 +150,9 @@
 }
 
 /*
- * Returns how many gateways there were before a start, 0 once that says nothing
- * any more. Until they have heard each other, gateways that all start at once
- * would each take themselves for one of a few and use the share of many.
+ * Returns the fleet size before this start, or 0 once that is out of date.
+ * Without it, gateways that all start at once would each assume a small fleet
+ * until they have heard from each other, and use the share of several.
  */
 unsigned int gateway_checkpoint_fleet_size(const gateway_checkpoint_t *checkpoint,
 					   pd_time_t now)
@@ -164,31 +169,36 @@
 	call_pacer_renew(reader->pacer, reader->requested_at);
 }
 
-/* Has the record read again for when it was written before this start. */
+/* Requests the record again, to learn when it was written before this start. */
 void gateway_checkpoint_request_record(gateway_checkpoint_t *checkpoint)
 {
 	reader_request(&checkpoint->record_reader);
 }
 
-/* Returns the time of day of the last write before this start; 0: it is not known. */
+/*
+ * Returns the time of day of the last write before this start, or 0 if unknown.
+ */
 pd_time_t gateway_checkpoint_previous_write_at(const gateway_checkpoint_t *checkpoint)
 {
 	return checkpoint->previous_write_at;
 }
 
-/* Has the counts of usage read and merged. */
+/* Requests the usage counts, which are merged into the gateway's when read. */
 void gateway_checkpoint_request_counts(gateway_checkpoint_t *checkpoint)
 {
 	reader_request(&checkpoint->counts_reader);
 }
 
-/* Returns when the last call began that has read the counts; 0: none has. */
+/* Returns when the latest answered read of the counts began; 0: none was. */
 pd_time_t gateway_checkpoint_counts_read_at(const gateway_checkpoint_t *checkpoint)
 {
 	return checkpoint->counts_reader.read_started_at;
 }
 
-/* Levels are of use to a start only; later the peers' are newer. */
+/*
+ * Restores bucket levels. Only done at the start; later those of peers are
+ * newer.
+ */
 static void restore_accounts(gateway_checkpoint_t *checkpoint,
 			     const checkpoint_record_t *record)
 {
@@ -204,8 +214,8 @@
 }
 
 /*
- * Corrects the clocks that were off: which of them are cannot be seen any more, as
- * the gateways that knew were killed.
+ * Applies the recorded clock offsets. Which clocks are off cannot be determined
+ * after a restart of all, as the gateways that knew it were killed.
  */
 static void restore_clocks(gateway_checkpoint_t *checkpoint,
 			   const checkpoint_record_t *record)
@@ -231,7 +241,7 @@
 	return leader ? leader : "none";
 }
 
-/* Notes whom the record names as the leader, copied; NULL: nobody. */
+/* Stores a copy of the leader's VM id; NULL: none. */
 static void set_leader(gateway_checkpoint_t *checkpoint, const char *leader)
 {
 	g_free(checkpoint->leader);
@@ -239,8 +249,8 @@
 }
 
 /*
- * Takes when the last record before this start was written. Others that have started
- * since may have written over it, and say in theirs when that was.
+ * Sets the time of the last write before this start. If gateways that started
+ * since have overwritten that record, theirs has the time.
  */
 static void set_previous_write_at(gateway_checkpoint_t *checkpoint,
 				  const checkpoint_record_t *record)
@@ -271,7 +281,7 @@
 		 record->clocks->len, leader_or_none(record->leader));
 }
 
-/* Takes a record; only a start that has not served yet restores from it. */
+/* Handles a record. Only a gateway that has not served yet restores from it. */
 static void handle_record(gateway_checkpoint_t *checkpoint, const char *text,
 			  uint64_t revision)
 {
@@ -290,7 +300,7 @@
 	checkpoint_record_destroy(record);
 }
 
-/* Takes the record that was written last. */
+/* Handles a page of records: only the most recently written one counts. */
 static void handle_records(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
 {
 	uint64_t revision = 0;
@@ -336,7 +346,7 @@
 	wire_page_t *page;
 	pd_error_t err;
 
-	/* Nothing was ever written. */
+	/* The checkpoint was never written. */
 	if (reply->status == 404)
 		return true;
 	if (reply->status != 200) {
@@ -425,7 +435,7 @@
 		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 			 "write=%s failed status=%d", object->name, reply->status);
 	}
-	/* What another gateway wrote goes into the next write. */
+	/* The next write includes what another gateway wrote. */
 	if (text && end == WRITE_CONFLICT && object->kind == WIRE_COUNTS)
 		merge_counts(object->checkpoint, text);
 	else if (text && end == WRITE_CONFLICT)
@@ -435,7 +445,10 @@
 	g_free(text);
 }
 
-/* Returns what an object is to hold, owned by the caller. */
+/*
+ * Returns the contents of an object, owned by the caller: records are stamped
+ * with the current time.
+ */
 static char *object_spec(const checkpoint_object_t *object, const char *text,
 			 pd_time_t now)
 {
@@ -507,8 +520,9 @@
 }
 
 /*
- * Names the leader in a record, and logs when that is another one. Until a start has
- * heard who leads, it names whom the record did: all gateways may be killed before.
+ * Sets the leader in a record and logs a change. Until the leader is known
+ * after a start, the recorded one is kept, as all gateways may be killed again
+ * before.
  */
 static void add_leader(gateway_checkpoint_t *checkpoint, checkpoint_record_t *record)
 {
@@ -522,7 +536,7 @@
 	record->leader = g_strdup(checkpoint->leader);
 }
 
-/* Returns the record as of now, owned by the caller. */
+/* Returns the current record as JSON, owned by the caller. */
 static char *create_record_text(gateway_checkpoint_t *checkpoint, pd_time_t now)
 {
 	gateway_t *gateway = checkpoint->gateway;
@@ -553,7 +567,9 @@
 	pd_time_t wall = time_vote_wall(gateway->vote, now);
 	char *text;
 
-	/* A turn that was begun late must not cost the next one. */
+	/*
+	 * A write that began late must not make the writer miss its next turn.
+	 */
 	object_writer_set_period(counts->writer, period * 3 / 4);
 	if (object_writer_is_due(counts->writer, now) &&
 	    (usage_is_turn(wall, period, slot) ||
@@ -571,7 +587,10 @@
 	}
 }
 
-/* Returns when this gateway may write first, at random so that all don't at once. */
+/*
+ * Returns when this gateway may write first. Jitter keeps gateways that start
+ * together from writing at once.
+ */
 static pd_time_t first_write_at(const gateway_checkpoint_t *checkpoint)
 {
 	const gateway_t *gateway = checkpoint->gateway;
@@ -580,7 +599,10 @@
 	return gateway->started_at + wait + gateway_jitter(gateway, wait);
 }
 
-/* Has writes take as long as the first read did, until some were answered. */
+/*
+ * Sets the expected duration of writes to that of the first read, until some
+ * writes are answered.
+ */
 static void set_expected_write_time(gateway_checkpoint_t *checkpoint)
 {
 	pd_time_t time = call_pacer_answer_time(checkpoint->record_reader.pacer);
@@ -592,8 +614,9 @@
 }
 
 /*
- * Ends the wait of a start for the record. What accounts have used is not known
- * then; taken for nothing, each kill of all would grant their limits once more.
+ * Ends recovery once the record was read or its time-out has passed. Without
+ * the record the use of limits is unknown: buckets start empty, as full ones
+ * would grant all limits anew after each kill of all gateways.
  */
 static void end_recovery(gateway_checkpoint_t *checkpoint, pd_time_t now)
 {
@@ -608,10 +631,10 @@
 	checkpoint->record_reader.requested = false;
 	token_limits_begin_empty(checkpoint->gateway->limits);
 	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
-		 "not read in time, limits start empty");
+		 "record not read within 1 s, limits start empty");
 }
 
-/* Reads what is asked for, and writes if this gateway is a writer. */
+/* Runs due reads, and due writes if this gateway is a checkpoint writer. */
 void gateway_checkpoint_run(gateway_checkpoint_t *checkpoint, pd_time_t now)
 {
 	int slot;
--- a/adapters/gateway/checkpoint.h
+++ b/adapters/gateway/checkpoint.h
@@ -1,9 +1,9 @@
 /*
- * What outlives a kill of all gateways, in the store: how many they are and what
- * accounts have left of their limits, read by every start; and the counts of usage,
- * read before a report. Two gateways write it, each an object of each sort of its
- * own, so that neither a death nor a lost answer holds it up;
- * core/forward/usage-notes.md has the argument.
+ * Checkpoint in the store, for recovery after all gateways are killed at once:
+ * the fleet size and what is left of accounts' limits, read by each process
+ * start, and usage counts, read before a report. Two gateways write it, each to
+ * an object of its own of each kind, so that neither a dead writer nor a lost
+ * answer delays it. core/forward/usage-notes.md has the argument.
  */
 #ifndef PISTACHIO_GATEWAY_CHECKPOINT_H
 #define PISTACHIO_GATEWAY_CHECKPOINT_H
--- a/adapters/gateway/checkpoint_record.c
+++ b/adapters/gateway/checkpoint_record.c
@@ -1,4 +1,4 @@
-/* The checkpoint as JSON, and back. */
+/* Converts checkpoint records to JSON and back. */
 #include "adapters/gateway/checkpoint_record.h"
 
 #include <stdlib.h>
@@ -6,11 +6,16 @@
 
 #include "adapters/json.h"
 
-/* More than any fleet has; a larger number is a mistake. */
+/* Upper bound on a plausible fleet; larger numbers are errors. */
 #define GATEWAYS_MAX 100000
-/* Offsets of clocks change by less all the time, and the record with them. */
+/*
+ * Coarse, as offsets change slightly all the time and each change would cause a
+ * write of the record.
+ */
 #define CLOCK_OFFSET_UNIT (100 * PD_MSEC)
-/* A clock that is off by more is set wrong, and no offset helps. */
+/*
+ * A clock that is off by more is misconfigured, and an offset would not help.
+ */
 #define CLOCK_OFFSET_MAX (3600 * PD_SEC)
 
 static void account_clear(void *data)
@@ -23,7 +28,7 @@
 	g_free(((clock_record_t *)data)->node);
 }
 
-/* Returns a record that says nothing; the caller owns it. */
+/* Returns an empty record; the caller owns it. */
 checkpoint_record_t *checkpoint_record_create(void)
 {
 	checkpoint_record_t *record = g_new0(checkpoint_record_t, 1);
@@ -35,7 +40,7 @@
 	return record;
 }
 
-/* Frees a record; NULL is allowed. */
+/* Frees a record, which may be NULL. */
 void checkpoint_record_destroy(checkpoint_record_t *record)
 {
 	if (!record)
@@ -46,7 +51,7 @@
 	g_free(record);
 }
 
-/* Adds what is left of an account's limit. */
+/* Adds an account. LEVEL is in tokens, DEMAND in tokens per second. */
 void checkpoint_record_add_account(checkpoint_record_t *record,
 				   const char *account, double level, double demand)
 {
@@ -55,7 +60,7 @@
 	g_array_append_val(record->accounts, entry);
 }
 
-/* Adds a clock that is off. */
+/* Adds a clock that is ahead of the fleet's time by OFFSET. */
 void checkpoint_record_add_clock(checkpoint_record_t *record, const char *node,
 				 pd_time_t offset)
 {
@@ -64,7 +69,7 @@
 	g_array_append_val(record->clocks, entry);
 }
 
-/* A number that may not be below zero; 0 for anything else. */
+/* Returns a non-negative integer, or 0 for any other value. */
 static uint64_t non_negative(const json_t *value)
 {
 	json_int_t number = json_integer_value(value);
@@ -105,15 +110,16 @@
 	}
 }
 
-/* A time of day; 0 for anything else. */
+/* Returns a time of day given in ms, or 0 for any other value. */
 static pd_time_t read_time(const json_t *root, const char *key)
 {
 	return pd_time_of_ms(non_negative(json_object_get(root, key)));
 }
 
 /*
- * Reads a record; NULL with ERR set if it is none. Parts that are not as a
- * gateway writes them are left out: what they said is then unknown.
+ * Parses a record. Returns it, owned by the caller, or NULL with ERR set if
+ * TEXT is not JSON. Invalid fields are skipped, which leaves their values
+ * unknown.
  */
 checkpoint_record_t *checkpoint_record_parse(const char *text, pd_error_t *err)
 {
@@ -163,7 +169,9 @@
 	return clocks;
 }
 
-/* Returns the record as text but for when it is written, owned by the caller. */
+/*
+ * Returns the record as JSON without the time of writing; the caller owns it.
+ */
 char *checkpoint_record_format(const checkpoint_record_t *record)
 {
 	json_t *root = json_pack("{s:i, s:o, s:o}", "gateways",
@@ -188,8 +196,8 @@
 }
 
 /*
- * Returns a record's text with the time of day at which it is written, owned by the
- * caller. The time alone is no reason to write, so it comes in last.
+ * Returns the JSON of a record with the time of writing added, owned by the
+ * caller. It is added last because a new time alone is no reason to write.
  */
 char *checkpoint_record_stamp(const char *text, pd_time_t at)
 {
--- a/adapters/gateway/checkpoint_record.h
+++ b/adapters/gateway/checkpoint_record.h
@@ -1,7 +1,7 @@
 /*
- * What a start has to know of the fleet before it, as it lies in the store: how
- * many gateways there are and which of them leads, what accounts have left of their
- * limits, and which clocks are off.
+ * Checkpoint record: what a restarted fleet needs to know of the previous one.
+ * It has the number of gateways, the leader, what is left of accounts' limits,
+ * and the clocks that are off.
  */
 #ifndef PISTACHIO_GATEWAY_CHECKPOINT_RECORD_H
 #define PISTACHIO_GATEWAY_CHECKPOINT_RECORD_H
@@ -11,24 +11,27 @@
 #include "core/error.h"
 #include "ports/clock.h"
 
-/* What is left of an account's limit, and what its callers ask for. */
+/* State of an account's limit. */
 typedef struct account_record {
 	char *account;
-	double level; /* of the bucket that all gateways share, in tokens */
-	double demand; /* in tokens a second, refused ones included */
+	double level; /* of the bucket shared by all gateways, in tokens */
+	double demand; /* tokens per second, including rejected requests */
 } account_record_t;
 
-/* How far the clock of a gateway's VM is ahead of the fleet's time. */
+/* Offset of a gateway's clock ahead of the fleet's time. */
 typedef struct clock_record {
 	char *node; /* id of the gateway's VM */
 	pd_time_t offset;
 } clock_record_t;
 
 typedef struct checkpoint_record {
-	unsigned int fleet_size; /* that share what is limited in sum */
-	char *leader; /* id of its VM; NULL: none is known */
+	unsigned int fleet_size; /* number of gateways that share the limits */
+	char *leader; /* id of its VM; NULL: unknown */
 	pd_time_t written_at; /* time of day; 0: unknown */
-	pd_time_t previous_write_at; /* when one was written last before its writer started */
+	/*
+	 * time of day of the last write before the writer's start; 0: unknown
+	 */
+	pd_time_t previous_write_at;
 	GArray *accounts; /* of account_record_t */
 	GArray *clocks; /* of clock_record_t */
 } checkpoint_record_t;
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -1,11 +1,13 @@
 /*
- * Counts of usage as text, and back. A fleet of hundreds has thousands of small
- * counts, and they are written several times a second: packed they take a
- * quarter of the bytes that JSON would.
+ * Encodes usage counts for the store, and merges encoded ones. A fleet of
+ * hundreds of gateways has thousands of small counts, written several times a
+ * second; packed they take a quarter of the bytes of JSON.
  *
- * {"format": 1, "counts": base64 of msgpack [accounts, row, row...], "in_flight": base64
- * of msgpack [flight, flight...]}, where a row is [window, start, place of an account, its
- * count, place, count...] and inflight_pack.h has a flight.
+ * {"format": 1, "counts": base64 of msgpack [accounts, row, row...],
+ *  "in_flight": base64 of msgpack [snapshot, snapshot...]}
+ *
+ * A row is [window, incarnation, account index, count, account index,
+ * count...]; a snapshot is as in inflight_pack.h.
  */
 #include "adapters/gateway/usage_table.h"
 
@@ -20,18 +22,21 @@
 #include "adapters/msgpack_write.h"
 
 #define FORMAT 1
-#define ROW_HEADER_FIELDS 2 /* window and start */
-#define CELL_FIELDS 2 /* place of an account, and its count */
+#define ROW_HEADER_FIELDS 2 /* window and incarnation */
+#define CELL_FIELDS 2 /* account index and count */
 
-/* A row is gathered whole, as its length goes first. */
+/*
+ * Encodes rows. The cells of a row are buffered, as their number comes first.
+ */
 typedef struct table_writer {
 	GPtrArray *accounts; /* borrowed names */
-	GHashTable *indexes; /* name -> place in accounts + 1 */
+	GHashTable *indexes; /* name -> index in accounts + 1 */
 	msgpack_sbuffer rows;
 	uint32_t row_count;
-	int64_t window; /* of the row that is gathered */
+	int64_t window; /* of the buffered row */
 	uint64_t start;
-	GArray *cells; /* uint64_t: place, count, place, count... */
+	/* uint64_t: account index, count, account index, count... */
+	GArray *cells;
 } table_writer_t;
 
 static void flush_row(table_writer_t *writer)
@@ -85,7 +90,10 @@
 		msgpack_write_text(packer, g_ptr_array_index(accounts, i));
 }
 
-/* Returns a buffer's bytes in base64, owned by the caller, and frees the buffer. */
+/*
+ * Returns the contents of a buffer in base64, owned by the caller. Destroys the
+ * buffer.
+ */
 static char *buffer_encode(msgpack_sbuffer *buffer)
 {
 	char *encoded = g_base64_encode((const guchar *)buffer->data, buffer->size);
@@ -116,7 +124,10 @@
 	inflight_pack(&writer->packer, snapshot);
 }
 
-/* Returns what is in flight in base64, owned by the caller. */
+/*
+ * Returns the in-flight snapshots of windows from FROM on in base64, owned by
+ * the caller.
+ */
 static char *snapshots_encode(const usage_inflight_t *inflight, int64_t from)
 {
 	list_writer_t writer;
@@ -132,8 +143,8 @@
 }
 
 /*
- * Returns the counts of the windows from FROM on, and what is in flight in them, as JSON,
- * owned by the caller.
+ * Returns the usage counts and in-flight snapshots of windows from FROM on as
+ * JSON, owned by the caller.
  */
 char *usage_table_encode(const usage_t *usage, const usage_inflight_t *inflight,
 			 int64_t from)
@@ -163,7 +174,7 @@
 	return text;
 }
 
-/* Merges a row; cells of accounts that are not named are left out. */
+/* Merges a row. Cells with an unknown account index are skipped. */
 static void merge_row(usage_t *usage, const msgpack_object *object,
 		      const GPtrArray *accounts)
 {
@@ -187,7 +198,10 @@
 	}
 }
 
-/* Returns the names of the accounts, owned by the caller; what is none is "". */
+/*
+ * Returns the names of the accounts, owned by the caller. Invalid ones are "",
+ * which keeps the indexes of the others.
+ */
 static GPtrArray *read_accounts(const msgpack_object *object)
 {
 	GPtrArray *accounts = g_ptr_array_new_with_free_func(g_free);
@@ -202,11 +216,11 @@
 	return accounts;
 }
 
-/* An array in base64 that was unpacked. */
+/* A decoded msgpack array. */
 typedef struct packed_list {
-	guchar *data; /* which the items refer to */
+	guchar *data; /* that the items refer to */
 	msgpack_unpacked unpacked;
-	const msgpack_object *items; /* NULL: it is none */
+	const msgpack_object *items; /* NULL: it is malformed */
 	uint32_t count;
 } packed_list_t;
 
@@ -247,7 +261,8 @@
 		g_ptr_array_unref(accounts);
 	} else {
 		rc = pd_error_set(err, PD_ERROR_INPUT,
-				  "counts of usage: no table in %zu characters",
+				  "usage counts: malformed table of %zu "
+				  "characters",
 				  strlen(encoded));
 	}
 	packed_list_close(&list);
@@ -269,7 +284,7 @@
 	}
 	if (!list.items)
 		rc = pd_error_set(err, PD_ERROR_INPUT,
-				  "requests in flight: no list in %zu "
+				  "requests in flight: malformed list of %zu "
 				  "characters",
 				  strlen(encoded));
 	packed_list_close(&list);
@@ -277,8 +292,8 @@
 }
 
 /*
- * Merges a text into the counts and what is in flight. Returns -1 with ERR set if it is
- * none, or of another format; rows that make no sense are left out.
+ * Merges encoded counts and in-flight snapshots. Returns 0, or -1 with ERR set
+ * if TEXT is malformed or of another format. Malformed rows are skipped.
  */
 int usage_table_merge(const char *text, usage_t *usage,
 		      usage_inflight_t *inflight, pd_error_t *err)
@@ -295,8 +310,8 @@
 	encoded = json_string_or(root, "counts", NULL);
 	if (format != FORMAT || !encoded) {
 		pd_error_set(err, PD_ERROR_VERSION,
-			     "counts of usage: format %" G_GINT64_FORMAT
-			     " where %d is known",
+			     "usage counts: format %" G_GINT64_FORMAT
+			     ", expected %d",
 			     format, FORMAT);
 		goto done;
 	}
--- a/adapters/gateway/usage_table.h
+++ b/adapters/gateway/usage_table.h
@@ -1,4 +1,4 @@
-/* Counts of usage as they lie in the store: JSON around packed rows. */
+/* Encoding of usage counts in the store: JSON around packed rows. */
 #ifndef PISTACHIO_GATEWAY_USAGE_TABLE_H
 #define PISTACHIO_GATEWAY_USAGE_TABLE_H
 
