--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -1,4 +1,7 @@
-/* Two gateways in one loop, over real connections: what they tell each other. */
+/*
+ * Tests of gossip between two gateways in one event loop, over real
+ * connections.
+ */
 #include <setjmp.h>
 #include <signal.h>
 #include <stdarg.h>
@@ -15,8 +18,8 @@
 #include "adapters/log_glib.h"
 
 #define TIMEOUT_MS 10000 /* of a wait for a condition */
-#define FULL_STATE_TIMEOUT_MS \
-	3200 /* twice its period; gateways are forgotten after 6 s */
+/* twice the period of full states; members expire after 6 s */
+#define FULL_STATE_TIMEOUT_MS 3200
 #define PAIR 2
 
 typedef struct pair {
@@ -55,7 +58,7 @@
 	uv_run(&pair->loop, UV_RUN_ONCE);
 }
 
-/* Turns the loop until a condition holds; fails the test after MS. */
+/* Runs the loop until CONDITION holds; fails the test after MS milliseconds. */
 #define WAIT_UNTIL_WITHIN(pair, condition, ms)                           \
 	do {                                                             \
 		uint64_t end = uv_hrtime() / 1000000 + (ms);             \
@@ -65,11 +68,11 @@
 			fail_msg("gave up waiting for: %s", #condition); \
 	} while (0)
 
-/* The same, with the usual timeout. */
+/* The same with the default time-out. */
 #define WAIT_UNTIL(pair, condition) \
 	WAIT_UNTIL_WITHIN(pair, condition, TIMEOUT_MS)
 
-/* Starts both; the second has the first for its seed. */
+/* Starts two gateways; the second has the first as its seed. */
 static int setup(void **state)
 {
 	pair_t *pair = g_new0(pair_t, 1);
@@ -129,9 +132,9 @@
 }
 
 /*
- * Gateways tell each other what they count in each window. Only the one that
- * reports dropped what is over; all others kept every count for as long as they
- * ran, and the busiest of hundreds came near the memory that its VM has.
+ * Guards against counts of past windows that are kept for ever by all gateways
+ * but the one that reports them: in a fleet of hundreds they nearly filled the
+ * memory of a VM.
  */
 static void test_counts_of_old_windows_are_dropped(void **state)
 {
@@ -143,9 +146,9 @@
 }
 
 /*
- * Only one gateway hears of a new upstream, as the store turns the other away.
- * News names upstreams briefly; the other has to ask for the rest, or it would
- * never send anything there.
+ * Only one gateway learns of a new upstream, as the store rejects the other's
+ * calls. Updates have only the stage of an upstream; unless the other gateway
+ * fetched the rest, it would never send requests there.
  */
 static void test_new_upstream_is_fetched_in_full(void **state)
 {
@@ -160,8 +163,8 @@
 }
 
 /*
- * Only one gateway hears that an upstream leaves. Sent on to it, requests would
- * be cut off when it ends.
+ * Only one gateway learns that an upstream is draining. Requests that the other
+ * one went on sending would be cut off when the upstream ends.
  */
 static void test_draining_upstream_is_propagated(void **state)
 {
@@ -176,7 +179,10 @@
 	assert_false(forward_upstream_serves(find_upstream(other, "u1")));
 }
 
-/* Has a gateway know a large fleet, in which it goes last. */
+/*
+ * Adds enough peers of higher rank for a large fleet, in which this gateway
+ * ranks last.
+ */
 static void add_high_ranked_peers(gateway_t *gateway)
 {
 	pd_time_t now = gateway_now();
@@ -193,7 +199,10 @@
 	gateway->peers->view.at = 0;
 }
 
-/* Guards against a leader that is not sent the counts of who was not told of it. */
+/*
+ * Guards against a leader that gets no counts from gateways whose members do
+ * not include it.
+ */
 static void test_leader_outside_members_is_sent_states(void **state)
 {
 	pair_t *pair = *state;
@@ -209,7 +218,10 @@
 			  FULL_STATE_TIMEOUT_MS);
 }
 
-/* Guards against a former leader that does not stand as others go before it. */
+/*
+ * Guards against a former leader that does not request the lease because other
+ * gateways rank before it.
+ */
 static void test_former_leader_may_acquire_lease(void **state)
 {
 	pair_t *pair = *state;
@@ -222,8 +234,8 @@
 }
 
 /*
- * News is lost with a connection, and nothing else changes afterwards. The
- * digests that gateways tell show the difference, and what differs is fetched.
+ * An update is lost with its connection, and nothing changes afterwards. The
+ * digests in states differ, so the upstream is fetched.
  */
 static void test_lost_update_is_fetched(void **state)
 {
@@ -243,7 +255,10 @@
 	assert_string_equal(find_upstream(other, "u2")->address, "10.0.0.8");
 }
 
-/* Has a gateway take the other's update of an upstream; returns the bytes it sent. */
+/*
+ * Delivers the first gateway's update of an upstream to the second. Returns the
+ * number of bytes that the second sent in return.
+ */
 static uint64_t deliver_update(pair_t *pair, const char *id)
 {
 	gateway_peers_t *from = pair->gateways[0]->peers;
@@ -263,7 +278,7 @@
 	return frame_link_bytes(to->link) - before;
 }
 
-/* Guards against asking for an upstream again while the answer is on its way. */
+/* Guards against fetching an upstream again while the answer is in flight. */
 static void test_unknown_upstream_is_fetched_once(void **state)
 {
 	pair_t *pair = *state;
@@ -279,7 +294,10 @@
 				 PAIR);
 	forward_upstreams_apply(pair->gateways[0]->upstreams, &listing);
 	assert_true(deliver_update(pair, "u3") > 0);
-	/* Old questions are dropped now and then; this one is not old. */
+	/*
+	 * Makes the next update prune expired fetches; this one has not
+	 * expired.
+	 */
 	pair->gateways[1]->peers->pending_fetches_pruned_at = 0;
 	assert_int_equal(deliver_update(pair, "u3"), 0);
 }
@@ -297,7 +315,9 @@
 		cmocka_unit_test_setup(test_unknown_upstream_is_fetched_once, setup),
 	};
 
-	/* As the program does; peers close connections at any time. */
+	/*
+	 * Like the gateway program, as peers may close connections at any time.
+	 */
 	signal(SIGPIPE, SIG_IGN);
 	log_init("error");
 	log_buffer_init(STDOUT_FILENO);
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -1,4 +1,7 @@
-/* Tests of recovery after every gateway is killed at once, and of what it rests on. */
+/*
+ * Tests of recovery after all gateways are killed at once, and of the
+ * checkpoint that it relies on.
+ */
 #include <setjmp.h>
 #include <signal.h>
 #include <stdarg.h>
@@ -13,30 +16,33 @@
 #include "tests/harness/gateway_calls.h"
 
 #define CALLS 24
-/* What may be lost is what was counted in this time before the kill. */
+/* Usage that was counted within this time before the kill may be lost. */
 #define COUNTS_MAX_AGE_MS 250
 #define REPORTS_TIMEOUT_MS 20000
 #define STARTS 10
-/* With the second until another keeps the record: less than until a dead peer no
- * longer counts as alive, three seconds. */
+/*
+ * Includes up to 1 s until another gateway writes the checkpoint. Less than the
+ * 3 s until a dead peer no longer counts as alive.
+ */
 #define WRITER_FAILOVER_MS 1000
-#define FIRST_WATCH_DELAY_MS 150 /* a start has heard its peers by then */
+/* a restarted gateway has heard from its peers by then */
+#define FIRST_WATCH_DELAY_MS 150
 #define DOWNTIME_MS 2500 /* some windows of the rig */
-#define ORDERS_OBSERVED_MS 500 /* less than the timeout of an order, 1.5 s */
-#define RESUME_TIMEOUT_MS \
-	300 /* of up to 2 s until a start looks at the lease */
+#define ORDERS_OBSERVED_MS 500 /* less than the time-out of an order, 1.5 s */
+/* of up to 2 s until a started gateway looks at the lease */
+#define RESUME_TIMEOUT_MS 300
 #define WINDOW_MS 1000 /* of the rig */
-#define COUNTS_SENT_MS 100 /* until counts are sent, or sooner */
-#define REPORT_LAG_MAX_MS \
-	4000 /* a report comes 2.2 s after its window, 5 s if it waits */
-#define SUSPENDED_MS \
-	3000 /* beyond the moment at which the report does not wait */
+#define COUNTS_SENT_MS 100 /* upper bound until counts are sent */
+/* a report comes 2.2 s after its window, 5 s if it waits */
+#define REPORT_LAG_MAX_MS 4000
+/* past the time of a report that waits for no counts */
+#define SUSPENDED_MS 3000
 #define BOOT_TIME_SHIFT (3600 * PD_SEC)
-#define SOCKET_DRAIN_MS \
-	50 /* until a stand-in has read what the dead have sent */
-#define CALL_READ_MS 20 /* until a gateway has read a call for certain */
+/* until a simulated server has read what killed gateways sent */
+#define SOCKET_DRAIN_MS 50
+#define CALL_READ_MS 20 /* until a gateway has certainly read a call */
 
-/* Counts what a gateway has logged, in all its starts so far. */
+/* Returns how often TEXT is in the logs of a gateway, over all its starts. */
 static int count_logged(gateway_rig_t *rig, int number, const char *text)
 {
 	char *log = NULL;
@@ -51,7 +57,10 @@
 	return times;
 }
 
-/* Starts all gateways for the given time, and waits until all know each other. */
+/*
+ * Starts all gateways for the STARTS-th time and waits until they have found
+ * each other.
+ */
 static void start_all(gateway_rig_t *rig, int starts)
 {
 	memset(rig->peer_ports, 0, sizeof(rig->peer_ports));
@@ -74,7 +83,7 @@
 		rig_turn(rig);
 }
 
-/* Kills all, and has the stand-ins take in what they have sent until then. */
+/* Kills all gateways and lets the simulated servers read what they had sent. */
 static void kill_all(gateway_rig_t *rig)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
@@ -102,7 +111,7 @@
 	return 0;
 }
 
-/* Makes calls at all gateways that run in turn, and waits for their answers. */
+/* Sends calls to the running gateways in turn and waits for the answers. */
 static void send_calls(gateway_rig_t *rig)
 {
 	for (int i = 0; i < CALLS; i++) {
@@ -124,7 +133,7 @@
 	*(json_int_t *)ctx += (json_int_t)entry->count;
 }
 
-/* Merges what is checkpointed of the usage. */
+/* Merges the usage counts and in-flight snapshots in the store. */
 static void merge_checkpointed_counts(gateway_rig_t *rig, usage_t *usage,
 				      usage_inflight_t *inflight)
 {
@@ -142,7 +151,7 @@
 	}
 }
 
-/* Returns how many calls are checkpointed in the store. */
+/* Returns the number of calls counted in the checkpoint. */
 static json_int_t calls_checkpointed(gateway_rig_t *rig)
 {
 	usage_t *usage = usage_create("reader#1");
@@ -156,7 +165,7 @@
 	return sum;
 }
 
-/* Returns how many calls the reports name, each window taken once. */
+/* Returns the number of calls in the reports, counting each window once. */
 static json_int_t calls_reported(const gateway_rig_t *rig)
 {
 	GHashTable *windows = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -184,7 +193,10 @@
 	return sum;
 }
 
-/* Kills all gateways a twentieth of a window of 5 s after their last answer. */
+/*
+ * Serves calls and kills all gateways COUNTS_MAX_AGE_MS after the last answer,
+ * a twentieth of a window of 5 s.
+ */
 static void serve_and_kill_all(gateway_rig_t *rig)
 {
 	send_calls(rig);
@@ -192,7 +204,7 @@
 	kill_all(rig);
 }
 
-/* Returns a gateway that does not lead, while another does; -1: none leads. */
+/* Returns a gateway that is not the leader, or -1 if there is no leader. */
 static int find_follower(gateway_rig_t *rig)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
@@ -202,7 +214,7 @@
 	return -1;
 }
 
-/* Returns how long ago the window has ended that was reported last, in ms. */
+/* Returns the time since the end of the last reported window, in ms. */
 static int64_t report_lag(gateway_rig_t *rig)
 {
 	const char *text = g_ptr_array_index(rig->usage, rig->usage->len - 1);
@@ -213,21 +225,24 @@
 	return g_get_real_time() / 1000 - (window + 1) * 1000;
 }
 
-/* Waits until all calls are reported, each once. */
+/* Waits until all calls are reported; fails if any is reported twice. */
 static void wait_for_reports(gateway_rig_t *rig)
 {
 	RIG_UNTIL_WITHIN(rig, calls_reported(rig) >= CALLS, REPORTS_TIMEOUT_MS);
 	assert_int_equal(calls_reported(rig), CALLS);
 }
 
-/* Returns whether a window began just now. */
+/* Returns whether the current window is in its first quarter. */
 static bool window_has_begun(gateway_rig_t *rig)
 {
 	rig_turn(rig);
 	return g_get_real_time() / 1000 % WINDOW_MS < WINDOW_MS / 4;
 }
 
-/* Guards against reports without the counts of a gateway that is cut off meanwhile. */
+/*
+ * Guards against reports that lack the counts of a gateway that was suspended
+ * in between.
+ */
 static void test_report_waits_for_suspended_gateway(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -255,7 +270,10 @@
 	RIG_UNTIL(rig, calls_reported(rig) == 1);
 }
 
-/* Guards against reports without what was counted before a kill of all. */
+/*
+ * Guards against reports that lack what was counted before all gateways were
+ * killed.
+ */
 static void test_usage_survives_kill_of_all_gateways(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -275,7 +293,7 @@
 			g_array_index(snapshot->expected, usage_expected_t, i).count;
 }
 
-/* Returns how many calls are checkpointed as in flight. */
+/* Returns the number of calls that the checkpoint has as in flight. */
 static uint64_t calls_in_flight(gateway_rig_t *rig)
 {
 	usage_t *usage = usage_create("reader#1");
@@ -289,7 +307,7 @@
 	return sum;
 }
 
-/* Adds a flight as if its VM had lost power since. */
+/* Adds a snapshot as if its VM had rebooted since. */
 static void add_with_earlier_boot(void *ctx, const usage_flight_t *snapshot)
 {
 	usage_flight_t *moved = usage_flight_create(snapshot->start);
@@ -307,7 +325,7 @@
 	usage_inflight_take(ctx, moved);
 }
 
-/* Has the checkpoint say that the VMs of all starts have lost power since. */
+/* Changes the checkpoint as if the VMs of all gateways had lost power since. */
 static void simulate_power_loss(gateway_rig_t *rig)
 {
 	usage_t *usage = usage_create("reader#1");
@@ -326,7 +344,10 @@
 	usage_inflight_destroy(moved);
 }
 
-/* Makes a call that no upstream answers, and kills all when that is checkpointed. */
+/*
+ * Sends a call that no upstream answers, and kills all gateways once the
+ * checkpoint has it.
+ */
 static void kill_all_with_a_call_in_flight(gateway_rig_t *rig)
 {
 	rig_caller_t *caller;
@@ -339,7 +360,10 @@
 	rig_caller_destroy(caller);
 }
 
-/* Guards against reports without what upstreams ran after power was lost. */
+/*
+ * Guards against reports that lack the calls run by upstreams after a power
+ * loss of the gateways.
+ */
 static void test_calls_in_flight_are_reported_after_power_loss(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -351,7 +375,9 @@
 	assert_int_equal(calls_reported(rig), 1);
 }
 
-/* Guards against bills for calls that were dropped with their connections. */
+/*
+ * Guards against billing calls that upstreams dropped with their connections.
+ */
 static void test_calls_in_flight_are_not_reported_after_process_kill(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -376,7 +402,10 @@
 	wait_for_reports(rig);
 }
 
-/* Guards against counts that a second kill loses before their report. */
+/*
+ * Guards against counts that are lost if a second kill comes before their
+ * report.
+ */
 static void test_usage_survives_two_kills(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -388,7 +417,10 @@
 	wait_for_reports(rig);
 }
 
-/* Returns a gateway that writes a slot of the checkpoint; -1: none says so. */
+/*
+ * Returns the gateway that writes a slot of the checkpoint, or -1 if none has
+ * logged so.
+ */
 static int find_writer(gateway_rig_t *rig, int slot)
 {
 	char *now = g_strdup_printf("checkpoint: slot=%d ", slot);
@@ -405,7 +437,7 @@
 	return writer;
 }
 
-/* Guards against counts that are sent to a writer that has died. */
+/* Guards against counts that are sent to a dead checkpoint writer. */
 static void test_counts_survive_death_of_checkpoint_writer(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -418,7 +450,7 @@
 	RIG_UNTIL_WITHIN(rig, calls_checkpointed(rig) == CALLS, WRITER_FAILOVER_MS);
 }
 
-/* Guards against counts that wait for the answer to a write before them. */
+/* Guards against counts that wait for the answer to an earlier write. */
 static void test_counts_are_written_while_store_answers_are_lost(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -435,7 +467,10 @@
 			 WRITER_FAILOVER_MS);
 }
 
-/* Guards against refusals while a start has not read the configuration yet. */
+/*
+ * Guards against rejections before a restarted gateway has read the
+ * configuration.
+ */
 static void test_call_before_configuration_is_served(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -460,7 +495,10 @@
 	assert_true(served);
 }
 
-/* Guards against refusals until a start has listed the last of many upstreams. */
+/*
+ * Guards against rejections before a restarted gateway has listed the last page
+ * of upstreams.
+ */
 static void test_restart_serves_from_first_page(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -476,7 +514,10 @@
 	rig_caller_destroy(caller);
 }
 
-/* Guards against calls of hundreds of starts that do not know yet who watches. */
+/*
+ * Guards against watches from hundreds of restarted gateways that do not know
+ * yet which of them are to watch.
+ */
 static void test_restart_delays_first_watch(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -490,7 +531,10 @@
 	assert_true(rig->watched_ms - rig->listed_ms >= FIRST_WATCH_DELAY_MS);
 }
 
-/* Guards against a clock that is off and taken for right after a kill of all. */
+/*
+ * Guards against a wrong clock that is trusted right after a kill of all
+ * gateways.
+ */
 static void test_restart_corrects_clock_from_checkpoint(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -509,7 +553,7 @@
 	return json_object_get(json_object_get(rig->objects, kind), name);
 }
 
-/* Guards against a takeover that is waited for though the former leader is back. */
+/* Guards against waiting for a takeover although the former leader is back. */
 static void test_former_leader_requests_lease_at_once(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -524,7 +568,7 @@
 			 RESUME_TIMEOUT_MS);
 }
 
-/* Returns the leader that a record of the checkpoint names, borrowed, or NULL. */
+/* Returns the leader in a checkpoint record, borrowed, or NULL. */
 static const char *recorded_leader(gateway_rig_t *rig, const char *name)
 {
 	json_t *records = json_object_get(rig->objects, "records");
@@ -533,7 +577,7 @@
 	return json_string_value(json_object_get(spec, "leader"));
 }
 
-/* Guards against reports that may be short and nobody knows which. */
+/* Guards against incomplete reports that are not marked as such. */
 static void test_usage_gaps_are_logged(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -550,7 +594,10 @@
 			 REPORTS_TIMEOUT_MS);
 }
 
-/* Guards against a start that forgets the leader before it has heard of one. */
+/*
+ * Guards against a restarted gateway that drops the recorded leader before it
+ * knows the current one.
+ */
 static void test_restart_keeps_recorded_leader(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -566,7 +613,7 @@
 	assert_string_equal(recorded_leader(rig, "slot-0"), "g9");
 }
 
-/* Returns how many orders came in for on-demand upstreams. */
+/* Returns the number of orders of on-demand upstreams. */
 static int on_demand_orders(gateway_rig_t *rig)
 {
 	int count = 0;
@@ -578,7 +625,9 @@
 	return count;
 }
 
-/* Guards against a new leader that gives up on-demand upstreams in a shortage. */
+/*
+ * Guards against a new leader that gives up on-demand upstreams in a shortage.
+ */
 static void test_on_demand_orders_wait_for_spot_answers(void **state)
 {
 	gateway_rig_t *rig = *state;
@@ -599,7 +648,7 @@
 	RIG_UNTIL(rig, on_demand_orders(rig) > 0);
 }
 
-/* Guards against a report that is late as its leader was told to stop. */
+/* Guards against a report that is late because its leader was told to stop. */
 static void test_stopping_leader_reports_until_exit(void **state)
 {
 	gateway_rig_t *rig = *state;
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -1,7 +1,7 @@
 /*
- * What the gateway reads from its peers, the platform and upstreams, with bytes
- * changed, cut or added as a faulty sender could. None of it may crash the
- * gateway or have it believe what makes no sense.
+ * Fuzzes the decoders of what a gateway reads from peers, the platform and
+ * upstreams, with bytes changed, cut or inserted. No input may crash the
+ * gateway or be accepted with out-of-range values.
  */
 #include <rapidcheck.h>
 
@@ -51,7 +51,9 @@
 	"{\"metadata\":{\"name\":\"duties\",\"revision\":3},\"spec\":"
 	"{\"holder\":\"g\",\"fence\":2,\"note\":\"5 {}\"}}";
 
-/* A gateway that listens on loopback and whose loop is not run. */
+/*
+ * Returns a gateway that listens on loopback and whose event loop is not run.
+ */
 static gateway_t *create_idle_gateway()
 {
 	static gateway_settings_t settings;
@@ -74,7 +76,7 @@
 	return gateway_create(uv_default_loop(), &settings, &err);
 }
 
-/* Gives the gateway something to tell, so that its messages have all parts. */
+/* Adds data to the gateway, so that its messages have all parts. */
 static void fill_gateway(gateway_t *gateway)
 {
 	gateway_take_config(gateway, config_text, "test");
@@ -230,7 +232,7 @@
 	});
 }
 
-/* Returns what was encoded in base64 under a key of a text. */
+/* Returns the bytes that TEXT has in base64 under KEY. */
 static std::string decoded(const char *text, const std::string &key)
 {
 	std::string packed = strstr(text, (key + "\":\"").c_str()) + key.size() + 3;
@@ -255,7 +257,7 @@
 	return copy;
 }
 
-/* Returns the checkpoint's counts and what is in flight, packed. */
+/* Returns msgpack of usage counts and of in-flight snapshots. */
 static std::pair<std::string, std::string> packed_counts()
 {
 	usage_t *usage = usage_create("g#1");
@@ -312,7 +314,7 @@
 	});
 }
 
-/* However an answer is cut into pieces, the same whole events are passed on. */
+/* The same complete events are found however a response is split. */
 static bool prop_events()
 {
 	return rc::check("event streams", [] {
--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -1,4 +1,7 @@
-/* The checkpoint as text: the record that a start reads, and the counts of usage. */
+/*
+ * Tests of the checkpoint's encoding: the record read at a start, and usage
+ * counts.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,7 +15,7 @@
 
 #define INCARNATIONS 300
 #define ACCOUNTS 40
-#define ACCOUNTS_IN_FLIGHT 4 /* of a gateway */
+#define ACCOUNTS_IN_FLIGHT 4 /* per gateway */
 #define FLEET_BYTES_MAX 40000 /* of one window of a fleet of that size */
 
 static void test_record_round_trip(void **state)
@@ -54,7 +57,7 @@
 	g_free(stamped);
 }
 
-/* Guards against offsets of clocks that are no numbers, or beyond all reason. */
+/* Guards against clock offsets that are no numbers or out of range. */
 static void test_invalid_clock_offsets_are_ignored(void **state)
 {
 	pd_error_t err;
@@ -145,7 +148,9 @@
 	usage_inflight_destroy(inflight);
 }
 
-/* Guards against requests in flight that take more of a link than the counts do. */
+/*
+ * Guards against in-flight snapshots that take more bandwidth than the counts.
+ */
 static void test_snapshots_of_large_fleet_are_small(void **state)
 {
 	usage_t *usage = usage_create("g0#1");
@@ -175,7 +180,10 @@
 	usage_inflight_destroy(inflight);
 }
 
-/* Guards against a checkpoint of another program that ends service or is believed. */
+/*
+ * Guards against a checkpoint of another program that stops a gateway or is
+ * accepted.
+ */
 static void test_invalid_table_is_rejected(void **state)
 {
 	static const struct {
