--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -162,6 +162,7 @@
 		       : 0;
 }
 
+/* Requests a read. One that began before this call does not satisfy it. */
 static void reader_request(reader_t *reader)
 {
 	reader->requested = true;
@@ -266,6 +267,7 @@
 		checkpoint->previous_write_at = record->previous_write_at;
 }
 
+/* Restores limits, clocks, fleet size and leadership from a record. */
 static void restore_record(gateway_checkpoint_t *checkpoint,
 			   const checkpoint_record_t *record, uint64_t revision)
 {
@@ -319,6 +321,7 @@
 	g_free(text);
 }
 
+/* Merges the counts of one object; logs an error if they are malformed. */
 static void merge_counts(gateway_checkpoint_t *checkpoint, const char *text)
 {
 	const gateway_t *gateway = checkpoint->gateway;
@@ -328,6 +331,7 @@
 		log_error(LOG_COMPONENT, "counts", &err);
 }
 
+/* Merges a page of counts. */
 static void handle_counts(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
 {
 	for (size_t i = 0; i < wire_page_count(page); i++) {
@@ -341,6 +345,10 @@
 		 wire_page_count(page), wire_page_has_more(page));
 }
 
+/*
+ * Handles the answer to a read. Returns false, with an error logged, if it has
+ * no valid page.
+ */
 static bool reader_handle_reply(reader_t *reader, const http1_reply_t *reply)
 {
 	wire_page_t *page;
@@ -382,6 +390,7 @@
 	call_pacer_end(reader->pacer, call->number, end, gateway_now());
 }
 
+/* Sends a read if one is requested and due. */
 static void reader_run(reader_t *reader, pd_time_t now)
 {
 	read_call_t *call;
@@ -403,6 +412,7 @@
 	g_free(path);
 }
 
+/* Returns the outcome of a write by its HTTP status; 0: no answer. */
 static write_end_t write_outcome(const http1_reply_t *reply)
 {
 	switch (reply->status) {
@@ -418,6 +428,7 @@
 	}
 }
 
+/* Ends a write. After a conflict, what another gateway wrote is merged. */
 static void on_write_reply(void *ctx, const http1_reply_t *reply)
 {
 	const write_call_t *call = ctx;
@@ -459,6 +470,7 @@
 	return checkpoint_record_stamp(text, time_vote_wall(vote, now));
 }
 
+/* Writes TEXT to an object, unless it equals what was last written. */
 static void object_write(checkpoint_object_t *object, const char *text,
 			 pd_time_t now)
 {
@@ -555,6 +567,7 @@
 	return text;
 }
 
+/* Writes the counts and the record of a slot if they are due. */
 static void write_slot(gateway_checkpoint_t *checkpoint, int slot, pd_time_t now)
 {
 	gateway_t *gateway = checkpoint->gateway;
--- a/adapters/gateway/checkpoint_record.c
+++ b/adapters/gateway/checkpoint_record.c
@@ -77,6 +77,7 @@
 	return number > 0 ? (uint64_t)number : 0;
 }
 
+/* Reads {account: [level, demand]}; invalid entries are skipped. */
 static void read_accounts(checkpoint_record_t *record, json_t *accounts)
 {
 	const char *account;
@@ -94,6 +95,7 @@
 	}
 }
 
+/* Reads {node: offset in CLOCK_OFFSET_UNIT}; invalid offsets are skipped. */
 static void read_clocks(checkpoint_record_t *record, json_t *clocks)
 {
 	const char *node;
--- a/adapters/gateway/inflight_pack.c
+++ b/adapters/gateway/inflight_pack.c
@@ -7,6 +7,7 @@
 #define HEADER_FIELDS 5 /* incarnation, boot time, start, time taken, window */
 #define CELL_FIELDS 2 /* account, count */
 
+/* Packs a time in ms; negative ones as 0. */
 static void pack_time(msgpack_packer *packer, pd_time_t time)
 {
 	msgpack_pack_uint64(packer, (uint64_t)MAX(time / PD_MSEC, 0));
--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -67,11 +67,13 @@
 	return engine_tokens(rate, ENGINE_RUNNING_TIME);
 }
 
+/* Returns the weight of a load, in prompt tokens. */
 static double load_weight(const load_t *load, double running_tokens)
 {
 	return load->prefill_tokens + load->running * running_tokens;
 }
 
+/* Orders loads by descending weight. */
 static gint compare_weights(gconstpointer a, gconstpointer b, gpointer tokens)
 {
 	double left = load_weight(a, *(double *)tokens);
@@ -80,6 +82,7 @@
 	return (left < right) - (left > right);
 }
 
+/* Returns the load of an upstream by all gateways. */
 static load_t fleet_load(const forward_upstream_t *upstream)
 {
 	load_t load = { forward_upstream_mark(upstream),
@@ -96,6 +99,10 @@
 	double prefill_tokens;
 } unlisted_t;
 
+/*
+ * Returns the sum over a service's upstreams that weigh less than LEAST, the
+ * last one listed.
+ */
 static unlisted_t sum_unlisted(const GPtrArray *serving, const load_t *least,
 			       double running_tokens)
 {
@@ -114,6 +121,10 @@
 	return unlisted;
 }
 
+/*
+ * Packs, for each service, the mean load of its upstreams that weigh less than
+ * LEAST.
+ */
 static void pack_unlisted_means(msgpack_packer *packer, const gateway_t *gateway,
 				const load_t *least, double running_tokens)
 {
@@ -139,6 +150,10 @@
 	}
 }
 
+/*
+ * Packs the loads by all gateways: those of the most loaded upstreams, and
+ * means of the others if there are more than LOADS_LISTED_MAX.
+ */
 static void pack_summed_loads(msgpack_packer *packer, const gateway_peers_t *peers)
 {
 	const gateway_t *gateway = peers->gateway;
@@ -214,6 +229,7 @@
 	g_array_set_size(loads, 0);
 }
 
+/* Adds a load to an upstream's totals and to LOADS. */
 static void add_load(GArray *loads, forward_upstream_t *upstream, const load_t *load)
 {
 	upstream->peers_running += load->running;
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -152,6 +152,10 @@
 	sums_add(ctx, service, total);
 }
 
+/*
+ * Packs the total work of each service: this gateway's own, or summed over all
+ * gateways but EXCEPT if that is not NULL.
+ */
 static void pack_work(msgpack_packer *packer, const gateway_peers_t *peers,
 		      const peer_t *except)
 {
@@ -184,6 +188,7 @@
 	msgpack_pack_uint64(&writer->packer, entry->count);
 }
 
+/* Packs this gateway's usage counts of all windows still to be reported. */
 static void pack_usage_list(msgpack_sbuffer *out, msgpack_packer *packer,
 			    const gateway_t *gateway)
 {
@@ -307,6 +312,10 @@
 	return flags;
 }
 
+/*
+ * Packs the fields that a state and a summary have in common, up to
+ * STATE_FLEET_SIZE. WALL is a time of day.
+ */
 static void pack_state_header(msgpack_packer *packer, gateway_peers_t *peers,
 			      message_kind_t kind, pd_time_t wall, bool asks)
 {
@@ -447,6 +456,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
+/* Packs the digest of each bucket of the table of upstreams. */
 static void pack_digests(msgpack_packer *packer, const gateway_peers_t *peers)
 {
 	msgpack_pack_array(packer, FORWARD_BUCKETS);
@@ -528,6 +538,7 @@
 	msgpack_pack_uint64(packer, peers_config_version(peers));
 }
 
+/* Packs an upstream in full. */
 static void pack_upstream(msgpack_packer *packer, const forward_upstream_t *upstream)
 {
 	msgpack_pack_array(packer, UPSTREAM_FIELDS);
@@ -586,6 +597,10 @@
 	msgpack_pack_uint8(packer, all);
 }
 
+/*
+ * Packs the upstreams that match a filter: in full if it matches all, otherwise
+ * only their stages. Returns their number.
+ */
 static uint32_t pack_updates(msgpack_packer *packer, const gateway_peers_t *peers,
 			     const update_filter_t *filter)
 {
--- a/adapters/gateway/peer_rank.c
+++ b/adapters/gateway/peer_rank.c
@@ -41,6 +41,10 @@
 	       (peer->mentioned_at && now - peer->mentioned_at < MENTION_TIMEOUT);
 }
 
+/*
+ * Returns whether the peer counts towards the fleet size, alive or lost
+ * recently.
+ */
 static bool peer_is_in_fleet(const peer_t *peer, pd_time_t now)
 {
 	pd_time_t last = MAX(peer->heard_at, peer->mentioned_at);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -33,6 +33,7 @@
 	GHashTable *sums;
 } summed_values_t;
 
+/* Sets a peer's value and adjusts the sum by the difference. */
 static void summed_values_set(const summed_values_t *summed, const char *name,
 			      double value)
 {
@@ -126,6 +127,10 @@
 	}
 }
 
+/*
+ * Applies the work of the peer named WHO. SUMMED: its values and their sums, or
+ * NULL to leave those alone.
+ */
 static void merge_work(gateway_t *gateway, const char *who,
 		       const msgpack_object *object, const summed_values_t *summed)
 {
@@ -210,6 +215,7 @@
 				      (int64_t)msgpack_field_number(object));
 }
 
+/* Adds the members that a peer lists, and records that it heard from them. */
 static void merge_members(gateway_peers_t *peers, const msgpack_object *object)
 {
 	uint32_t count = 0;
@@ -299,6 +305,7 @@
 		peers_send_fetch(peers, peer, what);
 }
 
+/* Applies the time since the store answered any gateway, as known to a peer. */
 static void update_store_answered_at(gateway_peers_t *peers, uint64_t age)
 {
 	pd_time_t heard_at = gateway_now() - (pd_time_t)age;
@@ -396,6 +403,10 @@
 		gateway_store_failed(gateway, now);
 }
 
+/*
+ * Applies a state, and answers it with a summary if it asks for one or with
+ * this gateway's state if the peer is new. Returns 0, or -1 if it is malformed.
+ */
 static int handle_state(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	gateway_t *gateway = peers->gateway;
@@ -438,6 +449,10 @@
 	return 0;
 }
 
+/*
+ * Applies a summary; its sums only if it is from the current aggregator.
+ * Returns 0, or -1 if it is malformed.
+ */
 static int handle_summary(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	gateway_t *gateway = peers->gateway;
@@ -467,6 +482,10 @@
 	return 0;
 }
 
+/*
+ * Fetches an announced configuration if it is newer. Returns 0, or -1 if the
+ * message is malformed.
+ */
 static int handle_announcement(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *address = msgpack_field_text(&fields[1]);
@@ -479,6 +498,9 @@
 	return 0;
 }
 
+/*
+ * Applies a configuration sent by a peer. Returns 0, or -1 if it is malformed.
+ */
 static int handle_config(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *text = msgpack_field_text(&fields[1]);
@@ -595,6 +617,10 @@
 		g_free(texts[i]);
 }
 
+/*
+ * Applies the listed upstreams and fetches those of which only the stage is
+ * known. Returns 0, or -1 if the message is malformed.
+ */
 static int handle_updates(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	uint32_t count = 0;
@@ -617,6 +643,7 @@
 	return 0;
 }
 
+/* Sends the upstreams whose id hashes a fetch lists. */
 static void send_requested_upstreams(gateway_peers_t *peers, peer_t *peer,
 				     const msgpack_object *object)
 {
@@ -647,6 +674,7 @@
 	return true;
 }
 
+/* Sends what a peer requests. Returns 0, or -1 if the message is malformed. */
 static int handle_fetch(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	uint64_t digests[FORWARD_BUCKETS];
@@ -668,6 +696,7 @@
 	return 0;
 }
 
+/* Merges a peer's in-flight snapshot; malformed ones are ignored. */
 static void merge_inflight(gateway_t *gateway, const msgpack_object *object)
 {
 	usage_flight_t *snapshot = inflight_unpack(object);
@@ -676,6 +705,10 @@
 		usage_inflight_take(gateway->inflight, snapshot);
 }
 
+/*
+ * Applies the counts sent to this gateway as a checkpoint writer. Returns 0, or
+ * -1 if the message is malformed.
+ */
 static int handle_counts(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *address = msgpack_field_text(&fields[1]);
@@ -699,6 +732,10 @@
 	return rc;
 }
 
+/*
+ * Applies a decoded message by its kind. Returns 0, or -1 if it is malformed or
+ * of an unknown kind.
+ */
 static int dispatch_message(gateway_peers_t *peers, const msgpack_object *object)
 {
 	static const uint32_t lengths[] = {
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -114,6 +114,7 @@
 	return peer;
 }
 
+/* Subtracts VALUES from SUMS and empties VALUES. */
 static void subtract_values(GHashTable *sums, GHashTable *values)
 {
 	GHashTableIter iter;
@@ -141,6 +142,7 @@
 	subtract_values(peers->work, peer->work);
 }
 
+/* Removes a peer and its part of all sums, and frees it. */
 static void peer_destroy(gateway_peers_t *peers, peer_t *peer)
 {
 	peers_remove_loads(peers, peer->loads);
@@ -389,6 +391,7 @@
 	g_hash_table_add(peers->pending_updates, g_strdup(id));
 }
 
+/* Sends the queued updates of upstreams, if there are any. */
 static void spread_updates(gateway_peers_t *peers, pd_time_t now)
 {
 	msgpack_sbuffer buffer;
@@ -432,6 +435,7 @@
 	peers_remove_loads(peers, peers->aggregator_loads);
 }
 
+/* Sends this gateway's state to all peers; FULL: with usage and members. */
 static void send_to_mesh(gateway_peers_t *peers, bool full)
 {
 	follow_aggregator(peers, NULL, gateway_now());
@@ -579,6 +583,10 @@
 		aggregator->skipped_until = now + AGGREGATOR_SKIP_TIME;
 }
 
+/*
+ * Sends this gateway's state to the aggregators, requesting a summary from the
+ * first one, and to the leader if FULL.
+ */
 static void send_to_aggregators(gateway_peers_t *peers, bool full, pd_time_t now)
 {
 	bool is_aggregator = peers_view(peers, now)->rank < AGGREGATORS;
@@ -605,6 +613,10 @@
 	peers_send_state(peers, leader, false, full);
 }
 
+/*
+ * Returns whether neither this gateway nor a peer has heard from a peer within
+ * FLEET_MEMBER_TIMEOUT. Seeds never expire.
+ */
 static bool peer_has_expired(const peer_t *peer, pd_time_t now)
 {
 	pd_time_t last = MAX(peer->heard_at, peer->added_at);
@@ -613,6 +625,7 @@
 	       now - MAX(last, peer->mentioned_at) > FLEET_MEMBER_TIMEOUT;
 }
 
+/* Removes expired peers, and the loads of silent ones. */
 static void remove_expired(gateway_peers_t *peers, pd_time_t now)
 {
 	LIST_FOR_EACH_SAFE (it, &peers->list) {
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -39,6 +39,7 @@
 	GArray *cells;
 } table_writer_t;
 
+/* Appends the buffered row, if there is one, to the packed rows. */
 static void flush_row(table_writer_t *writer)
 {
 	msgpack_packer packer;
@@ -56,6 +57,10 @@
 	g_array_set_size(writer->cells, 0);
 }
 
+/*
+ * Returns the index of an account, which is added if it is new. NAME is
+ * borrowed.
+ */
 static uint64_t account_index(table_writer_t *writer, const char *account)
 {
 	guint index =
@@ -69,6 +74,10 @@
 	return writer->accounts->len - 1;
 }
 
+/*
+ * Adds an entry to the buffered row, or to a new one if it is of another window
+ * or incarnation.
+ */
 static void add_entry(void *ctx, const usage_entry_t *entry)
 {
 	table_writer_t *writer = ctx;
@@ -224,6 +233,10 @@
 	uint32_t count;
 } packed_list_t;
 
+/*
+ * Decodes base64 of an array with at least COUNT_MIN items. The caller closes
+ * the list also if it is malformed.
+ */
 static void packed_list_open(packed_list_t *list, const char *encoded,
 			     uint32_t count_min)
 {
@@ -247,6 +260,10 @@
 	g_free(list->data);
 }
 
+/*
+ * Merges the encoded counts. Returns 0, or -1 with ERR set if they are
+ * malformed.
+ */
 static int merge_counts(const char *encoded, usage_t *usage, pd_error_t *err)
 {
 	packed_list_t list;
@@ -269,6 +286,10 @@
 	return rc;
 }
 
+/*
+ * Merges the encoded in-flight snapshots. Returns 0, or -1 with ERR set if they
+ * are malformed.
+ */
 static int merge_snapshots(const char *encoded, usage_inflight_t *inflight,
 			   pd_error_t *err)
 {
