--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -181,7 +181,7 @@
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
-	uint64_t start = usage_start(incarnation);
+	uint64_t incarnation_id = usage_start(incarnation);
 
 	for (uint32_t i = 0; i < count; i++) {
 		const msgpack_object *fields =
@@ -191,7 +191,7 @@
 		if (account) {
 			const usage_entry_t entry = {
 				.window = (int64_t)msgpack_field_number(&fields[0]),
-				.start = start,
+				.start = incarnation_id,
 				.account = account,
 				.count = msgpack_field_number(&fields[2]),
 			};
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -34,7 +34,7 @@
 	msgpack_sbuffer rows;
 	uint32_t row_count;
 	int64_t window; /* of the buffered row */
-	uint64_t start;
+	uint64_t incarnation_id;
 	/* uint64_t: account index, count, account index, count... */
 	GArray *cells;
 } table_writer_t;
@@ -49,7 +49,7 @@
 	msgpack_packer_init(&packer, &writer->rows, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, ROW_HEADER_FIELDS + writer->cells->len);
 	msgpack_pack_int64(&packer, writer->window);
-	msgpack_pack_uint64(&packer, writer->start);
+	msgpack_pack_uint64(&packer, writer->incarnation_id);
 	for (guint i = 0; i < writer->cells->len; i++)
 		msgpack_pack_uint64(&packer,
 				    g_array_index(writer->cells, uint64_t, i));
@@ -84,10 +84,10 @@
 	uint64_t index = account_index(writer, entry->account);
 	uint64_t count = entry->count;
 
-	if (entry->window != writer->window || entry->start != writer->start)
+	if (entry->window != writer->window || entry->start != writer->incarnation_id)
 		flush_row(writer);
 	writer->window = entry->window;
-	writer->start = entry->start;
+	writer->incarnation_id = entry->start;
 	g_array_append_val(writer->cells, index);
 	g_array_append_val(writer->cells, count);
 }
--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -90,10 +90,10 @@
 	return sum;
 }
 
-static void merge_count(usage_t *usage, int64_t window, uint64_t start,
+static void merge_count(usage_t *usage, int64_t window, uint64_t incarnation_id,
 			const char *account, uint64_t count)
 {
-	const usage_entry_t entry = { window, start, account, count };
+	const usage_entry_t entry = { window, incarnation_id, account, count };
 
 	usage_merge(usage, &entry);
 }
@@ -132,13 +132,13 @@
 	char *text;
 
 	(void)state;
-	for (uint64_t start = 0; start < INCARNATIONS; start++) {
+	for (uint64_t id = 0; id < INCARNATIONS; id++) {
 		for (uint64_t i = 0; i < ACCOUNTS; i += 2) {
 			char account[16];
 
 			g_snprintf(account, sizeof(account), "account-%u",
 				   (unsigned int)i);
-			merge_count(usage, 353445120, start << 40, account, 2);
+			merge_count(usage, 353445120, id << 40, account, 2);
 		}
 	}
 	text = usage_table_encode(usage, inflight, 0);
@@ -158,8 +158,8 @@
 	char *text;
 
 	(void)state;
-	for (uint64_t start = 0; start < INCARNATIONS; start++) {
-		usage_flight_t *snapshot = usage_flight_create(start << 40);
+	for (uint64_t id = 0; id < INCARNATIONS; id++) {
+		usage_flight_t *snapshot = usage_flight_create(id << 40);
 
 		snapshot->booted = 1772338322000 * PD_MSEC;
 		snapshot->begun = 94107805 * PD_MSEC;
