--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -299,7 +299,7 @@
 	}
 }
 
-static unsigned int state_flags(const gateway_peers_t *peers, bool asks)
+static unsigned int state_flags(const gateway_peers_t *peers, bool request_summary)
 {
 	unsigned int flags = 0;
 
@@ -307,8 +307,8 @@
 		flags |= STATE_FLAG_HAS_STORE;
 	if (peers->high_capacity)
 		flags |= STATE_FLAG_HIGH_CAPACITY;
-	if (asks)
-		flags |= STATE_FLAG_ASKS;
+	if (request_summary)
+		flags |= STATE_FLAG_REQUESTS_SUMMARY;
 	return flags;
 }
 
@@ -317,7 +317,8 @@
  * STATE_FLEET_SIZE. WALL is a time of day.
  */
 static void pack_state_header(msgpack_packer *packer, gateway_peers_t *peers,
-			      message_kind_t kind, pd_time_t wall, bool asks)
+			      message_kind_t kind, pd_time_t wall,
+			      bool request_summary)
 {
 	pd_time_t now = gateway_now();
 
@@ -329,7 +330,7 @@
 	msgpack_pack_uint64(packer, peers_config_version(peers));
 	msgpack_pack_uint64(packer, peers_digest(peers));
 	msgpack_pack_uint64(packer, (uint64_t)(now - peers->started_at));
-	msgpack_pack_uint8(packer, (uint8_t)state_flags(peers, asks));
+	msgpack_pack_uint8(packer, (uint8_t)state_flags(peers, request_summary));
 	msgpack_pack_uint64(packer, (uint64_t)(now - peers->store_answered_at));
 	msgpack_write_text(packer, peers->is_leader ? peers->address
 				   : peers->leader  ? peers->leader
@@ -367,11 +368,11 @@
 }
 
 /*
- * Packs this gateway's state. ASKS: requests a summary in return. FULL:
+ * Packs this gateway's state. REQUEST_SUMMARY: requests a summary in return. FULL:
  * includes usage and members.
  */
 void peers_pack_state(msgpack_sbuffer *buffer, gateway_peers_t *peers,
-		      bool asks, bool full)
+		      bool request_summary, bool full)
 {
 	const time_vote_t *vote = peers->gateway->vote;
 	pd_time_t now = gateway_now();
@@ -379,7 +380,7 @@
 
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
 	pack_state_header(&packer, peers, MESSAGE_STATE,
-			  time_vote_own_wall(vote, now), asks);
+			  time_vote_own_wall(vote, now), request_summary);
 	pack_limit_uses(&packer, peers, NULL);
 	pack_work(&packer, peers, NULL);
 	peers_pack_own_loads(&packer, peers);
@@ -400,16 +401,17 @@
 }
 
 /*
- * Sends this gateway's state to a peer. ASKS and FULL are those of
+ * Sends this gateway's state to a peer. REQUEST_SUMMARY and FULL are those of
  * peers_pack_state().
  */
-void peers_send_state(gateway_peers_t *peers, peer_t *peer, bool asks, bool full)
+void peers_send_state(gateway_peers_t *peers, peer_t *peer,
+		      bool request_summary, bool full)
 {
 	msgpack_sbuffer buffer;
 
 	msgpack_sbuffer_init(&buffer);
-	peers_pack_state(&buffer, peers, asks, full);
-	if (asks)
+	peers_pack_state(&buffer, peers, request_summary, full);
+	if (request_summary)
 		token_limits_told(peers->gateway->limits);
 	peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -54,7 +54,7 @@
 
 #define STATE_FLAG_HAS_STORE 1u
 #define STATE_FLAG_HIGH_CAPACITY 2u
-#define STATE_FLAG_ASKS 4u /* requests a summary in return */
+#define STATE_FLAG_REQUESTS_SUMMARY 4u /* requests a summary in return */
 
 /*
  * Period of messages with members and usage. They may be older than loads, but
@@ -231,10 +231,11 @@
 void peers_send(const gateway_peers_t *peers, const peer_t *peer,
 		const msgpack_sbuffer *buffer);
 void peers_pack_state(msgpack_sbuffer *buffer, gateway_peers_t *peers,
-		      bool asks, bool full);
+		      bool request_summary, bool full);
 void peers_pack_summary(msgpack_sbuffer *buffer, gateway_peers_t *peers,
 			const peer_t *receiver, bool full);
-void peers_send_state(gateway_peers_t *peers, peer_t *peer, bool asks, bool full);
+void peers_send_state(gateway_peers_t *peers, peer_t *peer,
+		      bool request_summary, bool full);
 void peers_send_summary(gateway_peers_t *peers, peer_t *peer, bool full);
 bool peers_snapshot_is_unsent(const gateway_peers_t *peers);
 unsigned int peers_pack_counts(msgpack_sbuffer *buffer, gateway_peers_t *peers);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -28,7 +28,7 @@
 #define FETCH_PERIOD_MAX (6400 * PD_MSEC)
 
 /* A peer's values by name, and the sums over all peers that include them. */
-typedef struct summed {
+typedef struct summed_values {
 	GHashTable *values;
 	GHashTable *sums;
 } summed_values_t;
@@ -438,7 +438,7 @@
 		merge_work(gateway, peer->incarnation, &fields[STATE_WORK], &work);
 		peers_receive_loads(peers, peer->loads, &fields[STATE_LOADS]);
 	}
-	if (flags & STATE_FLAG_ASKS)
+	if (flags & STATE_FLAG_REQUESTS_SUMMARY)
 		peers_send_summary(peers, peer,
 				   first || now - peer->members_sent_at >=
 						    PEERS_FULL_PERIOD);
