--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -140,7 +140,7 @@
 	return checkpoint;
 }
 
-/* Returns whether the record was read or its time-out has passed. */
+/* Returns whether the record was read or its timeout has passed. */
 bool gateway_checkpoint_recovery_has_ended(const gateway_checkpoint_t *checkpoint,
 					   pd_time_t now)
 {
@@ -627,7 +627,7 @@
 }
 
 /*
- * Ends recovery once the record was read or its time-out has passed. Without
+ * Ends recovery once the record was read or its timeout has passed. Without
  * the record the use of limits is unknown: buckets start empty, as full ones
  * would grant all limits anew after each kill of all gateways.
  */
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -25,6 +25,7 @@
  * less than this do not mean that an update was lost.
  */
 #define DIVERGENCE_MIN (300 * PD_MSEC)
+/* Bound on the time between fetches that do not help. */
 #define FETCH_PERIOD_MAX (6400 * PD_MSEC)
 
 /* A peer's values by name, and the sums over all peers that include them. */
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -68,7 +68,7 @@
 			fail_msg("gave up waiting for: %s", #condition); \
 	} while (0)
 
-/* The same with the default time-out. */
+/* The same with the default timeout. */
 #define WAIT_UNTIL(pair, condition) \
 	WAIT_UNTIL_WITHIN(pair, condition, TIMEOUT_MS)
 
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -28,7 +28,7 @@
 /* a restarted gateway has heard from its peers by then */
 #define FIRST_WATCH_DELAY_MS 150
 #define DOWNTIME_MS 2500 /* some windows of the rig */
-#define ORDERS_OBSERVED_MS 500 /* less than the time-out of an order, 1.5 s */
+#define ORDERS_OBSERVED_MS 500 /* less than the timeout of an order, 1.5 s */
 /* of up to 2 s until a started gateway looks at the lease */
 #define RESUME_TIMEOUT_MS 300
 #define WINDOW_MS 1000 /* of the rig */
