--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -1,4 +1,4 @@
-/* The store calls of the checkpoint, and what goes into it. */
+/* Reads and writes the checkpoint, and collects its contents. */
 #include "adapters/gateway/checkpoint.h"
 
 #include <inttypes.h>
@@ -16,174 +16,190 @@
 #include "core/hash.h"
 #include "platform/wire.h"
 
-#define PART "checkpoint"
+#define LOG_COMPONENT "checkpoint"
 #define CALL_TIMEOUT_MS 1500
-/* Levels of limits may be that old, see token-limits-notes.md. */
+/* Bound on the age of bucket levels, see token-limits-notes.md. */
 #define RECORD_PERIOD (280 * PD_MSEC)
-/* How often a call for reading is repeated that was not answered. */
+/* Minimum time before an unanswered read is repeated. */
 #define READ_PERIOD (100 * PD_MSEC)
 /*
- * A start waits so long for the record before it serves without it: the store may
- * turn this call away and serve the others.
+ * A process waits this long for the record before it serves without it, as the
+ * store may reject this call while it answers others.
  */
-#define WAIT_MAX PD_SEC
-/* So long after a start the fleet is taken to be as large as in the record. */
-#define SIZE_KEPT (60 * PD_SEC)
+#define RECOVERY_TIMEOUT PD_SEC
+/* The recorded fleet size is used for this long after the start. */
+#define FLEET_SIZE_MAX_AGE (60 * PD_SEC)
 
 static const char *const slot_names[CHECKPOINT_SLOTS] = { "slot-0", "slot-1" };
 
-typedef struct stored stored_t;
+typedef struct checkpoint_object checkpoint_object_t;
 
-/* A write that is out. */
-typedef struct stored_call {
-	stored_t *stored;
+/* A write in flight. */
+typedef struct write_call {
+	checkpoint_object_t *object;
 	unsigned int number;
-} stored_call_t;
+} write_call_t;
 
 /* One object of the checkpoint. */
-struct stored {
+struct checkpoint_object {
 	gateway_checkpoint_t *checkpoint;
 	wire_kind_t kind;
 	const char *name;
 	object_writer_t *writer;
-	stored_call_t calls[CALL_PACER_IN_FLIGHT_MAX];
+	write_call_t calls[CALL_PACER_IN_FLIGHT_MAX];
 };
 
-typedef struct reading reading_t;
+typedef struct reader reader_t;
 
-/* A call for reading that is out. */
-typedef struct reading_call {
-	reading_t *reading;
+/* A read in flight. */
+typedef struct read_call {
+	reader_t *reader;
 	unsigned int number;
-	pd_time_t begun_at;
-} reading_call_t;
+	pd_time_t started_at;
+} read_call_t;
 
-/* The reading of all objects of a kind. */
-struct reading {
+/* Reads all objects of a kind. */
+struct reader {
 	gateway_checkpoint_t *checkpoint;
 	wire_kind_t kind;
-	bool wanted;
-	pd_time_t wanted_at;
-	pd_time_t read_at; /* when the call that was answered began; 0: never */
+	bool requested;
+	pd_time_t requested_at;
+	/* start of the latest read that was answered; 0: none */
+	pd_time_t read_started_at;
 	call_pacer_t *pacer;
-	reading_call_t calls[CALL_PACER_IN_FLIGHT_MAX];
-	void (*take)(gateway_checkpoint_t *checkpoint, const wire_page_t *page);
+	read_call_t calls[CALL_PACER_IN_FLIGHT_MAX];
+	void (*handle_page)(gateway_checkpoint_t *checkpoint,
+			    const wire_page_t *page);
 };
 
 struct gateway_checkpoint {
 	gateway_t *gateway;
 	pd_time_t first_write_at;
-	bool settled; /* the wait for the first read is over */
-	int slot; /* that is written, as seen last; -1: none */
-	unsigned int gateways; /* as read */
-	char *leader; /* as read or written last; NULL: none was named */
-	pd_time_t written_at; /* time of day, before this start; 0: unknown */
-	reading_t record_reading;
-	reading_t counts_reading;
-	stored_t records[CHECKPOINT_SLOTS];
-	stored_t counts[CHECKPOINT_SLOTS];
+	/* the record was read, or RECOVERY_TIMEOUT has passed */
+	bool recovery_ended;
+	int slot; /* slot that this gateway writes; -1: none */
+	unsigned int fleet_size; /* as read */
+	char *leader; /* id of its VM, as last read or written; NULL: none */
+	/* time of day, before this start; 0: unknown */
+	pd_time_t previous_write_at;
+	reader_t record_reader;
+	reader_t counts_reader;
+	checkpoint_object_t records[CHECKPOINT_SLOTS];
+	checkpoint_object_t counts[CHECKPOINT_SLOTS];
 };
 
-static void take_records(gateway_checkpoint_t *checkpoint, const wire_page_t *page);
-static void take_counts(gateway_checkpoint_t *checkpoint, const wire_page_t *page);
+static void handle_records(gateway_checkpoint_t *checkpoint,
+			   const wire_page_t *page);
+static void handle_counts(gateway_checkpoint_t *checkpoint,
+			  const wire_page_t *page);
 
-static void reading_init(reading_t *reading, gateway_checkpoint_t *checkpoint,
-			 wire_kind_t kind)
+static void reader_init(reader_t *reader, gateway_checkpoint_t *checkpoint,
+			wire_kind_t kind)
 {
-	reading->checkpoint = checkpoint;
-	reading->kind = kind;
-	reading->pacer = call_pacer_create(READ_PERIOD);
+	reader->checkpoint = checkpoint;
+	reader->kind = kind;
+	reader->pacer = call_pacer_create(READ_PERIOD);
 	for (unsigned int i = 0; i < CALL_PACER_IN_FLIGHT_MAX; i++) {
-		reading->calls[i].reading = reading;
-		reading->calls[i].number = i;
+		reader->calls[i].reader = reader;
+		reader->calls[i].number = i;
 	}
 }
 
-static void stored_init(stored_t *stored, gateway_checkpoint_t *checkpoint,
-			wire_kind_t kind, unsigned int slot)
+static void object_init(checkpoint_object_t *object,
+			gateway_checkpoint_t *checkpoint, wire_kind_t kind,
+			unsigned int slot)
 {
-	stored->checkpoint = checkpoint;
-	stored->kind = kind;
-	stored->name = slot_names[slot];
-	stored->writer = object_writer_create(RECORD_PERIOD);
+	object->checkpoint = checkpoint;
+	object->kind = kind;
+	object->name = slot_names[slot];
+	object->writer = object_writer_create(RECORD_PERIOD);
 	for (unsigned int i = 0; i < CALL_PACER_IN_FLIGHT_MAX; i++) {
-		stored->calls[i].stored = stored;
-		stored->calls[i].number = i;
+		object->calls[i].object = object;
+		object->calls[i].number = i;
 	}
 }
 
-/* Returns a checkpoint that is read first; the caller owns it. */
+/*
+ * Returns a checkpoint that begins by reading the record; the caller owns it.
+ */
 gateway_checkpoint_t *gateway_checkpoint_create(gateway_t *gateway)
 {
 	gateway_checkpoint_t *checkpoint = g_new0(gateway_checkpoint_t, 1);
 
 	checkpoint->gateway = gateway;
 	checkpoint->slot = -1;
-	reading_init(&checkpoint->record_reading, checkpoint, WIRE_RECORDS);
-	checkpoint->record_reading.take = take_records;
-	checkpoint->record_reading.wanted = true;
-	reading_init(&checkpoint->counts_reading, checkpoint, WIRE_COUNTS);
-	checkpoint->counts_reading.take = take_counts;
+	reader_init(&checkpoint->record_reader, checkpoint, WIRE_RECORDS);
+	checkpoint->record_reader.handle_page = handle_records;
+	checkpoint->record_reader.requested = true;
+	reader_init(&checkpoint->counts_reader, checkpoint, WIRE_COUNTS);
+	checkpoint->counts_reader.handle_page = handle_counts;
 	for (unsigned int i = 0; i < CHECKPOINT_SLOTS; i++) {
-		stored_init(&checkpoint->records[i], checkpoint, WIRE_RECORDS, i);
-		stored_init(&checkpoint->counts[i], checkpoint, WIRE_COUNTS, i);
+		object_init(&checkpoint->records[i], checkpoint, WIRE_RECORDS, i);
+		object_init(&checkpoint->counts[i], checkpoint, WIRE_COUNTS, i);
 	}
 	return checkpoint;
 }
 
-/* Returns whether the record was read, or is not waited for any longer. */
-bool gateway_checkpoint_is_settled(const gateway_checkpoint_t *checkpoint,
-				   pd_time_t now)
+/* Returns whether the record was read or its timeout has passed. */
+bool gateway_checkpoint_recovery_has_ended(const gateway_checkpoint_t *checkpoint,
+					   pd_time_t now)
 {
-	return checkpoint->record_reading.read_at || checkpoint->settled ||
-	       now - checkpoint->gateway->started_at > WAIT_MAX;
+	return checkpoint->record_reader.read_started_at ||
+	       checkpoint->recovery_ended ||
+	       now - checkpoint->gateway->started_at > RECOVERY_TIMEOUT;
 }
 
 /*
- * Returns how many gateways there were before a start, 0 once that says nothing
- * any more. Until they have heard each other, gateways that all start at once
- * would each take themselves for one of a few and use the share of many.
+ * Returns the fleet size before this start, or 0 once that is out of date.
+ * Without it, gateways that all start at once would each assume a small fleet
+ * until they have heard from each other, and use the share of several.
  */
-unsigned int gateway_checkpoint_gateways(const gateway_checkpoint_t *checkpoint,
-					 pd_time_t now)
+unsigned int gateway_checkpoint_fleet_size(const gateway_checkpoint_t *checkpoint,
+					   pd_time_t now)
 {
-	return now - checkpoint->gateway->started_at < SIZE_KEPT
-		       ? checkpoint->gateways
+	return now - checkpoint->gateway->started_at < FLEET_SIZE_MAX_AGE
+		       ? checkpoint->fleet_size
 		       : 0;
 }
 
-static void reading_want(reading_t *reading)
+/* Requests a read. One that began before this call does not satisfy it. */
+static void reader_request(reader_t *reader)
 {
-	reading->wanted = true;
-	reading->wanted_at = gateway_now();
-	call_pacer_reset(reading->pacer, reading->wanted_at);
+	reader->requested = true;
+	reader->requested_at = gateway_now();
+	call_pacer_reset(reader->pacer, reader->requested_at);
 }
 
-/* Has the record read again for when it was written before this start. */
-void gateway_checkpoint_read_record(gateway_checkpoint_t *checkpoint)
+/* Requests the record again, to learn when it was written before this start. */
+void gateway_checkpoint_request_record(gateway_checkpoint_t *checkpoint)
 {
-	reading_want(&checkpoint->record_reading);
+	reader_request(&checkpoint->record_reader);
 }
 
-/* Returns the time of day of the last write before this start; 0: it is not known. */
-pd_time_t gateway_checkpoint_written_at(const gateway_checkpoint_t *checkpoint)
+/*
+ * Returns the time of day of the last write before this start, or 0 if unknown.
+ */
+pd_time_t gateway_checkpoint_previous_write_at(const gateway_checkpoint_t *checkpoint)
 {
-	return checkpoint->written_at;
+	return checkpoint->previous_write_at;
 }
 
-/* Has the counts of usage read and merged. */
-void gateway_checkpoint_read_counts(gateway_checkpoint_t *checkpoint)
+/* Requests the usage counts, which are merged into the gateway's when read. */
+void gateway_checkpoint_request_counts(gateway_checkpoint_t *checkpoint)
 {
-	reading_want(&checkpoint->counts_reading);
+	reader_request(&checkpoint->counts_reader);
 }
 
-/* Returns when the last call began that has read the counts; 0: none has. */
+/* Returns when the latest answered read of the counts began; 0: none was. */
 pd_time_t gateway_checkpoint_counts_read_at(const gateway_checkpoint_t *checkpoint)
 {
-	return checkpoint->counts_reading.read_at;
+	return checkpoint->counts_reader.read_started_at;
 }
 
-/* Levels are of use to a start only; later the peers' are newer. */
+/*
+ * Restores bucket levels. Only done at the start; later those of peers are
+ * newer.
+ */
 static void restore_accounts(gateway_checkpoint_t *checkpoint,
 			     const checkpoint_record_t *record)
 {
@@ -199,8 +215,8 @@
 }
 
 /*
- * Corrects the clocks that were off: which of them are cannot be seen any more, as
- * the gateways that knew were killed.
+ * Applies the recorded clock offsets. Which clocks are off cannot be determined
+ * after a restart of all, as the gateways that knew it were killed.
  */
 static void restore_clocks(gateway_checkpoint_t *checkpoint,
 			   const checkpoint_record_t *record)
@@ -215,78 +231,79 @@
 		time_vote_correct(gateway->vote, own ? NULL : entry->node,
 				  entry->offset);
 		if (own)
-			log_line(G_LOG_LEVEL_WARNING, PART,
+			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 				 "clock corrected own_off_ms=%" PRId64,
 				 entry->offset / PD_MSEC);
 	}
 }
 
-static const char *leader_text(const char *leader)
+static const char *leader_or_none(const char *leader)
 {
 	return leader ? leader : "none";
 }
 
-/* Notes whom the record names as the leader, copied; NULL: nobody. */
-static void note_leader(gateway_checkpoint_t *checkpoint, const char *leader)
+/* Stores a copy of the leader's VM id; NULL: none. */
+static void set_leader(gateway_checkpoint_t *checkpoint, const char *leader)
 {
 	g_free(checkpoint->leader);
 	checkpoint->leader = g_strdup(leader);
 }
 
 /*
- * Takes when the last record before this start was written. Others that have started
- * since may have written over it, and say in theirs when that was.
+ * Sets the time of the last write before this start. If gateways that started
+ * since have overwritten that record, theirs has the time.
  */
-static void note_written(gateway_checkpoint_t *checkpoint,
-			 const checkpoint_record_t *record)
+static void set_previous_write_at(gateway_checkpoint_t *checkpoint,
+				  const checkpoint_record_t *record)
 {
 	const gateway_t *gateway = checkpoint->gateway;
 	pd_time_t start = time_vote_wall(gateway->vote, gateway->started_at);
 
-	if (checkpoint->written_at)
+	if (checkpoint->previous_write_at)
 		return;
 	if (record->written_at < start)
-		checkpoint->written_at = record->written_at;
-	else if (record->before < start)
-		checkpoint->written_at = record->before;
+		checkpoint->previous_write_at = record->written_at;
+	else if (record->previous_write_at < start)
+		checkpoint->previous_write_at = record->previous_write_at;
 }
 
+/* Restores limits, clocks, fleet size and leadership from a record. */
 static void restore_record(gateway_checkpoint_t *checkpoint,
 			   const checkpoint_record_t *record, uint64_t revision)
 {
-	checkpoint->gateways = record->gateways;
+	checkpoint->fleet_size = record->fleet_size;
 	restore_accounts(checkpoint, record);
 	restore_clocks(checkpoint, record);
 	if (!g_strcmp0(record->leader, checkpoint->gateway->settings->node_id))
 		gateway_duties_resume(checkpoint->gateway->duties);
-	log_line(G_LOG_LEVEL_INFO, PART,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "restored revision=%" G_GUINT64_FORMAT
 		 " gateways=%u accounts=%u clocks_off=%u leader=%s",
-		 revision, record->gateways, record->accounts->len,
-		 record->clocks->len, leader_text(record->leader));
+		 revision, record->fleet_size, record->accounts->len,
+		 record->clocks->len, leader_or_none(record->leader));
 }
 
-/* Takes a record; only a start that has not served yet restores from it. */
-static void take_record(gateway_checkpoint_t *checkpoint, const char *text,
-			uint64_t revision)
+/* Handles a record. Only a gateway that has not served yet restores from it. */
+static void handle_record(gateway_checkpoint_t *checkpoint, const char *text,
+			  uint64_t revision)
 {
 	pd_error_t err;
-	checkpoint_record_t *record = checkpoint_record_read(text, &err);
+	checkpoint_record_t *record = checkpoint_record_parse(text, &err);
 
 	if (!record) {
-		log_error(PART, "record", &err);
+		log_error(LOG_COMPONENT, "record", &err);
 		return;
 	}
-	note_written(checkpoint, record);
+	set_previous_write_at(checkpoint, record);
 	if (!checkpoint->leader)
-		note_leader(checkpoint, record->leader);
-	if (!checkpoint->settled)
+		set_leader(checkpoint, record->leader);
+	if (!checkpoint->recovery_ended)
 		restore_record(checkpoint, record, revision);
 	checkpoint_record_destroy(record);
 }
 
-/* Takes the record that was written last. */
-static void take_records(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
+/* Handles a page of records: only the most recently written one counts. */
+static void handle_records(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
 {
 	uint64_t revision = 0;
 	size_t newest = 0;
@@ -300,20 +317,22 @@
 	}
 	text = revision ? wire_page_spec(page, newest) : NULL;
 	if (text)
-		take_record(checkpoint, text, revision);
+		handle_record(checkpoint, text, revision);
 	g_free(text);
 }
 
+/* Merges the counts of one object; logs an error if they are malformed. */
 static void merge_counts(gateway_checkpoint_t *checkpoint, const char *text)
 {
 	const gateway_t *gateway = checkpoint->gateway;
 	pd_error_t err;
 
 	if (usage_table_merge(text, gateway->usage, gateway->inflight, &err) < 0)
-		log_error(PART, "counts", &err);
+		log_error(LOG_COMPONENT, "counts", &err);
 }
 
-static void take_counts(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
+/* Merges a page of counts. */
+static void handle_counts(gateway_checkpoint_t *checkpoint, const wire_page_t *page)
 {
 	for (size_t i = 0; i < wire_page_count(page); i++) {
 		char *text = wire_page_spec(page, i);
@@ -322,72 +341,79 @@
 			merge_counts(checkpoint, text);
 		g_free(text);
 	}
-	log_line(G_LOG_LEVEL_INFO, PART, "counts read objects=%zu more=%d",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "counts read objects=%zu more=%d",
 		 wire_page_count(page), wire_page_has_more(page));
 }
 
-static bool reading_take(reading_t *reading, const http1_reply_t *reply)
+/*
+ * Handles the answer to a read. Returns false, with an error logged, if it has
+ * no valid page.
+ */
+static bool reader_handle_reply(reader_t *reader, const http1_reply_t *reply)
 {
 	wire_page_t *page;
 	pd_error_t err;
 
-	/* Nothing was ever written. */
+	/* The checkpoint was never written. */
 	if (reply->status == 404)
 		return true;
 	if (reply->status != 200) {
-		log_line(G_LOG_LEVEL_WARNING, PART, "read failed status=%d",
-			 reply->status);
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
+			 "read failed status=%d", reply->status);
 		return false;
 	}
 	page = wire_page_read(reply->body, reply->len, &err);
 	if (!page) {
-		log_error(PART, "read", &err);
+		log_error(LOG_COMPONENT, "read", &err);
 		return false;
 	}
-	reading->take(reading->checkpoint, page);
+	reader->handle_page(reader->checkpoint, page);
 	wire_page_destroy(page);
 	return true;
 }
 
-static void read_replied(void *ctx, const http1_reply_t *reply)
+static void on_read_reply(void *ctx, const http1_reply_t *reply)
 {
-	const reading_call_t *call = ctx;
-	reading_t *reading = call->reading;
+	const read_call_t *call = ctx;
+	reader_t *reader = call->reader;
 	call_end_t end = CALL_ANSWERED;
 
-	if (!reading->wanted) {
+	if (!reader->requested) {
 		end = reply->status ? CALL_ANSWERED : CALL_LOST;
-	} else if (reading_take(reading, reply)) {
-		reading->read_at = MAX(reading->read_at, call->begun_at);
-		reading->wanted = reading->read_at < reading->wanted_at;
+	} else if (reader_handle_reply(reader, reply)) {
+		reader->read_started_at =
+			MAX(reader->read_started_at, call->started_at);
+		reader->requested = reader->read_started_at < reader->requested_at;
 	} else {
 		end = reply->status ? CALL_REFUSED : CALL_LOST;
 	}
-	call_pacer_end(reading->pacer, call->number, end, gateway_now());
+	call_pacer_end(reader->pacer, call->number, end, gateway_now());
 }
 
-static void reading_run(reading_t *reading, pd_time_t now)
+/* Sends a read if one is requested and due. */
+static void reader_run(reader_t *reader, pd_time_t now)
 {
-	reading_call_t *call;
+	read_call_t *call;
 	char *path;
 
-	if (!reading->wanted || !call_pacer_is_due(reading->pacer, now))
+	if (!reader->requested || !call_pacer_is_due(reader->pacer, now))
 		return;
-	call = &reading->calls[call_pacer_begin(reading->pacer, now)];
-	call->begun_at = now;
-	path = wire_list_path(reading->kind, NULL);
-	http1_client_call(reading->checkpoint->gateway->store,
+	call = &reader->calls[call_pacer_begin(reader->pacer, now)];
+	call->started_at = now;
+	path = wire_list_path(reader->kind, NULL);
+	http1_client_call(reader->checkpoint->gateway->store,
 			  &(http1_ask_t){
 				  .method = "GET",
 				  .path = path,
 				  .timeout_ms = CALL_TIMEOUT_MS,
-				  .on_reply = read_replied,
+				  .on_reply = on_read_reply,
 				  .ctx = call,
 			  });
 	g_free(path);
 }
 
-static write_end_t write_end_of(const http1_reply_t *reply)
+/* Returns the outcome of a write by its HTTP status; 0: no answer. */
+static write_end_t write_outcome(const http1_reply_t *reply)
 {
 	switch (reply->status) {
 	case 200:
@@ -402,11 +428,12 @@
 	}
 }
 
-static void write_replied(void *ctx, const http1_reply_t *reply)
+/* Ends a write. After a conflict, what another gateway wrote is merged. */
+static void on_write_reply(void *ctx, const http1_reply_t *reply)
 {
-	const stored_call_t *call = ctx;
-	stored_t *stored = call->stored;
-	write_end_t end = write_end_of(reply);
+	const write_call_t *call = ctx;
+	checkpoint_object_t *object = call->object;
+	write_end_t end = write_outcome(reply);
 	uint64_t revision = 0;
 	pd_error_t err;
 	char *text = NULL;
@@ -414,54 +441,60 @@
 	if (end == WRITE_DONE || end == WRITE_CONFLICT) {
 		text = wire_record_read(reply->body, reply->len, &revision, &err);
 		if (!text)
-			log_error(PART, stored->name, &err);
+			log_error(LOG_COMPONENT, object->name, &err);
 	} else {
-		log_line(G_LOG_LEVEL_WARNING, PART, "write=%s failed status=%d",
-			 stored->name, reply->status);
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
+			 "write=%s failed status=%d", object->name, reply->status);
 	}
-	/* What another gateway wrote goes into the next write. */
-	if (text && end == WRITE_CONFLICT && stored->kind == WIRE_COUNTS)
-		merge_counts(stored->checkpoint, text);
+	/* The next write includes what another gateway wrote. */
+	if (text && end == WRITE_CONFLICT && object->kind == WIRE_COUNTS)
+		merge_counts(object->checkpoint, text);
 	else if (text && end == WRITE_CONFLICT)
-		take_record(stored->checkpoint, text, revision);
-	object_writer_end(stored->writer, call->number, end, revision,
+		handle_record(object->checkpoint, text, revision);
+	object_writer_end(object->writer, call->number, end, revision,
 			  gateway_now());
 	g_free(text);
 }
 
-/* Returns what an object is to hold, owned by the caller. */
-static char *stored_text(const stored_t *stored, const char *text, pd_time_t now)
+/*
+ * Returns the contents of an object, owned by the caller: records are stamped
+ * with the current time.
+ */
+static char *object_spec(const checkpoint_object_t *object, const char *text,
+			 pd_time_t now)
 {
-	const time_vote_t *vote = stored->checkpoint->gateway->vote;
+	const time_vote_t *vote = object->checkpoint->gateway->vote;
 
-	if (stored->kind != WIRE_RECORDS)
+	if (object->kind != WIRE_RECORDS)
 		return g_strdup(text);
 	return checkpoint_record_stamp(text, time_vote_wall(vote, now));
 }
 
-static void stored_write(stored_t *stored, const char *text, pd_time_t now)
+/* Writes TEXT to an object, unless it equals what was last written. */
+static void object_write(checkpoint_object_t *object, const char *text,
+			 pd_time_t now)
 {
-	uint64_t revision = object_writer_revision(stored->writer);
+	uint64_t revision = object_writer_revision(object->writer);
 	uint64_t digest = hash_string(text);
 	unsigned int number;
 	char *spec;
 	char *path;
 	char *body;
 
-	if (!object_writer_needs_write(stored->writer, digest, now))
+	if (!object_writer_needs_write(object->writer, digest, now))
 		return;
-	number = object_writer_begin(stored->writer, digest, now);
-	path = wire_object_path(stored->kind, revision ? stored->name : NULL);
-	spec = stored_text(stored, text, now);
-	body = wire_record_write(stored->name, spec, revision);
-	http1_client_call(stored->checkpoint->gateway->store,
+	number = object_writer_begin(object->writer, digest, now);
+	path = wire_object_path(object->kind, revision ? object->name : NULL);
+	spec = object_spec(object, text, now);
+	body = wire_record_write(object->name, spec, revision);
+	http1_client_call(object->checkpoint->gateway->store,
 			  &(http1_ask_t){
 				  .method = revision ? "PUT" : "POST",
 				  .path = path,
 				  .body = body,
 				  .timeout_ms = CALL_TIMEOUT_MS,
-				  .on_reply = write_replied,
-				  .ctx = &stored->calls[number],
+				  .on_reply = on_write_reply,
+				  .ctx = &object->calls[number],
 			  });
 	g_free(spec);
 	g_free(path);
@@ -479,9 +512,10 @@
 	const account_writer_t *writer = ctx;
 
 	if (use->has_level)
-		checkpoint_record_account(writer->record, account, use->level,
-					  token_limits_demand(writer->limits, account,
-							      writer->now));
+		checkpoint_record_add_account(writer->record, account, use->level,
+					      token_limits_demand(writer->limits,
+								  account,
+								  writer->now));
 }
 
 typedef struct clock_writer {
@@ -493,28 +527,29 @@
 {
 	const clock_writer_t *writer = ctx;
 
-	checkpoint_record_clock(writer->record, who ? who : writer->own_node,
-				offset);
+	checkpoint_record_add_clock(writer->record,
+				    who ? who : writer->own_node, offset);
 }
 
 /*
- * Names the leader in a record, and logs when that is another one. Until a start has
- * heard who leads, it names whom the record did: all gateways may be killed before.
+ * Sets the leader in a record and logs a change. Until the leader is known
+ * after a start, the recorded one is kept, as all gateways may be killed again
+ * before.
  */
 static void add_leader(gateway_checkpoint_t *checkpoint, checkpoint_record_t *record)
 {
-	const char *leader = gateway_peers_leader(checkpoint->gateway->peers);
+	const char *leader = gateway_peers_leader_vm(checkpoint->gateway->peers);
 
 	if (leader && g_strcmp0(leader, checkpoint->leader)) {
-		log_line(G_LOG_LEVEL_INFO, PART, "leader=%s before=%s", leader,
-			 leader_text(checkpoint->leader));
-		note_leader(checkpoint, leader);
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "leader=%s before=%s",
+			 leader, leader_or_none(checkpoint->leader));
+		set_leader(checkpoint, leader);
 	}
 	record->leader = g_strdup(checkpoint->leader);
 }
 
-/* Returns the record as of now, owned by the caller. */
-static char *compose_record(gateway_checkpoint_t *checkpoint, pd_time_t now)
+/* Returns the current record as JSON, owned by the caller. */
+static char *create_record_text(gateway_checkpoint_t *checkpoint, pd_time_t now)
 {
 	gateway_t *gateway = checkpoint->gateway;
 	checkpoint_record_t *record = checkpoint_record_create();
@@ -522,21 +557,22 @@
 	clock_writer_t clocks = { record, gateway->settings->node_id };
 	char *text;
 
-	record->gateways = gateway_count(gateway);
-	record->before = checkpoint->written_at;
+	record->fleet_size = gateway_count(gateway);
+	record->previous_write_at = checkpoint->previous_write_at;
 	add_leader(checkpoint, record);
 	token_limits_each(gateway->limits, now, add_account, &accounts);
 	time_vote_each_off(gateway->vote, now, add_clock, &clocks);
-	text = checkpoint_record_write(record);
+	text = checkpoint_record_format(record);
 	checkpoint_record_destroy(record);
 	return text;
 }
 
+/* Writes the counts and the record of a slot if they are due. */
 static void write_slot(gateway_checkpoint_t *checkpoint, int slot, pd_time_t now)
 {
 	gateway_t *gateway = checkpoint->gateway;
-	stored_t *counts = &checkpoint->counts[slot];
-	stored_t *record = &checkpoint->records[slot];
+	checkpoint_object_t *counts = &checkpoint->counts[slot];
+	checkpoint_object_t *record = &checkpoint->records[slot];
 	pd_time_t period =
 		usage_write_period(gateway_window_length(gateway),
 				   gateway_peers_counts_period(gateway->peers, now),
@@ -544,25 +580,30 @@
 	pd_time_t wall = time_vote_wall(gateway->vote, now);
 	char *text;
 
-	/* A turn that was begun late must not cost the next one. */
+	/*
+	 * A write that began late must not make the writer miss its next turn.
+	 */
 	object_writer_set_period(counts->writer, period * 3 / 4);
 	if (object_writer_is_due(counts->writer, now) &&
 	    (usage_is_turn(wall, period, slot) ||
 	     !object_writer_is_regular(counts->writer))) {
 		gateway_requests_update_snapshot(gateway);
-		text = usage_table_write(gateway->usage, gateway->inflight,
+		text = usage_table_encode(gateway->usage, gateway->inflight,
 					 gateway_first_due_window(gateway));
-		stored_write(counts, text, now);
+		object_write(counts, text, now);
 		g_free(text);
 	}
 	if (object_writer_is_due(record->writer, now)) {
-		text = compose_record(checkpoint, now);
-		stored_write(record, text, now);
+		text = create_record_text(checkpoint, now);
+		object_write(record, text, now);
 		g_free(text);
 	}
 }
 
-/* Returns when this gateway may write first, at random so that all don't at once. */
+/*
+ * Returns when this gateway may write first. Jitter keeps gateways that start
+ * together from writing at once.
+ */
 static pd_time_t first_write_at(const gateway_checkpoint_t *checkpoint)
 {
 	const gateway_t *gateway = checkpoint->gateway;
@@ -571,10 +612,13 @@
 	return gateway->started_at + wait + gateway_jitter(gateway, wait);
 }
 
-/* Has writes take as long as the first read did, until some were answered. */
-static void expect_answers(gateway_checkpoint_t *checkpoint)
+/*
+ * Sets the expected duration of writes to that of the first read, until some
+ * writes are answered.
+ */
+static void set_expected_write_time(gateway_checkpoint_t *checkpoint)
 {
-	pd_time_t time = call_pacer_answer_time(checkpoint->record_reading.pacer);
+	pd_time_t time = call_pacer_answer_time(checkpoint->record_reader.pacer);
 
 	for (unsigned int i = 0; i < CHECKPOINT_SLOTS; i++) {
 		object_writer_set_answer_time(checkpoint->records[i].writer, time);
@@ -583,37 +627,40 @@
 }
 
 /*
- * Ends the wait of a start for the record. What accounts have used is not known
- * then; taken for nothing, each kill of all would grant their limits once more.
+ * Ends recovery once the record was read or its timeout has passed. Without
+ * the record the use of limits is unknown: buckets start empty, as full ones
+ * would grant all limits anew after each kill of all gateways.
  */
-static void end_wait(gateway_checkpoint_t *checkpoint, pd_time_t now)
+static void end_recovery(gateway_checkpoint_t *checkpoint, pd_time_t now)
 {
-	if (checkpoint->settled || !gateway_checkpoint_is_settled(checkpoint, now))
+	if (checkpoint->recovery_ended ||
+	    !gateway_checkpoint_recovery_has_ended(checkpoint, now))
 		return;
-	checkpoint->settled = true;
+	checkpoint->recovery_ended = true;
 	checkpoint->first_write_at = first_write_at(checkpoint);
-	expect_answers(checkpoint);
-	if (checkpoint->record_reading.read_at)
+	set_expected_write_time(checkpoint);
+	if (checkpoint->record_reader.read_started_at)
 		return;
-	checkpoint->record_reading.wanted = false;
+	checkpoint->record_reader.requested = false;
 	token_limits_begin_empty(checkpoint->gateway->limits);
-	log_line(G_LOG_LEVEL_WARNING, PART, "not read in time, limits start empty");
+	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
+		 "record not read within 1 s, limits start empty");
 }
 
-/* Reads what is asked for, and writes if this gateway is a writer. */
+/* Runs due reads, and due writes if this gateway is a checkpoint writer. */
 void gateway_checkpoint_run(gateway_checkpoint_t *checkpoint, pd_time_t now)
 {
 	int slot;
 
-	end_wait(checkpoint, now);
-	reading_run(&checkpoint->record_reading, now);
-	reading_run(&checkpoint->counts_reading, now);
-	if (!checkpoint->settled || now < checkpoint->first_write_at)
+	end_recovery(checkpoint, now);
+	reader_run(&checkpoint->record_reader, now);
+	reader_run(&checkpoint->counts_reader, now);
+	if (!checkpoint->recovery_ended || now < checkpoint->first_write_at)
 		return;
 	slot = gateway_peers_checkpoint_slot(checkpoint->gateway->peers, now);
 	if (slot != checkpoint->slot)
-		log_line(G_LOG_LEVEL_INFO, PART, "slot=%d before=%d", slot,
-			 checkpoint->slot);
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "slot=%d before=%d",
+			 slot, checkpoint->slot);
 	checkpoint->slot = slot;
 	if (slot >= 0)
 		write_slot(checkpoint, slot, now);
--- a/adapters/gateway/checkpoint_record.c
+++ b/adapters/gateway/checkpoint_record.c
@@ -1,4 +1,4 @@
-/* The checkpoint as JSON, and back. */
+/* Converts checkpoint records to JSON and back. */
 #include "adapters/gateway/checkpoint_record.h"
 
 #include <stdlib.h>
@@ -6,12 +6,17 @@
 
 #include "adapters/json.h"
 
-/* More than any fleet has; a larger number is a mistake. */
+/* Upper bound on a plausible fleet; larger numbers are errors. */
 #define GATEWAYS_MAX 100000
-/* Offsets of clocks change by less all the time, and the record with them. */
-#define OFFSET_UNIT (100 * PD_MSEC)
-/* A clock that is off by more is set wrong, and no offset helps. */
-#define OFFSET_MAX (3600 * PD_SEC)
+/*
+ * Coarse, as offsets change slightly all the time and each change would cause a
+ * write of the record.
+ */
+#define CLOCK_OFFSET_UNIT (100 * PD_MSEC)
+/*
+ * A clock that is off by more is misconfigured, and an offset would not help.
+ */
+#define CLOCK_OFFSET_MAX (3600 * PD_SEC)
 
 static void account_clear(void *data)
 {
@@ -23,7 +28,7 @@
 	g_free(((clock_record_t *)data)->node);
 }
 
-/* Returns a record that says nothing; the caller owns it. */
+/* Returns an empty record; the caller owns it. */
 checkpoint_record_t *checkpoint_record_create(void)
 {
 	checkpoint_record_t *record = g_new0(checkpoint_record_t, 1);
@@ -35,7 +40,7 @@
 	return record;
 }
 
-/* Frees a record; NULL is allowed. */
+/* Frees a record, which may be NULL. */
 void checkpoint_record_destroy(checkpoint_record_t *record)
 {
 	if (!record)
@@ -46,32 +51,33 @@
 	g_free(record);
 }
 
-/* Adds what is left of an account's limit. */
-void checkpoint_record_account(checkpoint_record_t *record, const char *account,
-			       double level, double demand)
+/* Adds an account. LEVEL is in tokens, DEMAND in tokens per second. */
+void checkpoint_record_add_account(checkpoint_record_t *record,
+				   const char *account, double level, double demand)
 {
 	const account_record_t entry = { g_strdup(account), level, demand };
 
 	g_array_append_val(record->accounts, entry);
 }
 
-/* Adds a clock that is off. */
-void checkpoint_record_clock(checkpoint_record_t *record, const char *node,
-			     pd_time_t offset)
+/* Adds a clock that is ahead of the fleet's time by OFFSET. */
+void checkpoint_record_add_clock(checkpoint_record_t *record, const char *node,
+				 pd_time_t offset)
 {
 	const clock_record_t entry = { g_strdup(node), offset };
 
 	g_array_append_val(record->clocks, entry);
 }
 
-/* A number that may not be below zero; 0 for anything else. */
-static uint64_t natural(const json_t *value)
+/* Returns a non-negative integer, or 0 for any other value. */
+static uint64_t non_negative(const json_t *value)
 {
 	json_int_t number = json_integer_value(value);
 
 	return number > 0 ? (uint64_t)number : 0;
 }
 
+/* Reads {account: [level, demand]}; invalid entries are skipped. */
 static void read_accounts(checkpoint_record_t *record, json_t *accounts)
 {
 	const char *account;
@@ -83,12 +89,13 @@
 		const json_t *demand = json_array_get(pair, 1);
 
 		if (json_is_integer(level) && json_is_integer(demand))
-			checkpoint_record_account(record, account,
-						  (double)json_integer_value(level),
-						  (double)natural(demand));
+			checkpoint_record_add_account(
+				record, account, (double)json_integer_value(level),
+				(double)non_negative(demand));
 	}
 }
 
+/* Reads {node: offset in CLOCK_OFFSET_UNIT}; invalid offsets are skipped. */
 static void read_clocks(checkpoint_record_t *record, json_t *clocks)
 {
 	const char *node;
@@ -98,23 +105,25 @@
 	{
 		json_int_t units = json_integer_value(offset);
 
-		if (units && units > -OFFSET_MAX / OFFSET_UNIT &&
-		    units < OFFSET_MAX / OFFSET_UNIT)
-			checkpoint_record_clock(record, node, units * OFFSET_UNIT);
+		if (units && units > -CLOCK_OFFSET_MAX / CLOCK_OFFSET_UNIT &&
+		    units < CLOCK_OFFSET_MAX / CLOCK_OFFSET_UNIT)
+			checkpoint_record_add_clock(record, node,
+						    units * CLOCK_OFFSET_UNIT);
 	}
 }
 
-/* A time of day; 0 for anything else. */
+/* Returns a time of day given in ms, or 0 for any other value. */
 static pd_time_t read_time(const json_t *root, const char *key)
 {
-	return pd_time_of_ms(natural(json_object_get(root, key)));
+	return pd_time_of_ms(non_negative(json_object_get(root, key)));
 }
 
 /*
- * Reads a record; NULL with ERR set if it is none. Parts that are not as a
- * gateway writes them are left out: what they said is then unknown.
+ * Parses a record. Returns it, owned by the caller, or NULL with ERR set if
+ * TEXT is not JSON. Invalid fields are skipped, which leaves their values
+ * unknown.
  */
-checkpoint_record_t *checkpoint_record_read(const char *text, pd_error_t *err)
+checkpoint_record_t *checkpoint_record_parse(const char *text, pd_error_t *err)
 {
 	json_t *root = json_parse(text, strlen(text), err);
 	checkpoint_record_t *record;
@@ -122,12 +131,11 @@
 	if (!root)
 		return NULL;
 	record = checkpoint_record_create();
-	record->gateways =
-		(unsigned int)MIN(natural(json_object_get(root, "gateways")),
-				  GATEWAYS_MAX);
+	record->fleet_size = (unsigned int)MIN(
+		non_negative(json_object_get(root, "gateways")), GATEWAYS_MAX);
 	record->leader = g_strdup(json_string_or(root, "leader", NULL));
 	record->written_at = read_time(root, "at");
-	record->before = read_time(root, "before");
+	record->previous_write_at = read_time(root, "before");
 	read_accounts(record, json_object_get(root, "accounts"));
 	read_clocks(record, json_object_get(root, "clocks"));
 	json_decref(root);
@@ -158,16 +166,18 @@
 			&g_array_index(record->clocks, clock_record_t, i);
 
 		json_object_set_new(clocks, entry->node,
-				    json_integer(entry->offset / OFFSET_UNIT));
+				    json_integer(entry->offset / CLOCK_OFFSET_UNIT));
 	}
 	return clocks;
 }
 
-/* Returns the record as text but for when it is written, owned by the caller. */
-char *checkpoint_record_write(const checkpoint_record_t *record)
+/*
+ * Returns the record as JSON without the time of writing; the caller owns it.
+ */
+char *checkpoint_record_format(const checkpoint_record_t *record)
 {
 	json_t *root = json_pack("{s:i, s:o, s:o}", "gateways",
-				 (int)record->gateways, "accounts",
+				 (int)record->fleet_size, "accounts",
 				 write_accounts(record), "clocks",
 				 write_clocks(record));
 	char *text;
@@ -175,9 +185,10 @@
 
 	if (record->leader)
 		json_object_set_new(root, "leader", json_string(record->leader));
-	if (record->before)
+	if (record->previous_write_at)
 		json_object_set_new(root, "before",
-				    json_integer(record->before / PD_MSEC));
+				    json_integer(record->previous_write_at /
+						 PD_MSEC));
 	text = json_dumps(root, JSON_COMPACT | JSON_SORT_KEYS);
 	copy = g_strdup(text);
 
@@ -187,8 +198,8 @@
 }
 
 /*
- * Returns a record's text with the time of day at which it is written, owned by the
- * caller. The time alone is no reason to write, so it comes in last.
+ * Returns the JSON of a record with the time of writing added, owned by the
+ * caller. It is added last because a new time alone is no reason to write.
  */
 char *checkpoint_record_stamp(const char *text, pd_time_t at)
 {
--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -161,8 +161,9 @@
 		g_hash_table_remove_all(duties->plans);
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 			 "holder=self fence=%" PRIu64, fence);
-		if (!gateway_checkpoint_written_at(duties->gateway->checkpoint))
-			gateway_checkpoint_read_record(duties->gateway->checkpoint);
+		if (!gateway_checkpoint_previous_write_at(duties->gateway->checkpoint))
+			gateway_checkpoint_request_record(
+				duties->gateway->checkpoint);
 	}
 	if (duties->held && !lease_is_held(duties->lease, now)) {
 		duties->held = false;
@@ -241,9 +242,9 @@
 	if (duties->gateway->stop_requested_at)
 		return duties->fencing_token &&
 		       lease_fencing_token(duties->lease) <= duties->fencing_token &&
-		       !gateway_peers_has_holder_after(peers,
+		       !gateway_peers_has_newer_leader(peers,
 						       duties->fencing_token);
-	return duties->resuming || gateway_peers_stand_for_duties(peers);
+	return duties->resuming || gateway_peers_may_acquire_lease(peers);
 }
 
 /*
@@ -288,13 +289,13 @@
 	if (!gateway_duties_may_hold(duties))
 		return;
 	check_store(duties, now);
-	if (gateway_peers_holder_is_silent(duties->gateway->peers, now))
+	if (gateway_peers_leader_is_silent(duties->gateway->peers, now))
 		lease_check_now(duties->lease, now);
 	run_lease(duties, now);
 	check_resuming(duties);
 	update_leadership(duties, now);
-	gateway_peers_hold_duties(duties->gateway->peers,
-				  lease_is_held(duties->lease, now),
+	gateway_peers_set_leadership(duties->gateway->peers,
+				     lease_is_held(duties->lease, now),
 				  lease_fencing_token(duties->lease));
 	if (!is_acting(duties, now))
 		return;
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -121,7 +121,7 @@
 
 	if (!duties->counts_requested_at) {
 		duties->counts_requested_at = now;
-		gateway_checkpoint_read_counts(checkpoint);
+		gateway_checkpoint_request_counts(checkpoint);
 	}
 	return gateway_checkpoint_counts_read_at(checkpoint) >=
 		       duties->counts_requested_at ||
@@ -164,7 +164,7 @@
 	const gateway_t *gateway = duties->gateway;
 	pd_time_t oldest = gateway_peers_oldest_start(gateway->peers, now);
 	const usage_gap_t gap = {
-		.from = gateway_checkpoint_written_at(gateway->checkpoint),
+		.from = gateway_checkpoint_previous_write_at(gateway->checkpoint),
 		.to = time_vote_wall(gateway->vote, oldest),
 	};
 	pd_time_t missing = usage_gap_in_window(&gap, window,
--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -218,10 +218,10 @@
 	return (store_feed_fleet_t){
 		.is_mesh = gateway_peers_is_mesh(peers),
 		.is_large = gateway_count(gateway) > GATEWAY_MESH_MAX,
-		.is_watcher = gateway_peers_go_first(peers),
-		.must_call = gateway_peers_watch_store(peers),
+		.is_watcher = gateway_peers_is_top_ranked(peers),
+		.must_call = gateway_peers_should_watch_store(peers),
 		.aggregator_lost_store = gateway_peers_aggregator_lost_store(peers),
-		.poll_group_size = gateway_peers_poll_group(peers, now),
+		.poll_group_size = gateway_peers_poll_group_size(peers, now),
 	};
 }
 
@@ -276,7 +276,7 @@
 	}
 	log_store_regained(feed);
 	store_feed_record_answer(feed->schedule, gateway_now());
-	gateway_peers_store_heard(feed->fleet->gateway->peers);
+	gateway_peers_note_store_answer(feed->fleet->gateway->peers);
 	feed_apply_page(feed, page);
 	wire_page_destroy(page);
 	feed_run(feed, gateway_now());
--- a/adapters/gateway/flight_pack.c
+++ b/adapters/gateway/flight_pack.c
@@ -1,28 +1,29 @@
-/* Requests in flight as msgpack, and back. */
+/* Packs and unpacks snapshots of the requests in flight. */
 #include "adapters/gateway/flight_pack.h"
 
 #include "adapters/msgpack_fields.h"
 #include "adapters/msgpack_write.h"
 
-#define HEAD_FIELDS 5 /* start, booted, begun, told, window */
+#define HEADER_FIELDS 5 /* incarnation, boot time, start, time taken, window */
 #define CELL_FIELDS 2 /* account, count */
 
+/* Packs a time in ms; negative ones as 0. */
 static void pack_time(msgpack_packer *packer, pd_time_t time)
 {
 	msgpack_pack_uint64(packer, (uint64_t)MAX(time / PD_MSEC, 0));
 }
 
-/* Packs what a start has in flight. */
-void flight_pack(msgpack_packer *packer, const usage_flight_t *flight)
+/* Packs the in-flight snapshot of one incarnation. */
+void flight_pack(msgpack_packer *packer, const usage_flight_t *snapshot)
 {
-	const GArray *expected = flight->expected;
-
-	msgpack_pack_array(packer, HEAD_FIELDS + CELL_FIELDS * expected->len);
-	msgpack_pack_uint64(packer, flight->start);
-	pack_time(packer, flight->booted);
-	pack_time(packer, flight->begun);
-	pack_time(packer, flight->told);
-	msgpack_pack_int64(packer, flight->window);
+	const GArray *expected = snapshot->expected;
+
+	msgpack_pack_array(packer, HEADER_FIELDS + CELL_FIELDS * expected->len);
+	msgpack_pack_uint64(packer, snapshot->start);
+	pack_time(packer, snapshot->booted);
+	pack_time(packer, snapshot->begun);
+	pack_time(packer, snapshot->told);
+	msgpack_pack_int64(packer, snapshot->window);
 	for (guint i = 0; i < expected->len; i++) {
 		const usage_expected_t *cell =
 			&g_array_index(expected, usage_expected_t, i);
@@ -32,28 +33,32 @@
 	}
 }
 
-/* Returns what a start has in flight, owned by the caller; NULL: it is none. */
-usage_flight_t *flight_read(const msgpack_object *object)
+/*
+ * Returns the unpacked snapshot, owned by the caller, or NULL if it is
+ * malformed. Out-of-range times are clamped; accounts that are no text are
+ * skipped.
+ */
+usage_flight_t *flight_unpack(const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *fields =
-		msgpack_field_items(object, HEAD_FIELDS, &count);
-	usage_flight_t *flight;
+		msgpack_field_items(object, HEADER_FIELDS, &count);
+	usage_flight_t *snapshot;
 
 	if (!fields)
 		return NULL;
-	flight = usage_flight_create(msgpack_field_number(&fields[0]));
-	flight->booted = pd_time_of_ms(msgpack_field_number(&fields[1]));
-	flight->begun = pd_time_of_ms(msgpack_field_number(&fields[2]));
-	flight->told = pd_time_of_ms(msgpack_field_number(&fields[3]));
-	flight->window = (int64_t)msgpack_field_number(&fields[4]);
-	for (uint32_t i = HEAD_FIELDS; i + 1 < count; i += CELL_FIELDS) {
+	snapshot = usage_flight_create(msgpack_field_number(&fields[0]));
+	snapshot->booted = pd_time_of_ms(msgpack_field_number(&fields[1]));
+	snapshot->begun = pd_time_of_ms(msgpack_field_number(&fields[2]));
+	snapshot->told = pd_time_of_ms(msgpack_field_number(&fields[3]));
+	snapshot->window = (int64_t)msgpack_field_number(&fields[4]);
+	for (uint32_t i = HEADER_FIELDS; i + 1 < count; i += CELL_FIELDS) {
 		char *account = msgpack_field_text(&fields[i]);
 
 		if (account)
-			usage_flight_add(flight, account,
+			usage_flight_add(snapshot, account,
 					 msgpack_field_number(&fields[i + 1]));
 		g_free(account);
 	}
-	return flight;
+	return snapshot;
 }
--- a/adapters/gateway/flight_pack.h
+++ b/adapters/gateway/flight_pack.h
@@ -1,6 +1,7 @@
 /*
- * What a start has in flight as msgpack, in messages and in the checkpoint:
- * [start, booted, begun, told, window, account, count, account, count...], times in ms.
+ * Encoding of in-flight snapshots as msgpack, in messages and in the
+ * checkpoint: [incarnation, boot time, start, time taken, window, account,
+ * count, account, count...], times in ms.
  */
 #ifndef PISTACHIO_GATEWAY_FLIGHT_PACK_H
 #define PISTACHIO_GATEWAY_FLIGHT_PACK_H
@@ -9,7 +10,7 @@
 
 #include "core/forward/usage_inflight.h"
 
-void flight_pack(msgpack_packer *packer, const usage_flight_t *flight);
-usage_flight_t *flight_read(const msgpack_object *object);
+void flight_pack(msgpack_packer *packer, const usage_flight_t *snapshot);
+usage_flight_t *flight_unpack(const msgpack_object *object);
 
 #endif
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -113,8 +113,8 @@
 		zones++;
 	/* Each zone has at least one gateway, even if no message came from it yet. */
 	zones = MAX(zones, 1);
-	zones = MAX(zones, gateway_checkpoint_gateways(gateway->checkpoint,
-						       gateway_now()));
+	zones = MAX(zones, gateway_checkpoint_fleet_size(gateway->checkpoint,
+							 gateway_now()));
 	return MAX(gateway_peers_count(gateway->peers), zones);
 }
 
@@ -123,7 +123,8 @@
 {
 	return gateway->config &&
 	       (gateway->upstreams_usable || gateway->upstreams_listed) &&
-	       gateway_checkpoint_is_settled(gateway->checkpoint, gateway_now());
+	       gateway_checkpoint_recovery_has_ended(gateway->checkpoint,
+						     gateway_now());
 }
 
 /* Returns whether the load balancer may send callers here. */
@@ -160,7 +161,7 @@
 	gateway->config = config;
 	g_free(gateway->config_text);
 	gateway->config_text = g_strdup(text);
-	gateway_peers_config(gateway->peers);
+	gateway_peers_announce_config(gateway->peers);
 	return true;
 }
 
@@ -235,7 +236,7 @@
 		 id, stages[upstream->stage], upstream->service, upstream->zone,
 		 upstream->address, upstream->port, upstream->slots,
 		 upstream->reclaimable, upstream->revision, source);
-	gateway_peers_upstream(gateway->peers, id);
+	gateway_peers_queue_update(gateway->peers, id);
 }
 
 /* Returns whether a request that may take seconds can still be accepted. */
@@ -347,7 +348,7 @@
 	create_account_buckets(gateway, now);
 	token_limits_set_entries(gateway->limits, gateway_count(gateway));
 	token_limits_set_lag(gateway->limits,
-			     gateway_peers_lag(gateway->peers, now));
+			     gateway_peers_propagation_delay(gateway->peers, now));
 	work_rate_run(gateway->work, now);
 	gateway_duties_run(gateway->duties, now);
 	gateway_reload_run(gateway, now);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -1,14 +1,14 @@
-/* Composes the messages between gateways. */
+/* Encodes the messages between gateways. */
 #include "adapters/gateway/fleet_feed.h"
 #include "adapters/gateway/flight_pack.h"
 #include "adapters/gateway/peer_state.h"
 #include "adapters/gateway/request_flight.h"
 #include "adapters/msgpack_write.h"
 
-/* Of the members that are named, so many are those that go first. */
-#define MEMBERS_FIRST 8
+/* Number of top-ranked members listed in each message. */
+#define MEMBERS_TOP_RANKED 8
 
-/* Sends a composed message to a peer. */
+/* Sends an encoded message to a peer. The buffer is copied. */
 void peers_send(const gateway_peers_t *peers, const peer_t *peer,
 		const msgpack_sbuffer *buffer)
 {
@@ -18,7 +18,7 @@
 	g_bytes_unref(body);
 }
 
-/* Returns the version of the configuration in force, 0 for none. */
+/* Returns the version of the configuration in force, or 0 if there is none. */
 uint64_t peers_config_version(const gateway_peers_t *peers)
 {
 	const forward_config_t *config = peers->gateway->config;
@@ -26,7 +26,9 @@
 	return config ? config->version : 0;
 }
 
-/* Returns a digest of what is known of the upstreams, 0 before a listing. */
+/*
+ * Returns a digest of the table of upstreams, or 0 before a complete listing.
+ */
 uint64_t peers_digest(const gateway_peers_t *peers)
 {
 	uint64_t digest = 1;
@@ -50,8 +52,10 @@
 	return value ? *value : 0;
 }
 
-/* Adds the peers' sums, without what EXCEPT told: it knows that itself. */
-static void add_peers(GHashTable *values, GHashTable *sums, GHashTable *except)
+/*
+ * Adds the sums over all peers, without the part of EXCEPT, which adds its own.
+ */
+static void add_peer_sums(GHashTable *values, GHashTable *sums, GHashTable *except)
 {
 	GHashTableIter iter;
 	gpointer name;
@@ -64,10 +68,10 @@
 	}
 }
 
-static void pack_use(msgpack_packer *packer, const char *account,
-		     const token_use_t *use)
+static void pack_limit_use(msgpack_packer *packer, const char *account,
+			   const token_use_t *use)
 {
-	msgpack_pack_array(packer, USE_FIELDS);
+	msgpack_pack_array(packer, LIMIT_USE_FIELDS);
 	msgpack_write_text(packer, account);
 	msgpack_pack_uint64(packer, (uint64_t)MAX(use->total, 0));
 	if (use->has_level)
@@ -77,7 +81,10 @@
 	msgpack_pack_uint64(packer, (uint64_t)MAX(use->asked, 0));
 }
 
-/* Returns an account's use in a table of sums, added as none if it is not there. */
+/*
+ * Returns the use of an account in a table of sums, borrowed, adding it as zero
+ * if it is missing.
+ */
 static token_use_t *sums_use(GHashTable *sums, const char *account)
 {
 	token_use_t *use = g_hash_table_lookup(sums, account);
@@ -89,48 +96,54 @@
 	return use;
 }
 
-static void add_own_use(void *ctx, const char *account, const token_use_t *use)
+static void add_own_limit_use(void *ctx, const char *account, const token_use_t *use)
 {
 	*sums_use(ctx, account) = *use;
 }
 
-/* Adds what the peers used, without what EXCEPT told: it knows that itself. */
-static void add_peers_use(GHashTable *sums, const gateway_peers_t *peers,
-			  const peer_t *except)
+/*
+ * Adds the peers' limit uses, without the part of EXCEPT, which adds its own.
+ */
+static void add_peer_limit_uses(GHashTable *sums, const gateway_peers_t *peers,
+				const peer_t *except)
 {
 	GHashTableIter iter;
 	gpointer account;
 	gpointer total;
 
-	g_hash_table_iter_init(&iter, peers->totals);
+	g_hash_table_iter_init(&iter, peers->granted);
 	while (g_hash_table_iter_next(&iter, &account, &total)) {
 		token_use_t *use = sums_use(sums, account);
 
 		use->total += *(double *)total -
-			      value_or_zero(except->totals, account);
-		use->asked += value_or_zero(peers->asked, account) -
-			      value_or_zero(except->asked, account);
+			      value_or_zero(except->granted, account);
+		use->asked += value_or_zero(peers->requested, account) -
+			      value_or_zero(except->requested, account);
 	}
 }
 
-/* Packs what each account used, here or at all but EXCEPT, and the levels. */
-static void pack_totals(msgpack_packer *packer, const gateway_peers_t *peers,
-			const peer_t *except)
+/*
+ * Packs the limit use and bucket level of each account: this gateway's own, or
+ * summed over all gateways but EXCEPT if that is not NULL.
+ */
+static void pack_limit_uses(msgpack_packer *packer,
+			    const gateway_peers_t *peers, const peer_t *except)
 {
-	/* Of token_use_t; the names are those of the limits and the peers. */
+	/* account -> token_use_t; the names are borrowed. */
 	GHashTable *sums =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 	GHashTableIter iter;
 	gpointer account;
 	gpointer use;
 
-	token_limits_each(peers->gateway->limits, gateway_now(), add_own_use, sums);
+	token_limits_each(peers->gateway->limits, gateway_now(),
+			  add_own_limit_use, sums);
 	if (except)
-		add_peers_use(sums, peers, except);
+		add_peer_limit_uses(sums, peers, except);
 	msgpack_pack_array(packer, g_hash_table_size(sums));
 	g_hash_table_iter_init(&iter, sums);
 	while (g_hash_table_iter_next(&iter, &account, &use))
-		pack_use(packer, account, use);
+		pack_limit_use(packer, account, use);
 	g_hash_table_unref(sums);
 }
 
@@ -139,8 +152,12 @@
 	sums_add(ctx, service, total);
 }
 
-static void pack_works(msgpack_packer *packer, const gateway_peers_t *peers,
-		       const peer_t *except)
+/*
+ * Packs the total work of each service: this gateway's own, or summed over all
+ * gateways but EXCEPT if that is not NULL.
+ */
+static void pack_work(msgpack_packer *packer, const gateway_peers_t *peers,
+		      const peer_t *except)
 {
 	GHashTable *sums = peers_values_create();
 	GHashTableIter iter;
@@ -149,7 +166,7 @@
 
 	work_rate_each_own(peers->gateway->work, add_own_work, sums);
 	if (except)
-		add_peers(sums, peers->works, except->works);
+		add_peer_sums(sums, peers->work, except->work);
 	msgpack_pack_array(packer, g_hash_table_size(sums));
 	g_hash_table_iter_init(&iter, sums);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
@@ -171,8 +188,9 @@
 	msgpack_pack_uint64(&writer->packer, entry->count);
 }
 
-static void pack_usages(msgpack_sbuffer *out, msgpack_packer *packer,
-			const gateway_t *gateway)
+/* Packs this gateway's usage counts of all windows still to be reported. */
+static void pack_usage_list(msgpack_sbuffer *out, msgpack_packer *packer,
+			    const gateway_t *gateway)
 {
 	int64_t from = gateway_first_due_window(gateway);
 	list_writer_t writer;
@@ -182,22 +200,23 @@
 	list_writer_end(&writer, out, packer);
 }
 
-static void add_new_use(void *ctx, const char *account, const token_use_t *use)
+static void pack_new_limit_use(void *ctx, const char *account,
+			       const token_use_t *use)
 {
 	list_writer_t *writer = ctx;
 
 	writer->count++;
-	pack_use(&writer->packer, account, use);
+	pack_limit_use(&writer->packer, account, use);
 }
 
 /*
- * Packs what the checkpoint writers have not been sent yet: usage, the use of limits and
- * the requests in flight. Returns how many numbers that are.
+ * Packs the counts that the checkpoint writers have not been sent: usage, limit
+ * uses and the in-flight snapshot. Returns the number of values.
  */
 unsigned int peers_pack_counts(msgpack_sbuffer *buffer, gateway_peers_t *peers)
 {
-	bool flight_is_new = peers_flight_is_unsent(peers);
-	const usage_flight_t *flight =
+	bool snapshot_is_new = peers_snapshot_is_unsent(peers);
+	const usage_flight_t *snapshot =
 		gateway_requests_update_snapshot(peers->gateway);
 	list_writer_t usage;
 	list_writer_t uses;
@@ -207,7 +226,7 @@
 	list_writer_init(&uses);
 	usage_each_unsent(peers->gateway->usage, pack_usage, &usage);
 	token_limits_each_news(peers->gateway->limits, gateway_now(),
-			       add_new_use, &uses);
+			       pack_new_limit_use, &uses);
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, COUNTS_FIELDS);
 	msgpack_pack_uint8(&packer, MESSAGE_COUNTS);
@@ -215,19 +234,19 @@
 	msgpack_write_text(&packer, peers->incarnation);
 	list_writer_end(&usage, buffer, &packer);
 	list_writer_end(&uses, buffer, &packer);
-	if (flight)
-		flight_pack(&packer, flight);
+	if (snapshot)
+		flight_pack(&packer, snapshot);
 	else
 		msgpack_pack_nil(&packer);
-	peers->flight_sent = flight ? flight->told : 0;
-	return usage.count + uses.count + flight_is_new;
+	peers->snapshot_sent_at = snapshot ? snapshot->told : 0;
+	return usage.count + uses.count + snapshot_is_new;
 }
 
 static void pack_member(msgpack_packer *packer, const peer_t *peer)
 {
 	msgpack_pack_array(packer, MEMBER_FIELDS);
 	msgpack_write_text(packer, peer->address);
-	msgpack_pack_uint8(packer, peer->strong);
+	msgpack_pack_uint8(packer, peer->high_capacity);
 	msgpack_pack_uint16(packer, peer->zone);
 }
 
@@ -240,12 +259,16 @@
 	return false;
 }
 
-/* Packs peers that are heard: those that go first, and others at random. */
+/*
+ * Packs the live members: the top-ranked ones and a random sample of the
+ * others.
+ */
 static void pack_members(msgpack_packer *packer, const gateway_peers_t *peers,
 			 pd_time_t now)
 {
-	peer_t *first[MEMBERS_FIRST + 1];
-	unsigned int firsts = peers_first(peers, first, MEMBERS_FIRST, now);
+	peer_t *first[MEMBERS_TOP_RANKED + 1];
+	unsigned int top_count =
+		peers_top_ranked(peers, first, MEMBERS_TOP_RANKED, now);
 	unsigned int heard = 0;
 	unsigned int left;
 
@@ -253,18 +276,21 @@
 		const peer_t *peer = LIST_ENTRY(it, peer_t, node);
 
 		heard += peer_is_heard(peer, now) &&
-			 !is_among(peer, first, firsts);
+			 !is_among(peer, first, top_count);
 	}
-	left = MIN(heard, MEMBERS_TOLD - MEMBERS_FIRST);
-	msgpack_pack_array(packer, firsts + left);
-	for (unsigned int i = 0; i < firsts; i++)
+	left = MIN(heard, MEMBERS_LISTED_MAX - MEMBERS_TOP_RANKED);
+	msgpack_pack_array(packer, top_count + left);
+	for (unsigned int i = 0; i < top_count; i++)
 		pack_member(packer, first[i]);
 	LIST_FOR_EACH (it, &peers->list) {
 		const peer_t *peer = LIST_ENTRY(it, peer_t, node);
 
-		if (!peer_is_heard(peer, now) || is_among(peer, first, firsts))
+		if (!peer_is_heard(peer, now) || is_among(peer, first, top_count))
 			continue;
-		/* Each of those left is as likely to be among the chosen. */
+		/*
+		 * Selection sampling: each remaining peer is equally likely to
+		 * be chosen.
+		 */
 		if (g_rand_double(peers->gateway->random) * heard < left) {
 			pack_member(packer, peer);
 			left--;
@@ -273,21 +299,26 @@
 	}
 }
 
-static unsigned int state_flags(const gateway_peers_t *peers, bool asks)
+static unsigned int state_flags(const gateway_peers_t *peers, bool request_summary)
 {
 	unsigned int flags = 0;
 
 	if (fleet_feed_is_store_reachable(peers->gateway->feed))
 		flags |= STATE_FLAG_HAS_STORE;
-	if (peers->strong)
-		flags |= STATE_FLAG_STRONG;
-	if (asks)
-		flags |= STATE_FLAG_ASKS;
+	if (peers->high_capacity)
+		flags |= STATE_FLAG_HIGH_CAPACITY;
+	if (request_summary)
+		flags |= STATE_FLAG_REQUESTS_SUMMARY;
 	return flags;
 }
 
-static void pack_head(msgpack_packer *packer, gateway_peers_t *peers,
-		      message_kind_t kind, pd_time_t wall, bool asks)
+/*
+ * Packs the fields that a state and a summary have in common, up to
+ * STATE_FLEET_SIZE. WALL is a time of day.
+ */
+static void pack_state_header(msgpack_packer *packer, gateway_peers_t *peers,
+			      message_kind_t kind, pd_time_t wall,
+			      bool request_summary)
 {
 	pd_time_t now = gateway_now();
 
@@ -299,13 +330,13 @@
 	msgpack_pack_uint64(packer, peers_config_version(peers));
 	msgpack_pack_uint64(packer, peers_digest(peers));
 	msgpack_pack_uint64(packer, (uint64_t)(now - peers->started_at));
-	msgpack_pack_uint8(packer, (uint8_t)state_flags(peers, asks));
-	msgpack_pack_uint64(packer, (uint64_t)(now - peers->store_heard_at));
-	msgpack_write_text(packer, peers->is_holder ? peers->address
-				   : peers->holder  ? peers->holder
+	msgpack_pack_uint8(packer, (uint8_t)state_flags(peers, request_summary));
+	msgpack_pack_uint64(packer, (uint64_t)(now - peers->store_answered_at));
+	msgpack_write_text(packer, peers->is_leader ? peers->address
+				   : peers->leader  ? peers->leader
 						    : "");
-	msgpack_pack_uint64(packer, peers->holder_fence);
-	msgpack_pack_uint32(packer, peers_view(peers, now)->counted);
+	msgpack_pack_uint64(packer, peers->leader_fence);
+	msgpack_pack_uint32(packer, peers_view(peers, now)->fleet_size);
 }
 
 static void add_speed(void *ctx, const char *service, double rate)
@@ -314,10 +345,10 @@
 }
 
 /*
- * Packs the speeds of engines that this gateway has seen itself. What it was only
- * told is not told on, or a wrong figure would go round for ever.
+ * Packs the engine speeds observed by this gateway. Speeds received from peers
+ * are not forwarded, or a wrong value would circulate for ever.
  */
-static void pack_speeds(msgpack_packer *packer, const gateway_peers_t *peers)
+static void pack_engine_speeds(msgpack_packer *packer, const gateway_peers_t *peers)
 {
 	GHashTable *speeds = peers_values_create();
 	GHashTableIter iter;
@@ -336,28 +367,31 @@
 	g_hash_table_unref(speeds);
 }
 
-/* Packs what this gateway did; FULL: with usage and members. */
+/*
+ * Packs this gateway's state. REQUEST_SUMMARY: requests a summary in return. FULL:
+ * includes usage and members.
+ */
 void peers_pack_state(msgpack_sbuffer *buffer, gateway_peers_t *peers,
-		      bool asks, bool full)
+		      bool request_summary, bool full)
 {
 	const time_vote_t *vote = peers->gateway->vote;
 	pd_time_t now = gateway_now();
 	msgpack_packer packer;
 
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
-	pack_head(&packer, peers, MESSAGE_STATE, time_vote_own_wall(vote, now),
-		  asks);
-	pack_totals(&packer, peers, NULL);
-	pack_works(&packer, peers, NULL);
+	pack_state_header(&packer, peers, MESSAGE_STATE,
+			  time_vote_own_wall(vote, now), request_summary);
+	pack_limit_uses(&packer, peers, NULL);
+	pack_work(&packer, peers, NULL);
 	peers_pack_own_loads(&packer, peers);
 	if (full) {
-		pack_usages(buffer, &packer, peers->gateway);
+		pack_usage_list(buffer, &packer, peers->gateway);
 		pack_members(&packer, peers, now);
 	} else {
 		msgpack_pack_nil(&packer);
 		msgpack_pack_nil(&packer);
 	}
-	pack_speeds(&packer, peers);
+	pack_engine_speeds(&packer, peers);
 	msgpack_pack_uint16(&packer, peers->zone);
 	msgpack_pack_uint64(&packer, (uint64_t)time_vote_own_step_age(vote, now));
 	if (full)
@@ -367,20 +401,27 @@
 		msgpack_pack_nil(&packer);
 }
 
-/* Sends what this gateway did. */
-void peers_send_state(gateway_peers_t *peers, peer_t *peer, bool asks, bool full)
+/*
+ * Sends this gateway's state to a peer. REQUEST_SUMMARY and FULL are those of
+ * peers_pack_state().
+ */
+void peers_send_state(gateway_peers_t *peers, peer_t *peer,
+		      bool request_summary, bool full)
 {
 	msgpack_sbuffer buffer;
 
 	msgpack_sbuffer_init(&buffer);
-	peers_pack_state(&buffer, peers, asks, full);
-	if (asks)
+	peers_pack_state(&buffer, peers, request_summary, full);
+	if (request_summary)
 		token_limits_told(peers->gateway->limits);
 	peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Packs what all gateways but the receiver did; FULL: with the members. */
+/*
+ * Packs the sums over all gateways but the receiver. FULL: includes the
+ * members.
+ */
 void peers_pack_summary(msgpack_sbuffer *buffer, gateway_peers_t *peers,
 			const peer_t *receiver, bool full)
 {
@@ -389,23 +430,23 @@
 	msgpack_packer packer;
 
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
-	pack_head(&packer, peers, MESSAGE_SUMMARY,
-		  time_vote_wall(gateway->vote, now), false);
-	pack_totals(&packer, peers, receiver);
-	pack_works(&packer, peers, receiver);
-	peers_pack_all_loads(buffer, peers, now);
+	pack_state_header(&packer, peers, MESSAGE_SUMMARY,
+			  time_vote_wall(gateway->vote, now), false);
+	pack_limit_uses(&packer, peers, receiver);
+	pack_work(&packer, peers, receiver);
+	peers_pack_summed_loads(buffer, peers, now);
 	msgpack_pack_nil(&packer);
 	if (full)
 		pack_members(&packer, peers, now);
 	else
 		msgpack_pack_nil(&packer);
-	pack_speeds(&packer, peers);
+	pack_engine_speeds(&packer, peers);
 	msgpack_pack_uint16(&packer, peers->zone);
 	msgpack_pack_uint64(&packer, 0);
 	msgpack_pack_nil(&packer);
 }
 
-/* Sends what all gateways but the receiver did. */
+/* Sends a peer the sums over all other gateways. FULL: includes the members. */
 void peers_send_summary(gateway_peers_t *peers, peer_t *peer, bool full)
 {
 	msgpack_sbuffer buffer;
@@ -413,11 +454,12 @@
 	msgpack_sbuffer_init(&buffer);
 	peers_pack_summary(&buffer, peers, peer, full);
 	if (full)
-		peer->members_at = gateway_now();
+		peer->members_sent_at = gateway_now();
 	peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
+/* Packs the digest of each bucket of the table of upstreams. */
 static void pack_digests(msgpack_packer *packer, const gateway_peers_t *peers)
 {
 	msgpack_pack_array(packer, FORWARD_DIGEST_BUCKETS);
@@ -427,8 +469,8 @@
 							     i));
 }
 
-static void pack_fetch_head(msgpack_packer *packer,
-			    const gateway_peers_t *peers, unsigned int what)
+static void pack_fetch_header(msgpack_packer *packer,
+			      const gateway_peers_t *peers, unsigned int what)
 {
 	msgpack_pack_array(packer, FETCH_FIELDS);
 	msgpack_pack_uint8(packer, MESSAGE_FETCH);
@@ -436,24 +478,27 @@
 	msgpack_pack_uint8(packer, (uint8_t)what);
 }
 
-/* Asks a peer for upstreams by their marks. */
-void peers_send_fetch_marked(gateway_peers_t *peers, peer_t *peer,
-			     const GArray *marks)
+/* Requests upstreams in full from a peer. ID_HASHES is an array of uint64_t. */
+void peers_send_fetch_by_id_hash(gateway_peers_t *peers, peer_t *peer,
+				 const GArray *id_hashes)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	pack_fetch_head(&packer, peers, FETCH_MARKED);
-	msgpack_pack_array(&packer, marks->len);
-	for (guint i = 0; i < marks->len; i++)
-		msgpack_pack_uint64(&packer, g_array_index(marks, uint64_t, i));
+	pack_fetch_header(&packer, peers, FETCH_BY_ID_HASH);
+	msgpack_pack_array(&packer, id_hashes->len);
+	for (guint i = 0; i < id_hashes->len; i++)
+		msgpack_pack_uint64(&packer, g_array_index(id_hashes, uint64_t, i));
 	peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Asks a peer for what this gateway lacks. */
+/*
+ * Requests what the FETCH_ flags in WHAT name. If this gateway has a complete
+ * listing of upstreams, its digests limit the answer to what differs.
+ */
 void peers_send_fetch(gateway_peers_t *peers, peer_t *peer, unsigned int what)
 {
 	msgpack_sbuffer buffer;
@@ -461,7 +506,7 @@
 
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	pack_fetch_head(&packer, peers, what);
+	pack_fetch_header(&packer, peers, what);
 	if ((what & FETCH_UPSTREAMS) && peers->gateway->upstreams_listed)
 		pack_digests(&packer, peers);
 	else
@@ -470,7 +515,7 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Sends the configuration in force, if there is one. */
+/* Sends the configuration in force to a peer, if there is one. */
 void peers_send_config(gateway_peers_t *peers, peer_t *peer)
 {
 	msgpack_sbuffer buffer;
@@ -487,18 +532,19 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Packs the version of the configuration that was just taken. */
-void peers_pack_announce(msgpack_packer *packer, const gateway_peers_t *peers)
+/* Packs an announcement of the version of the configuration in force. */
+void peers_pack_announcement(msgpack_packer *packer, const gateway_peers_t *peers)
 {
 	msgpack_pack_array(packer, 3);
-	msgpack_pack_uint8(packer, MESSAGE_ANNOUNCE);
+	msgpack_pack_uint8(packer, MESSAGE_ANNOUNCEMENT);
 	msgpack_write_text(packer, peers->address);
 	msgpack_pack_uint64(packer, peers_config_version(peers));
 }
 
+/* Packs an upstream in full. */
 static void pack_upstream(msgpack_packer *packer, const forward_upstream_t *upstream)
 {
-	msgpack_pack_array(packer, NEWS_FULL_FIELDS);
+	msgpack_pack_array(packer, UPSTREAM_FIELDS);
 	msgpack_write_text(packer, upstream->id);
 	msgpack_write_text(packer, upstream->service);
 	msgpack_write_text(packer, upstream->address);
@@ -512,62 +558,70 @@
 }
 
 /*
- * Packs the stage of an upstream: a sixth of the bytes of all of it. Everybody
- * hears it from several peers, and who does not know it asks one for the rest.
+ * Packs the stage of an upstream, in a sixth of the bytes of the whole entry. A
+ * gateway receives it from several peers and fetches an unknown upstream from
+ * one.
  */
 static void pack_stage(msgpack_packer *packer, const forward_upstream_t *upstream)
 {
-	msgpack_pack_array(packer, NEWS_BRIEF_FIELDS);
+	msgpack_pack_array(packer, STAGE_FIELDS);
 	msgpack_pack_uint64(packer, upstream->id_hash);
 	msgpack_pack_uint8(packer, (uint8_t)upstream->stage);
 	msgpack_pack_uint64(packer, upstream->revision);
 	msgpack_pack_int64(packer, upstream->start_time_ms);
 }
 
-/* Which upstreams a message tells about. */
-typedef struct news_choice {
+/* Selects the upstreams of a message. */
+typedef struct update_filter {
 	GHashTable *ids; /* only these; NULL: any */
-	const uint64_t *digests; /* only in buckets with others; NULL: in any */
-} news_choice_t;
+	/* only in buckets whose digests differ from these; NULL: any */
+	const uint64_t *digests;
+} update_filter_t;
 
-static bool news_includes(const gateway_peers_t *peers, const news_choice_t *choice,
-			  const forward_upstream_t *upstream)
+static bool update_filter_matches(const gateway_peers_t *peers,
+				  const update_filter_t *filter,
+				  const forward_upstream_t *upstream)
 {
 	unsigned int bucket = forward_upstream_bucket(upstream);
 
-	if (choice->ids && !g_hash_table_contains(choice->ids, upstream->id))
+	if (filter->ids && !g_hash_table_contains(filter->ids, upstream->id))
 		return false;
-	return !choice->digests ||
-	       choice->digests[bucket] !=
+	return !filter->digests ||
+	       filter->digests[bucket] !=
 		       forward_upstreams_digest(peers->gateway->upstreams, bucket);
 }
 
-static void pack_news_head(msgpack_packer *packer, const gateway_peers_t *peers,
-			   bool all)
+static void pack_updates_header(msgpack_packer *packer,
+				const gateway_peers_t *peers, bool all)
 {
-	msgpack_pack_array(packer, NEWS_FIELDS);
-	msgpack_pack_uint8(packer, MESSAGE_NEWS);
+	msgpack_pack_array(packer, UPDATES_FIELDS);
+	msgpack_pack_uint8(packer, MESSAGE_UPDATES);
 	msgpack_write_text(packer, peers->address);
 	msgpack_pack_uint8(packer, all);
 }
 
-static uint32_t pack_news(msgpack_packer *packer, const gateway_peers_t *peers,
-			  const news_choice_t *choice)
+/*
+ * Packs the upstreams that match a filter: in full if it matches all, otherwise
+ * only their stages. Returns their number.
+ */
+static uint32_t pack_updates(msgpack_packer *packer, const gateway_peers_t *peers,
+			     const update_filter_t *filter)
 {
 	list_node_t *list = forward_upstreams_list(peers->gateway->upstreams);
-	bool all = !choice->ids && !choice->digests;
+	bool all = !filter->ids && !filter->digests;
 	uint32_t count = 0;
 
 	LIST_FOR_EACH (it, list)
-		count += news_includes(peers, choice,
-				       LIST_ENTRY(it, forward_upstream_t, node));
-	pack_news_head(packer, peers, all);
+		count += update_filter_matches(peers, filter,
+					       LIST_ENTRY(it, forward_upstream_t,
+							  node));
+	pack_updates_header(packer, peers, all);
 	msgpack_pack_array(packer, count);
 	LIST_FOR_EACH (it, list) {
 		const forward_upstream_t *upstream =
 			LIST_ENTRY(it, forward_upstream_t, node);
 
-		if (!news_includes(peers, choice, upstream))
+		if (!update_filter_matches(peers, filter, upstream))
 			continue;
 		if (!all)
 			pack_stage(packer, upstream);
@@ -577,25 +631,29 @@
 	return count;
 }
 
-/* Packs what is known of some upstreams. */
-void peers_pack_news(msgpack_packer *packer, const gateway_peers_t *peers,
-		     GHashTable *ids)
+/*
+ * Packs the stages of the upstreams in IDS, or all upstreams in full if it is
+ * NULL.
+ */
+void peers_pack_updates(msgpack_packer *packer, const gateway_peers_t *peers,
+			GHashTable *ids)
 {
-	const news_choice_t choice = { .ids = ids };
+	const update_filter_t filter = { .ids = ids };
 
-	pack_news(packer, peers, &choice);
+	pack_updates(packer, peers, &filter);
 }
 
 /*
- * Sends upstreams, if a whole listing is known: the stages of those in buckets in
- * which the receiver's digests differ, or all in full. A thousand upstreams are
- * 90 KB, and in a large fleet one of them changes nearly always: whole lists
- * would fill the links of small VMs.
+ * Sends upstreams to a peer if a complete listing is known: the stages of those
+ * in buckets whose digests differ from DIGESTS, or all in full if that is NULL.
+ * A thousand upstreams take 90 KB, and in a large fleet one of them changes
+ * almost all the time: sending complete lists would fill the links of small
+ * VMs.
  */
 void peers_send_upstreams(gateway_peers_t *peers, peer_t *peer,
 			  const uint64_t *digests)
 {
-	const news_choice_t choice = { .digests = digests };
+	const update_filter_t filter = { .digests = digests };
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
@@ -603,30 +661,31 @@
 		return;
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	if (pack_news(&packer, peers, &choice) || !digests)
+	if (pack_updates(&packer, peers, &filter) || !digests)
 		peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Sends upstreams in full that a peer named by their marks. */
-void peers_send_marked(gateway_peers_t *peers, peer_t *peer, const GArray *marks)
+/* Sends in full the known upstreams among ID_HASHES, an array of uint64_t. */
+void peers_send_by_id_hash(gateway_peers_t *peers, peer_t *peer,
+			   const GArray *id_hashes)
 {
 	GPtrArray *found = g_ptr_array_new();
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
-	for (guint i = 0; i < marks->len; i++) {
-		uint64_t mark = g_array_index(marks, uint64_t, i);
+	for (guint i = 0; i < id_hashes->len; i++) {
+		uint64_t id_hash = g_array_index(id_hashes, uint64_t, i);
 		forward_upstream_t *upstream =
 			forward_upstreams_find_by_short_id(peers->gateway->upstreams,
-							   (uint32_t)mark);
+							   (uint32_t)id_hash);
 
-		if (upstream && upstream->id_hash == mark)
+		if (upstream && upstream->id_hash == id_hash)
 			g_ptr_array_add(found, upstream);
 	}
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	pack_news_head(&packer, peers, false);
+	pack_updates_header(&packer, peers, false);
 	msgpack_pack_array(&packer, found->len);
 	for (guint i = 0; i < found->len; i++)
 		pack_upstream(&packer, g_ptr_array_index(found, i));
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -1,4 +1,4 @@
-/* Takes in the messages of other gateways. */
+/* Decodes and applies the messages of other gateways. */
 #include <string.h>
 
 #include "adapters/gateway/flight_pack.h"
@@ -7,109 +7,133 @@
 #include "adapters/log_glib.h"
 #include "adapters/msgpack_check.h"
 
-#define PART "peers"
-/* Who all other gateways are, in the counts, when an aggregator sums them up. */
-#define EVERYBODY "everybody"
-/* Levels of buckets are taken over from older peers so soon after the start. */
-#define ADOPT_MAX (3 * PD_SEC)
-/* What was asked for is asked for again only after so long. */
+#define LOG_COMPONENT "peers"
+/*
+ * Stands for all other gateways when an aggregator sends the sum of their
+ * counters.
+ */
+#define ALL_PEERS "everybody"
+/*
+ * Bucket levels are adopted from longer-running peers only this soon after the
+ * start.
+ */
+#define LEVEL_ADOPTION_WINDOW (3 * PD_SEC)
+/* Minimum time before the same data is fetched again. */
 #define FETCH_PERIOD (400 * PD_MSEC)
 /*
- * News is on its way for some tens of milliseconds, during which two gateways
- * differ; nothing is missing then.
+ * Updates take some tens of milliseconds to spread. Digests that differ for
+ * less than this do not mean that an update was lost.
  */
-#define DIFFERS_MIN (300 * PD_MSEC)
+#define DIVERGENCE_MIN (300 * PD_MSEC)
+/* Bound on the time between fetches that do not help. */
 #define FETCH_PERIOD_MAX (6400 * PD_MSEC)
 
-/* A peer's values by name, and the sums of all peers' that they are part of. */
-typedef struct part {
+/* A peer's values by name, and the sums over all peers that include them. */
+typedef struct summed_values {
 	GHashTable *values;
 	GHashTable *sums;
-} part_t;
+} summed_values_t;
 
-static void part_set(const part_t *part, const char *name, double value)
+/* Sets a peer's value and adjusts the sum by the difference. */
+static void summed_values_set(const summed_values_t *summed, const char *name,
+			      double value)
 {
-	double *known = peers_value(part->values, name);
+	double *known = peers_value(summed->values, name);
 
-	*peers_value(part->sums, name) += value - *known;
+	*peers_value(summed->sums, name) += value - *known;
 	*known = value;
 }
 
-/* What a message says of one account's use. */
-typedef struct use_told {
+/* One account's limit use, as sent. */
+typedef struct limit_use {
 	char *account; /* owned */
-	double total;
-	double asked;
+	double granted;
+	double requested;
 	bool has_level;
 	double level;
-} use_told_t;
+} limit_use_t;
 
-/* Reads an account's use; false if it is not one. */
-static bool read_use(const msgpack_object *object, use_told_t *use)
+/*
+ * Decodes an account's limit use. Returns false if it is malformed; otherwise
+ * the caller frees the account.
+ */
+static bool read_limit_use(const msgpack_object *object, limit_use_t *use)
 {
 	const msgpack_object *fields =
-		msgpack_field_items(object, USE_FIELDS, NULL);
+		msgpack_field_items(object, LIMIT_USE_FIELDS, NULL);
 
 	if (!fields)
 		return false;
 	use->account = msgpack_field_text(&fields[0]);
-	use->total = msgpack_field_decimal(&fields[1]);
+	use->granted = msgpack_field_decimal(&fields[1]);
 	use->has_level = fields[2].type != MSGPACK_OBJECT_NIL;
 	use->level = msgpack_field_decimal(&fields[2]);
-	use->asked = msgpack_field_decimal(&fields[3]);
+	use->requested = msgpack_field_decimal(&fields[3]);
 	return use->account != NULL;
 }
 
-/* Takes what accounts used at a peer; ADOPT: it knows the levels better. */
-static void take_uses(gateway_peers_t *peers, peer_t *peer,
-		      const msgpack_object *object, bool adopt, bool recent)
+/*
+ * Applies a peer's limit uses. ADOPT: take over its bucket levels too, as it
+ * has run for longer. RECENT: it started within the limits' window, so all of
+ * its use counts and not only what it uses from now on.
+ */
+static void merge_limit_uses(gateway_peers_t *peers, peer_t *peer,
+			     const msgpack_object *object, bool adopt, bool recent)
 {
-	const part_t totals = { peer->totals, peers->totals };
-	const part_t asked = { peer->asked, peers->asked };
+	const summed_values_t granted = { peer->granted, peers->granted };
+	const summed_values_t requested = { peer->requested, peers->requested };
 	token_limits_t *limits = peers->gateway->limits;
 	pd_time_t now = gateway_now();
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
-	use_told_t use;
+	limit_use_t use;
 
 	for (uint32_t i = 0; i < count; i++) {
-		if (!read_use(&items[i], &use))
+		if (!read_limit_use(&items[i], &use))
 			continue;
 		if (adopt && use.has_level)
 			token_limits_adopt(limits, use.account, use.level, now);
 		token_limits_heard(limits, use.account, peer->incarnation,
-				   use.total, recent, now);
+				   use.granted, recent, now);
 		token_limits_asked(limits, use.account, peer->incarnation,
-				   use.asked, now);
-		part_set(&totals, use.account, use.total);
-		part_set(&asked, use.account, use.asked);
+				   use.requested, now);
+		summed_values_set(&granted, use.account, use.granted);
+		summed_values_set(&requested, use.account, use.requested);
 		g_free(use.account);
 	}
 }
 
-/* Takes what accounts used at all but this gateway, and the levels, from an aggregator. */
-static void take_sums(gateway_peers_t *peers, const msgpack_object *object)
+/*
+ * Applies an aggregator's limit uses, summed over all gateways but this one,
+ * and its bucket levels.
+ */
+static void apply_limit_use_sums(gateway_peers_t *peers, const msgpack_object *object)
 {
 	token_limits_t *limits = peers->gateway->limits;
 	pd_time_t now = gateway_now();
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
-	use_told_t use;
+	limit_use_t use;
 
 	for (uint32_t i = 0; i < count; i++) {
-		if (!read_use(&items[i], &use))
+		if (!read_limit_use(&items[i], &use))
 			continue;
-		token_limits_heard(limits, use.account, EVERYBODY, use.total,
+		token_limits_heard(limits, use.account, ALL_PEERS, use.granted,
 				   false, now);
-		token_limits_asked(limits, use.account, EVERYBODY, use.asked, now);
+		token_limits_asked(limits, use.account, ALL_PEERS,
+				   use.requested, now);
 		if (use.has_level)
 			token_limits_follow(limits, use.account, use.level, now);
 		g_free(use.account);
 	}
 }
 
-static void take_works(gateway_t *gateway, const char *who,
-		       const msgpack_object *object, const part_t *part)
+/*
+ * Applies the work of the peer named WHO. SUMMED: its values and their sums, or
+ * NULL to leave those alone.
+ */
+static void merge_work(gateway_t *gateway, const char *who,
+		       const msgpack_object *object, const summed_values_t *summed)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
@@ -124,14 +148,14 @@
 			continue;
 		total = msgpack_field_decimal(&pair[1]);
 		work_rate_heard(gateway->work, who, service, total);
-		if (part)
-			part_set(part, service, total);
+		if (summed)
+			summed_values_set(summed, service, total);
 		g_free(service);
 	}
 }
 
-/* Takes the speeds of engines that a peer has seen. */
-static void take_speeds(gateway_t *gateway, const msgpack_object *object)
+/* Applies the engine speeds observed by a peer. */
+static void merge_engine_speeds(gateway_t *gateway, const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
@@ -141,7 +165,7 @@
 			msgpack_field_items(&items[i], 2, NULL);
 		char *service = pair ? msgpack_field_text(&pair[0]) : NULL;
 
-		/* A peer may not have this gateway keep services of its own. */
+		/* A peer must not add services unknown to this gateway. */
 		if (service && gateway->config &&
 		    forward_config_service(gateway->config, service))
 			engine_speeds_told(forward_upstreams_speeds(
@@ -152,13 +176,13 @@
 	}
 }
 
-/* Merges the counts of usage of one start of a peer. */
-static void take_usages(gateway_t *gateway, const char *incarnation,
+/* Merges the usage counts of one incarnation of a peer. */
+static void merge_usage(gateway_t *gateway, const char *incarnation,
 			const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
-	uint64_t start = usage_start(incarnation);
+	uint64_t incarnation_id = usage_start(incarnation);
 
 	for (uint32_t i = 0; i < count; i++) {
 		const msgpack_object *fields =
@@ -168,7 +192,7 @@
 		if (account) {
 			const usage_entry_t entry = {
 				.window = (int64_t)msgpack_field_number(&fields[0]),
-				.start = start,
+				.start = incarnation_id,
 				.account = account,
 				.count = msgpack_field_number(&fields[2]),
 			};
@@ -179,9 +203,12 @@
 	}
 }
 
-/* Takes up to which window the counts that came with a state are all of its sender's. */
-static void take_closed(gateway_t *gateway, const char *incarnation,
-			const msgpack_object *object)
+/*
+ * Applies the watermark of a state: all usage of its sender up to that window
+ * is known.
+ */
+static void merge_watermark(gateway_t *gateway, const char *incarnation,
+			    const msgpack_object *object)
 {
 	if (object->type != MSGPACK_OBJECT_NIL)
 		usage_watermarks_take(gateway->watermarks,
@@ -189,7 +216,8 @@
 				      (int64_t)msgpack_field_number(object));
 }
 
-static void take_members(gateway_peers_t *peers, const msgpack_object *object)
+/* Adds the members that a peer lists, and records that it heard from them. */
+static void merge_members(gateway_peers_t *peers, const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
@@ -202,7 +230,7 @@
 
 		if (peer) {
 			peer->mentioned_at = gateway_now();
-			peer->strong = msgpack_field_number(&fields[1]) != 0;
+			peer->high_capacity = msgpack_field_number(&fields[1]) != 0;
 			peer->zone = (uint16_t)msgpack_field_number(&fields[2]);
 		}
 		g_free(address);
@@ -214,20 +242,24 @@
 	return (pd_time_t)(peers->gateway->settings->limits_window_s * PD_SEC);
 }
 
-/* Says whether a peer of that age knows what was used before this start. */
-static bool peer_knows_more(gateway_peers_t *peers, uint64_t age)
+/*
+ * Returns whether to adopt the bucket levels of a peer with that uptime, as it
+ * knows what was used before this gateway started. True at most once.
+ */
+static bool should_adopt_levels(gateway_peers_t *peers, uint64_t age)
 {
-	if (peers->adopted || gateway_now() - peers->started_at > ADOPT_MAX ||
+	if (peers->levels_adopted ||
+	    gateway_now() - peers->started_at > LEVEL_ADOPTION_WINDOW ||
 	    (pd_time_t)age < limits_window(peers))
 		return false;
-	peers->adopted = true;
+	peers->levels_adopted = true;
 	return true;
 }
 
 /*
- * Says whether upstreams may be fetched from a peer with another digest. If
- * fetching did not help, as the peer is the one that is behind, it is done less
- * and less often until one of the two learns something.
+ * Returns whether to fetch upstreams from a peer whose digest is DIGEST. The
+ * time between fetches doubles while fetching does not help, as the peer may be
+ * the one that is behind, until either digest changes.
  */
 static bool may_fetch_upstreams(gateway_peers_t *peers, uint64_t digest,
 				pd_time_t now)
@@ -235,24 +267,28 @@
 	uint64_t differing = digest ^ peers_digest(peers);
 
 	if (!differing)
-		peers->differs_since = 0;
-	else if (!peers->differs_since)
-		peers->differs_since = now;
+		peers->diverged_since = 0;
+	else if (!peers->diverged_since)
+		peers->diverged_since = now;
 	if (!differing || (peers->gateway->upstreams_listed &&
-			   now - peers->differs_since < DIFFERS_MIN))
+			   now - peers->diverged_since < DIVERGENCE_MIN))
 		return false;
-	if (now - peers->fetched_upstreams_at < peers->fetch_pause)
+	if (now - peers->fetched_upstreams_at < peers->fetch_backoff)
 		return false;
-	if (differing == peers->fetched_for)
-		peers->fetch_pause = MIN(peers->fetch_pause * 2, FETCH_PERIOD_MAX);
+	if (differing == peers->fetched_difference)
+		peers->fetch_backoff =
+			MIN(peers->fetch_backoff * 2, FETCH_PERIOD_MAX);
 	else
-		peers->fetch_pause = FETCH_PERIOD;
-	peers->fetched_for = differing;
+		peers->fetch_backoff = FETCH_PERIOD;
+	peers->fetched_difference = differing;
 	peers->fetched_upstreams_at = now;
 	return true;
 }
 
-/* Asks for what the peer has newer, or knows otherwise; 0: not told. */
+/*
+ * Fetches what the peer has in a newer version or knows differently. A VERSION
+ * or DIGEST of 0 is not compared.
+ */
 static void fetch_newer(gateway_peers_t *peers, peer_t *peer, uint64_t version,
 			uint64_t digest)
 {
@@ -270,41 +306,49 @@
 		peers_send_fetch(peers, peer, what);
 }
 
-static void take_store_age(gateway_peers_t *peers, uint64_t age)
+/* Applies the time since the store answered any gateway, as known to a peer. */
+static void update_store_answered_at(gateway_peers_t *peers, uint64_t age)
 {
 	pd_time_t heard_at = gateway_now() - (pd_time_t)age;
 
-	peers->store_heard_at = MAX(peers->store_heard_at, heard_at);
+	peers->store_answered_at = MAX(peers->store_answered_at, heard_at);
 	gateway_store_answered(peers->gateway, heard_at);
 }
 
 /*
- * Takes who holds the duties, if that is newer than what is known. Without the
- * fencing number, the many who had not heard of a new holder told the aggregators the
- * old one again and again, and usage was sent there for the rest of the day.
+ * Applies a peer's view of the leader if its fencing token is newer. Without
+ * the token, the many gateways that had not heard of a new leader would keep
+ * reporting the old one to the aggregators, and usage would go on being sent to
+ * it.
  */
-static void take_holder(gateway_peers_t *peers, const msgpack_object *object,
-			uint64_t fence)
+static void update_leader(gateway_peers_t *peers, const msgpack_object *object,
+			  uint64_t fence)
 {
-	char *holder = msgpack_field_text(object);
+	char *leader = msgpack_field_text(object);
 
-	if (holder && *holder && fence > peers->holder_fence) {
-		g_free(peers->holder);
-		peers->holder = g_steal_pointer(&holder);
-		peers->holder_fence = fence;
-		peers->is_holder = false;
+	if (leader && *leader && fence > peers->leader_fence) {
+		g_free(peers->leader);
+		peers->leader = g_steal_pointer(&leader);
+		peers->leader_fence = fence;
+		peers->is_leader = false;
 	}
-	g_free(holder);
+	g_free(leader);
 }
 
-/* Returns the id of the VM, which an incarnation begins with; owned by the caller. */
+/*
+ * Returns the id of the VM, which is the first part of an incarnation's name;
+ * owned by the caller.
+ */
 static char *incarnation_vm(const char *incarnation)
 {
 	return g_strndup(incarnation, usage_vm_len(incarnation));
 }
 
-/* Notes who sent a state or summary; NULL if that can't be read. */
-static peer_t *take_sender(gateway_peers_t *peers, const msgpack_object *fields)
+/*
+ * Applies the fields that describe the sender of a state or summary. Returns
+ * its peer, borrowed, or NULL if the fields are malformed.
+ */
+static peer_t *identify_sender(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	unsigned int flags =
 		(unsigned int)msgpack_field_number(&fields[STATE_FLAGS]);
@@ -315,57 +359,63 @@
 	if (!peer)
 		goto done;
 	if (!peer->incarnation || strcmp(peer->incarnation, who)) {
-		log_line(G_LOG_LEVEL_INFO, PART, "found=%s address=%s", who,
-			 address);
+		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "found=%s address=%s",
+			 who, address);
 		if (peer->incarnation)
 			token_limits_forget_peer(peers->gateway->limits,
 						 peer->incarnation);
-		peers_forget_counts(peers, peer);
+		peers_remove_values(peers, peer);
 	}
 	g_free(peer->incarnation);
 	g_free(peer->vm_id);
 	peer->incarnation = g_strdup(who);
 	peer->vm_id = incarnation_vm(who);
-	peer->strong = flags & STATE_FLAG_STRONG;
+	peer->high_capacity = flags & STATE_FLAG_HIGH_CAPACITY;
 	peer->has_store = flags & STATE_FLAG_HAS_STORE;
 	peer->zone = (uint16_t)msgpack_field_number(&fields[STATE_ZONE]);
-	take_store_age(peers, msgpack_field_number(&fields[STATE_STORE_AGE]));
-	take_holder(peers, &fields[STATE_HOLDER],
-		    msgpack_field_number(&fields[STATE_FENCE]));
+	update_store_answered_at(peers, msgpack_field_number(
+						&fields[STATE_STORE_ANSWER_AGE]));
+	update_leader(peers, &fields[STATE_LEADER],
+		      msgpack_field_number(&fields[STATE_LEADER_FENCE]));
 done:
 	g_free(address);
 	g_free(who);
 	return peer;
 }
 
-/* Takes the clock of a state's sender; times beyond all reason are left out. */
-static void take_clock(gateway_t *gateway, const peer_t *peer,
+/* Applies the clock of a state's sender. Out-of-range times are ignored. */
+static void vote_clock(gateway_t *gateway, const peer_t *peer,
 		       const msgpack_object *fields, pd_time_t now)
 {
-	uint64_t wall = msgpack_field_number(&fields[STATE_WALL]);
-	uint64_t age = msgpack_field_number(&fields[STATE_CLOCK_AGE]);
+	uint64_t wall = msgpack_field_number(&fields[STATE_WALL_TIME]);
+	uint64_t age = msgpack_field_number(&fields[STATE_CLOCK_STEP_AGE]);
 
 	if (wall <= PD_TIME_MAX && age <= PD_TIME_MAX)
 		time_vote_receive(gateway->vote, peer->vm_id, (pd_time_t)wall,
 				  (pd_time_t)age, now);
 }
 
-/* Takes from a peer's message whether it was served by the store. */
-static void peer_shows_store(gateway_t *gateway, const peer_t *peer, pd_time_t now)
+/* Records that a peer was heard from, and whether the store was serving it. */
+static void note_peer_store_health(gateway_t *gateway, const peer_t *peer,
+				   pd_time_t now)
 {
 	store_outage_record_peer_message(gateway->outage, now);
 	if (!peer->has_store)
 		gateway_store_failed(gateway, now);
 }
 
-static int take_state(gateway_peers_t *peers, const msgpack_object *fields)
+/*
+ * Applies a state, and answers it with a summary if it asks for one or with
+ * this gateway's state if the peer is new. Returns 0, or -1 if it is malformed.
+ */
+static int handle_state(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	gateway_t *gateway = peers->gateway;
 	unsigned int flags =
 		(unsigned int)msgpack_field_number(&fields[STATE_FLAGS]);
-	peer_t *peer = take_sender(peers, fields);
+	peer_t *peer = identify_sender(peers, fields);
 	pd_time_t now = gateway_now();
-	uint64_t age = msgpack_field_number(&fields[STATE_AGE]);
+	uint64_t age = msgpack_field_number(&fields[STATE_UPTIME]);
 	bool first;
 
 	if (!peer)
@@ -373,26 +423,25 @@
 	first = !peer_is_heard(peer, now);
 	peer->heard_at = now;
 	peer->started_at = now - (pd_time_t)MIN(age, PD_TIME_MAX);
-	peer_shows_store(gateway, peer, now);
-	take_clock(gateway, peer, fields, now);
-	take_usages(gateway, peer->incarnation, &fields[STATE_USAGES]);
-	take_closed(gateway, peer->incarnation, &fields[STATE_CLOSED]);
-	take_speeds(gateway, &fields[STATE_SPEEDS]);
-	take_members(peers, &fields[STATE_MEMBERS]);
-	/* The sums of the aggregator include this peer already. */
+	note_peer_store_health(gateway, peer, now);
+	vote_clock(gateway, peer, fields, now);
+	merge_usage(gateway, peer->incarnation, &fields[STATE_USAGE]);
+	merge_watermark(gateway, peer->incarnation, &fields[STATE_WATERMARK]);
+	merge_engine_speeds(gateway, &fields[STATE_ENGINE_SPEEDS]);
+	merge_members(peers, &fields[STATE_MEMBERS]);
+	/* An aggregator's sums already include this peer. */
 	if (!peers->aggregator) {
-		const part_t works = { peer->works, peers->works };
-
-		take_uses(peers, peer, &fields[STATE_TOTALS],
-			  peer_knows_more(peers, age),
-			  (pd_time_t)age < limits_window(peers));
-		take_works(gateway, peer->incarnation, &fields[STATE_WORKS],
-			   &works);
-		peers_take_own_loads(peers, peer->loads, &fields[STATE_LOADS]);
+		const summed_values_t work = { peer->work, peers->work };
+
+		merge_limit_uses(peers, peer, &fields[STATE_LIMIT_USES],
+				 should_adopt_levels(peers, age),
+				 (pd_time_t)age < limits_window(peers));
+		merge_work(gateway, peer->incarnation, &fields[STATE_WORK], &work);
+		peers_receive_loads(peers, peer->loads, &fields[STATE_LOADS]);
 	}
-	if (flags & STATE_FLAG_ASKS)
+	if (flags & STATE_FLAG_REQUESTS_SUMMARY)
 		peers_send_summary(peers, peer,
-				   first || now - peer->members_at >=
+				   first || now - peer->members_sent_at >=
 						    PEERS_FULL_PERIOD);
 	else if (first)
 		peers_send_state(peers, peer, false, true);
@@ -401,36 +450,44 @@
 	return 0;
 }
 
-static int take_summary(gateway_peers_t *peers, const msgpack_object *fields)
+/*
+ * Applies a summary; its sums only if it is from the current aggregator.
+ * Returns 0, or -1 if it is malformed.
+ */
+static int handle_summary(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	gateway_t *gateway = peers->gateway;
-	peer_t *peer = take_sender(peers, fields);
+	peer_t *peer = identify_sender(peers, fields);
 	pd_time_t now = gateway_now();
 	uint64_t wall;
 
 	if (!peer)
 		return -1;
 	peer->heard_at = now;
-	peer_shows_store(gateway, peer, now);
-	take_members(peers, &fields[STATE_MEMBERS]);
+	note_peer_store_health(gateway, peer, now);
+	merge_members(peers, &fields[STATE_MEMBERS]);
 	fetch_newer(peers, peer, msgpack_field_number(&fields[STATE_CONFIG]),
 		    msgpack_field_number(&fields[STATE_DIGEST]));
 	if (!peers->aggregator || strcmp(peers->aggregator, peer->address))
 		return 0;
-	peers->summed_at = now;
-	peers->told_count =
-		(unsigned int)msgpack_field_number(&fields[STATE_COUNT]);
-	wall = msgpack_field_number(&fields[STATE_WALL]);
+	peers->summary_received_at = now;
+	peers->summary_fleet_size =
+		(unsigned int)msgpack_field_number(&fields[STATE_FLEET_SIZE]);
+	wall = msgpack_field_number(&fields[STATE_WALL_TIME]);
 	if (wall <= PD_TIME_MAX)
 		time_vote_follow(gateway->vote, (pd_time_t)wall, now);
-	take_sums(peers, &fields[STATE_TOTALS]);
-	take_works(gateway, EVERYBODY, &fields[STATE_WORKS], NULL);
-	take_speeds(gateway, &fields[STATE_SPEEDS]);
-	peers_take_all_loads(peers, &fields[STATE_LOADS]);
+	apply_limit_use_sums(peers, &fields[STATE_LIMIT_USES]);
+	merge_work(gateway, ALL_PEERS, &fields[STATE_WORK], NULL);
+	merge_engine_speeds(gateway, &fields[STATE_ENGINE_SPEEDS]);
+	peers_receive_summed_loads(peers, &fields[STATE_LOADS]);
 	return 0;
 }
 
-static int take_announce(gateway_peers_t *peers, const msgpack_object *fields)
+/*
+ * Fetches an announced configuration if it is newer. Returns 0, or -1 if the
+ * message is malformed.
+ */
+static int handle_announcement(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *address = msgpack_field_text(&fields[1]);
 	peer_t *peer = address ? peers_add(peers, address) : NULL;
@@ -442,7 +499,10 @@
 	return 0;
 }
 
-static int take_config(gateway_peers_t *peers, const msgpack_object *fields)
+/*
+ * Applies a configuration sent by a peer. Returns 0, or -1 if it is malformed.
+ */
+static int handle_config(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *text = msgpack_field_text(&fields[1]);
 
@@ -453,38 +513,42 @@
 	return 0;
 }
 
-static gboolean was_asked_long_ago(gpointer mark, gpointer asked_at, gpointer now)
+static gboolean fetch_has_expired(gpointer id_hash, gpointer asked_at, gpointer now)
 {
-	(void)mark;
+	(void)id_hash;
 	return (pd_time_t)(gintptr)now - (pd_time_t)(gintptr)asked_at > FETCH_PERIOD;
 }
 
-/* Returns whether an upstream's rest may be asked for: no peer was just now. */
-static bool may_ask(gateway_peers_t *peers, uint64_t mark)
+/*
+ * Returns whether to request an upstream in full: no peer was asked for it
+ * within FETCH_PERIOD.
+ */
+static bool may_fetch_id_hash(gateway_peers_t *peers, uint64_t id_hash)
 {
 	pd_time_t now = gateway_now();
 
-	if (now - peers->wanted_at > FETCH_PERIOD) {
-		g_hash_table_foreach_remove(peers->wanted, was_asked_long_ago,
+	if (now - peers->pending_fetches_pruned_at > FETCH_PERIOD) {
+		g_hash_table_foreach_remove(peers->pending_fetches,
+					    fetch_has_expired,
 					    (gpointer)(gintptr)now);
-		peers->wanted_at = now;
+		peers->pending_fetches_pruned_at = now;
 	}
-	if (g_hash_table_contains(peers->wanted, GSIZE_TO_POINTER(mark)))
+	if (g_hash_table_contains(peers->pending_fetches, GSIZE_TO_POINTER(id_hash)))
 		return false;
-	g_hash_table_insert(peers->wanted, GSIZE_TO_POINTER(mark),
+	g_hash_table_insert(peers->pending_fetches, GSIZE_TO_POINTER(id_hash),
 			    (gpointer)(gintptr)now);
 	return true;
 }
 
 /*
- * Takes the stage of an upstream; adds its mark to UNKNOWN if that is all that
- * is known of it. One that is gone is of no interest then.
+ * Applies the stage of an upstream. If the upstream is not known and not gone,
+ * adds its id hash to UNKNOWN.
  */
-static void take_stage(gateway_peers_t *peers, const msgpack_object *fields,
-		       GArray *unknown)
+static void apply_stage(gateway_peers_t *peers, const msgpack_object *fields,
+			GArray *unknown)
 {
 	gateway_t *gateway = peers->gateway;
-	uint64_t mark = msgpack_field_number(&fields[0]);
+	uint64_t id_hash = msgpack_field_number(&fields[0]);
 	const forward_stage_update_t change = {
 		.stage = (forward_stage_t)msgpack_field_number(&fields[1]),
 		.revision = msgpack_field_number(&fields[2]),
@@ -492,13 +556,14 @@
 	};
 	forward_upstream_t *upstream =
 		forward_upstreams_find_by_short_id(gateway->upstreams,
-						   (uint32_t)mark);
+						   (uint32_t)id_hash);
 
 	if (change.stage > FORWARD_GONE)
 		return;
-	if (!upstream || upstream->id_hash != mark) {
-		if (change.stage != FORWARD_GONE && may_ask(peers, mark))
-			g_array_append_val(unknown, mark);
+	if (!upstream || upstream->id_hash != id_hash) {
+		if (change.stage != FORWARD_GONE &&
+		    may_fetch_id_hash(peers, id_hash))
+			g_array_append_val(unknown, id_hash);
 		return;
 	}
 	if (forward_upstreams_update_stage(gateway->upstreams, upstream,
@@ -506,21 +571,21 @@
 		gateway_upstream_changed(gateway, upstream->id, "peer");
 }
 
-/* Takes one upstream that a peer knows of. */
-static void take_upstream(gateway_peers_t *peers, const msgpack_object *object,
-			  GArray *unknown)
+/* Applies one upstream of an update, in full or only its stage. */
+static void apply_upstream(gateway_peers_t *peers, const msgpack_object *object,
+			   GArray *unknown)
 {
 	gateway_t *gateway = peers->gateway;
 	const msgpack_object *fields =
-		msgpack_field_items(object, NEWS_FULL_FIELDS, NULL);
+		msgpack_field_items(object, UPSTREAM_FIELDS, NULL);
 	char *texts[4] = { NULL };
 	forward_registration_t listing = { 0 };
-	bool news = false;
+	bool changed = false;
 
 	if (!fields) {
-		fields = msgpack_field_items(object, NEWS_BRIEF_FIELDS, NULL);
+		fields = msgpack_field_items(object, STAGE_FIELDS, NULL);
 		if (fields)
-			take_stage(peers, fields, unknown);
+			apply_stage(peers, fields, unknown);
 		return;
 	}
 	texts[0] = msgpack_field_text(&fields[0]);
@@ -541,19 +606,24 @@
 	    listing.stage > FORWARD_GONE)
 		goto done;
 	if (listing.stage == FORWARD_GONE)
-		news = forward_upstreams_remove(gateway->upstreams, listing.id,
-						listing.revision, gateway_now());
+		changed = forward_upstreams_remove(gateway->upstreams,
+						   listing.id, listing.revision,
+						   gateway_now());
 	else
-		news = forward_upstreams_apply(gateway->upstreams, &listing);
-	/* Passed on, as a peer may reach some that the sender does not. */
-	if (news)
+		changed = forward_upstreams_apply(gateway->upstreams, &listing);
+	/* Forwarded, as it may reach peers that the sender does not reach. */
+	if (changed)
 		gateway_upstream_changed(gateway, listing.id, "peer");
 done:
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
 		g_free(texts[i]);
 }
 
-static int take_news(gateway_peers_t *peers, const msgpack_object *fields)
+/*
+ * Applies the listed upstreams and fetches those of which only the stage is
+ * known. Returns 0, or -1 if the message is malformed.
+ */
+static int handle_updates(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(&fields[3], 0, &count);
@@ -566,33 +636,34 @@
 		return -1;
 	unknown = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	for (uint32_t i = 0; i < count; i++)
-		take_upstream(peers, &items[i], unknown);
+		apply_upstream(peers, &items[i], unknown);
 	if (msgpack_field_number(&fields[2]))
 		peers->gateway->upstreams_listed = true;
 	if (unknown->len)
-		peers_send_fetch_marked(peers, peer, unknown);
+		peers_send_fetch_by_id_hash(peers, peer, unknown);
 	g_array_unref(unknown);
 	return 0;
 }
 
-static void give_marked(gateway_peers_t *peers, peer_t *peer,
-			const msgpack_object *object)
+/* Sends the upstreams whose id hashes a fetch lists. */
+static void send_requested_upstreams(gateway_peers_t *peers, peer_t *peer,
+				     const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
-	GArray *marks = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	GArray *id_hashes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 
 	for (uint32_t i = 0; i < count; i++) {
-		uint64_t mark = msgpack_field_number(&items[i]);
+		uint64_t id_hash = msgpack_field_number(&items[i]);
 
-		g_array_append_val(marks, mark);
+		g_array_append_val(id_hashes, id_hash);
 	}
-	peers_send_marked(peers, peer, marks);
-	g_array_unref(marks);
+	peers_send_by_id_hash(peers, peer, id_hashes);
+	g_array_unref(id_hashes);
 }
 
-/* Reads the digests that a peer sent along. False: it sent none. */
-static bool take_digests(const msgpack_object *object,
+/* Decodes the digests of a fetch. Returns false if it has none. */
+static bool read_digests(const msgpack_object *object,
 			 uint64_t digests[FORWARD_DIGEST_BUCKETS])
 {
 	const msgpack_object *items =
@@ -605,7 +676,8 @@
 	return true;
 }
 
-static int take_fetch(gateway_peers_t *peers, const msgpack_object *fields)
+/* Sends what a peer requests. Returns 0, or -1 if the message is malformed. */
+static int handle_fetch(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	uint64_t digests[FORWARD_DIGEST_BUCKETS];
 	uint64_t what = msgpack_field_number(&fields[2]);
@@ -617,24 +689,29 @@
 		return -1;
 	if (what & FETCH_CONFIG)
 		peers_send_config(peers, peer);
-	if (what & FETCH_MARKED)
-		give_marked(peers, peer, &fields[3]);
+	if (what & FETCH_BY_ID_HASH)
+		send_requested_upstreams(peers, peer, &fields[3]);
 	if (what & FETCH_UPSTREAMS)
 		peers_send_upstreams(peers, peer,
-				     take_digests(&fields[3], digests) ? digests
+				     read_digests(&fields[3], digests) ? digests
 								       : NULL);
 	return 0;
 }
 
-static void take_flight(gateway_t *gateway, const msgpack_object *object)
+/* Merges a peer's in-flight snapshot; malformed ones are ignored. */
+static void merge_inflight(gateway_t *gateway, const msgpack_object *object)
 {
-	usage_flight_t *flight = flight_read(object);
+	usage_flight_t *snapshot = flight_unpack(object);
 
-	if (flight)
-		usage_inflight_take(gateway->inflight, flight);
+	if (snapshot)
+		usage_inflight_take(gateway->inflight, snapshot);
 }
 
-static int take_counts(gateway_peers_t *peers, const msgpack_object *fields)
+/*
+ * Applies the counts sent to this gateway as a checkpoint writer. Returns 0, or
+ * -1 if the message is malformed.
+ */
+static int handle_counts(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *address = msgpack_field_text(&fields[1]);
 	char *who = msgpack_field_text(&fields[2]);
@@ -642,25 +719,32 @@
 	int rc;
 
 	if (who)
-		take_usages(peers->gateway, who, &fields[3]);
-	take_flight(peers->gateway, &fields[5]);
-	peers->counts_taken_at = gateway_now();
-	/* What it had used before it was first heard comes with its state. */
+		merge_usage(peers->gateway, who, &fields[3]);
+	merge_inflight(peers->gateway, &fields[5]);
+	peers->counts_received_at = gateway_now();
+	/*
+	 * What the peer used before this gateway first heard from it is in its
+	 * state.
+	 */
 	if (peer && who && !g_strcmp0(peer->incarnation, who) && !peers->aggregator)
-		take_uses(peers, peer, &fields[4], false, true);
+		merge_limit_uses(peers, peer, &fields[4], false, true);
 	rc = address && who ? 0 : -1;
 	g_free(address);
 	g_free(who);
 	return rc;
 }
 
-static int take_message(gateway_peers_t *peers, const msgpack_object *object)
+/*
+ * Applies a decoded message by its kind. Returns 0, or -1 if it is malformed or
+ * of an unknown kind.
+ */
+static int dispatch_message(gateway_peers_t *peers, const msgpack_object *object)
 {
 	static const uint32_t lengths[] = {
 		[MESSAGE_STATE] = STATE_FIELDS,
 		[MESSAGE_SUMMARY] = STATE_FIELDS,
-		[MESSAGE_NEWS] = NEWS_FIELDS,
-		[MESSAGE_ANNOUNCE] = 3,
+		[MESSAGE_UPDATES] = UPDATES_FIELDS,
+		[MESSAGE_ANNOUNCEMENT] = 3,
 		[MESSAGE_CONFIG] = 2,
 		[MESSAGE_FETCH] = FETCH_FIELDS,
 		[MESSAGE_COUNTS] = COUNTS_FIELDS,
@@ -673,25 +757,25 @@
 		return -1;
 	switch ((message_kind_t)kind) {
 	case MESSAGE_STATE:
-		return take_state(peers, fields);
+		return handle_state(peers, fields);
 	case MESSAGE_SUMMARY:
-		return take_summary(peers, fields);
-	case MESSAGE_NEWS:
-		return take_news(peers, fields);
-	case MESSAGE_ANNOUNCE:
-		return take_announce(peers, fields);
+		return handle_summary(peers, fields);
+	case MESSAGE_UPDATES:
+		return handle_updates(peers, fields);
+	case MESSAGE_ANNOUNCEMENT:
+		return handle_announcement(peers, fields);
 	case MESSAGE_CONFIG:
-		return take_config(peers, fields);
+		return handle_config(peers, fields);
 	case MESSAGE_FETCH:
-		return take_fetch(peers, fields);
+		return handle_fetch(peers, fields);
 	case MESSAGE_COUNTS:
-		return take_counts(peers, fields);
+		return handle_counts(peers, fields);
 	}
 	return -1;
 }
 
-/* Takes one message; -1 if it can't be understood. */
-int peers_take(gateway_peers_t *peers, const char *data, size_t len)
+/* Decodes and applies one message. Returns 0, or -1 if it is malformed. */
+int peers_receive(gateway_peers_t *peers, const char *data, size_t len)
 {
 	msgpack_unpacked unpacked;
 	size_t offset = 0;
@@ -701,10 +785,10 @@
 	if (msgpack_sizes_fit(data, len) &&
 	    msgpack_unpack_next(&unpacked, data, len, &offset) ==
 		    MSGPACK_UNPACK_SUCCESS)
-		rc = take_message(peers, &unpacked.data);
+		rc = dispatch_message(peers, &unpacked.data);
 	msgpack_unpacked_destroy(&unpacked);
 	if (rc < 0)
-		log_line(G_LOG_LEVEL_WARNING, PART,
-			 "dropped a message of %zu bytes: not understood", len);
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
+			 "dropped a malformed message of %zu bytes", len);
 	return rc;
 }
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -1,4 +1,4 @@
-/* Who the other gateways are, and who tells whom. */
+/* Membership of the gossip, and the schedule of its messages. */
 #include "adapters/gateway/peers.h"
 
 #include <stdlib.h>
@@ -8,50 +8,68 @@
 #include "adapters/log_glib.h"
 #include "core/forward/spread.h"
 
-#define PART "peers"
-/* A configuration of some thousand routes; longer frames end the connection. */
+#define LOG_COMPONENT "peers"
+/*
+ * Fits a configuration with some thousand routes; longer frames end the
+ * connection.
+ */
 #define FRAME_MAX (4 * 1024 * 1024)
-/* Loads of upstreams, by which requests are placed, are two periods old at most. */
+/*
+ * Requests are placed by the loads of upstreams, which are at most two periods
+ * old.
+ */
 #define MESH_PERIOD (250 * PD_MSEC)
 #define AGGREGATOR_PERIOD (200 * PD_MSEC)
-/* Beyond so many gateways the period grows with them, to bound an aggregator's load. */
+/*
+ * In fleets larger than this the period grows in proportion, to bound the load
+ * of an aggregator.
+ */
 #define AGGREGATOR_PERIOD_FLEET 100
 #define AGGREGATOR_PERIOD_FACTOR_MAX 4
-/* How often usage is sent to the checkpoint writers. */
-#define USES_PERIOD (70 * PD_MSEC)
-#define USES_PERIOD_FACTOR_MAX 3
-/* Halves of periods until a state has come back in a summary to the slowest. */
-#define LAG_PERIODS_2 5
-/* A peer not heard for so long runs nothing any more, as far as loads go. */
-#define LOAD_KEPT (2 * PD_SEC)
-/* An aggregator that has not answered for so long is passed over for a while. */
-#define AGGREGATOR_SILENCE (1500 * PD_MSEC)
-#define AGGREGATOR_PAUSE (5 * PD_SEC)
+/* Period of sending limit uses to the checkpoint writers. */
+#define LIMIT_USES_PERIOD (70 * PD_MSEC)
+#define LIMIT_USES_PERIOD_FACTOR_MAX 3
+/* Half-periods until a state has reached the last gateway in a summary. */
+#define PROPAGATION_HALF_PERIODS 5
 /*
- * A watch for many answers every 0.8 s at least, and word of that takes two messages,
- * a period apart. If nobody has been served for longer, each gateway asks for itself,
- * as the store may turn away just those that watch.
+ * Loads of a peer not heard from for this long are dropped: most of its
+ * requests have ended by then.
  */
-#define STORE_STALE (1100 * PD_MSEC)
-#define STORE_STALE_PERIODS 2
-/* A connection that fails again and again is logged once in such a time. */
-#define LOST_LOG_PERIOD (10 * PD_SEC)
-/* A VM with that much processor and link can carry an aggregator of some hundreds. */
-#define STRONG_CORES 0.24
-#define STRONG_MBPS 100
+#define PEER_LOADS_MAX_AGE (2 * PD_SEC)
+/*
+ * An aggregator that has sent no summary for this long is skipped for a while.
+ */
+#define AGGREGATOR_TIMEOUT (1500 * PD_MSEC)
+#define AGGREGATOR_SKIP_TIME (5 * PD_SEC)
+/*
+ * The store answers a watch on many objects at least every 0.8 s, and the
+ * gossip of that takes two messages, one period apart. If no gateway has had an
+ * answer for longer, each one calls the store itself, as the store may be
+ * rejecting only those that watch.
+ */
+#define STORE_SILENCE_MAX (1100 * PD_MSEC)
+#define STORE_SILENCE_PERIODS 2
+/* A connection that keeps failing is logged at most once in this time. */
+#define DISCONNECT_LOG_PERIOD (10 * PD_SEC)
+/* Smallest VM that can aggregate for some hundreds of gateways. */
+#define HIGH_CAPACITY_CORES 0.24
+#define HIGH_CAPACITY_LINK_MBPS 100
 
 static GArray *loads_create(void)
 {
 	return g_array_new(FALSE, TRUE, sizeof(load_t));
 }
 
-/* Returns an empty table of numbers by name; the caller owns it. */
+/* Returns an empty table from name to double; the caller owns it. */
 GHashTable *peers_values_create(void)
 {
 	return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-/* Returns the number of that name in a table, added as 0 if it is not there. */
+/*
+ * Returns a pointer to the value of NAME, added as 0 if it is missing. The
+ * table owns it.
+ */
 double *peers_value(GHashTable *values, const char *name)
 {
 	double *value = g_hash_table_lookup(values, name);
@@ -63,13 +81,16 @@
 	return value;
 }
 
-/* Returns the peer at an address, or NULL. */
+/* Returns the peer at ADDRESS, borrowed, or NULL. */
 peer_t *peers_find(gateway_peers_t *peers, const char *address)
 {
 	return g_hash_table_lookup(peers->by_address, address);
 }
 
-/* Returns the peer at an address, a new one if need be; NULL: it is oneself. */
+/*
+ * Returns the peer at ADDRESS, borrowed, adding it if it is new. Returns NULL
+ * for this gateway's own address and for an invalid one.
+ */
 peer_t *peers_add(gateway_peers_t *peers, const char *address)
 {
 	peer_t *peer = peers_find(peers, address);
@@ -85,15 +106,16 @@
 	peer->hash = g_str_hash(address);
 	peer->added_at = gateway_now();
 	peer->loads = loads_create();
-	peer->totals = peers_values_create();
-	peer->asked = peers_values_create();
-	peer->works = peers_values_create();
+	peer->granted = peers_values_create();
+	peer->requested = peers_values_create();
+	peer->work = peers_values_create();
 	list_append(&peers->list, &peer->node);
 	g_hash_table_insert(peers->by_address, peer->address, peer);
 	return peer;
 }
 
-static void sum_without(GHashTable *sums, GHashTable *values)
+/* Subtracts VALUES from SUMS and empties VALUES. */
+static void subtract_values(GHashTable *sums, GHashTable *values)
 {
 	GHashTableIter iter;
 	gpointer name;
@@ -109,24 +131,28 @@
 	g_hash_table_remove_all(values);
 }
 
-/* Takes what a peer has told of its accounts and work out of the sums. */
-void peers_forget_counts(gateway_peers_t *peers, peer_t *peer)
+/*
+ * Subtracts a peer's limit uses and work from the sums over all peers, and
+ * clears them.
+ */
+void peers_remove_values(gateway_peers_t *peers, peer_t *peer)
 {
-	sum_without(peers->totals, peer->totals);
-	sum_without(peers->asked, peer->asked);
-	sum_without(peers->works, peer->works);
+	subtract_values(peers->granted, peer->granted);
+	subtract_values(peers->requested, peer->requested);
+	subtract_values(peers->work, peer->work);
 }
 
+/* Removes a peer and its part of all sums, and frees it. */
 static void peer_destroy(gateway_peers_t *peers, peer_t *peer)
 {
-	peers_unload(peers, peer->loads);
-	peers_forget_counts(peers, peer);
+	peers_remove_loads(peers, peer->loads);
+	peers_remove_values(peers, peer);
 	g_hash_table_remove(peers->by_address, peer->address);
 	list_remove(&peer->node);
 	g_array_unref(peer->loads);
-	g_hash_table_unref(peer->totals);
-	g_hash_table_unref(peer->asked);
-	g_hash_table_unref(peer->works);
+	g_hash_table_unref(peer->granted);
+	g_hash_table_unref(peer->requested);
+	g_hash_table_unref(peer->work);
 	g_free(peer->address);
 	g_free(peer->host);
 	g_free(peer->incarnation);
@@ -136,17 +162,22 @@
 
 static int on_frame(void *ctx, const char *data, size_t len)
 {
-	return peers_take(ctx, data, len);
+	return peers_receive(ctx, data, len);
 }
 
-/* Has the writers sent all counts and what is in flight once more. */
+/*
+ * Makes the next counts contain everything: all usage and the in-flight
+ * snapshot.
+ */
 static void resend_counts(gateway_peers_t *peers)
 {
 	usage_resend(peers->gateway->usage);
-	peers->flight_sent = 0;
+	peers->snapshot_sent_at = 0;
 }
 
-/* Notes that frames to a peer may be lost, and that it may have died. */
+/*
+ * Handles a failed connection: frames may be lost, and the peer may have died.
+ */
 static void on_lost(void *ctx, const char *key)
 {
 	gateway_peers_t *peers = ctx;
@@ -155,14 +186,15 @@
 
 	if (!peer)
 		return;
-	if (!peer->lost_at || now - peer->lost_at > LOST_LOG_PERIOD)
-		log_line(G_LOG_LEVEL_WARNING, PART, "lost=%s", key);
-	peer->lost_at = now;
+	if (!peer->disconnected_at ||
+	    now - peer->disconnected_at > DISCONNECT_LOG_PERIOD)
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT, "lost=%s", key);
+	peer->disconnected_at = now;
 	resend_counts(peers);
 }
 
-/* Takes the gateways to begin with from the settings. */
-void gateway_peers_take_seeds(gateway_peers_t *peers)
+/* Adds the peers listed in the settings. */
+void gateway_peers_add_seeds(gateway_peers_t *peers)
 {
 	char *const *seeds = peers->gateway->settings->peers_seeds;
 
@@ -174,7 +206,10 @@
 	}
 }
 
-/* Starts to listen and to talk to the seeds. NULL with ERR set on failure. */
+/*
+ * Creates the gossip module, listens for peers and adds the seeds. Returns it,
+ * owned by the caller, or NULL with ERR set.
+ */
 gateway_peers_t *gateway_peers_create(gateway_t *gateway, pd_error_t *err)
 {
 	const gateway_settings_t *settings = gateway->settings;
@@ -189,23 +224,25 @@
 
 	peers->gateway = gateway;
 	peers->started_at = gateway_now();
-	peers->store_heard_at = peers->started_at;
-	/* Gateways that start together don't send in step. */
-	peers->uses_at = peers->started_at + gateway_jitter(gateway, USES_PERIOD);
+	peers->store_answered_at = peers->started_at;
+	/* Jitter keeps gateways that start together from sending in step. */
+	peers->next_limit_uses_at =
+		peers->started_at + gateway_jitter(gateway, LIMIT_USES_PERIOD);
 	peers->zone = (uint16_t)g_str_hash(settings->node_zone);
-	peers->strong = settings->node_cores >= STRONG_CORES &&
-			settings->node_link_mbps >= STRONG_MBPS;
+	peers->high_capacity = settings->node_cores >= HIGH_CAPACITY_CORES &&
+			       settings->node_link_mbps >= HIGH_CAPACITY_LINK_MBPS;
 	peers->incarnation = g_strdup_printf("%s#%08x", settings->node_id,
 					     g_rand_int(gateway->random));
 	peers->aggregator_loads = loads_create();
-	peers->loads_told = loads_create();
+	peers->last_sent_loads = loads_create();
 	peers->by_address = g_hash_table_new(g_str_hash, g_str_equal);
-	peers->totals = peers_values_create();
-	peers->asked = peers_values_create();
-	peers->works = peers_values_create();
+	peers->granted = peers_values_create();
+	peers->requested = peers_values_create();
+	peers->work = peers_values_create();
 	msgpack_sbuffer_init(&peers->loads_packed);
-	peers->news = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	peers->wanted = g_hash_table_new(g_direct_hash, g_direct_equal);
+	peers->pending_updates =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	peers->pending_fetches = g_hash_table_new(g_direct_hash, g_direct_equal);
 	list_init(&peers->list);
 	if (!gateway_split_address(settings->peers_listen, &host, &config.port)) {
 		pd_error_set(err, PD_ERROR_SETTINGS, "peers.listen: %s",
@@ -218,62 +255,68 @@
 		goto error;
 	peers->address =
 		g_strdup_printf("%s:%u", host, frame_link_port(peers->link));
-	log_line(G_LOG_LEVEL_INFO, PART, "listen peers=%u",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "listen peers=%u",
 		 frame_link_port(peers->link));
 	g_clear_pointer(&host, g_free);
-	gateway_peers_take_seeds(peers);
+	gateway_peers_add_seeds(peers);
 	return peers;
 error:
 	g_free(host);
 	g_free(peers->incarnation);
 	g_array_unref(peers->aggregator_loads);
-	g_array_unref(peers->loads_told);
+	g_array_unref(peers->last_sent_loads);
 	g_hash_table_unref(peers->by_address);
-	g_hash_table_unref(peers->totals);
-	g_hash_table_unref(peers->asked);
-	g_hash_table_unref(peers->works);
-	g_hash_table_unref(peers->news);
-	g_hash_table_unref(peers->wanted);
+	g_hash_table_unref(peers->granted);
+	g_hash_table_unref(peers->requested);
+	g_hash_table_unref(peers->work);
+	g_hash_table_unref(peers->pending_updates);
+	g_hash_table_unref(peers->pending_fetches);
 	g_free(peers);
 	return NULL;
 }
 
-/* Returns the name of this gateway's start, borrowed. */
+/* Returns the name of this process's incarnation, borrowed. */
 const char *gateway_peers_incarnation(const gateway_peers_t *peers)
 {
 	return peers->incarnation;
 }
 
-/* Notes that the store answered this gateway. */
-void gateway_peers_store_heard(gateway_peers_t *peers)
+/* Records that the store answered this gateway just now. */
+void gateway_peers_note_store_answer(gateway_peers_t *peers)
 {
-	peers->store_heard_at = gateway_now();
+	peers->store_answered_at = gateway_now();
 }
 
-/* Notes whether this gateway holds the duties: usage is told to the holder. */
-void gateway_peers_hold_duties(gateway_peers_t *peers, bool held, uint64_t fence)
+/*
+ * Records whether this gateway is the leader. FENCE is its fencing token; a
+ * leader with an older one than is known is ignored.
+ */
+void gateway_peers_set_leadership(gateway_peers_t *peers, bool held, uint64_t fence)
 {
-	peers->is_holder = held && fence >= peers->holder_fence;
-	if (peers->is_holder)
-		peers->holder_fence = fence;
+	peers->is_leader = held && fence >= peers->leader_fence;
+	if (peers->is_leader)
+		peers->leader_fence = fence;
 }
 
-/* Returns the id of the leader's VM, borrowed; NULL: it is not known. */
-const char *gateway_peers_leader(const gateway_peers_t *peers)
+/*
+ * Returns the id of the leader's VM, borrowed, or NULL if the leader is
+ * unknown.
+ */
+const char *gateway_peers_leader_vm(const gateway_peers_t *peers)
 {
 	const peer_t *peer;
 
-	if (peers->is_holder)
+	if (peers->is_leader)
 		return peers->gateway->settings->node_id;
-	peer = peers->holder ? peers_find((gateway_peers_t *)peers, peers->holder)
+	peer = peers->leader ? peers_find((gateway_peers_t *)peers, peers->leader)
 			     : NULL;
 	return peer ? peer->vm_id : NULL;
 }
 
-/* Says whether a later holder of the duties was heard of than that with FENCE. */
-bool gateway_peers_has_holder_after(const gateway_peers_t *peers, uint64_t fence)
+/* Returns whether a leader with a higher fencing token than FENCE is known. */
+bool gateway_peers_has_newer_leader(const gateway_peers_t *peers, uint64_t fence)
 {
-	return peers->holder_fence > fence;
+	return peers->leader_fence > fence;
 }
 
 /* Returns the live peers, borrowed, in an array that the caller owns. */
@@ -291,11 +334,12 @@
 }
 
 /*
- * Sends an update to a few of many peers; each passes it on if it is new there.
- * Digests in the states make up for the few gateways that it does not reach.
+ * Sends an update to a few of many peers, each of which forwards it if it is
+ * new to it. The few gateways that it misses detect this by the digests in
+ * states.
  */
-static void peers_spread_to_some(gateway_peers_t *peers, const GPtrArray *alive,
-				 const msgpack_sbuffer *buffer)
+static void peers_spread_to_sample(gateway_peers_t *peers, const GPtrArray *alive,
+				   const msgpack_sbuffer *buffer)
 {
 	uint16_t *zones = g_new(uint16_t, alive->len);
 	unsigned int chosen[SPREAD_FANOUT];
@@ -310,7 +354,7 @@
 	g_free(zones);
 }
 
-/* Sends an update to all peers of a mesh, or to some of a larger fleet. */
+/* Sends an update to all peers of a mesh, or to a sample in a larger fleet. */
 static void peers_spread(gateway_peers_t *peers, const msgpack_sbuffer *buffer,
 			 pd_time_t now)
 {
@@ -320,46 +364,53 @@
 		for (guint i = 0; i < alive->len; i++)
 			peers_send(peers, g_ptr_array_index(alive, i), buffer);
 	} else {
-		peers_spread_to_some(peers, alive, buffer);
+		peers_spread_to_sample(peers, alive, buffer);
 	}
 	g_ptr_array_unref(alive);
 }
 
-/* Tells of the configuration just taken; whoever lacks it asks for it. */
-void gateway_peers_config(gateway_peers_t *peers)
+/*
+ * Announces the version of the configuration just applied. Peers that lack it
+ * fetch it.
+ */
+void gateway_peers_announce_config(gateway_peers_t *peers)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	peers_pack_announce(&packer, peers);
+	peers_pack_announcement(&packer, peers);
 	peers_spread(peers, &buffer, gateway_now());
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Notes an upstream of which the peers are to be told, with the next step. */
-void gateway_peers_upstream(gateway_peers_t *peers, const char *id)
+/* Queues the change of an upstream, which the next run sends to peers. */
+void gateway_peers_queue_update(gateway_peers_t *peers, const char *id)
 {
-	g_hash_table_add(peers->news, g_strdup(id));
+	g_hash_table_add(peers->pending_updates, g_strdup(id));
 }
 
-static void spread_news(gateway_peers_t *peers, pd_time_t now)
+/* Sends the queued updates of upstreams, if there are any. */
+static void spread_updates(gateway_peers_t *peers, pd_time_t now)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
-	if (!g_hash_table_size(peers->news))
+	if (!g_hash_table_size(peers->pending_updates))
 		return;
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	peers_pack_news(&packer, peers, peers->news);
+	peers_pack_updates(&packer, peers, peers->pending_updates);
 	peers_spread(peers, &buffer, now);
 	msgpack_sbuffer_destroy(&buffer);
-	g_hash_table_remove_all(peers->news);
+	g_hash_table_remove_all(peers->pending_updates);
 }
 
-/* Changes between hearing the peers oneself and following an aggregator's sums. */
+/*
+ * Switches between summing the states of peers and applying the summaries of
+ * AGGREGATOR; NULL: sum the states.
+ */
 static void follow_aggregator(gateway_peers_t *peers, const char *aggregator,
 			      pd_time_t now)
 {
@@ -367,83 +418,98 @@
 
 	if (!g_strcmp0(peers->aggregator, aggregator))
 		return;
-	log_line(G_LOG_LEVEL_INFO, PART, "aggregator=%s before=%s",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "aggregator=%s before=%s",
 		 aggregator ? aggregator : "self",
 		 peers->aggregator ? peers->aggregator : "self");
 	g_free(peers->aggregator);
 	peers->aggregator = g_strdup(aggregator);
-	peers->summed_at = now;
+	peers->summary_received_at = now;
 	if (followed != (aggregator != NULL)) {
-		/* The same use would be counted by both. */
+		/* Both would count the same use, work and loads. */
 		token_limits_forget_peers(peers->gateway->limits);
 		work_rate_forget_peers(peers->gateway->work);
 		LIST_FOR_EACH (it, &peers->list)
-			peers_unload(peers, LIST_ENTRY(it, peer_t, node)->loads);
+			peers_remove_loads(peers,
+					   LIST_ENTRY(it, peer_t, node)->loads);
 	}
-	peers_unload(peers, peers->aggregator_loads);
+	peers_remove_loads(peers, peers->aggregator_loads);
 }
 
-static void tell_mesh(gateway_peers_t *peers, bool full)
+/* Sends this gateway's state to all peers; FULL: with usage and members. */
+static void send_to_mesh(gateway_peers_t *peers, bool full)
 {
 	follow_aggregator(peers, NULL, gateway_now());
 	LIST_FOR_EACH (it, &peers->list)
 		peers_send_state(peers, LIST_ENTRY(it, peer_t, node), false, full);
 }
 
-/* Stretches a period with the fleet, up to a bound, so that an aggregator's load stays. */
+/*
+ * Returns PERIOD scaled with the fleet size, up to FACTOR_MAX times, to bound
+ * the load of an aggregator.
+ */
 static pd_time_t fleet_period(gateway_peers_t *peers, pd_time_t period,
 			      int factor_max, pd_time_t now)
 {
-	pd_time_t stretched = period * peers_view(peers, now)->counted /
+	pd_time_t stretched = period * peers_view(peers, now)->fleet_size /
 			      AGGREGATOR_PERIOD_FLEET;
 
 	return CLAMP(stretched, period, period * factor_max);
 }
 
-/* How often aggregators are told and tell. */
+/* Returns the period of states and summaries in a fleet with aggregators. */
 static pd_time_t aggregator_period(gateway_peers_t *peers, pd_time_t now)
 {
 	return fleet_period(peers, AGGREGATOR_PERIOD,
 			    AGGREGATOR_PERIOD_FACTOR_MAX, now);
 }
 
-/* How often the use of limits is sent to the checkpoint writers. */
-static pd_time_t uses_period(gateway_peers_t *peers, pd_time_t now)
+/* Returns the period of sending limit uses to the checkpoint writers. */
+static pd_time_t limit_uses_period(gateway_peers_t *peers, pd_time_t now)
 {
-	return fleet_period(peers, USES_PERIOD, USES_PERIOD_FACTOR_MAX, now);
+	return fleet_period(peers, LIMIT_USES_PERIOD,
+			    LIMIT_USES_PERIOD_FACTOR_MAX, now);
 }
 
-/* Returns how soon after a message with counts the next one may be sent. */
+/* Returns the minimum time between two messages with counts. */
 pd_time_t gateway_peers_counts_period(gateway_peers_t *peers, pd_time_t now)
 {
-	return usage_send_period(peers_view(peers, now)->counted);
+	return usage_send_period(peers_view(peers, now)->fleet_size);
 }
 
-/* Returns whether the writers don't know what this gateway has in flight. */
-bool peers_flight_is_unsent(const gateway_peers_t *peers)
+/*
+ * Returns whether the checkpoint writers lack this gateway's latest in-flight
+ * snapshot.
+ */
+bool peers_snapshot_is_unsent(const gateway_peers_t *peers)
 {
 	const gateway_t *gateway = peers->gateway;
-	const usage_flight_t *flight =
+	const usage_flight_t *snapshot =
 		usage_inflight_find(gateway->inflight,
 				    usage_own_start(gateway->usage));
 
 	return gateway->inflight_changed ||
-	       (flight && flight->told > peers->flight_sent);
+	       (snapshot && snapshot->told > peers->snapshot_sent_at);
 }
 
-/* Counts that have changed are sent at once, unless others have just been sent. */
+/*
+ * Returns whether to send counts: changed ones go out at once, at least one
+ * counts period apart.
+ */
 static bool counts_are_due(gateway_peers_t *peers, pd_time_t now)
 {
-	if (now >= peers->uses_at)
+	if (now >= peers->next_limit_uses_at)
 		return true;
 	return (usage_has_unsent(peers->gateway->usage) ||
-		peers_flight_is_unsent(peers)) &&
+		peers_snapshot_is_unsent(peers)) &&
 	       now - peers->counts_sent_at >=
 		       gateway_peers_counts_period(peers, now);
 }
 
-/* Notes the checkpoint writers; a new one has not been sent what others have. */
-static void follow_writers(gateway_peers_t *peers, peer_t *const *writers,
+/*
+ * Records the current checkpoint writers. If one is new, everything is sent
+ * again, as it has not received the earlier counts.
+ */
+static void update_writers(gateway_peers_t *peers, peer_t *const *writers,
 			   unsigned int count)
 {
 	bool changed = false;
@@ -451,17 +517,19 @@
 	for (unsigned int i = 0; i < CHECKPOINT_SLOTS; i++) {
 		const char *address = i < count ? writers[i]->address : NULL;
 
-		if (!g_strcmp0(peers->counts_to[i], address))
+		if (!g_strcmp0(peers->counts_receivers[i], address))
 			continue;
-		g_free(peers->counts_to[i]);
-		peers->counts_to[i] = g_strdup(address);
+		g_free(peers->counts_receivers[i]);
+		peers->counts_receivers[i] = g_strdup(address);
 		changed = true;
 	}
 	if (changed)
 		resend_counts(peers);
 }
 
-/* Sends the checkpoint writers what was counted here since the last time. */
+/*
+ * Sends the checkpoint writers the counts that changed since the last message.
+ */
 static void send_counts(gateway_peers_t *peers, pd_time_t now)
 {
 	peer_t *writers[CHECKPOINT_SLOTS];
@@ -470,9 +538,9 @@
 
 	if (!counts_are_due(peers, now))
 		return;
-	peers->uses_at = now + uses_period(peers, now);
-	count = peers_writers(peers, writers, now);
-	follow_writers(peers, writers, count);
+	peers->next_limit_uses_at = now + limit_uses_period(peers, now);
+	count = peers_checkpoint_writers(peers, writers, now);
+	update_writers(peers, writers, count);
 	if (!count)
 		return;
 	msgpack_sbuffer_init(&buffer);
@@ -484,94 +552,111 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* Returns how long it takes until all gateways know what one has done. */
-pd_time_t gateway_peers_lag(gateway_peers_t *peers, pd_time_t now)
+/*
+ * Returns the time until all gateways have received a change of one's counters.
+ */
+pd_time_t gateway_peers_propagation_delay(gateway_peers_t *peers, pd_time_t now)
 {
 	if (peers_is_mesh(peers, now))
 		return MESH_PERIOD * 2;
-	return aggregator_period(peers, now) * LAG_PERIODS_2 / 2;
+	return aggregator_period(peers, now) * PROPAGATION_HALF_PERIODS / 2;
 }
 
-/* After how long without news of the store each gateway asks for itself. */
-pd_time_t peers_store_stale(gateway_peers_t *peers, pd_time_t now)
+/*
+ * Returns how long the store may be silent before each gateway calls it itself.
+ */
+pd_time_t peers_store_silence_max(gateway_peers_t *peers, pd_time_t now)
 {
-	return STORE_STALE + STORE_STALE_PERIODS * aggregator_period(peers, now);
+	return STORE_SILENCE_MAX +
+	       STORE_SILENCE_PERIODS * aggregator_period(peers, now);
 }
 
-/* Passes an aggregator over that gives no summaries. */
+/* Skips the current aggregator for a while if it sends no summaries. */
 static void check_aggregator(gateway_peers_t *peers, pd_time_t now)
 {
 	peer_t *aggregator =
 		peers->aggregator ? peers_find(peers, peers->aggregator) : NULL;
 	pd_time_t silence =
-		MAX(AGGREGATOR_SILENCE, 3 * aggregator_period(peers, now));
+		MAX(AGGREGATOR_TIMEOUT, 3 * aggregator_period(peers, now));
 
-	if (aggregator && now - peers->summed_at > silence)
-		aggregator->passed_over_until = now + AGGREGATOR_PAUSE;
+	if (aggregator && now - peers->summary_received_at > silence)
+		aggregator->skipped_until = now + AGGREGATOR_SKIP_TIME;
 }
 
+/*
+ * Sends this gateway's state to the aggregators, requesting a summary from the
+ * first one, and to the leader if FULL.
+ */
 static void send_to_aggregators(gateway_peers_t *peers, bool full, pd_time_t now)
 {
 	bool is_aggregator = peers_view(peers, now)->rank < AGGREGATORS;
 	peer_t *first[AGGREGATORS + 1];
 	unsigned int count;
-	peer_t *holder;
+	peer_t *leader;
 
 	check_aggregator(peers, now);
-	count = peers_first(peers, first, AGGREGATORS, now);
+	count = peers_top_ranked(peers, first, AGGREGATORS, now);
 	follow_aggregator(peers,
 			  is_aggregator || !count ? NULL : first[0]->address, now);
 	for (unsigned int i = 0; i < count; i++)
 		peers_send_state(peers, first[i], !is_aggregator && i == 0, full);
-	/* It need not be among the members that this gateway was told. */
-	holder = peers->holder ? peers_add(peers, peers->holder) : NULL;
-	if (!holder || !full)
+	/*
+	 * The leader may be missing from the members that this gateway knows.
+	 */
+	leader = peers->leader ? peers_add(peers, peers->leader) : NULL;
+	if (!leader || !full)
 		return;
 	for (unsigned int i = 0; i < count; i++) {
-		if (first[i] == holder)
+		if (first[i] == leader)
 			return;
 	}
-	peers_send_state(peers, holder, false, full);
+	peers_send_state(peers, leader, false, full);
 }
 
-static bool peer_is_lost(const peer_t *peer, pd_time_t now)
+/*
+ * Returns whether neither this gateway nor a peer has heard from a peer within
+ * FLEET_MEMBER_TIMEOUT. Seeds never expire.
+ */
+static bool peer_has_expired(const peer_t *peer, pd_time_t now)
 {
 	pd_time_t last = MAX(peer->heard_at, peer->added_at);
 
-	return !peer->seed && now - MAX(last, peer->mentioned_at) > COUNT_KEPT;
+	return !peer->seed &&
+	       now - MAX(last, peer->mentioned_at) > FLEET_MEMBER_TIMEOUT;
 }
 
-static void forget_lost(gateway_peers_t *peers, pd_time_t now)
+/* Removes expired peers, and the loads of silent ones. */
+static void remove_expired(gateway_peers_t *peers, pd_time_t now)
 {
 	LIST_FOR_EACH_SAFE (it, &peers->list) {
 		peer_t *peer = LIST_ENTRY(it, peer_t, node);
 
-		if (now - peer->heard_at > LOAD_KEPT)
-			peers_unload(peers, peer->loads);
-		if (peer_is_lost(peer, now))
+		if (now - peer->heard_at > PEER_LOADS_MAX_AGE)
+			peers_remove_loads(peers, peer->loads);
+		if (peer_has_expired(peer, now))
 			peer_destroy(peers, peer);
 	}
 }
 
-/* Tells the peers what is due, and forgets those that are gone. */
+/* Sends the messages that are due and removes expired peers. */
 void gateway_peers_run(gateway_peers_t *peers, pd_time_t now)
 {
 	bool mesh;
 	bool full;
 
-	spread_news(peers, now);
+	spread_updates(peers, now);
 	send_counts(peers, now);
-	if (now < peers->next_at)
+	if (now < peers->next_state_at)
 		return;
 	mesh = peers_is_mesh(peers, now);
-	peers->next_at =
+	peers->next_state_at =
 		now + (mesh ? MESH_PERIOD : aggregator_period(peers, now));
-	forget_lost(peers, now);
-	full = now >= peers->full_at;
+	remove_expired(peers, now);
+	full = now >= peers->next_full_state_at;
 	if (full)
-		peers->full_at = now + PEERS_FULL_PERIOD;
+		peers->next_full_state_at = now + PEERS_FULL_PERIOD;
 	if (mesh)
-		tell_mesh(peers, full);
+		send_to_mesh(peers, full);
 	else
 		send_to_aggregators(peers, full, now);
 }
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -1,11 +1,13 @@
 /*
- * Counts of usage as text, and back. A fleet of hundreds has thousands of small
- * counts, and they are written several times a second: packed they take a
- * quarter of the bytes that JSON would.
+ * Encodes usage counts for the store, and merges encoded ones. A fleet of
+ * hundreds of gateways has thousands of small counts, written several times a
+ * second; packed they take a quarter of the bytes of JSON.
  *
- * {"format": 1, "counts": base64 of msgpack [accounts, row, row...], "in_flight": base64
- * of msgpack [flight, flight...]}, where a row is [window, start, place of an account, its
- * count, place, count...] and flight_pack.h has a flight.
+ * {"format": 1, "counts": base64 of msgpack [accounts, row, row...],
+ *  "in_flight": base64 of msgpack [snapshot, snapshot...]}
+ *
+ * A row is [window, incarnation, account index, count, account index,
+ * count...]; a snapshot is as in flight_pack.h.
  */
 #include "adapters/gateway/usage_table.h"
 
@@ -20,30 +22,34 @@
 #include "adapters/msgpack_write.h"
 
 #define FORMAT 1
-#define ROW_HEAD 2 /* window and start */
-#define CELL_FIELDS 2 /* place of an account, and its count */
+#define ROW_HEADER_FIELDS 2 /* window and incarnation */
+#define CELL_FIELDS 2 /* account index and count */
 
-/* A row is gathered whole, as its length goes first. */
+/*
+ * Encodes rows. The cells of a row are buffered, as their number comes first.
+ */
 typedef struct table_writer {
 	GPtrArray *accounts; /* borrowed names */
-	GHashTable *places; /* name -> place in accounts + 1 */
+	GHashTable *indexes; /* name -> index in accounts + 1 */
 	msgpack_sbuffer rows;
 	uint32_t row_count;
-	int64_t window; /* of the row that is gathered */
-	uint64_t start;
-	GArray *cells; /* uint64_t: place, count, place, count... */
+	int64_t window; /* of the buffered row */
+	uint64_t incarnation_id;
+	/* uint64_t: account index, count, account index, count... */
+	GArray *cells;
 } table_writer_t;
 
-static void end_row(table_writer_t *writer)
+/* Appends the buffered row, if there is one, to the packed rows. */
+static void flush_row(table_writer_t *writer)
 {
 	msgpack_packer packer;
 
 	if (!writer->cells->len)
 		return;
 	msgpack_packer_init(&packer, &writer->rows, msgpack_sbuffer_write);
-	msgpack_pack_array(&packer, ROW_HEAD + writer->cells->len);
+	msgpack_pack_array(&packer, ROW_HEADER_FIELDS + writer->cells->len);
 	msgpack_pack_int64(&packer, writer->window);
-	msgpack_pack_uint64(&packer, writer->start);
+	msgpack_pack_uint64(&packer, writer->incarnation_id);
 	for (guint i = 0; i < writer->cells->len; i++)
 		msgpack_pack_uint64(&packer,
 				    g_array_index(writer->cells, uint64_t, i));
@@ -51,30 +57,38 @@
 	g_array_set_size(writer->cells, 0);
 }
 
-static uint64_t account_place(table_writer_t *writer, const char *account)
+/*
+ * Returns the index of an account, which is added if it is new. NAME is
+ * borrowed.
+ */
+static uint64_t account_index(table_writer_t *writer, const char *account)
 {
-	guint place =
-		GPOINTER_TO_UINT(g_hash_table_lookup(writer->places, account));
+	guint index =
+		GPOINTER_TO_UINT(g_hash_table_lookup(writer->indexes, account));
 
-	if (place)
-		return place - 1;
+	if (index)
+		return index - 1;
 	g_ptr_array_add(writer->accounts, (char *)account);
-	g_hash_table_insert(writer->places, (char *)account,
+	g_hash_table_insert(writer->indexes, (char *)account,
 			    GUINT_TO_POINTER(writer->accounts->len));
 	return writer->accounts->len - 1;
 }
 
+/*
+ * Adds an entry to the buffered row, or to a new one if it is of another window
+ * or incarnation.
+ */
 static void add_entry(void *ctx, const usage_entry_t *entry)
 {
 	table_writer_t *writer = ctx;
-	uint64_t place = account_place(writer, entry->account);
+	uint64_t index = account_index(writer, entry->account);
 	uint64_t count = entry->count;
 
-	if (entry->window != writer->window || entry->start != writer->start)
-		end_row(writer);
+	if (entry->window != writer->window || entry->start != writer->incarnation_id)
+		flush_row(writer);
 	writer->window = entry->window;
-	writer->start = entry->start;
-	g_array_append_val(writer->cells, place);
+	writer->incarnation_id = entry->start;
+	g_array_append_val(writer->cells, index);
 	g_array_append_val(writer->cells, count);
 }
 
@@ -85,7 +99,10 @@
 		msgpack_write_text(packer, g_ptr_array_index(accounts, i));
 }
 
-/* Returns a buffer's bytes in base64, owned by the caller, and frees the buffer. */
+/*
+ * Returns the contents of a buffer in base64, owned by the caller. Destroys the
+ * buffer.
+ */
 static char *buffer_encode(msgpack_sbuffer *buffer)
 {
 	char *encoded = g_base64_encode((const guchar *)buffer->data, buffer->size);
@@ -108,23 +125,26 @@
 	return buffer_encode(&buffer);
 }
 
-static void add_flight(void *ctx, const usage_flight_t *flight)
+static void add_snapshot(void *ctx, const usage_flight_t *snapshot)
 {
 	list_writer_t *writer = ctx;
 
 	writer->count++;
-	flight_pack(&writer->packer, flight);
+	flight_pack(&writer->packer, snapshot);
 }
 
-/* Returns what is in flight in base64, owned by the caller. */
-static char *flights_encode(const usage_inflight_t *inflight, int64_t from)
+/*
+ * Returns the in-flight snapshots of windows from FROM on in base64, owned by
+ * the caller.
+ */
+static char *snapshots_encode(const usage_inflight_t *inflight, int64_t from)
 {
 	list_writer_t writer;
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	list_writer_init(&writer);
-	usage_inflight_each(inflight, from, add_flight, &writer);
+	usage_inflight_each(inflight, from, add_snapshot, &writer);
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	list_writer_end(&writer, &buffer, &packer);
@@ -132,61 +152,65 @@
 }
 
 /*
- * Returns the counts of the windows from FROM on, and what is in flight in them, as JSON,
- * owned by the caller.
+ * Returns the usage counts and in-flight snapshots of windows from FROM on as
+ * JSON, owned by the caller.
  */
-char *usage_table_write(const usage_t *usage, const usage_inflight_t *inflight,
-			int64_t from)
+char *usage_table_encode(const usage_t *usage, const usage_inflight_t *inflight,
+			 int64_t from)
 {
-	char *flights = flights_encode(inflight, from);
+	char *snapshots = snapshots_encode(inflight, from);
 	char *counts;
 	table_writer_t writer = {
 		.accounts = g_ptr_array_new(),
-		.places = g_hash_table_new(g_str_hash, g_str_equal),
+		.indexes = g_hash_table_new(g_str_hash, g_str_equal),
 		.cells = g_array_new(FALSE, FALSE, sizeof(uint64_t)),
 	};
 	char *text;
 
 	msgpack_sbuffer_init(&writer.rows);
 	usage_each(usage, from, add_entry, &writer);
-	end_row(&writer);
+	flush_row(&writer);
 	counts = table_encode(&writer);
 	text = g_strdup_printf("{\"format\":%d,\"counts\":\"%s\",\"in_flight\":"
 			       "\"%s\"}",
-			       FORMAT, counts, flights);
+			       FORMAT, counts, snapshots);
 	g_free(counts);
-	g_free(flights);
+	g_free(snapshots);
 	msgpack_sbuffer_destroy(&writer.rows);
 	g_ptr_array_unref(writer.accounts);
-	g_hash_table_unref(writer.places);
+	g_hash_table_unref(writer.indexes);
 	g_array_unref(writer.cells);
 	return text;
 }
 
-/* Merges a row; cells of accounts that are not named are left out. */
+/* Merges a row. Cells with an unknown account index are skipped. */
 static void merge_row(usage_t *usage, const msgpack_object *object,
 		      const GPtrArray *accounts)
 {
 	uint32_t count = 0;
 	const msgpack_object *fields =
-		msgpack_field_items(object, ROW_HEAD, &count);
+		msgpack_field_items(object, ROW_HEADER_FIELDS, &count);
 
-	for (uint32_t i = ROW_HEAD; fields && i + 1 < count; i += CELL_FIELDS) {
-		uint64_t place = msgpack_field_number(&fields[i]);
+	for (uint32_t i = ROW_HEADER_FIELDS; fields && i + 1 < count;
+	     i += CELL_FIELDS) {
+		uint64_t index = msgpack_field_number(&fields[i]);
 		usage_entry_t entry = {
 			.window = (int64_t)msgpack_field_number(&fields[0]),
 			.start = msgpack_field_number(&fields[1]),
 			.count = msgpack_field_number(&fields[i + 1]),
 		};
 
-		if (place >= accounts->len)
+		if (index >= accounts->len)
 			continue;
-		entry.account = g_ptr_array_index(accounts, place);
+		entry.account = g_ptr_array_index(accounts, index);
 		usage_merge(usage, &entry);
 	}
 }
 
-/* Returns the names of the accounts, owned by the caller; what is none is "". */
+/*
+ * Returns the names of the accounts, owned by the caller. Invalid ones are "",
+ * which keeps the indexes of the others.
+ */
 static GPtrArray *read_accounts(const msgpack_object *object)
 {
 	GPtrArray *accounts = g_ptr_array_new_with_free_func(g_free);
@@ -201,15 +225,20 @@
 	return accounts;
 }
 
-/* An array in base64 that was unpacked. */
+/* A decoded msgpack array. */
 typedef struct packed_list {
-	guchar *data; /* which the items refer to */
+	guchar *data; /* that the items refer to */
 	msgpack_unpacked unpacked;
-	const msgpack_object *items; /* NULL: it is none */
+	const msgpack_object *items; /* NULL: it is malformed */
 	uint32_t count;
 } packed_list_t;
 
-static void packed_list_open(packed_list_t *list, const char *encoded, uint32_t least)
+/*
+ * Decodes base64 of an array with at least COUNT_MIN items. The caller closes
+ * the list also if it is malformed.
+ */
+static void packed_list_open(packed_list_t *list, const char *encoded,
+			     uint32_t count_min)
 {
 	size_t offset = 0;
 	gsize len;
@@ -221,8 +250,8 @@
 	if (msgpack_sizes_fit((const char *)list->data, len) &&
 	    msgpack_unpack_next(&list->unpacked, (const char *)list->data, len,
 				&offset) == MSGPACK_UNPACK_SUCCESS)
-		list->items = msgpack_field_items(&list->unpacked.data, least,
-						  &list->count);
+		list->items = msgpack_field_items(&list->unpacked.data,
+						  count_min, &list->count);
 }
 
 static void packed_list_close(packed_list_t *list)
@@ -231,6 +260,10 @@
 	g_free(list->data);
 }
 
+/*
+ * Merges the encoded counts. Returns 0, or -1 with ERR set if they are
+ * malformed.
+ */
 static int merge_counts(const char *encoded, usage_t *usage, pd_error_t *err)
 {
 	packed_list_t list;
@@ -245,29 +278,34 @@
 		g_ptr_array_unref(accounts);
 	} else {
 		rc = pd_error_set(err, PD_ERROR_INPUT,
-				  "counts of usage: no table in %zu characters",
+				  "usage counts: malformed table of %zu "
+				  "characters",
 				  strlen(encoded));
 	}
 	packed_list_close(&list);
 	return rc;
 }
 
-static int merge_flights(const char *encoded, usage_inflight_t *inflight,
-			 pd_error_t *err)
+/*
+ * Merges the encoded in-flight snapshots. Returns 0, or -1 with ERR set if they
+ * are malformed.
+ */
+static int merge_snapshots(const char *encoded, usage_inflight_t *inflight,
+			   pd_error_t *err)
 {
 	packed_list_t list;
 	int rc = 0;
 
 	packed_list_open(&list, encoded, 0);
 	for (uint32_t i = 0; i < list.count; i++) {
-		usage_flight_t *flight = flight_read(&list.items[i]);
+		usage_flight_t *snapshot = flight_unpack(&list.items[i]);
 
-		if (flight)
-			usage_inflight_take(inflight, flight);
+		if (snapshot)
+			usage_inflight_take(inflight, snapshot);
 	}
 	if (!list.items)
 		rc = pd_error_set(err, PD_ERROR_INPUT,
-				  "requests in flight: no list in %zu "
+				  "requests in flight: malformed list of %zu "
 				  "characters",
 				  strlen(encoded));
 	packed_list_close(&list);
@@ -275,15 +313,15 @@
 }
 
 /*
- * Merges a text into the counts and what is in flight. Returns -1 with ERR set if it is
- * none, or of another format; rows that make no sense are left out.
+ * Merges encoded counts and in-flight snapshots. Returns 0, or -1 with ERR set
+ * if TEXT is malformed or of another format. Malformed rows are skipped.
  */
 int usage_table_merge(const char *text, usage_t *usage,
 		      usage_inflight_t *inflight, pd_error_t *err)
 {
 	json_t *root = json_parse(text, strlen(text), err);
 	const char *encoded;
-	const char *flights;
+	const char *snapshots;
 	int64_t format;
 	int rc = -1;
 
@@ -293,15 +331,15 @@
 	encoded = json_string_or(root, "counts", NULL);
 	if (format != FORMAT || !encoded) {
 		pd_error_set(err, PD_ERROR_VERSION,
-			     "counts of usage: format %" G_GINT64_FORMAT
-			     " where %d is known",
+			     "usage counts: format %" G_GINT64_FORMAT
+			     ", expected %d",
 			     format, FORMAT);
 		goto done;
 	}
 	rc = merge_counts(encoded, usage, err);
-	flights = json_string_or(root, "in_flight", NULL);
-	if (rc == 0 && flights)
-		rc = merge_flights(flights, inflight, err);
+	snapshots = json_string_or(root, "in_flight", NULL);
+	if (rc == 0 && snapshots)
+		rc = merge_snapshots(snapshots, inflight, err);
 done:
 	json_decref(root);
 	return rc;
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -1,4 +1,7 @@
-/* Two gateways in one loop, over real connections: what they tell each other. */
+/*
+ * Tests of gossip between two gateways in one event loop, over real
+ * connections.
+ */
 #include <setjmp.h>
 #include <signal.h>
 #include <stdarg.h>
@@ -15,18 +18,18 @@
 #include "adapters/log_glib.h"
 
 #define TIMEOUT_MS 10000 /* of a wait for a condition */
-#define FULL_STATE_MS \
-	3200 /* twice its period; gateways are forgotten after 6 s */
+/* twice the period of full states; members expire after 6 s */
+#define FULL_STATE_TIMEOUT_MS 3200
 #define PAIR 2
 
 typedef struct pair {
 	uv_loop_t loop;
-	uv_timer_t pacer;
+	uv_timer_t wakeup_timer;
 	gateway_settings_t settings[PAIR];
 	gateway_t *gateways[PAIR];
 } pair_t;
 
-static void on_pace(uv_timer_t *timer)
+static void on_wakeup(uv_timer_t *timer)
 {
 	(void)timer;
 }
@@ -50,33 +53,34 @@
 	settings->stop_grace_s = 8;
 }
 
-static void turn(pair_t *pair)
+static void run_loop_once(pair_t *pair)
 {
 	uv_run(&pair->loop, UV_RUN_ONCE);
 }
 
-/* Turns the loop until a condition holds; fails the test after MS. */
-#define UNTIL_WITHIN(pair, condition, ms)                                \
+/* Runs the loop until CONDITION holds; fails the test after MS milliseconds. */
+#define WAIT_UNTIL_WITHIN(pair, condition, ms)                           \
 	do {                                                             \
 		uint64_t end = uv_hrtime() / 1000000 + (ms);             \
 		while (!(condition) && uv_hrtime() / 1000000 < end)      \
-			turn(pair);                                      \
+			run_loop_once(pair);                             \
 		if (!(condition))                                        \
 			fail_msg("gave up waiting for: %s", #condition); \
 	} while (0)
 
-/* The same, with the usual timeout. */
-#define UNTIL(pair, condition) UNTIL_WITHIN(pair, condition, TIMEOUT_MS)
+/* The same with the default timeout. */
+#define WAIT_UNTIL(pair, condition) \
+	WAIT_UNTIL_WITHIN(pair, condition, TIMEOUT_MS)
 
-/* Starts both; the second has the first for its seed. */
+/* Starts two gateways; the second has the first as its seed. */
 static int setup(void **state)
 {
 	pair_t *pair = g_new0(pair_t, 1);
 	pd_error_t err;
 
 	uv_loop_init(&pair->loop);
-	uv_timer_init(&pair->loop, &pair->pacer);
-	uv_timer_start(&pair->pacer, on_pace, 1, 5);
+	uv_timer_init(&pair->loop, &pair->wakeup_timer);
+	uv_timer_start(&pair->wakeup_timer, on_wakeup, 1, 5);
 	for (unsigned int i = 0; i < PAIR; i++) {
 		fill_settings(&pair->settings[i], i);
 		if (i > 0)
@@ -91,8 +95,8 @@
 	return 0;
 }
 
-static void tell(gateway_t *gateway, const char *id, forward_stage_t stage,
-		 uint64_t revision)
+static void change_upstream(gateway_t *gateway, const char *id,
+			    forward_stage_t stage, uint64_t revision)
 {
 	const forward_registration_t listing = { .id = id,
 						 .service = "s",
@@ -107,75 +111,79 @@
 	gateway_upstream_changed(gateway, id, "test");
 }
 
-static const forward_upstream_t *known(const gateway_t *gateway, const char *id)
+static const forward_upstream_t *find_upstream(const gateway_t *gateway,
+					       const char *id)
 {
 	return forward_upstreams_find(gateway->upstreams, id);
 }
 
-static void add_up(void *ctx, const char *account, uint64_t sum)
+static void add_to_sum(void *ctx, const char *account, uint64_t sum)
 {
 	(void)account;
 	*(uint64_t *)ctx += sum;
 }
 
-static uint64_t counted(const gateway_t *gateway, int64_t window)
+static uint64_t window_sum(const gateway_t *gateway, int64_t window)
 {
 	uint64_t sum = 0;
 
-	usage_sum(gateway->usage, window, add_up, &sum);
+	usage_sum(gateway->usage, window, add_to_sum, &sum);
 	return sum;
 }
 
 /*
- * Gateways tell each other what they count in each window. Only the one that
- * reports dropped what is over; all others kept every count for as long as they
- * ran, and the busiest of hundreds came near the memory that its VM has.
+ * Guards against counts of past windows that are kept for ever by all gateways
+ * but the one that reports them: in a fleet of hundreds they nearly filled the
+ * memory of a VM.
  */
 static void test_counts_of_old_windows_are_dropped(void **state)
 {
 	pair_t *pair = *state;
 
 	usage_add(pair->gateways[1]->usage, 3, "mill");
-	assert_int_equal(counted(pair->gateways[1], 3), 1);
-	UNTIL(pair, counted(pair->gateways[1], 3) == 0);
+	assert_int_equal(window_sum(pair->gateways[1], 3), 1);
+	WAIT_UNTIL(pair, window_sum(pair->gateways[1], 3) == 0);
 }
 
 /*
- * Only one gateway hears of a new upstream, as the store turns the other away.
- * News names upstreams briefly; the other has to ask for the rest, or it would
- * never send anything there.
+ * Only one gateway learns of a new upstream, as the store rejects the other's
+ * calls. Updates have only the stage of an upstream; unless the other gateway
+ * fetched the rest, it would never send requests there.
  */
-static void test_a_new_upstream_becomes_known_in_full(void **state)
+static void test_new_upstream_is_fetched_in_full(void **state)
 {
 	pair_t *pair = *state;
 	const gateway_t *other = pair->gateways[1];
 
-	UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
-	tell(pair->gateways[0], "u1", FORWARD_SERVING, 5);
-	UNTIL(pair, known(other, "u1") != NULL);
-	assert_string_equal(known(other, "u1")->address, "10.0.0.9");
-	assert_int_equal(known(other, "u1")->revision, 5);
+	WAIT_UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
+	change_upstream(pair->gateways[0], "u1", FORWARD_SERVING, 5);
+	WAIT_UNTIL(pair, find_upstream(other, "u1") != NULL);
+	assert_string_equal(find_upstream(other, "u1")->address, "10.0.0.9");
+	assert_int_equal(find_upstream(other, "u1")->revision, 5);
 }
 
 /*
- * Only one gateway hears that an upstream leaves. Sent on to it, requests would
- * be cut off when it ends.
+ * Only one gateway learns that an upstream is draining. Requests that the other
+ * one went on sending would be cut off when the upstream ends.
  */
-static void test_a_leaving_upstream_is_told(void **state)
+static void test_draining_upstream_is_propagated(void **state)
 {
 	pair_t *pair = *state;
 	const gateway_t *other = pair->gateways[1];
 
-	UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
-	tell(pair->gateways[0], "u1", FORWARD_SERVING, 5);
-	UNTIL(pair, known(other, "u1") != NULL);
-	tell(pair->gateways[0], "u1", FORWARD_DRAINING, 6);
-	UNTIL(pair, known(other, "u1")->stage == FORWARD_DRAINING);
-	assert_false(forward_upstream_is_serving(known(other, "u1")));
+	WAIT_UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
+	change_upstream(pair->gateways[0], "u1", FORWARD_SERVING, 5);
+	WAIT_UNTIL(pair, find_upstream(other, "u1") != NULL);
+	change_upstream(pair->gateways[0], "u1", FORWARD_DRAINING, 6);
+	WAIT_UNTIL(pair, find_upstream(other, "u1")->stage == FORWARD_DRAINING);
+	assert_false(forward_upstream_is_serving(find_upstream(other, "u1")));
 }
 
-/* Has a gateway know a large fleet, in which it goes last. */
-static void know_many(gateway_t *gateway)
+/*
+ * Adds enough peers of higher rank for a large fleet, in which this gateway
+ * ranks last.
+ */
+static void add_high_ranked_peers(gateway_t *gateway)
 {
 	pd_time_t now = gateway_now();
 
@@ -183,47 +191,53 @@
 		char *address = g_strdup_printf("127.0.0.1:%d", i + 1);
 		peer_t *peer = peers_add(gateway->peers, address);
 
-		peer->strong = true;
+		peer->high_capacity = true;
 		peer->mentioned_at = now;
 		g_free(address);
 	}
-	gateway->peers->strong = false;
+	gateway->peers->high_capacity = false;
 	gateway->peers->view.at = 0;
 }
 
-/* Guards against a leader that is not sent the counts of who was not told of it. */
-static void test_a_leader_that_is_no_member_is_sent_states(void **state)
+/*
+ * Guards against a leader that gets no counts from gateways whose members do
+ * not include it.
+ */
+static void test_leader_outside_members_is_sent_states(void **state)
 {
 	pair_t *pair = *state;
 	gateway_peers_t *member = pair->gateways[0]->peers;
 	gateway_peers_t *leader = pair->gateways[1]->peers;
 
-	know_many(pair->gateways[0]);
-	know_many(pair->gateways[1]);
+	add_high_ranked_peers(pair->gateways[0]);
+	add_high_ranked_peers(pair->gateways[1]);
 	assert_null(peers_find(member, leader->address));
-	member->holder = g_strdup(leader->address);
-	member->holder_fence = 1;
-	UNTIL_WITHIN(pair, peers_find(leader, member->address)->heard_at,
-		     FULL_STATE_MS);
+	member->leader = g_strdup(leader->address);
+	member->leader_fence = 1;
+	WAIT_UNTIL_WITHIN(pair, peers_find(leader, member->address)->heard_at,
+			  FULL_STATE_TIMEOUT_MS);
 }
 
-/* Guards against a former leader that does not stand as others go before it. */
-static void test_a_former_leader_stands_for_the_lease(void **state)
+/*
+ * Guards against a former leader that does not request the lease because other
+ * gateways rank before it.
+ */
+static void test_former_leader_may_acquire_lease(void **state)
 {
 	pair_t *pair = *state;
 	gateway_t *gateway = pair->gateways[0];
 
-	know_many(gateway);
+	add_high_ranked_peers(gateway);
 	assert_false(gateway_duties_may_hold(gateway->duties));
 	gateway_duties_resume(gateway->duties);
 	assert_true(gateway_duties_may_hold(gateway->duties));
 }
 
 /*
- * News is lost with a connection, and nothing else changes afterwards. The
- * digests that gateways tell show the difference, and what differs is fetched.
+ * An update is lost with its connection, and nothing changes afterwards. The
+ * digests in states differ, so the upstream is fetched.
  */
-static void test_lost_news_is_made_up_for(void **state)
+static void test_lost_update_is_fetched(void **state)
 {
 	pair_t *pair = *state;
 	gateway_t *other = pair->gateways[1];
@@ -235,14 +249,17 @@
 						 .slots = 6,
 						 .revision = 7 };
 
-	UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
+	WAIT_UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
 	forward_upstreams_apply(pair->gateways[0]->upstreams, &listing);
-	UNTIL(pair, known(other, "u2") != NULL);
-	assert_string_equal(known(other, "u2")->address, "10.0.0.8");
+	WAIT_UNTIL(pair, find_upstream(other, "u2") != NULL);
+	assert_string_equal(find_upstream(other, "u2")->address, "10.0.0.8");
 }
 
-/* Has a gateway take the other's update of an upstream; returns the bytes it sent. */
-static uint64_t take_update(pair_t *pair, const char *id)
+/*
+ * Delivers the first gateway's update of an upstream to the second. Returns the
+ * number of bytes that the second sent in return.
+ */
+static uint64_t deliver_update(pair_t *pair, const char *id)
 {
 	gateway_peers_t *from = pair->gateways[0]->peers;
 	gateway_peers_t *to = pair->gateways[1]->peers;
@@ -254,15 +271,15 @@
 	g_hash_table_add(ids, (char *)id);
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	peers_pack_news(&packer, from, ids);
-	assert_int_equal(peers_take(to, buffer.data, buffer.size), 0);
+	peers_pack_updates(&packer, from, ids);
+	assert_int_equal(peers_receive(to, buffer.data, buffer.size), 0);
 	msgpack_sbuffer_destroy(&buffer);
 	g_hash_table_unref(ids);
 	return frame_link_bytes(to->link) - before;
 }
 
-/* Guards against asking for an upstream again while the answer is on its way. */
-static void test_an_unknown_upstream_is_asked_for_once(void **state)
+/* Guards against fetching an upstream again while the answer is in flight. */
+static void test_unknown_upstream_is_fetched_once(void **state)
 {
 	pair_t *pair = *state;
 	const forward_registration_t listing = { .id = "u3",
@@ -273,32 +290,34 @@
 						 .slots = 6,
 						 .revision = 8 };
 
-	UNTIL(pair, peers_view(pair->gateways[1]->peers, gateway_now())->alive ==
-			    PAIR);
+	WAIT_UNTIL(pair, peers_view(pair->gateways[1]->peers, gateway_now())->alive ==
+				 PAIR);
 	forward_upstreams_apply(pair->gateways[0]->upstreams, &listing);
-	assert_true(take_update(pair, "u3") > 0);
-	/* Old questions are dropped now and then; this one is not old. */
-	pair->gateways[1]->peers->wanted_at = 0;
-	assert_int_equal(take_update(pair, "u3"), 0);
+	assert_true(deliver_update(pair, "u3") > 0);
+	/*
+	 * Makes the next update prune expired fetches; this one has not
+	 * expired.
+	 */
+	pair->gateways[1]->peers->pending_fetches_pruned_at = 0;
+	assert_int_equal(deliver_update(pair, "u3"), 0);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup(test_counts_of_old_windows_are_dropped, setup),
-		cmocka_unit_test_setup(test_a_new_upstream_becomes_known_in_full,
-				       setup),
-		cmocka_unit_test_setup(test_a_leaving_upstream_is_told, setup),
-		cmocka_unit_test_setup(test_a_leader_that_is_no_member_is_sent_states,
-				       setup),
-		cmocka_unit_test_setup(test_a_former_leader_stands_for_the_lease,
-				       setup),
-		cmocka_unit_test_setup(test_lost_news_is_made_up_for, setup),
-		cmocka_unit_test_setup(test_an_unknown_upstream_is_asked_for_once,
+		cmocka_unit_test_setup(test_new_upstream_is_fetched_in_full, setup),
+		cmocka_unit_test_setup(test_draining_upstream_is_propagated, setup),
+		cmocka_unit_test_setup(test_leader_outside_members_is_sent_states,
 				       setup),
+		cmocka_unit_test_setup(test_former_leader_may_acquire_lease, setup),
+		cmocka_unit_test_setup(test_lost_update_is_fetched, setup),
+		cmocka_unit_test_setup(test_unknown_upstream_is_fetched_once, setup),
 	};
 
-	/* As the program does; peers close connections at any time. */
+	/*
+	 * Like the gateway program, as peers may close connections at any time.
+	 */
 	signal(SIGPIPE, SIG_IGN);
 	log_init("error");
 	log_buffer_init(STDOUT_FILENO);
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -1,4 +1,7 @@
-/* Tests of recovery after every gateway is killed at once, and of what it rests on. */
+/*
+ * Tests of recovery after all gateways are killed at once, and of the
+ * checkpoint that it relies on.
+ */
 #include <setjmp.h>
 #include <signal.h>
 #include <stdarg.h>
@@ -13,28 +16,34 @@
 #include "tests/harness/gateway_calls.h"
 
 #define CALLS 24
-/* What may be lost is what was counted in this time before the kill. */
-#define COUNTS_AGE_MS 250
+/* Usage that was counted within this time before the kill may be lost. */
+#define COUNTS_MAX_AGE_MS 250
 #define REPORTS_TIMEOUT_MS 20000
 #define STARTS 10
-/* With the second until another keeps the record: less than until a dead peer no
- * longer counts as alive, three seconds. */
-#define WRITER_TOLD_MS 1000
-#define FIRST_WATCH_MS 150 /* a start has heard its peers by then */
-#define DOWN_MS 2500 /* some windows of the rig */
-#define ORDERS_WAIT_MS 500 /* less than the timeout of an order, 1.5 s */
-#define RESUME_MS 300 /* of up to 2 s until a start looks at the lease */
+/*
+ * Includes up to 1 s until another gateway writes the checkpoint. Less than the
+ * 3 s until a dead peer no longer counts as alive.
+ */
+#define WRITER_FAILOVER_MS 1000
+/* a restarted gateway has heard from its peers by then */
+#define FIRST_WATCH_DELAY_MS 150
+#define DOWNTIME_MS 2500 /* some windows of the rig */
+#define ORDERS_OBSERVED_MS 500 /* less than the timeout of an order, 1.5 s */
+/* of up to 2 s until a started gateway looks at the lease */
+#define RESUME_TIMEOUT_MS 300
 #define WINDOW_MS 1000 /* of the rig */
-#define SENT_MS 100 /* until counts are sent, or sooner */
-#define SETTLED_MS \
-	4000 /* a report comes 2.2 s after its window, 5 s if it waits */
-#define FROZEN_MS 3000 /* beyond the moment at which the report does not wait */
-#define BOOTS_APART (3600 * PD_SEC)
-#define LEFTOVERS_MS 50 /* until a stand-in has read what the dead have sent */
-#define READ_MS 20 /* until a gateway has read a call for certain */
-
-/* Counts what a gateway has logged, in all its starts so far. */
-static int times_logged(gateway_rig_t *rig, int number, const char *text)
+#define COUNTS_SENT_MS 100 /* upper bound until counts are sent */
+/* a report comes 2.2 s after its window, 5 s if it waits */
+#define REPORT_LAG_MAX_MS 4000
+/* past the time of a report that waits for no counts */
+#define SUSPENDED_MS 3000
+#define BOOT_TIME_SHIFT (3600 * PD_SEC)
+/* until a simulated server has read what killed gateways sent */
+#define SOCKET_DRAIN_MS 50
+#define CALL_READ_MS 20 /* until a gateway has certainly read a call */
+
+/* Returns how often TEXT is in the logs of a gateway, over all its starts. */
+static int count_logged(gateway_rig_t *rig, int number, const char *text)
 {
 	char *log = NULL;
 	int times = 0;
@@ -48,22 +57,25 @@
 	return times;
 }
 
-/* Starts all gateways for the given time, and waits until all know each other. */
+/*
+ * Starts all gateways for the STARTS-th time and waits until they have found
+ * each other.
+ */
 static void start_all(gateway_rig_t *rig, int starts)
 {
 	memset(rig->peer_ports, 0, sizeof(rig->peer_ports));
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		rig_start(rig, i);
-		RIG_UNTIL(rig, times_logged(rig, i, "gateway: start") == starts);
+		RIG_UNTIL(rig, count_logged(rig, i, "gateway: start") == starts);
 		rig->peer_ports[i] = rig_port(rig, i, "peers");
 	}
 	for (int i = 0; i < RIG_GATEWAYS; i++)
 		RIG_UNTIL(rig, rig_is_ready(rig, i) &&
-				       times_logged(rig, i, "found=") >=
+				       count_logged(rig, i, "found=") >=
 					       starts * (RIG_GATEWAYS - 1));
 }
 
-static void pass(gateway_rig_t *rig, uint64_t ms)
+static void run_for(gateway_rig_t *rig, uint64_t ms)
 {
 	uint64_t end = uv_hrtime() / 1000000 + ms;
 
@@ -71,14 +83,14 @@
 		rig_turn(rig);
 }
 
-/* Kills all, and has the stand-ins take in what they have sent until then. */
+/* Kills all gateways and lets the simulated servers read what they had sent. */
 static void kill_all(gateway_rig_t *rig)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		process_destroy(rig->gateways[i]);
 		rig->gateways[i] = NULL;
 	}
-	pass(rig, LEFTOVERS_MS);
+	run_for(rig, SOCKET_DRAIN_MS);
 }
 
 static int setup(void **state)
@@ -99,8 +111,8 @@
 	return 0;
 }
 
-/* Makes calls at all gateways that run in turn, and waits for their answers. */
-static void make_calls(gateway_rig_t *rig)
+/* Sends calls to the running gateways in turn and waits for the answers. */
+static void send_calls(gateway_rig_t *rig)
 {
 	for (int i = 0; i < CALLS; i++) {
 		int number = i % RIG_GATEWAYS;
@@ -121,9 +133,9 @@
 	*(json_int_t *)ctx += (json_int_t)entry->count;
 }
 
-/* Merges what is checkpointed of the usage. */
-static void read_counts(gateway_rig_t *rig, usage_t *usage,
-			usage_inflight_t *inflight)
+/* Merges the usage counts and in-flight snapshots in the store. */
+static void merge_checkpointed_counts(gateway_rig_t *rig, usage_t *usage,
+				      usage_inflight_t *inflight)
 {
 	const char *name;
 	json_t *object;
@@ -139,21 +151,21 @@
 	}
 }
 
-/* Returns how many calls are checkpointed in the store. */
-static json_int_t calls_recorded(gateway_rig_t *rig)
+/* Returns the number of calls counted in the checkpoint. */
+static json_int_t calls_checkpointed(gateway_rig_t *rig)
 {
 	usage_t *usage = usage_create("reader#1");
 	usage_inflight_t *inflight = usage_inflight_create();
 	json_int_t sum = 0;
 
-	read_counts(rig, usage, inflight);
+	merge_checkpointed_counts(rig, usage, inflight);
 	usage_each(usage, 0, add_entry, &sum);
 	usage_destroy(usage);
 	usage_inflight_destroy(inflight);
 	return sum;
 }
 
-/* Returns how many calls the reports name, each window taken once. */
+/* Returns the number of calls in the reports, counting each window once. */
 static json_int_t calls_reported(const gateway_rig_t *rig)
 {
 	GHashTable *windows = g_hash_table_new(g_int64_hash, g_int64_equal);
@@ -181,25 +193,28 @@
 	return sum;
 }
 
-/* Kills all gateways a twentieth of a window of 5 s after their last answer. */
+/*
+ * Serves calls and kills all gateways COUNTS_MAX_AGE_MS after the last answer,
+ * a twentieth of a window of 5 s.
+ */
 static void serve_and_kill_all(gateway_rig_t *rig)
 {
-	make_calls(rig);
-	pass(rig, COUNTS_AGE_MS);
+	send_calls(rig);
+	run_for(rig, COUNTS_MAX_AGE_MS);
 	kill_all(rig);
 }
 
-/* Returns a gateway that does not lead, while another does; -1: none leads. */
-static int follower_of(gateway_rig_t *rig)
+/* Returns a gateway that is not the leader, or -1 if there is no leader. */
+static int find_follower(gateway_rig_t *rig)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
-		if (times_logged(rig, i, "duties: holder=self"))
+		if (count_logged(rig, i, "duties: holder=self"))
 			return (i + 1) % RIG_GATEWAYS;
 	}
 	return -1;
 }
 
-/* Returns how long ago the window has ended that was reported last, in ms. */
+/* Returns the time since the end of the last reported window, in ms. */
 static int64_t report_lag(gateway_rig_t *rig)
 {
 	const char *text = g_ptr_array_index(rig->usage, rig->usage->len - 1);
@@ -210,110 +225,117 @@
 	return g_get_real_time() / 1000 - (window + 1) * 1000;
 }
 
-/* Waits until all calls are reported, each once. */
-static void await_reports(gateway_rig_t *rig)
+/* Waits until all calls are reported; fails if any is reported twice. */
+static void wait_for_reports(gateway_rig_t *rig)
 {
 	RIG_UNTIL_WITHIN(rig, calls_reported(rig) >= CALLS, REPORTS_TIMEOUT_MS);
 	assert_int_equal(calls_reported(rig), CALLS);
 }
 
-/* Returns whether a window began just now. */
+/* Returns whether the current window is in its first quarter. */
 static bool window_has_begun(gateway_rig_t *rig)
 {
 	rig_turn(rig);
 	return g_get_real_time() / 1000 % WINDOW_MS < WINDOW_MS / 4;
 }
 
-/* Guards against reports without the counts of a gateway that is cut off meanwhile. */
-static void test_a_report_waits_for_a_gateway_that_has_counted(void **state)
+/*
+ * Guards against reports that lack the counts of a gateway that was suspended
+ * in between.
+ */
+static void test_report_waits_for_suspended_gateway(void **state)
 {
 	gateway_rig_t *rig = *state;
 	guint before;
 	int number;
 	rig_caller_t *caller;
 
-	RIG_UNTIL_WITHIN(rig, rig->usage->len > 0 && report_lag(rig) < SETTLED_MS,
+	RIG_UNTIL_WITHIN(rig,
+			 rig->usage->len > 0 && report_lag(rig) < REPORT_LAG_MAX_MS,
 			 REPORTS_TIMEOUT_MS);
-	number = follower_of(rig);
+	number = find_follower(rig);
 	assert_true(number >= 0);
 	RIG_UNTIL(rig, window_has_begun(rig));
 	caller = rig_call_at(rig, number, "POST", "/safe/x", "c0");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
-	pass(rig, SENT_MS);
+	run_for(rig, COUNTS_SENT_MS);
 	process_signal(rig->gateways[number], SIGSTOP);
-	pass(rig, FROZEN_MS);
+	run_for(rig, SUSPENDED_MS);
 	before = rig->usage->len;
-	pass(rig, WINDOW_MS);
+	run_for(rig, WINDOW_MS);
 	assert_int_equal(rig->usage->len, before);
 	process_signal(rig->gateways[number], SIGCONT);
 	RIG_UNTIL(rig, rig->usage->len > before);
 	RIG_UNTIL(rig, calls_reported(rig) == 1);
 }
 
-/* Guards against reports without what was counted before a kill of all. */
-static void test_usage_outlives_a_kill_of_all(void **state)
+/*
+ * Guards against reports that lack what was counted before all gateways were
+ * killed.
+ */
+static void test_usage_survives_kill_of_all_gateways(void **state)
 {
 	gateway_rig_t *rig = *state;
 
 	serve_and_kill_all(rig);
 	start_all(rig, 2);
-	await_reports(rig);
+	wait_for_reports(rig);
 	/* No later report may count them again. */
-	pass(rig, 2000);
+	run_for(rig, 2000);
 	assert_int_equal(calls_reported(rig), CALLS);
 }
 
-static void add_expected(void *ctx, const usage_flight_t *flight)
+static void add_expected(void *ctx, const usage_flight_t *snapshot)
 {
-	for (guint i = 0; i < flight->expected->len; i++)
+	for (guint i = 0; i < snapshot->expected->len; i++)
 		*(uint64_t *)ctx +=
-			g_array_index(flight->expected, usage_expected_t, i).count;
+			g_array_index(snapshot->expected, usage_expected_t, i).count;
 }
 
-/* Returns how many calls are checkpointed as in flight. */
+/* Returns the number of calls that the checkpoint has as in flight. */
 static uint64_t calls_in_flight(gateway_rig_t *rig)
 {
 	usage_t *usage = usage_create("reader#1");
 	usage_inflight_t *inflight = usage_inflight_create();
 	uint64_t sum = 0;
 
-	read_counts(rig, usage, inflight);
+	merge_checkpointed_counts(rig, usage, inflight);
 	usage_inflight_each(inflight, 0, add_expected, &sum);
 	usage_destroy(usage);
 	usage_inflight_destroy(inflight);
 	return sum;
 }
 
-/* Adds a flight as if its VM had lost power since. */
-static void add_rebooted(void *ctx, const usage_flight_t *flight)
+/* Adds a snapshot as if its VM had rebooted since. */
+static void add_with_earlier_boot(void *ctx, const usage_flight_t *snapshot)
 {
-	usage_flight_t *moved = usage_flight_create(flight->start);
+	usage_flight_t *moved = usage_flight_create(snapshot->start);
 
-	moved->booted = flight->booted - BOOTS_APART;
-	moved->begun = flight->begun;
-	moved->told = flight->told;
-	moved->window = flight->window;
-	for (guint i = 0; i < flight->expected->len; i++) {
+	moved->booted = snapshot->booted - BOOT_TIME_SHIFT;
+	moved->begun = snapshot->begun;
+	moved->told = snapshot->told;
+	moved->window = snapshot->window;
+	for (guint i = 0; i < snapshot->expected->len; i++) {
 		const usage_expected_t *expected =
-			&g_array_index(flight->expected, usage_expected_t, i);
+			&g_array_index(snapshot->expected, usage_expected_t, i);
 
 		usage_flight_add(moved, expected->account, expected->count);
 	}
 	usage_inflight_take(ctx, moved);
 }
 
-/* Has the checkpoint say that the VMs of all starts have lost power since. */
-static void lose_power(gateway_rig_t *rig)
+/* Changes the checkpoint as if the VMs of all gateways had lost power since. */
+static void simulate_power_loss(gateway_rig_t *rig)
 {
 	usage_t *usage = usage_create("reader#1");
 	usage_inflight_t *inflight = usage_inflight_create();
 	usage_inflight_t *moved = usage_inflight_create();
 	char *text;
 
-	read_counts(rig, usage, inflight);
-	usage_inflight_each(inflight, 0, add_rebooted, moved);
-	text = usage_table_write(usage, moved, 0);
+	merge_checkpointed_counts(rig, usage, inflight);
+	usage_inflight_each(inflight, 0, add_with_earlier_boot, moved);
+	text = usage_table_encode(usage, moved, 0);
 	rig_remove(rig, "counts", "slot-1");
 	rig_put(rig, "counts", "slot-0", text);
 	g_free(text);
@@ -322,7 +344,10 @@
 	usage_inflight_destroy(moved);
 }
 
-/* Makes a call that no upstream answers, and kills all when that is checkpointed. */
+/*
+ * Sends a call that no upstream answers, and kills all gateways once the
+ * checkpoint has it.
+ */
 static void kill_all_with_a_call_in_flight(gateway_rig_t *rig)
 {
 	rig_caller_t *caller;
@@ -335,20 +360,25 @@
 	rig_caller_destroy(caller);
 }
 
-/* Guards against reports without what upstreams ran after power was lost. */
-static void test_calls_in_flight_are_reported_when_power_is_lost(void **state)
+/*
+ * Guards against reports that lack the calls run by upstreams after a power
+ * loss of the gateways.
+ */
+static void test_calls_in_flight_are_reported_after_power_loss(void **state)
 {
 	gateway_rig_t *rig = *state;
 
 	kill_all_with_a_call_in_flight(rig);
-	lose_power(rig);
+	simulate_power_loss(rig);
 	start_all(rig, 2);
 	RIG_UNTIL_WITHIN(rig, calls_reported(rig) > 0, REPORTS_TIMEOUT_MS);
 	assert_int_equal(calls_reported(rig), 1);
 }
 
-/* Guards against bills for calls that were dropped with their connections. */
-static void test_calls_in_flight_end_with_a_killed_process(void **state)
+/*
+ * Guards against billing calls that upstreams dropped with their connections.
+ */
+static void test_calls_in_flight_are_not_reported_after_process_kill(void **state)
 {
 	gateway_rig_t *rig = *state;
 	guint before;
@@ -357,23 +387,26 @@
 	start_all(rig, 2);
 	before = rig->usage->len;
 	RIG_UNTIL_WITHIN(rig, rig->usage->len > before + 2, REPORTS_TIMEOUT_MS);
-	pass(rig, 2000);
+	run_for(rig, 2000);
 	assert_int_equal(calls_reported(rig), 0);
 }
 
 /* Guards against counts that are dropped while their report is still due. */
-static void test_usage_outlives_some_seconds_without_gateways(void **state)
+static void test_usage_survives_downtime(void **state)
 {
 	gateway_rig_t *rig = *state;
 
 	serve_and_kill_all(rig);
-	pass(rig, DOWN_MS);
+	run_for(rig, DOWNTIME_MS);
 	start_all(rig, 2);
-	await_reports(rig);
+	wait_for_reports(rig);
 }
 
-/* Guards against counts that a second kill loses before their report. */
-static void test_usage_outlives_two_kills(void **state)
+/*
+ * Guards against counts that are lost if a second kill comes before their
+ * report.
+ */
+static void test_usage_survives_two_kills(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -381,11 +414,14 @@
 	start_all(rig, 2);
 	kill_all(rig);
 	start_all(rig, 3);
-	await_reports(rig);
+	wait_for_reports(rig);
 }
 
-/* Returns a gateway that writes a slot of the checkpoint; -1: none says so. */
-static int writer_of(gateway_rig_t *rig, int slot)
+/*
+ * Returns the gateway that writes a slot of the checkpoint, or -1 if none has
+ * logged so.
+ */
+static int find_writer(gateway_rig_t *rig, int slot)
 {
 	char *now = g_strdup_printf("checkpoint: slot=%d ", slot);
 	char *before = g_strdup_printf(" before=%d\n", slot);
@@ -393,7 +429,7 @@
 
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		if (rig->gateways[i] &&
-		    times_logged(rig, i, now) > times_logged(rig, i, before))
+		    count_logged(rig, i, now) > count_logged(rig, i, before))
 			writer = i;
 	}
 	g_free(now);
@@ -401,37 +437,41 @@
 	return writer;
 }
 
-/* Guards against counts that are sent to a writer that has died. */
-static void test_counts_are_kept_when_the_writer_dies(void **state)
+/* Guards against counts that are sent to a dead checkpoint writer. */
+static void test_counts_survive_death_of_checkpoint_writer(void **state)
 {
 	gateway_rig_t *rig = *state;
 	int number = -1;
 
-	RIG_UNTIL(rig, (number = writer_of(rig, 0)) >= 0);
+	RIG_UNTIL(rig, (number = find_writer(rig, 0)) >= 0);
 	process_destroy(rig->gateways[number]);
 	rig->gateways[number] = NULL;
-	make_calls(rig);
-	RIG_UNTIL_WITHIN(rig, calls_recorded(rig) == CALLS, WRITER_TOLD_MS);
+	send_calls(rig);
+	RIG_UNTIL_WITHIN(rig, calls_checkpointed(rig) == CALLS, WRITER_FAILOVER_MS);
 }
 
-/* Guards against counts that wait for the answer to a write before them. */
-static void test_counts_are_kept_while_answers_are_lost(void **state)
+/* Guards against counts that wait for the answer to an earlier write. */
+static void test_counts_are_written_while_store_answers_are_lost(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	RIG_UNTIL(rig, writer_of(rig, 0) >= 0);
+	RIG_UNTIL(rig, find_writer(rig, 0) >= 0);
 	rig->answers_lost = 2;
 	caller = rig_call_at(rig, 0, "POST", "/safe/x", "first");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
 	RIG_UNTIL(rig, rig->answers_lost == 0);
-	make_calls(rig);
-	RIG_UNTIL_WITHIN(rig, calls_recorded(rig) == CALLS + 1, WRITER_TOLD_MS);
+	send_calls(rig);
+	RIG_UNTIL_WITHIN(rig, calls_checkpointed(rig) == CALLS + 1,
+			 WRITER_FAILOVER_MS);
 }
 
-/* Guards against refusals while a start has not read the configuration yet. */
-static void test_a_call_that_comes_before_the_configuration_is_served(void **state)
+/*
+ * Guards against rejections before a restarted gateway has read the
+ * configuration.
+ */
+static void test_call_before_configuration_is_served(void **state)
 {
 	gateway_rig_t *rig = *state;
 	bool served = false;
@@ -442,9 +482,9 @@
 
 		rig_remove(rig, "config", "main");
 		rig_start(rig, 0);
-		RIG_UNTIL(rig, times_logged(rig, 0, "gateway: start") == i + 2);
+		RIG_UNTIL(rig, count_logged(rig, 0, "gateway: start") == i + 2);
 		caller = rig_call_at(rig, 0, "POST", "/safe/x", "c1");
-		pass(rig, READ_MS);
+		run_for(rig, CALL_READ_MS);
 		rig_put_config(rig, i + 2, "");
 		RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 "));
 		served = rig_heard(caller, "HTTP/1.1 200");
@@ -455,8 +495,11 @@
 	assert_true(served);
 }
 
-/* Guards against refusals until a start has listed the last of many upstreams. */
-static void test_a_start_serves_from_the_first_page(void **state)
+/*
+ * Guards against rejections before a restarted gateway has listed the last page
+ * of upstreams.
+ */
+static void test_restart_serves_from_first_page(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
@@ -464,15 +507,18 @@
 	kill_all(rig);
 	rig->first_page_only = true;
 	rig_start(rig, 0);
-	RIG_UNTIL(rig, times_logged(rig, 0, "gateway: start") == 2);
+	RIG_UNTIL(rig, count_logged(rig, 0, "gateway: start") == 2);
 	caller = rig_call_at(rig, 0, "POST", "/safe/x", "c1");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 "));
 	assert_true(rig_heard(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
 }
 
-/* Guards against calls of hundreds of starts that do not know yet who watches. */
-static void test_a_start_does_not_watch_at_once(void **state)
+/*
+ * Guards against watches from hundreds of restarted gateways that do not know
+ * yet which of them are to watch.
+ */
+static void test_restart_delays_first_watch(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -482,11 +528,14 @@
 	rig->watched_ms = 0;
 	rig_start(rig, 0);
 	RIG_UNTIL(rig, rig->listed_ms && rig->watched_ms);
-	assert_true(rig->watched_ms - rig->listed_ms >= FIRST_WATCH_MS);
+	assert_true(rig->watched_ms - rig->listed_ms >= FIRST_WATCH_DELAY_MS);
 }
 
-/* Guards against a clock that is off and taken for right after a kill of all. */
-static void test_a_start_corrects_its_clock_by_the_checkpoint(void **state)
+/*
+ * Guards against a wrong clock that is trusted right after a kill of all
+ * gateways.
+ */
+static void test_restart_corrects_clock_from_checkpoint(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -494,8 +543,8 @@
 	rig_put(rig, "records", "slot-0",
 		"{\"gateways\":1,\"accounts\":{},\"clocks\":{\"g0\":-25}}");
 	rig_start(rig, 0);
-	RIG_UNTIL(rig, times_logged(rig, 0, " fleet_step_ms=") &&
-			       times_logged(rig, 0, " own_off_ms=-2500\n") == 2);
+	RIG_UNTIL(rig, count_logged(rig, 0, " fleet_step_ms=") &&
+			       count_logged(rig, 0, " own_off_ms=-2500\n") == 2);
 }
 
 static bool has_object(gateway_rig_t *rig, const char *kind, const char *name)
@@ -504,8 +553,8 @@
 	return json_object_get(json_object_get(rig->objects, kind), name);
 }
 
-/* Guards against a takeover that is waited for though the former leader is back. */
-static void test_a_former_leader_asks_for_the_lease_at_once(void **state)
+/* Guards against waiting for a takeover although the former leader is back. */
+static void test_former_leader_requests_lease_at_once(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -514,11 +563,12 @@
 		"{\"gateways\":1,\"accounts\":{},\"leader\":\"g0\"}");
 	rig_remove(rig, "leases", "duties");
 	rig_start(rig, 0);
-	RIG_UNTIL(rig, times_logged(rig, 0, "duties: resume") == 1);
-	RIG_UNTIL_WITHIN(rig, has_object(rig, "leases", "duties"), RESUME_MS);
+	RIG_UNTIL(rig, count_logged(rig, 0, "duties: resume") == 1);
+	RIG_UNTIL_WITHIN(rig, has_object(rig, "leases", "duties"),
+			 RESUME_TIMEOUT_MS);
 }
 
-/* Returns the leader that a record of the checkpoint names, borrowed, or NULL. */
+/* Returns the leader in a checkpoint record, borrowed, or NULL. */
 static const char *recorded_leader(gateway_rig_t *rig, const char *name)
 {
 	json_t *records = json_object_get(rig->objects, "records");
@@ -527,25 +577,28 @@
 	return json_string_value(json_object_get(spec, "leader"));
 }
 
-/* Guards against reports that may be short and nobody knows which. */
-static void test_windows_without_a_checkpoint_are_named(void **state)
+/* Guards against incomplete reports that are not marked as such. */
+static void test_usage_gaps_are_logged(void **state)
 {
 	gateway_rig_t *rig = *state;
 
 	RIG_UNTIL_WITHIN(rig, rig->usage->len > 0, REPORTS_TIMEOUT_MS);
 	kill_all(rig);
-	pass(rig, DOWN_MS);
+	run_for(rig, DOWNTIME_MS);
 	start_all(rig, 2);
 	RIG_UNTIL_WITHIN(rig,
-			 times_logged(rig, 0, "usage gap window=") +
-					 times_logged(rig, 1, "usage gap window=") +
-					 times_logged(rig, 2, "usage gap window=") >=
-				 DOWN_MS / WINDOW_MS,
+			 count_logged(rig, 0, "usage gap window=") +
+					 count_logged(rig, 1, "usage gap window=") +
+					 count_logged(rig, 2, "usage gap window=") >=
+				 DOWNTIME_MS / WINDOW_MS,
 			 REPORTS_TIMEOUT_MS);
 }
 
-/* Guards against a start that forgets the leader before it has heard of one. */
-static void test_a_start_keeps_the_name_of_the_leader(void **state)
+/*
+ * Guards against a restarted gateway that drops the recorded leader before it
+ * knows the current one.
+ */
+static void test_restart_keeps_recorded_leader(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -560,7 +613,7 @@
 	assert_string_equal(recorded_leader(rig, "slot-0"), "g9");
 }
 
-/* Returns how many orders came in for on-demand upstreams. */
+/* Returns the number of orders of on-demand upstreams. */
 static int on_demand_orders(gateway_rig_t *rig)
 {
 	int count = 0;
@@ -572,8 +625,10 @@
 	return count;
 }
 
-/* Guards against a new leader that gives up on-demand upstreams in a shortage. */
-static void test_on_demand_orders_wait_for_answers_to_the_others(void **state)
+/*
+ * Guards against a new leader that gives up on-demand upstreams in a shortage.
+ */
+static void test_on_demand_orders_wait_for_spot_answers(void **state)
 {
 	gateway_rig_t *rig = *state;
 
@@ -587,14 +642,14 @@
 	rig->orders_unanswered = true;
 	rig_start(rig, 0);
 	RIG_UNTIL(rig, rig->orders->len > 0);
-	pass(rig, ORDERS_WAIT_MS);
+	run_for(rig, ORDERS_OBSERVED_MS);
 	assert_int_equal(on_demand_orders(rig), 0);
 	rig->orders_unanswered = false;
 	RIG_UNTIL(rig, on_demand_orders(rig) > 0);
 }
 
-/* Guards against a report that is late as its leader was told to stop. */
-static void test_a_stopping_holder_goes_on_until_it_ends(void **state)
+/* Guards against a report that is late because its leader was told to stop. */
+static void test_stopping_leader_reports_until_exit(void **state)
 {
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
@@ -602,7 +657,7 @@
 
 	kill_all(rig);
 	rig_start(rig, 0);
-	RIG_UNTIL(rig, times_logged(rig, 0, "gateway: start") == 2);
+	RIG_UNTIL(rig, count_logged(rig, 0, "gateway: start") == 2);
 	RIG_UNTIL(rig, rig_is_ready(rig, 0));
 	before = rig->usage->len;
 	RIG_UNTIL(rig, rig->usage->len > before);
@@ -611,7 +666,7 @@
 	caller = rig_call_at(rig, 0, "POST", "/unsafe/x", "c1");
 	RIG_UNTIL(rig, rig->upstreams[0].arrivals + rig->upstreams[1].arrivals);
 	process_signal(rig->gateways[0], SIGTERM);
-	RIG_UNTIL(rig, times_logged(rig, 0, "gateway: stop grace_s"));
+	RIG_UNTIL(rig, count_logged(rig, 0, "gateway: stop grace_s"));
 	before = rig->usage->len;
 	RIG_UNTIL(rig, rig->usage->len > before || process_ended(rig->gateways[0]));
 	assert_true(rig->usage->len > before);
@@ -621,43 +676,42 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_usage_outlives_a_kill_of_all,
+		cmocka_unit_test_setup_teardown(test_usage_survives_kill_of_all_gateways,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(
-			test_a_report_waits_for_a_gateway_that_has_counted,
-			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_usage_outlives_some_seconds_without_gateways,
+		cmocka_unit_test_setup_teardown(test_report_waits_for_suspended_gateway,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_usage_outlives_two_kills,
+		cmocka_unit_test_setup_teardown(test_usage_survives_downtime,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_usage_survives_two_kills,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(
-			test_calls_in_flight_are_reported_when_power_is_lost,
+			test_calls_in_flight_are_reported_after_power_loss,
 			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_calls_in_flight_end_with_a_killed_process,
-						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_counts_are_kept_when_the_writer_dies,
-						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_counts_are_kept_while_answers_are_lost,
+		cmocka_unit_test_setup_teardown(
+			test_calls_in_flight_are_not_reported_after_process_kill,
+			setup, teardown),
+		cmocka_unit_test_setup_teardown(test_counts_survive_death_of_checkpoint_writer,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(
-			test_a_call_that_comes_before_the_configuration_is_served,
+			test_counts_are_written_while_store_answers_are_lost,
 			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_start_serves_from_the_first_page,
+		cmocka_unit_test_setup_teardown(test_call_before_configuration_is_served,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_start_does_not_watch_at_once,
+		cmocka_unit_test_setup_teardown(test_restart_serves_from_first_page,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_start_corrects_its_clock_by_the_checkpoint,
+		cmocka_unit_test_setup_teardown(test_restart_delays_first_watch,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_former_leader_asks_for_the_lease_at_once,
+		cmocka_unit_test_setup_teardown(test_restart_corrects_clock_from_checkpoint,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_windows_without_a_checkpoint_are_named,
+		cmocka_unit_test_setup_teardown(test_former_leader_requests_lease_at_once,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_start_keeps_the_name_of_the_leader,
+		cmocka_unit_test_setup_teardown(test_usage_gaps_are_logged,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(
-			test_on_demand_orders_wait_for_answers_to_the_others,
-			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_stopping_holder_goes_on_until_it_ends,
+		cmocka_unit_test_setup_teardown(test_restart_keeps_recorded_leader,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_on_demand_orders_wait_for_spot_answers,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_stopping_leader_reports_until_exit,
 						setup, teardown),
 	};
 
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -1,7 +1,7 @@
 /*
- * What the gateway reads from its peers, the platform and upstreams, with bytes
- * changed, cut or added as a faulty sender could. None of it may crash the
- * gateway or have it believe what makes no sense.
+ * Fuzzes the decoders of what a gateway reads from peers, the platform and
+ * upstreams, with bytes changed, cut or inserted. No input may crash the
+ * gateway or be accepted with out-of-range values.
  */
 #include <rapidcheck.h>
 
@@ -51,8 +51,10 @@
 	"{\"metadata\":{\"name\":\"duties\",\"revision\":3},\"spec\":"
 	"{\"holder\":\"g\",\"fence\":2,\"note\":\"5 {}\"}}";
 
-/* A gateway that listens on loopback and whose loop is not run. */
-static gateway_t *gateway_idle()
+/*
+ * Returns a gateway that listens on loopback and whose event loop is not run.
+ */
+static gateway_t *create_idle_gateway()
 {
 	static gateway_settings_t settings;
 	char any[] = "127.0.0.1:0";
@@ -74,8 +76,8 @@
 	return gateway_create(uv_default_loop(), &settings, &err);
 }
 
-/* Gives the gateway something to tell, so that its messages have all parts. */
-static void gateway_fill(gateway_t *gateway)
+/* Adds data to the gateway, so that its messages have all parts. */
+static void fill_gateway(gateway_t *gateway)
 {
 	gateway_apply_config(gateway, config_text, "test");
 	for (unsigned int i = 0; i < 4; i++) {
@@ -115,14 +117,14 @@
 		peers_pack_summary(&buffer, peers, peer, true);
 		break;
 	case 2:
-		peers_pack_news(&packer, peers, NULL);
+		peers_pack_updates(&packer, peers, NULL);
 		break;
 	case 3:
 		peers_pack_counts(&buffer, peers);
 		usage_resend(gateway->usage);
 		break;
 	default:
-		peers_pack_announce(&packer, peers);
+		peers_pack_announcement(&packer, peers);
 		break;
 	}
 	bytes.assign(buffer.data, buffer.size);
@@ -136,7 +138,7 @@
 		auto kind = *rc::gen::inRange(0, 5);
 		auto bytes = mutated(message(gateway, kind));
 
-		peers_take(gateway->peers, bytes.data(), bytes.size());
+		peers_receive(gateway->peers, bytes.data(), bytes.size());
 		LIST_FOR_EACH (it, forward_upstreams_list(gateway->upstreams)) {
 			forward_upstream_t *upstream =
 				LIST_ENTRY(it, forward_upstream_t, node);
@@ -223,14 +225,14 @@
 		char *text = wire_record_read(bytes.data(), bytes.size(),
 					      &revision, &err);
 		checkpoint_record_t *record =
-			text ? checkpoint_record_read(text, &err) : nullptr;
+			text ? checkpoint_record_parse(text, &err) : nullptr;
 
 		checkpoint_record_destroy(record);
 		g_free(text);
 	});
 }
 
-/* Returns what was encoded in base64 under a key of a text. */
+/* Returns the bytes that TEXT has in base64 under KEY. */
 static std::string decoded(const char *text, const std::string &key)
 {
 	std::string packed = strstr(text, (key + "\":\"").c_str()) + key.size() + 3;
@@ -255,24 +257,24 @@
 	return copy;
 }
 
-/* Returns the checkpoint's counts and what is in flight, packed. */
+/* Returns msgpack of usage counts and of in-flight snapshots. */
 static std::pair<std::string, std::string> packed_counts()
 {
 	usage_t *usage = usage_create("g#1");
 	usage_inflight_t *inflight = usage_inflight_create();
-	usage_flight_t *flight = usage_flight_create(usage_own_start(usage));
+	usage_flight_t *snapshot = usage_flight_create(usage_own_start(usage));
 	std::pair<std::string, std::string> packed;
 	char *text;
 
 	usage_add(usage, 7, "mill");
 	usage_add(usage, 7, "gin");
 	usage_add(usage, 8, "mill");
-	flight->booted = PD_SEC;
-	flight->told = PD_SEC;
-	flight->window = 8;
-	usage_flight_add(flight, "mill", 3);
-	usage_inflight_take(inflight, flight);
-	text = usage_table_write(usage, inflight, 0);
+	snapshot->booted = PD_SEC;
+	snapshot->told = PD_SEC;
+	snapshot->window = 8;
+	usage_flight_add(snapshot, "mill", 3);
+	usage_inflight_take(inflight, snapshot);
+	text = usage_table_encode(usage, inflight, 0);
 	packed = { decoded(text, "counts"), decoded(text, "in_flight") };
 	g_free(text);
 	usage_inflight_destroy(inflight);
@@ -280,10 +282,10 @@
 	return packed;
 }
 
-static std::string table(const std::string &counts, const std::string &flights)
+static std::string table(const std::string &counts, const std::string &snapshots)
 {
 	return "{\"format\":1,\"counts\":\"" + encoded(counts) +
-	       "\",\"in_flight\":\"" + encoded(flights) + "\"}";
+	       "\",\"in_flight\":\"" + encoded(snapshots) + "\"}";
 }
 
 static void add_lost(void *ctx, const usage_entry_t *entry)
@@ -296,7 +298,7 @@
 	return rc::check("the checkpoint's counts", [] {
 		auto packed = packed_counts();
 		auto counts = table(mutated(packed.first), packed.second);
-		auto flights = table(packed.first, mutated(packed.second));
+		auto snapshots = table(packed.first, mutated(packed.second));
 		auto text = mutated(counts);
 		usage_t *usage = usage_create("g#2");
 		usage_inflight_t *inflight = usage_inflight_create();
@@ -304,7 +306,7 @@
 		pd_error_t err;
 
 		usage_table_merge(counts.c_str(), usage, inflight, &err);
-		usage_table_merge(flights.c_str(), usage, inflight, &err);
+		usage_table_merge(snapshots.c_str(), usage, inflight, &err);
 		usage_table_merge(text.c_str(), usage, inflight, &err);
 		usage_inflight_each_lost(inflight, usage, 8, add_lost, &sum);
 		usage_inflight_destroy(inflight);
@@ -312,7 +314,7 @@
 	});
 }
 
-/* However an answer is cut into pieces, the same whole events are passed on. */
+/* The same complete events are found however a response is split. */
 static bool prop_events()
 {
 	return rc::check("event streams", [] {
@@ -361,10 +363,10 @@
 	bool ok = true;
 
 	log_init("error");
-	gateway = gateway_idle();
+	gateway = create_idle_gateway();
 	if (!gateway)
 		return 1;
-	gateway_fill(gateway);
+	fill_gateway(gateway);
 	ok &= prop_peers(gateway);
 	ok &= prop_config();
 	ok &= prop_pages();
