--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -1,4 +1,7 @@
-/* The checkpoint as text: the record that a start reads, and the counts of usage. */
+/*
+ * Tests of the checkpoint's encoding: the record read at a start, and usage
+ * counts.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,12 +13,12 @@
 #include "adapters/gateway/checkpoint_record.h"
 #include "adapters/gateway/usage_table.h"
 
-#define STARTS 300
+#define INCARNATIONS 300
 #define ACCOUNTS 40
-#define ACCOUNTS_IN_FLIGHT 4 /* of a gateway */
+#define ACCOUNTS_IN_FLIGHT 4 /* per gateway */
 #define FLEET_BYTES_MAX 40000 /* of one window of a fleet of that size */
 
-static void test_a_record_survives_the_round_trip(void **state)
+static void test_record_round_trip(void **state)
 {
 	checkpoint_record_t *record = checkpoint_record_create();
 	checkpoint_record_t *read;
@@ -25,19 +28,19 @@
 	char *stamped;
 
 	(void)state;
-	record->gateways = 63;
+	record->fleet_size = 63;
 	record->leader = g_strdup("g5");
-	record->before = 3 * PD_SEC;
-	checkpoint_record_account(record, "mill", -500, 9000);
-	checkpoint_record_clock(record, "g1", -2500 * PD_MSEC);
-	text = checkpoint_record_write(record);
+	record->previous_write_at = 3 * PD_SEC;
+	checkpoint_record_add_account(record, "mill", -500, 9000);
+	checkpoint_record_add_clock(record, "g1", -2500 * PD_MSEC);
+	text = checkpoint_record_format(record);
 	stamped = checkpoint_record_stamp(text, 7 * PD_SEC);
-	read = checkpoint_record_read(stamped, &err);
+	read = checkpoint_record_parse(stamped, &err);
 	assert_int_equal(read->written_at, 7 * PD_SEC);
-	assert_int_equal(read->before, 3 * PD_SEC);
-	again = checkpoint_record_write(read);
+	assert_int_equal(read->previous_write_at, 3 * PD_SEC);
+	again = checkpoint_record_format(read);
 	assert_string_equal(again, text);
-	assert_int_equal(read->gateways, 63);
+	assert_int_equal(read->fleet_size, 63);
 	assert_string_equal(read->leader, "g5");
 	assert_true(g_array_index(read->accounts, account_record_t, 0).level ==
 		    -500);
@@ -54,11 +57,11 @@
 	g_free(stamped);
 }
 
-/* Guards against offsets of clocks that are no numbers, or beyond all reason. */
-static void test_offsets_of_no_sense_are_left_out(void **state)
+/* Guards against clock offsets that are no numbers or out of range. */
+static void test_invalid_clock_offsets_are_ignored(void **state)
 {
 	pd_error_t err;
-	checkpoint_record_t *record = checkpoint_record_read(
+	checkpoint_record_t *record = checkpoint_record_parse(
 		"{\"gateways\":6,\"accounts\":{},\"clocks\":{\"g0\":\"5\","
 		"\"g1\":9223372036854775807,\"g2\":-9223372036854775808}}",
 		&err);
@@ -67,35 +70,35 @@
 	assert_non_null(record);
 	assert_int_equal(record->clocks->len, 0);
 	checkpoint_record_destroy(record);
-	record = checkpoint_record_read("{\"gateways\":6,\"clocks\":[7]}", &err);
+	record = checkpoint_record_parse("{\"gateways\":6,\"clocks\":[7]}", &err);
 	assert_non_null(record);
 	assert_int_equal(record->clocks->len, 0);
 	checkpoint_record_destroy(record);
 }
 
-static void add_up(void *ctx, const char *account, uint64_t sum)
+static void add_to_sum(void *ctx, const char *account, uint64_t sum)
 {
 	(void)account;
 	*(uint64_t *)ctx += sum;
 }
 
-static uint64_t sum_of(const usage_t *usage, int64_t window)
+static uint64_t window_sum(const usage_t *usage, int64_t window)
 {
 	uint64_t sum = 0;
 
-	usage_sum(usage, window, add_up, &sum);
+	usage_sum(usage, window, add_to_sum, &sum);
 	return sum;
 }
 
-static void merge(usage_t *usage, int64_t window, uint64_t start,
-		  const char *account, uint64_t count)
+static void merge_count(usage_t *usage, int64_t window, uint64_t incarnation_id,
+			const char *account, uint64_t count)
 {
-	const usage_entry_t entry = { window, start, account, count };
+	const usage_entry_t entry = { window, incarnation_id, account, count };
 
 	usage_merge(usage, &entry);
 }
 
-static void test_counts_survive_the_round_trip(void **state)
+static void test_counts_round_trip(void **state)
 {
 	usage_t *usage = usage_create("g0#1");
 	usage_t *read = usage_create("g0#2");
@@ -105,16 +108,16 @@
 
 	(void)state;
 	usage_add(usage, 7, "mill");
-	merge(usage, 7, UINT64_MAX, "mill", 1000);
-	merge(usage, 7, 5, "gin \"\\", 20);
-	merge(usage, 8, 5, "gin \"\\", 3);
-	merge(usage, 6, 5, "mill", 9);
-	text = usage_table_write(usage, inflight, 7);
+	merge_count(usage, 7, UINT64_MAX, "mill", 1000);
+	merge_count(usage, 7, 5, "gin \"\\", 20);
+	merge_count(usage, 8, 5, "gin \"\\", 3);
+	merge_count(usage, 6, 5, "mill", 9);
+	text = usage_table_encode(usage, inflight, 7);
 	assert_int_equal(usage_table_merge(text, read, inflight, &err), 0);
 	assert_int_equal(usage_table_merge(text, read, inflight, &err), 0);
-	assert_int_equal(sum_of(read, 7), 1021);
-	assert_int_equal(sum_of(read, 8), 3);
-	assert_int_equal(sum_of(read, 6), 0);
+	assert_int_equal(window_sum(read, 7), 1021);
+	assert_int_equal(window_sum(read, 8), 3);
+	assert_int_equal(window_sum(read, 6), 0);
 	g_free(text);
 	usage_destroy(usage);
 	usage_destroy(read);
@@ -122,61 +125,66 @@
 }
 
 /* Guards against a checkpoint that fills the links of a fleet of hundreds. */
-static void test_counts_of_a_large_fleet_are_small(void **state)
+static void test_counts_of_large_fleet_are_small(void **state)
 {
 	usage_t *usage = usage_create("g0#1");
 	usage_inflight_t *inflight = usage_inflight_create();
 	char *text;
 
 	(void)state;
-	for (uint64_t start = 0; start < STARTS; start++) {
+	for (uint64_t id = 0; id < INCARNATIONS; id++) {
 		for (uint64_t i = 0; i < ACCOUNTS; i += 2) {
 			char account[16];
 
 			g_snprintf(account, sizeof(account), "account-%u",
 				   (unsigned int)i);
-			merge(usage, 353445120, start << 40, account, 2);
+			merge_count(usage, 353445120, id << 40, account, 2);
 		}
 	}
-	text = usage_table_write(usage, inflight, 0);
+	text = usage_table_encode(usage, inflight, 0);
 	assert_true(strlen(text) < FLEET_BYTES_MAX);
 	g_free(text);
 	usage_destroy(usage);
 	usage_inflight_destroy(inflight);
 }
 
-/* Guards against requests in flight that take more of a link than the counts do. */
-static void test_flights_of_a_large_fleet_are_small(void **state)
+/*
+ * Guards against in-flight snapshots that take more bandwidth than the counts.
+ */
+static void test_snapshots_of_large_fleet_are_small(void **state)
 {
 	usage_t *usage = usage_create("g0#1");
 	usage_inflight_t *inflight = usage_inflight_create();
 	char *text;
 
 	(void)state;
-	for (uint64_t start = 0; start < STARTS; start++) {
-		usage_flight_t *flight = usage_flight_create(start << 40);
+	for (uint64_t id = 0; id < INCARNATIONS; id++) {
+		usage_flight_t *snapshot = usage_flight_create(id << 40);
 
-		flight->booted = 1772338322000 * PD_MSEC;
-		flight->begun = 94107805 * PD_MSEC;
-		flight->told = 94107905 * PD_MSEC;
-		flight->window = 353445120;
+		snapshot->booted = 1772338322000 * PD_MSEC;
+		snapshot->begun = 94107805 * PD_MSEC;
+		snapshot->told = 94107905 * PD_MSEC;
+		snapshot->window = 353445120;
 		for (int i = 0; i < ACCOUNTS_IN_FLIGHT; i++) {
 			char account[16];
 
 			g_snprintf(account, sizeof(account), "account-%d", i);
-			usage_flight_add(flight, account, 200);
+			usage_flight_add(snapshot, account, 200);
 		}
-		usage_inflight_take(inflight, flight);
+		usage_inflight_take(inflight, snapshot);
 	}
-	text = usage_table_write(usage, inflight, 0);
+	text = usage_table_encode(usage, inflight, 0);
 	assert_true(strlen(text) < FLEET_BYTES_MAX);
 	g_free(text);
 	usage_destroy(usage);
 	usage_inflight_destroy(inflight);
 }
 
-/* Guards against a checkpoint of another program that ends service or is believed. */
-static void test_what_is_no_table_is_told_by_type(void **state)
+/*
+ * Guards against a checkpoint of another program that stops a gateway or is
+ * accepted.
+ */
+static void test_invalid_table_is_rejected(void **state)
 {
 	static const struct {
 		const char *text;
@@ -212,12 +220,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_record_survives_the_round_trip),
-		cmocka_unit_test(test_offsets_of_no_sense_are_left_out),
-		cmocka_unit_test(test_counts_survive_the_round_trip),
-		cmocka_unit_test(test_counts_of_a_large_fleet_are_small),
-		cmocka_unit_test(test_flights_of_a_large_fleet_are_small),
-		cmocka_unit_test(test_what_is_no_table_is_told_by_type),
+		cmocka_unit_test(test_record_round_trip),
+		cmocka_unit_test(test_invalid_clock_offsets_are_ignored),
+		cmocka_unit_test(test_counts_round_trip),
+		cmocka_unit_test(test_counts_of_large_fleet_are_small),
+		cmocka_unit_test(test_snapshots_of_large_fleet_are_small),
+		cmocka_unit_test(test_invalid_table_is_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_peer_loads.c
+++ b/tests/unit/test_peer_loads.c
@@ -1,4 +1,4 @@
-/* What gateways tell each other of the load of upstreams. */
+/* Tests of the exchange of upstream loads between gateways. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,11 +10,11 @@
 #include "adapters/gateway/peer_state.h"
 
 #define START (1000 * PD_SEC)
-#define FEW 20
-#define MANY 1000
-#define MESSAGE_MAX 2048 /* bytes */
+#define UPSTREAMS_FEW 20
+#define UPSTREAMS_MANY 1000
+#define MESSAGE_BYTES_MAX 2048
 
-/* A gateway of which only the table of upstreams and the loads are used. */
+/* A gateway with only a table of upstreams and the state of the exchange. */
 typedef struct fixture {
 	gateway_t gateway;
 	gateway_peers_t peers;
@@ -50,7 +50,7 @@
 	list_upstreams(fixture->gateway.upstreams, upstreams);
 	peers->gateway = &fixture->gateway;
 	peers->aggregator_loads = g_array_new(FALSE, FALSE, sizeof(load_t));
-	peers->loads_told = g_array_new(FALSE, FALSE, sizeof(load_t));
+	peers->last_sent_loads = g_array_new(FALSE, FALSE, sizeof(load_t));
 	msgpack_sbuffer_init(&peers->loads_packed);
 	return fixture;
 }
@@ -60,7 +60,7 @@
 	forward_upstreams_destroy(fixture->gateway.upstreams);
 	forward_config_unref(fixture->gateway.config);
 	g_array_unref(fixture->peers.aggregator_loads);
-	g_array_unref(fixture->peers.loads_told);
+	g_array_unref(fixture->peers.last_sent_loads);
 	msgpack_sbuffer_destroy(&fixture->peers.loads_packed);
 	g_free(fixture);
 }
@@ -73,8 +73,11 @@
 	return forward_upstreams_find(fixture->gateway.upstreams, id);
 }
 
-/* Has one gateway tell the other all loads; returns the message's size. */
-static size_t tell_all(fixture_t *from, fixture_t *to)
+/*
+ * Sends a summary's loads from one gateway to the other. Returns their size in
+ * bytes.
+ */
+static size_t send_summed_loads(fixture_t *from, fixture_t *to)
 {
 	msgpack_sbuffer buffer;
 	msgpack_unpacked unpacked;
@@ -82,20 +85,20 @@
 	size_t size;
 
 	msgpack_sbuffer_init(&buffer);
-	peers_pack_all_loads(&buffer, &from->peers, START);
+	peers_pack_summed_loads(&buffer, &from->peers, START);
 	msgpack_unpacked_init(&unpacked);
 	assert_int_equal(msgpack_unpack_next(&unpacked, buffer.data,
 					     buffer.size, &offset),
 			 MSGPACK_UNPACK_SUCCESS);
-	peers_take_all_loads(&to->peers, &unpacked.data);
+	peers_receive_summed_loads(&to->peers, &unpacked.data);
 	size = buffer.size;
 	msgpack_unpacked_destroy(&unpacked);
 	msgpack_sbuffer_destroy(&buffer);
 	return size;
 }
 
-/* Has a gateway note what it told last of its own requests. */
-static void tell_own(fixture_t *fixture)
+/* Packs a gateway's own loads, which stores them as last sent. */
+static void send_own_loads(fixture_t *fixture)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
@@ -107,14 +110,13 @@
 }
 
 /*
- * An aggregator sums up its own requests and its peers'. A gateway that counted its own
- * part of these sums as well would think the upstreams that it uses itself twice
- * as loaded as they are.
+ * Guards against a gateway that adds its own part of an aggregator's sums once
+ * more and takes its upstreams for twice as loaded as they are.
  */
 static void test_own_requests_are_not_counted_twice(void **state)
 {
-	fixture_t *aggregator = fixture_create(FEW);
-	fixture_t *node = fixture_create(FEW);
+	fixture_t *aggregator = fixture_create(UPSTREAMS_FEW);
+	fixture_t *node = fixture_create(UPSTREAMS_FEW);
 
 	(void)state;
 	upstream_at(aggregator, 3)->running = 2;
@@ -122,40 +124,40 @@
 	upstream_at(aggregator, 3)->peers_prefill_tokens = 6400;
 	upstream_at(node, 3)->running = 1;
 	upstream_at(node, 3)->prefill_tokens = 640;
-	tell_own(node);
-	tell_all(aggregator, node);
+	send_own_loads(node);
+	send_summed_loads(aggregator, node);
 	assert_int_equal(upstream_at(node, 3)->peers_running, 4);
 	assert_int_equal((int)upstream_at(node, 3)->peers_prefill_tokens, 5760);
 	assert_int_equal(upstream_at(node, 4)->peers_running, 0);
-	tell_all(aggregator, node);
+	send_summed_loads(aggregator, node);
 	assert_int_equal(upstream_at(node, 3)->peers_running, 4);
 	fixture_destroy(aggregator);
 	fixture_destroy(node);
 }
 
 /*
- * In a large fleet a message that names every upstream fills the links of small
- * VMs, and answers reach their callers late. The most loaded are named, the
- * others get the mean of the rest.
+ * Guards against messages that list every upstream of a large fleet: they fill
+ * the links of small VMs and delay answers to callers. The most loaded
+ * upstreams are listed; the others get the mean.
  */
-static void test_a_message_does_not_grow_with_the_fleet(void **state)
+static void test_message_size_is_bounded_in_large_fleet(void **state)
 {
-	fixture_t *aggregator = fixture_create(MANY);
-	fixture_t *node = fixture_create(MANY);
+	fixture_t *aggregator = fixture_create(UPSTREAMS_MANY);
+	fixture_t *node = fixture_create(UPSTREAMS_MANY);
 	size_t size;
 
 	(void)state;
-	for (unsigned int i = 0; i < MANY; i++) {
-		upstream_at(aggregator, i)->peers_running = i < LOADS_TOLD ? 12
-									   : 3;
+	for (unsigned int i = 0; i < UPSTREAMS_MANY; i++) {
+		upstream_at(aggregator, i)->peers_running =
+			i < LOADS_LISTED_MAX ? 12 : 3;
 		upstream_at(aggregator, i)->peers_prefill_tokens =
-			i < LOADS_TOLD ? 20000 : 1000;
+			i < LOADS_LISTED_MAX ? 20000 : 1000;
 	}
-	size = tell_all(aggregator, node);
-	assert_true(size < MESSAGE_MAX);
+	size = send_summed_loads(aggregator, node);
+	assert_true(size < MESSAGE_BYTES_MAX);
 	assert_int_equal(upstream_at(node, 5)->peers_running, 12);
-	assert_int_equal(upstream_at(node, MANY - 1)->peers_running, 3);
-	assert_int_equal((int)upstream_at(node, MANY - 1)->peers_prefill_tokens,
+	assert_int_equal(upstream_at(node, UPSTREAMS_MANY - 1)->peers_running, 3);
+	assert_int_equal((int)upstream_at(node, UPSTREAMS_MANY - 1)->peers_prefill_tokens,
 			 1000);
 	fixture_destroy(aggregator);
 	fixture_destroy(node);
@@ -165,7 +167,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_own_requests_are_not_counted_twice),
-		cmocka_unit_test(test_a_message_does_not_grow_with_the_fleet),
+		cmocka_unit_test(test_message_size_is_bounded_in_large_fleet),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
