--- a/adapters/gateway/flight_pack.c
+++ b/adapters/gateway/flight_pack.c
@@ -18,7 +18,7 @@
 	const GArray *expected = flight->expected;
 
 	msgpack_pack_array(packer, HEAD_FIELDS + CELL_FIELDS * expected->len);
-	msgpack_pack_uint64(packer, flight->start);
+	msgpack_pack_uint64(packer, flight->incarnation_id);
 	pack_time(packer, flight->booted);
 	pack_time(packer, flight->begun);
 	pack_time(packer, flight->told);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -158,7 +158,7 @@
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
-	uint64_t start = usage_start(incarnation);
+	uint64_t incarnation_id = usage_incarnation_id(incarnation);
 
 	for (uint32_t i = 0; i < count; i++) {
 		const msgpack_object *fields =
@@ -168,7 +168,7 @@
 		if (account) {
 			const usage_entry_t entry = {
 				.window = (int64_t)msgpack_field_number(&fields[0]),
-				.start = start,
+				.incarnation_id = incarnation_id,
 				.account = account,
 				.count = msgpack_field_number(&fields[2]),
 			};
@@ -185,7 +185,7 @@
 {
 	if (object->type != MSGPACK_OBJECT_NIL)
 		usage_watermarks_take(gateway->watermarks,
-				      usage_start(incarnation),
+				      usage_incarnation_id(incarnation),
 				      (int64_t)msgpack_field_number(object));
 }
 
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -425,7 +425,7 @@
 	const gateway_t *gateway = peers->gateway;
 	const usage_flight_t *flight =
 		usage_inflight_find(gateway->inflight,
-				    usage_own_start(gateway->usage));
+				    usage_own_id(gateway->usage));
 
 	return gateway->flight_changed ||
 	       (flight && flight->told > peers->flight_sent);
--- a/adapters/gateway/request_flight.c
+++ b/adapters/gateway/request_flight.c
@@ -26,8 +26,7 @@
 
 static usage_flight_t *flight_now(const gateway_t *gateway)
 {
-	usage_flight_t *flight =
-		usage_flight_create(usage_own_start(gateway->usage));
+	usage_flight_t *flight = usage_flight_create(usage_own_id(gateway->usage));
 	GHashTable *counts = count_in_flight(gateway);
 	GHashTableIter iter;
 	gpointer account;
@@ -41,7 +40,7 @@
 	while (g_hash_table_iter_next(&iter, &account, &count))
 		usage_flight_add(flight, account,
 				 usage_count(gateway->usage, flight->window,
-					     flight->start, account) +
+					     flight->incarnation_id, account) +
 					 GPOINTER_TO_UINT(count));
 	g_hash_table_unref(counts);
 	return flight;
@@ -56,6 +55,5 @@
 	if (gateway->flight_changed)
 		usage_inflight_take(gateway->inflight, flight_now(gateway));
 	gateway->flight_changed = false;
-	return usage_inflight_find(gateway->inflight,
-				   usage_own_start(gateway->usage));
+	return usage_inflight_find(gateway->inflight, usage_own_id(gateway->usage));
 }
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -70,10 +70,10 @@
 	uint64_t place = account_place(writer, entry->account);
 	uint64_t count = entry->count;
 
-	if (entry->window != writer->window || entry->start != writer->start)
+	if (entry->window != writer->window || entry->incarnation_id != writer->start)
 		end_row(writer);
 	writer->window = entry->window;
-	writer->start = entry->start;
+	writer->start = entry->incarnation_id;
 	g_array_append_val(writer->cells, place);
 	g_array_append_val(writer->cells, count);
 }
@@ -175,7 +175,7 @@
 		uint64_t place = msgpack_field_number(&fields[i]);
 		usage_entry_t entry = {
 			.window = (int64_t)msgpack_field_number(&fields[0]),
-			.start = msgpack_field_number(&fields[1]),
+			.incarnation_id = msgpack_field_number(&fields[1]),
 			.count = msgpack_field_number(&fields[i + 1]),
 		};
 
--- a/core/forward/usage.c
+++ b/core/forward/usage.c
@@ -30,7 +30,7 @@
 } counter_t;
 
 typedef struct tally {
-	uint64_t start;
+	uint64_t incarnation_id;
 	GArray *counters; /* of counter_t */
 } tally_t;
 
@@ -40,7 +40,7 @@
 } window_t;
 
 struct usage {
-	uint64_t start; /* of this gateway */
+	uint64_t own_id; /* of this gateway */
 	GPtrArray *windows; /* of window_t; there are few */
 	bool grown; /* own counts have not been sent as they are */
 };
@@ -81,22 +81,22 @@
  * Returns the number of a gateway's start, by its incarnation. The upper half is the same
  * for all starts of a VM.
  */
-uint64_t usage_start(const char *incarnation)
+uint64_t usage_incarnation_id(const char *incarnation)
 {
 	return hash_bytes(incarnation, usage_vm_len(incarnation)) << START_BITS |
 	       (uint32_t)hash_string(incarnation);
 }
 
 /* Returns the number of a start's VM. */
-uint32_t usage_start_vm(uint64_t start)
+uint32_t usage_incarnation_vm(uint64_t incarnation_id)
 {
-	return (uint32_t)(start >> START_BITS);
+	return (uint32_t)(incarnation_id >> START_BITS);
 }
 
 /* Returns the number of this gateway's start. */
-uint64_t usage_own_start(const usage_t *usage)
+uint64_t usage_own_id(const usage_t *usage)
 {
-	return usage->start;
+	return usage->own_id;
 }
 
 /* Returns empty counts of the start with that incarnation; the caller owns them. */
@@ -104,7 +104,7 @@
 {
 	usage_t *usage = g_new0(usage_t, 1);
 
-	usage->start = usage_start(incarnation);
+	usage->own_id = usage_incarnation_id(incarnation);
 	usage->windows = g_ptr_array_new_with_free_func(window_destroy);
 	return usage;
 }
@@ -143,24 +143,24 @@
 	return window;
 }
 
-static tally_t *window_tally(window_t *window, uint64_t start)
+static tally_t *window_tally(window_t *window, uint64_t incarnation_id)
 {
-	tally_t *tally = g_hash_table_lookup(window->tallies, &start);
+	tally_t *tally = g_hash_table_lookup(window->tallies, &incarnation_id);
 
 	if (tally)
 		return tally;
 	tally = g_new0(tally_t, 1);
-	tally->start = start;
+	tally->incarnation_id = incarnation_id;
 	tally->counters = g_array_new(FALSE, TRUE, sizeof(counter_t));
 	g_array_set_clear_func(tally->counters, counter_clear);
-	g_hash_table_insert(window->tallies, &tally->start, tally);
+	g_hash_table_insert(window->tallies, &tally->incarnation_id, tally);
 	return tally;
 }
 
 /* Returns what this gateway counted in a window itself; NULL: nothing. */
 static tally_t *window_own_tally(const usage_t *usage, const window_t *window)
 {
-	return g_hash_table_lookup(window->tallies, &usage->start);
+	return g_hash_table_lookup(window->tallies, &usage->own_id);
 }
 
 static counter_t *tally_counter(tally_t *tally, const char *account)
@@ -179,17 +179,18 @@
 	return &g_array_index(tally->counters, counter_t, tally->counters->len - 1);
 }
 
-static counter_t *usage_counter(usage_t *usage, int64_t window, uint64_t start,
-				const char *account)
+static counter_t *usage_counter(usage_t *usage, int64_t window,
+				uint64_t incarnation_id, const char *account)
 {
-	return tally_counter(window_tally(usage_window(usage, window), start),
+	return tally_counter(window_tally(usage_window(usage, window),
+					  incarnation_id),
 			     account);
 }
 
 /* Counts one request of this gateway. */
 void usage_add(usage_t *usage, int64_t window, const char *account)
 {
-	usage_counter(usage, window, usage->start, account)->count++;
+	usage_counter(usage, window, usage->own_id, account)->count++;
 	usage->grown = true;
 }
 
@@ -199,9 +200,10 @@
 	counter_t *counter;
 
 	/* Nobody knows more of the own counts. */
-	if (entry->start == usage->start)
+	if (entry->incarnation_id == usage->own_id)
 		return;
-	counter = usage_counter(usage, entry->window, entry->start, entry->account);
+	counter = usage_counter(usage, entry->window, entry->incarnation_id,
+				entry->account);
 	counter->count = MAX(counter->count, entry->count);
 }
 
@@ -211,7 +213,7 @@
 	for (guint i = 0; i < tally->counters->len; i++) {
 		const counter_t *counter =
 			&g_array_index(tally->counters, counter_t, i);
-		const usage_entry_t entry = { window->number, tally->start,
+		const usage_entry_t entry = { window->number, tally->incarnation_id,
 					      counter->account, counter->count };
 
 		each(ctx, &entry);
@@ -254,7 +256,7 @@
 {
 	for (guint i = 0; i < tally->counters->len; i++) {
 		counter_t *counter = &g_array_index(tally->counters, counter_t, i);
-		const usage_entry_t entry = { window->number, tally->start,
+		const usage_entry_t entry = { window->number, tally->incarnation_id,
 					      counter->account, counter->count };
 
 		if (counter->sent == counter->count)
@@ -303,12 +305,12 @@
 }
 
 /* Returns what a start has counted of an account in a window. */
-uint64_t usage_count(const usage_t *usage, int64_t window, uint64_t start,
-		     const char *account)
+uint64_t usage_count(const usage_t *usage, int64_t window,
+		     uint64_t incarnation_id, const char *account)
 {
 	const window_t *found = usage_find_window(usage, window);
 	const tally_t *tally =
-		found ? g_hash_table_lookup(found->tallies, &start) : NULL;
+		found ? g_hash_table_lookup(found->tallies, &incarnation_id) : NULL;
 
 	for (guint i = 0; tally && i < tally->counters->len; i++) {
 		const counter_t *counter =
--- a/core/forward/usage.h
+++ b/core/forward/usage.h
@@ -23,7 +23,7 @@
 /* The count of one account in one window by one start of a gateway. */
 typedef struct usage_entry {
 	int64_t window;
-	uint64_t start; /* see usage_start() */
+	uint64_t incarnation_id; /* see usage_incarnation_id() */
 	const char *account;
 	uint64_t count;
 } usage_entry_t;
@@ -32,9 +32,9 @@
 typedef void (*usage_sum_each_t)(void *ctx, const char *account, uint64_t sum);
 
 size_t usage_vm_len(const char *incarnation);
-uint64_t usage_start(const char *incarnation);
-uint32_t usage_start_vm(uint64_t start);
-uint64_t usage_own_start(const usage_t *usage);
+uint64_t usage_incarnation_id(const char *incarnation);
+uint32_t usage_incarnation_vm(uint64_t incarnation_id);
+uint64_t usage_own_id(const usage_t *usage);
 usage_t *usage_create(const char *incarnation);
 void usage_destroy(usage_t *usage);
 void usage_add(usage_t *usage, int64_t window, const char *account);
@@ -44,8 +44,8 @@
 		    void *ctx);
 void usage_each_unsent(usage_t *usage, usage_each_t each, void *ctx);
 void usage_resend(usage_t *usage);
-uint64_t usage_count(const usage_t *usage, int64_t window, uint64_t start,
-		     const char *account);
+uint64_t usage_count(const usage_t *usage, int64_t window,
+		     uint64_t incarnation_id, const char *account);
 void usage_sum(const usage_t *usage, int64_t window, usage_sum_each_t each,
 	       void *ctx);
 int64_t usage_first_window(const usage_t *usage, int64_t from, int64_t to);
--- a/core/forward/usage_inflight.c
+++ b/core/forward/usage_inflight.c
@@ -8,7 +8,7 @@
 #define BOOT_TOLERANCE (10 * PD_SEC)
 
 struct usage_inflight {
-	GHashTable *by_start; /* of usage_flight_t */
+	GHashTable *by_incarnation; /* of usage_flight_t */
 };
 
 static void expected_clear(void *data)
@@ -17,11 +17,11 @@
 }
 
 /* Returns a start's requests in flight, none as yet; the caller owns them. */
-usage_flight_t *usage_flight_create(uint64_t start)
+usage_flight_t *usage_flight_create(uint64_t incarnation_id)
 {
 	usage_flight_t *flight = g_new0(usage_flight_t, 1);
 
-	flight->start = start;
+	flight->incarnation_id = incarnation_id;
 	flight->expected = g_array_new(FALSE, FALSE, sizeof(usage_expected_t));
 	g_array_set_clear_func(flight->expected, expected_clear);
 	return flight;
@@ -49,7 +49,7 @@
 {
 	usage_inflight_t *inflight = g_new0(usage_inflight_t, 1);
 
-	inflight->by_start =
+	inflight->by_incarnation =
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 				      (GDestroyNotify)usage_flight_destroy);
 	return inflight;
@@ -60,27 +60,29 @@
 {
 	if (!inflight)
 		return;
-	g_hash_table_unref(inflight->by_start);
+	g_hash_table_unref(inflight->by_incarnation);
 	g_free(inflight);
 }
 
 /* Takes what a start has in flight, and owns it; what it told before is replaced. */
 void usage_inflight_take(usage_inflight_t *inflight, usage_flight_t *flight)
 {
-	const usage_flight_t *known = usage_inflight_find(inflight, flight->start);
+	const usage_flight_t *known =
+		usage_inflight_find(inflight, flight->incarnation_id);
 
 	if (known && known->told > flight->told) {
 		usage_flight_destroy(flight);
 		return;
 	}
-	g_hash_table_replace(inflight->by_start, &flight->start, flight);
+	g_hash_table_replace(inflight->by_incarnation, &flight->incarnation_id,
+			     flight);
 }
 
 /* Returns what a start has told last, borrowed; NULL: nothing. */
 const usage_flight_t *usage_inflight_find(const usage_inflight_t *inflight,
-					  uint64_t start)
+					  uint64_t incarnation_id)
 {
-	return g_hash_table_lookup(inflight->by_start, &start);
+	return g_hash_table_lookup(inflight->by_incarnation, &incarnation_id);
 }
 
 /* Calls EACH for what starts have told in the windows from FROM on. */
@@ -90,7 +92,7 @@
 	GHashTableIter iter;
 	gpointer flight;
 
-	g_hash_table_iter_init(&iter, inflight->by_start);
+	g_hash_table_iter_init(&iter, inflight->by_incarnation);
 	while (g_hash_table_iter_next(&iter, NULL, &flight)) {
 		if (((const usage_flight_t *)flight)->window >= from)
 			each(ctx, flight);
@@ -119,11 +121,12 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, inflight->by_start);
+	g_hash_table_iter_init(&iter, inflight->by_incarnation);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const usage_flight_t *other = value;
 
-		if (usage_start_vm(other->start) != usage_start_vm(flight->start))
+		if (usage_incarnation_vm(other->incarnation_id) !=
+		    usage_incarnation_vm(flight->incarnation_id))
 			continue;
 		if (!is_same_boot(other, flight))
 			rebooted |= flight_time(other) > flight_time(flight);
@@ -141,10 +144,11 @@
 		const usage_expected_t *expected =
 			&g_array_index(flight->expected, usage_expected_t, i);
 		uint64_t counted = usage_count(usage, flight->window,
-					       flight->start, expected->account);
+					       flight->incarnation_id,
+					       expected->account);
 		const usage_entry_t entry = {
 			.window = flight->window,
-			.start = flight->start,
+			.incarnation_id = flight->incarnation_id,
 			.account = expected->account,
 			.count = expected->count - counted,
 		};
@@ -165,7 +169,7 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, inflight->by_start);
+	g_hash_table_iter_init(&iter, inflight->by_incarnation);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const usage_flight_t *flight = value;
 
@@ -175,16 +179,18 @@
 	}
 }
 
-static gboolean flight_is_old(gpointer start, gpointer value, gpointer before)
+static gboolean flight_is_old(gpointer incarnation_id, gpointer value,
+			      gpointer before)
 {
 	const usage_flight_t *flight = value;
 
-	(void)start;
+	(void)incarnation_id;
 	return flight->window < *(int64_t *)before;
 }
 
 /* Drops what was told in the windows before one. */
 void usage_inflight_forget(usage_inflight_t *inflight, int64_t before)
 {
-	g_hash_table_foreach_remove(inflight->by_start, flight_is_old, &before);
+	g_hash_table_foreach_remove(inflight->by_incarnation, flight_is_old,
+				    &before);
 }
--- a/core/forward/usage_inflight.h
+++ b/core/forward/usage_inflight.h
@@ -19,7 +19,7 @@
 
 /* What one start has in flight, in the window that it is. */
 typedef struct usage_flight {
-	uint64_t start; /* see usage_start() */
+	uint64_t incarnation_id; /* see usage_incarnation_id() */
 	pd_time_t booted; /* time of day at which the steady clock of its VM was 0 */
 	pd_time_t begun; /* by that clock, when the start began */
 	pd_time_t told; /* by that clock, when this was so; later ones replace it */
@@ -29,14 +29,14 @@
 
 typedef void (*usage_flight_each_t)(void *ctx, const usage_flight_t *flight);
 
-usage_flight_t *usage_flight_create(uint64_t start);
+usage_flight_t *usage_flight_create(uint64_t incarnation_id);
 void usage_flight_destroy(usage_flight_t *flight);
 void usage_flight_add(usage_flight_t *flight, const char *account, uint64_t count);
 usage_inflight_t *usage_inflight_create(void);
 void usage_inflight_destroy(usage_inflight_t *inflight);
 void usage_inflight_take(usage_inflight_t *inflight, usage_flight_t *flight);
 const usage_flight_t *usage_inflight_find(const usage_inflight_t *inflight,
-					  uint64_t start);
+					  uint64_t incarnation_id);
 void usage_inflight_each(const usage_inflight_t *inflight, int64_t from,
 			 usage_flight_each_t each, void *ctx);
 void usage_inflight_each_lost(const usage_inflight_t *inflight,
--- a/core/forward/usage_watermark.c
+++ b/core/forward/usage_watermark.c
@@ -14,8 +14,8 @@
 /* What was received of a VM's starts. */
 typedef struct watermark {
 	uint32_t vm;
-	uint64_t start; /* the latest */
-	uint64_t before; /* the one before, whose messages may come late; 0: none */
+	uint64_t latest; /* incarnation id */
+	uint64_t previous; /* the one before, whose messages may come late; 0: none */
 	int64_t closed; /* the last window whose counts by that start are all here */
 	int64_t given_up; /* whose report has waited in vain; INT64_MIN: none has */
 } watermark_t;
@@ -42,22 +42,23 @@
 	g_free(marks);
 }
 
-static watermark_t *marks_find(const usage_watermarks_t *marks, uint64_t start)
+static watermark_t *marks_find(const usage_watermarks_t *marks,
+			       uint64_t incarnation_id)
 {
-	uint32_t vm = usage_start_vm(start);
+	uint32_t vm = usage_incarnation_vm(incarnation_id);
 
 	return g_hash_table_lookup(marks->by_vm, &vm);
 }
 
-static watermark_t *marks_add(usage_watermarks_t *marks, uint64_t start)
+static watermark_t *marks_add(usage_watermarks_t *marks, uint64_t incarnation_id)
 {
-	watermark_t *mark = marks_find(marks, start);
+	watermark_t *mark = marks_find(marks, incarnation_id);
 
 	if (mark)
 		return mark;
 	mark = g_new0(watermark_t, 1);
-	mark->vm = usage_start_vm(start);
-	mark->start = start;
+	mark->vm = usage_incarnation_vm(incarnation_id);
+	mark->latest = incarnation_id;
 	mark->closed = INT64_MIN;
 	mark->given_up = INT64_MIN;
 	g_hash_table_insert(marks->by_vm, &mark->vm, mark);
@@ -68,15 +69,16 @@
  * Takes that a start has sent all its counts of the windows up to CLOSED, with these
  * counts. Earlier starts of its VM have ended.
  */
-void usage_watermarks_take(usage_watermarks_t *marks, uint64_t start, int64_t closed)
+void usage_watermarks_take(usage_watermarks_t *marks, uint64_t incarnation_id,
+			   int64_t closed)
 {
-	watermark_t *mark = marks_add(marks, start);
+	watermark_t *mark = marks_add(marks, incarnation_id);
 
-	if (start == mark->before)
+	if (incarnation_id == mark->previous)
 		return;
-	if (start != mark->start) {
-		mark->before = mark->start;
-		mark->start = start;
+	if (incarnation_id != mark->latest) {
+		mark->previous = mark->latest;
+		mark->latest = incarnation_id;
 		mark->closed = INT64_MIN;
 	}
 	mark->closed = MAX(mark->closed, closed);
@@ -87,16 +89,17 @@
  * Returns whether counts of a window by a start may still be on their way. OWN is the
  * start of this gateway: it has its own counts, and earlier starts of its VM have ended.
  */
-static bool start_is_open(const usage_watermarks_t *marks, uint64_t start,
-			  uint64_t own, int64_t window)
+static bool incarnation_is_open(const usage_watermarks_t *marks,
+				uint64_t incarnation_id, uint64_t own,
+				int64_t window)
 {
-	const watermark_t *mark = marks_find(marks, start);
+	const watermark_t *mark = marks_find(marks, incarnation_id);
 
-	if (usage_start_vm(start) == usage_start_vm(own))
+	if (usage_incarnation_vm(incarnation_id) == usage_incarnation_vm(own))
 		return false;
 	if (!mark)
 		return true;
-	return mark->start == start && mark->closed < window &&
+	return mark->latest == incarnation_id && mark->closed < window &&
 	       mark->given_up == INT64_MIN;
 }
 
@@ -114,7 +117,8 @@
 	if (entry->window > sum->window)
 		return;
 	sum->coverage.counted += entry->count;
-	if (start_is_open(sum->marks, entry->start, sum->own, sum->window))
+	if (incarnation_is_open(sum->marks, entry->incarnation_id, sum->own,
+				sum->window))
 		sum->coverage.open += entry->count;
 }
 
@@ -128,7 +132,7 @@
 {
 	coverage_sum_t sum = {
 		.marks = marks,
-		.own = usage_own_start(usage),
+		.own = usage_own_id(usage),
 		.window = window,
 	};
 
@@ -153,9 +157,10 @@
 	const giving_up_t *giving = ctx;
 
 	if (entry->window > giving->window ||
-	    !start_is_open(giving->marks, entry->start, giving->own, giving->window))
+	    !incarnation_is_open(giving->marks, entry->incarnation_id,
+				 giving->own, giving->window))
 		return;
-	marks_add(giving->marks, entry->start)->given_up = giving->window;
+	marks_add(giving->marks, entry->incarnation_id)->given_up = giving->window;
 }
 
 /*
@@ -165,7 +170,7 @@
 void usage_watermarks_give_up(usage_watermarks_t *marks, const usage_t *usage,
 			      int64_t window)
 {
-	giving_up_t giving = { marks, usage_own_start(usage), window };
+	giving_up_t giving = { marks, usage_own_id(usage), window };
 
 	usage_each(usage, window - 1, give_up_open, &giving);
 }
--- a/core/forward/usage_watermark.h
+++ b/core/forward/usage_watermark.h
@@ -19,7 +19,7 @@
 
 usage_watermarks_t *usage_watermarks_create(void);
 void usage_watermarks_destroy(usage_watermarks_t *marks);
-void usage_watermarks_take(usage_watermarks_t *marks, uint64_t start,
+void usage_watermarks_take(usage_watermarks_t *marks, uint64_t incarnation_id,
 			   int64_t closed);
 usage_coverage_t usage_watermarks_coverage(const usage_watermarks_t *marks,
 					   const usage_t *usage, int64_t window);
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -288,7 +288,7 @@
 /* Adds a flight as if its VM had lost power since. */
 static void add_rebooted(void *ctx, const usage_flight_t *flight)
 {
-	usage_flight_t *moved = usage_flight_create(flight->start);
+	usage_flight_t *moved = usage_flight_create(flight->incarnation_id);
 
 	moved->booted = flight->booted - BOOTS_APART;
 	moved->begun = flight->begun;
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -260,7 +260,7 @@
 {
 	usage_t *usage = usage_create("g#1");
 	usage_inflight_t *inflight = usage_inflight_create();
-	usage_flight_t *flight = usage_flight_create(usage_own_start(usage));
+	usage_flight_t *flight = usage_flight_create(usage_own_id(usage));
 	std::pair<std::string, std::string> packed;
 	char *text;
 
--- a/tests/property/test_usage.cc
+++ b/tests/property/test_usage.cc
@@ -110,7 +110,7 @@
 /* Returns what a gateway has in flight, owned by the caller. */
 static usage_flight_t *flight_of(const fleet &all, const gateway &one)
 {
-	uint64_t own = usage_own_start(one.usage.get());
+	uint64_t own = usage_own_id(one.usage.get());
 	usage_flight_t *flight = usage_flight_create(own);
 
 	flight->booted = one.booted;
@@ -212,7 +212,7 @@
 			const std::vector<unsigned> &writers)
 {
 	gateway &sender = all.gateways[number];
-	sending message = { &all, usage_start(sender.incarnation.c_str()),
+	sending message = { &all, usage_incarnation_id(sender.incarnation.c_str()),
 			    sender.targets };
 	bool changed = false;
 
--- a/tests/unit/test_flight_pack.c
+++ b/tests/unit/test_flight_pack.c
@@ -26,7 +26,8 @@
 
 static void test_a_flight_survives_the_round_trip(void **state)
 {
-	usage_flight_t *flight = usage_flight_create(usage_start("g0#1"));
+	usage_flight_t *flight =
+		usage_flight_create(usage_incarnation_id("g0#1"));
 	usage_flight_t *read;
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
@@ -43,7 +44,7 @@
 	flight_pack(&packer, flight);
 	read = read_packed(&buffer);
 	assert_non_null(read);
-	assert_true(read->start == flight->start);
+	assert_true(read->incarnation_id == flight->incarnation_id);
 	assert_int_equal(read->booted, flight->booted);
 	assert_int_equal(read->begun, flight->begun);
 	assert_int_equal(read->told, flight->told);
--- a/tests/unit/test_forward_counts.c
+++ b/tests/unit/test_forward_counts.c
@@ -81,8 +81,8 @@
 static void merge(usage_t *usage, const char *incarnation, int64_t window,
 		  uint64_t count)
 {
-	const usage_entry_t entry = { window, usage_start(incarnation), "mill",
-				      count };
+	const usage_entry_t entry = { window, usage_incarnation_id(incarnation),
+				      "mill", count };
 
 	usage_merge(usage, &entry);
 }
--- a/tests/unit/test_usage_inflight.c
+++ b/tests/unit/test_usage_inflight.c
@@ -36,7 +36,7 @@
 	char incarnation[32];
 
 	snprintf(incarnation, sizeof(incarnation), "g%d#%d", life->vm, life->start);
-	return usage_start(incarnation);
+	return usage_incarnation_id(incarnation);
 }
 
 /* Has a start tell at a time of day that its count would be EXPECTED. */
--- a/tests/unit/test_usage_watermark.c
+++ b/tests/unit/test_usage_watermark.c
@@ -23,7 +23,7 @@
 	char incarnation[32];
 
 	snprintf(incarnation, sizeof(incarnation), "g%d#%d", gateway, start);
-	return usage_start(incarnation);
+	return usage_incarnation_id(incarnation);
 }
 
 static void receive(fleet_t *fleet, int gateway, int start, int64_t window,
@@ -76,12 +76,13 @@
 static void test_starts_of_a_vm_are_known_as_such(void **state)
 {
 	(void)state;
-	assert_int_equal(usage_start_vm(start_of(3, 1)),
-			 usage_start_vm(start_of(3, 2)));
-	assert_int_not_equal(usage_start_vm(start_of(3, 1)),
-			     usage_start_vm(start_of(4, 1)));
+	assert_int_equal(usage_incarnation_vm(start_of(3, 1)),
+			 usage_incarnation_vm(start_of(3, 2)));
+	assert_int_not_equal(usage_incarnation_vm(start_of(3, 1)),
+			     usage_incarnation_vm(start_of(4, 1)));
 	assert_true(start_of(3, 1) != start_of(3, 2));
-	assert_true(usage_start("no-name") != usage_start("another"));
+	assert_true(usage_incarnation_id("no-name") !=
+		    usage_incarnation_id("another"));
 }
 
 static void test_a_window_is_complete_when_all_have_closed_it(void **state)
