--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -547,7 +547,7 @@
 	/* A turn that was begun late must not cost the next one. */
 	object_writer_set_period(counts->writer, period * 3 / 4);
 	if (object_writer_is_due(counts->writer, now) &&
-	    (usage_is_turn(wall, period, slot) ||
+	    (usage_is_writer_turn(wall, period, slot) ||
 	     !object_writer_is_regular(counts->writer))) {
 		gateway_requests_note_flight(gateway);
 		text = usage_table_write(gateway->usage, gateway->inflight,
@@ -566,7 +566,7 @@
 static pd_time_t first_write_at(const gateway_checkpoint_t *checkpoint)
 {
 	const gateway_t *gateway = checkpoint->gateway;
-	pd_time_t wait = usage_first_write(gateway_count(gateway));
+	pd_time_t wait = usage_first_write_delay(gateway_count(gateway));
 
 	return gateway->started_at + wait + gateway_jitter(gateway, wait);
 }
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -89,7 +89,7 @@
 	char *report;
 	char *text;
 
-	usage_sum(duties->gateway->usage, window, add_count, counts);
+	usage_each_sum(duties->gateway->usage, window, add_count, counts);
 	add_all_lost(duties, window, counts);
 	report = wire_usage_write(window, counts);
 	duties_note_set_report(note, window, report);
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -97,8 +97,8 @@
 int64_t gateway_first_window_due(const gateway_t *gateway)
 {
 	return gateway_window(gateway) -
-	       usage_windows_due(gateway_window_length(gateway),
-				 gateway_report_due(gateway)) +
+	       usage_windows_retained(gateway_window_length(gateway),
+				      gateway_report_due(gateway)) +
 	       1;
 }
 
@@ -275,9 +275,9 @@
 		return;
 	gateway->usage_window = window;
 	first = gateway_first_window_due(gateway) - WINDOWS_SPARE;
-	usage_forget(gateway->usage, first);
-	usage_watermarks_forget(gateway->watermarks, first);
-	usage_inflight_forget(gateway->inflight, first);
+	usage_discard(gateway->usage, first);
+	usage_watermarks_discard(gateway->watermarks, first);
+	usage_inflight_discard(gateway->inflight, first);
 }
 
 /*
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -142,7 +142,7 @@
 /* Has the writers sent all counts and what is in flight once more. */
 static void resend_counts(gateway_peers_t *peers)
 {
-	usage_resend(peers->gateway->usage);
+	usage_mark_unsent(peers->gateway->usage);
 	peers->flight_sent = 0;
 }
 
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -99,7 +99,8 @@
 	if (request->counted || !request->account)
 		return;
 	request->counted = true;
-	usage_add(gateway->usage, gateway_window(gateway), request->account->name);
+	usage_increment(gateway->usage, gateway_window(gateway),
+			request->account->name);
 }
 
 /* Answers with a status of the gateway's own; ends the request. */
--- a/core/forward/usage.c
+++ b/core/forward/usage.c
@@ -6,21 +6,21 @@
 #include "core/hash.h"
 
 /* Of the number of a start; the rest are its VM's. */
-#define START_BITS 32
+#define INCARNATION_BITS 32
 /* So many kills of all in one window may lose that much together. */
-#define KILLS 3
+#define KILLS_PER_WINDOW 3
 /* A tick of the sender, one of the writer, and the way to the store. */
-#define WRITE_MARGIN (45 * PD_MSEC)
+#define WRITE_LATENCY (45 * PD_MSEC)
 #define WRITE_PERIOD_MIN (80 * PD_MSEC)
 #define WRITE_PERIOD_MAX (250 * PD_MSEC)
 /* A writer receives at most a message in so long while all gateways send. */
-#define SEND_PERIOD_EACH (300 * PD_USEC)
+#define SEND_PERIOD_PER_GATEWAY (300 * PD_USEC)
 #define SEND_PERIOD_MIN (20 * PD_MSEC)
 #define SEND_PERIOD_MAX (100 * PD_MSEC)
 /* Until gateways that all start at once have found each other. */
-#define FIRST_WRITE_EACH (4 * PD_MSEC)
-#define FIRST_WRITE_MIN (40 * PD_MSEC)
-#define FIRST_WRITE_MAX (150 * PD_MSEC)
+#define FIRST_WRITE_DELAY_PER_GATEWAY (4 * PD_MSEC)
+#define FIRST_WRITE_DELAY_MIN (40 * PD_MSEC)
+#define FIRST_WRITE_DELAY_MAX (150 * PD_MSEC)
 
 /* One account's count; a start counts few accounts, so they are searched. */
 typedef struct counter {
@@ -29,20 +29,20 @@
 	uint64_t sent; /* of an own count: as sent last */
 } counter_t;
 
-typedef struct tally {
+typedef struct counter_set {
 	uint64_t incarnation_id;
 	GArray *counters; /* of counter_t */
-} tally_t;
+} counter_set_t;
 
 typedef struct window {
 	int64_t number;
-	GHashTable *tallies; /* start -> tally_t */
+	GHashTable *counter_sets; /* start -> counter_set_t */
 } window_t;
 
 struct usage {
 	uint64_t own_id; /* of this gateway */
 	GPtrArray *windows; /* of window_t; there are few */
-	bool grown; /* own counts have not been sent as they are */
+	bool has_unsent; /* own counts have not been sent as they are */
 };
 
 static void counter_clear(void *data)
@@ -50,19 +50,19 @@
 	g_ref_string_release(((counter_t *)data)->account);
 }
 
-static void tally_destroy(void *data)
+static void counter_set_destroy(void *data)
 {
-	tally_t *tally = data;
+	counter_set_t *set = data;
 
-	g_array_unref(tally->counters);
-	g_free(tally);
+	g_array_unref(set->counters);
+	g_free(set);
 }
 
 static void window_destroy(void *data)
 {
 	window_t *window = data;
 
-	g_hash_table_unref(window->tallies);
+	g_hash_table_unref(window->counter_sets);
 	g_free(window);
 }
 
@@ -83,14 +83,15 @@
  */
 uint64_t usage_incarnation_id(const char *incarnation)
 {
-	return hash_bytes(incarnation, usage_vm_len(incarnation)) << START_BITS |
+	return hash_bytes(incarnation, usage_vm_len(incarnation))
+		       << INCARNATION_BITS |
 	       (uint32_t)hash_string(incarnation);
 }
 
 /* Returns the number of a start's VM. */
 uint32_t usage_incarnation_vm(uint64_t incarnation_id)
 {
-	return (uint32_t)(incarnation_id >> START_BITS);
+	return (uint32_t)(incarnation_id >> INCARNATION_BITS);
 }
 
 /* Returns the number of this gateway's start. */
@@ -137,61 +138,63 @@
 		return window;
 	window = g_new0(window_t, 1);
 	window->number = number;
-	window->tallies = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						NULL, tally_destroy);
+	window->counter_sets = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						     NULL, counter_set_destroy);
 	g_ptr_array_add(usage->windows, window);
 	return window;
 }
 
-static tally_t *window_tally(window_t *window, uint64_t incarnation_id)
+static counter_set_t *window_counter_set(window_t *window, uint64_t incarnation_id)
 {
-	tally_t *tally = g_hash_table_lookup(window->tallies, &incarnation_id);
+	counter_set_t *set =
+		g_hash_table_lookup(window->counter_sets, &incarnation_id);
 
-	if (tally)
-		return tally;
-	tally = g_new0(tally_t, 1);
-	tally->incarnation_id = incarnation_id;
-	tally->counters = g_array_new(FALSE, TRUE, sizeof(counter_t));
-	g_array_set_clear_func(tally->counters, counter_clear);
-	g_hash_table_insert(window->tallies, &tally->incarnation_id, tally);
-	return tally;
+	if (set)
+		return set;
+	set = g_new0(counter_set_t, 1);
+	set->incarnation_id = incarnation_id;
+	set->counters = g_array_new(FALSE, TRUE, sizeof(counter_t));
+	g_array_set_clear_func(set->counters, counter_clear);
+	g_hash_table_insert(window->counter_sets, &set->incarnation_id, set);
+	return set;
 }
 
 /* Returns what this gateway counted in a window itself; NULL: nothing. */
-static tally_t *window_own_tally(const usage_t *usage, const window_t *window)
+static counter_set_t *window_own_counter_set(const usage_t *usage,
+					     const window_t *window)
 {
-	return g_hash_table_lookup(window->tallies, &usage->own_id);
+	return g_hash_table_lookup(window->counter_sets, &usage->own_id);
 }
 
-static counter_t *tally_counter(tally_t *tally, const char *account)
+static counter_t *counter_set_counter(counter_set_t *set, const char *account)
 {
 	counter_t added = { .account = g_ref_string_new_intern(account) };
 
-	for (guint i = 0; i < tally->counters->len; i++) {
-		counter_t *counter = &g_array_index(tally->counters, counter_t, i);
+	for (guint i = 0; i < set->counters->len; i++) {
+		counter_t *counter = &g_array_index(set->counters, counter_t, i);
 
 		if (counter->account == added.account) {
 			g_ref_string_release(added.account);
 			return counter;
 		}
 	}
-	g_array_append_val(tally->counters, added);
-	return &g_array_index(tally->counters, counter_t, tally->counters->len - 1);
+	g_array_append_val(set->counters, added);
+	return &g_array_index(set->counters, counter_t, set->counters->len - 1);
 }
 
 static counter_t *usage_counter(usage_t *usage, int64_t window,
 				uint64_t incarnation_id, const char *account)
 {
-	return tally_counter(window_tally(usage_window(usage, window),
-					  incarnation_id),
-			     account);
+	return counter_set_counter(window_counter_set(usage_window(usage, window),
+						      incarnation_id),
+				   account);
 }
 
 /* Counts one request of this gateway. */
-void usage_add(usage_t *usage, int64_t window, const char *account)
+void usage_increment(usage_t *usage, int64_t window, const char *account)
 {
 	usage_counter(usage, window, usage->own_id, account)->count++;
-	usage->grown = true;
+	usage->has_unsent = true;
 }
 
 /* Merges a count that another gateway sent, or that was read from the store. */
@@ -207,13 +210,13 @@
 	counter->count = MAX(counter->count, entry->count);
 }
 
-static void tally_each(const window_t *window, const tally_t *tally,
-		       usage_each_t each, void *ctx)
+static void counter_set_each(const window_t *window, const counter_set_t *set,
+			     usage_each_t each, void *ctx)
 {
-	for (guint i = 0; i < tally->counters->len; i++) {
+	for (guint i = 0; i < set->counters->len; i++) {
 		const counter_t *counter =
-			&g_array_index(tally->counters, counter_t, i);
-		const usage_entry_t entry = { window->number, tally->incarnation_id,
+			&g_array_index(set->counters, counter_t, i);
+		const usage_entry_t entry = { window->number, set->incarnation_id,
 					      counter->account, counter->count };
 
 		each(ctx, &entry);
@@ -229,13 +232,13 @@
 	for (guint i = 0; i < usage->windows->len; i++) {
 		const window_t *window = g_ptr_array_index(usage->windows, i);
 		GHashTableIter iter;
-		gpointer tally;
+		gpointer set;
 
 		if (window->number < from)
 			continue;
-		g_hash_table_iter_init(&iter, window->tallies);
-		while (g_hash_table_iter_next(&iter, NULL, &tally))
-			tally_each(window, tally, each, ctx);
+		g_hash_table_iter_init(&iter, window->counter_sets);
+		while (g_hash_table_iter_next(&iter, NULL, &set))
+			counter_set_each(window, set, each, ctx);
 	}
 }
 
@@ -244,19 +247,19 @@
 {
 	for (guint i = 0; i < usage->windows->len; i++) {
 		const window_t *window = g_ptr_array_index(usage->windows, i);
-		const tally_t *tally = window_own_tally(usage, window);
+		const counter_set_t *set = window_own_counter_set(usage, window);
 
-		if (tally && window->number >= from)
-			tally_each(window, tally, each, ctx);
+		if (set && window->number >= from)
+			counter_set_each(window, set, each, ctx);
 	}
 }
 
-static void tally_each_unsent(const window_t *window, tally_t *tally,
-			      usage_each_t each, void *ctx)
+static void counter_set_each_unsent(const window_t *window, counter_set_t *set,
+				    usage_each_t each, void *ctx)
 {
-	for (guint i = 0; i < tally->counters->len; i++) {
-		counter_t *counter = &g_array_index(tally->counters, counter_t, i);
-		const usage_entry_t entry = { window->number, tally->incarnation_id,
+	for (guint i = 0; i < set->counters->len; i++) {
+		counter_t *counter = &g_array_index(set->counters, counter_t, i);
+		const usage_entry_t entry = { window->number, set->incarnation_id,
 					      counter->account, counter->count };
 
 		if (counter->sent == counter->count)
@@ -269,38 +272,38 @@
 /* Calls EACH for own counts that have grown since they were last sent. */
 void usage_each_unsent(usage_t *usage, usage_each_t each, void *ctx)
 {
-	usage->grown = false;
+	usage->has_unsent = false;
 	for (guint i = 0; i < usage->windows->len; i++) {
 		const window_t *window = g_ptr_array_index(usage->windows, i);
-		tally_t *tally = window_own_tally(usage, window);
+		counter_set_t *set = window_own_counter_set(usage, window);
 
-		if (tally)
-			tally_each_unsent(window, tally, each, ctx);
+		if (set)
+			counter_set_each_unsent(window, set, each, ctx);
 	}
 }
 
 /* Returns whether own counts have grown since they were last sent. */
 bool usage_has_unsent(const usage_t *usage)
 {
-	return usage->grown;
+	return usage->has_unsent;
 }
 
-static void mark_unsent(tally_t *tally)
+static void counter_set_mark_unsent(counter_set_t *set)
 {
-	for (guint i = 0; i < tally->counters->len; i++)
-		g_array_index(tally->counters, counter_t, i).sent = 0;
+	for (guint i = 0; i < set->counters->len; i++)
+		g_array_index(set->counters, counter_t, i).sent = 0;
 }
 
 /* Has all own counts sent again: to another receiver, or as messages were lost. */
-void usage_resend(usage_t *usage)
+void usage_mark_unsent(usage_t *usage)
 {
-	usage->grown = true;
+	usage->has_unsent = true;
 	for (guint i = 0; i < usage->windows->len; i++) {
 		const window_t *window = g_ptr_array_index(usage->windows, i);
-		tally_t *tally = window_own_tally(usage, window);
+		counter_set_t *set = window_own_counter_set(usage, window);
 
-		if (tally)
-			mark_unsent(tally);
+		if (set)
+			counter_set_mark_unsent(set);
 	}
 }
 
@@ -309,12 +312,13 @@
 		     uint64_t incarnation_id, const char *account)
 {
 	const window_t *found = usage_find_window(usage, window);
-	const tally_t *tally =
-		found ? g_hash_table_lookup(found->tallies, &incarnation_id) : NULL;
+	const counter_set_t *set =
+		found ? g_hash_table_lookup(found->counter_sets, &incarnation_id)
+		      : NULL;
 
-	for (guint i = 0; tally && i < tally->counters->len; i++) {
+	for (guint i = 0; set && i < set->counters->len; i++) {
 		const counter_t *counter =
-			&g_array_index(tally->counters, counter_t, i);
+			&g_array_index(set->counters, counter_t, i);
 
 		if (!strcmp(counter->account, account))
 			return counter->count;
@@ -334,8 +338,8 @@
 }
 
 /* Calls EACH for each account that is counted in a window, with its sum. */
-void usage_sum(const usage_t *usage, int64_t window, usage_sum_each_t each,
-	       void *ctx)
+void usage_each_sum(const usage_t *usage, int64_t window, usage_each_sum_t each,
+		    void *ctx)
 {
 	const window_t *found = usage_find_window(usage, window);
 	GHashTable *sums;
@@ -346,9 +350,9 @@
 	if (!found)
 		return;
 	sums = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-	g_hash_table_iter_init(&iter, found->tallies);
+	g_hash_table_iter_init(&iter, found->counter_sets);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		tally_each(found, value, sum_add, sums);
+		counter_set_each(found, value, sum_add, sums);
 	g_hash_table_iter_init(&iter, sums);
 	while (g_hash_table_iter_next(&iter, &key, &value))
 		each(ctx, key, *(uint64_t *)value);
@@ -370,7 +374,7 @@
 }
 
 /* Drops the windows before one. */
-void usage_forget(usage_t *usage, int64_t before)
+void usage_discard(usage_t *usage, int64_t before)
 {
 	for (guint i = usage->windows->len; i > 0; i--) {
 		const window_t *window = g_ptr_array_index(usage->windows, i - 1);
@@ -384,7 +388,7 @@
  * Returns how many windows there are, the current one included, whose reports are
  * not overdue; a report is due that long after the end of its window.
  */
-int64_t usage_windows_due(pd_time_t window, pd_time_t due)
+int64_t usage_windows_retained(pd_time_t window, pd_time_t due)
 {
 	return (due + window - 1) / window + 1;
 }
@@ -392,16 +396,18 @@
 /* Returns how long a gateway waits after sending counts before it sends more. */
 pd_time_t usage_send_period(unsigned int gateways)
 {
-	return CLAMP(gateways * SEND_PERIOD_EACH, SEND_PERIOD_MIN, SEND_PERIOD_MAX);
+	return CLAMP(gateways * SEND_PERIOD_PER_GATEWAY, SEND_PERIOD_MIN,
+		     SEND_PERIOD_MAX);
 }
 
 /*
  * Returns how long after a start of one of so many gateways the first write may be
  * made. All may start at once, and know only then who writes.
  */
-pd_time_t usage_first_write(unsigned int gateways)
+pd_time_t usage_first_write_delay(unsigned int gateways)
 {
-	return CLAMP(gateways * FIRST_WRITE_EACH, FIRST_WRITE_MIN, FIRST_WRITE_MAX);
+	return CLAMP(gateways * FIRST_WRITE_DELAY_PER_GATEWAY,
+		     FIRST_WRITE_DELAY_MIN, FIRST_WRITE_DELAY_MAX);
 }
 
 /*
@@ -413,15 +419,16 @@
  */
 pd_time_t usage_write_period(pd_time_t window, pd_time_t send_period, pd_time_t age)
 {
-	pd_time_t period = USAGE_WRITERS * (window / USAGE_TOLERANCE / KILLS -
-					    WRITE_MARGIN - send_period);
+	pd_time_t period = USAGE_WRITERS *
+			   (window / USAGE_ERROR_DIVISOR / KILLS_PER_WINDOW -
+			    WRITE_LATENCY - send_period);
 
 	period = CLAMP(period, WRITE_PERIOD_MIN, WRITE_PERIOD_MAX);
 	return age < window ? period / 2 : period;
 }
 
 /* Returns whether it is the turn of a writer, numbered from 0, by the time of day. */
-bool usage_is_turn(pd_time_t wall, pd_time_t period, int writer)
+bool usage_is_writer_turn(pd_time_t wall, pd_time_t period, int writer)
 {
 	return wall / (period / USAGE_WRITERS) % USAGE_WRITERS == writer;
 }
--- a/core/forward/usage.h
+++ b/core/forward/usage.h
@@ -14,7 +14,7 @@
 #include "ports/clock.h"
 
 /* A report may be off by one part in so many of its window. */
-#define USAGE_TOLERANCE 20
+#define USAGE_ERROR_DIVISOR 20
 /* How many gateways write all counts, each an object of its own. */
 #define USAGE_WRITERS 2
 
@@ -29,7 +29,7 @@
 } usage_entry_t;
 
 typedef void (*usage_each_t)(void *ctx, const usage_entry_t *entry);
-typedef void (*usage_sum_each_t)(void *ctx, const char *account, uint64_t sum);
+typedef void (*usage_each_sum_t)(void *ctx, const char *account, uint64_t sum);
 
 size_t usage_vm_len(const char *incarnation);
 uint64_t usage_incarnation_id(const char *incarnation);
@@ -37,25 +37,25 @@
 uint64_t usage_own_id(const usage_t *usage);
 usage_t *usage_create(const char *incarnation);
 void usage_destroy(usage_t *usage);
-void usage_add(usage_t *usage, int64_t window, const char *account);
+void usage_increment(usage_t *usage, int64_t window, const char *account);
 void usage_merge(usage_t *usage, const usage_entry_t *entry);
 void usage_each(const usage_t *usage, int64_t from, usage_each_t each, void *ctx);
 void usage_each_own(const usage_t *usage, int64_t from, usage_each_t each,
 		    void *ctx);
 void usage_each_unsent(usage_t *usage, usage_each_t each, void *ctx);
-void usage_resend(usage_t *usage);
+void usage_mark_unsent(usage_t *usage);
 uint64_t usage_count(const usage_t *usage, int64_t window,
 		     uint64_t incarnation_id, const char *account);
-void usage_sum(const usage_t *usage, int64_t window, usage_sum_each_t each,
-	       void *ctx);
+void usage_each_sum(const usage_t *usage, int64_t window, usage_each_sum_t each,
+		    void *ctx);
 int64_t usage_first_window(const usage_t *usage, int64_t from, int64_t to);
-void usage_forget(usage_t *usage, int64_t before);
-int64_t usage_windows_due(pd_time_t window, pd_time_t due);
+void usage_discard(usage_t *usage, int64_t before);
+int64_t usage_windows_retained(pd_time_t window, pd_time_t due);
 bool usage_has_unsent(const usage_t *usage);
 pd_time_t usage_send_period(unsigned int gateways);
-pd_time_t usage_first_write(unsigned int gateways);
+pd_time_t usage_first_write_delay(unsigned int gateways);
 pd_time_t usage_write_period(pd_time_t window, pd_time_t send_period,
 			     pd_time_t age);
-bool usage_is_turn(pd_time_t wall, pd_time_t period, int writer);
+bool usage_is_writer_turn(pd_time_t wall, pd_time_t period, int writer);
 
 #endif
--- a/core/forward/usage_inflight.c
+++ b/core/forward/usage_inflight.c
@@ -189,7 +189,7 @@
 }
 
 /* Drops what was told in the windows before one. */
-void usage_inflight_forget(usage_inflight_t *inflight, int64_t before)
+void usage_inflight_discard(usage_inflight_t *inflight, int64_t before)
 {
 	g_hash_table_foreach_remove(inflight->by_incarnation, flight_is_old,
 				    &before);
--- a/core/forward/usage_inflight.h
+++ b/core/forward/usage_inflight.h
@@ -42,6 +42,6 @@
 void usage_inflight_each_lost(const usage_inflight_t *inflight,
 			      const usage_t *usage, int64_t window,
 			      usage_each_t each, void *ctx);
-void usage_inflight_forget(usage_inflight_t *inflight, int64_t before);
+void usage_inflight_discard(usage_inflight_t *inflight, int64_t before);
 
 #endif
--- a/core/forward/usage_watermark.c
+++ b/core/forward/usage_watermark.c
@@ -5,7 +5,7 @@
  * Starts whose counts may not be all there may have counted up to one part in so many:
  * half of what a report may be off by, as kills lose the other half.
  */
-#define OPEN_PART (2 * USAGE_TOLERANCE)
+#define OPEN_PART (2 * USAGE_ERROR_DIVISOR)
 /* Counts come in with the gateways' states, and the slowest take so long. */
 #define SETTLE_TIME (2200 * PD_MSEC)
 /* An open report waits for one part in so many of the time until it is due. */
@@ -184,7 +184,7 @@
 }
 
 /* Drops the watermarks of VMs that were last heard before a window. */
-void usage_watermarks_forget(usage_watermarks_t *marks, int64_t before)
+void usage_watermarks_discard(usage_watermarks_t *marks, int64_t before)
 {
 	g_hash_table_foreach_remove(marks->by_vm, mark_is_old, &before);
 }
--- a/core/forward/usage_watermark.h
+++ b/core/forward/usage_watermark.h
@@ -26,7 +26,7 @@
 bool usage_coverage_is_complete(const usage_coverage_t *coverage);
 void usage_watermarks_give_up(usage_watermarks_t *marks, const usage_t *usage,
 			      int64_t window);
-void usage_watermarks_forget(usage_watermarks_t *marks, int64_t before);
+void usage_watermarks_discard(usage_watermarks_t *marks, int64_t before);
 pd_time_t usage_report_delay(bool complete, pd_time_t due);
 
 #endif
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -122,7 +122,7 @@
 {
 	uint64_t sum = 0;
 
-	usage_sum(gateway->usage, window, add_up, &sum);
+	usage_each_sum(gateway->usage, window, add_up, &sum);
 	return sum;
 }
 
@@ -135,7 +135,7 @@
 {
 	pair_t *pair = *state;
 
-	usage_add(pair->gateways[1]->usage, 3, "mill");
+	usage_increment(pair->gateways[1]->usage, 3, "mill");
 	assert_int_equal(counted(pair->gateways[1], 3), 1);
 	UNTIL(pair, counted(pair->gateways[1], 3) == 0);
 }
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -93,7 +93,7 @@
 		forward_upstreams_find(gateway->upstreams, listing.id)->running = i;
 	}
 	gateway->upstreams_known = true;
-	usage_add(gateway->usage, 3, "mill");
+	usage_increment(gateway->usage, 3, "mill");
 	work_rate_add(gateway->work, "s", 1000);
 }
 
@@ -119,7 +119,7 @@
 		break;
 	case 3:
 		peers_pack_counts(&buffer, peers);
-		usage_resend(gateway->usage);
+		usage_mark_unsent(gateway->usage);
 		break;
 	default:
 		peers_pack_announce(&packer, peers);
@@ -264,9 +264,9 @@
 	std::pair<std::string, std::string> packed;
 	char *text;
 
-	usage_add(usage, 7, "mill");
-	usage_add(usage, 7, "gin");
-	usage_add(usage, 8, "mill");
+	usage_increment(usage, 7, "mill");
+	usage_increment(usage, 7, "gin");
+	usage_increment(usage, 8, "mill");
 	flight->booted = PD_SEC;
 	flight->told = PD_SEC;
 	flight->window = 8;
--- a/tests/property/test_usage.cc
+++ b/tests/property/test_usage.cc
@@ -138,9 +138,10 @@
 	starting.runs = true;
 	starting.started_at = all.now;
 	starting.sent_at = 0;
-	starting.first_write_at = all.now + usage_first_write(all.gateways.size());
+	starting.first_write_at =
+		all.now + usage_first_write_delay(all.gateways.size());
 	starting.first_write_at +=
-		draw(all, 0, usage_first_write(all.gateways.size()));
+		draw(all, 0, usage_first_write_delay(all.gateways.size()));
 	starting.targets[0] = starting.targets[1] = -1;
 }
 
@@ -226,7 +227,7 @@
 		sender.targets[i] = target;
 	}
 	if (changed)
-		usage_resend(sender.usage.get());
+		usage_mark_unsent(sender.usage.get());
 	usage_each_unsent(sender.usage.get(), deliver, &message);
 	deliver_flight(message, sender);
 }
@@ -253,7 +254,7 @@
 	object_writer_set_period(object, period * 3 / 4);
 	if (!object_writer_is_due(object, all.now) ||
 	    (object_writer_is_regular(object) &&
-	     !usage_is_turn(all.now, period, (int)slot)))
+	     !usage_is_writer_turn(all.now, period, (int)slot)))
 		return;
 	usage_inflight_take(writer.inflight.get(), flight_of(all, writer));
 	text = usage_table_write(writer.usage.get(), writer.inflight.get(), window);
@@ -322,7 +323,7 @@
 
 static void answer(fleet &all, gateway &one)
 {
-	usage_add(one.usage.get(), window, account);
+	usage_increment(one.usage.get(), window, account);
 	all.truth++;
 }
 
@@ -403,7 +404,7 @@
 
 	for (const auto &stored : all.store)
 		merge_text(reader, inflight, stored.text);
-	usage_sum(reader, window, sum_up, &sum);
+	usage_each_sum(reader, window, sum_up, &sum);
 	usage_inflight_each_lost(inflight, reader, window, add_lost, &sum);
 	usage_inflight_destroy(inflight);
 	usage_destroy(reader);
@@ -440,7 +441,7 @@
 /* Returns how long after a start of all the checkpoint is written by turns. */
 static pd_time_t settled_after(unsigned size)
 {
-	return 2 * usage_first_write(size) + 100 * PD_MSEC;
+	return 2 * usage_first_write_delay(size) + 100 * PD_MSEC;
 }
 
 /* Kills all gateways in a window of five seconds, once its writer has died, or not. */
--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -83,7 +83,7 @@
 {
 	uint64_t sum = 0;
 
-	usage_sum(usage, window, add_up, &sum);
+	usage_each_sum(usage, window, add_up, &sum);
 	return sum;
 }
 
@@ -104,7 +104,7 @@
 	pd_error_t err;
 
 	(void)state;
-	usage_add(usage, 7, "mill");
+	usage_increment(usage, 7, "mill");
 	merge(usage, 7, UINT64_MAX, "mill", 1000);
 	merge(usage, 7, 5, "gin \"\\", 20);
 	merge(usage, 8, 5, "gin \"\\", 3);
--- a/tests/unit/test_forward_counts.c
+++ b/tests/unit/test_forward_counts.c
@@ -66,7 +66,7 @@
 {
 	uint64_t sum = 0;
 
-	usage_sum(usage, window, add_up, &sum);
+	usage_each_sum(usage, window, add_up, &sum);
 	return sum;
 }
 
@@ -93,13 +93,13 @@
 	usage_t *usage = usage_create("e0#1");
 
 	(void)state;
-	usage_add(usage, 7, "mill");
+	usage_increment(usage, 7, "mill");
 	merge(usage, "e1#1", 7, 5);
 	merge(usage, "e1#1", 7, 3);
 	merge(usage, "e1#2", 7, 2); /* its next start */
 	merge(usage, "e1#2", 8, 9);
 	assert_int_equal(sum_of(usage, 7), 1 + 5 + 2);
-	usage_forget(usage, 8);
+	usage_discard(usage, 8);
 	assert_int_equal(sum_of(usage, 7), 0);
 	assert_int_equal(sum_of(usage, 8), 9);
 	usage_destroy(usage);
@@ -112,7 +112,7 @@
 
 	(void)state;
 	merge(usage, "e0#1", 7, 40);
-	usage_add(usage, 7, "mill");
+	usage_increment(usage, 7, "mill");
 	assert_int_equal(sum_of(usage, 7), 41);
 	usage_destroy(usage);
 }
@@ -136,9 +136,9 @@
 	usage_t *usage = usage_create("e0#1");
 
 	(void)state;
-	assert_int_equal(usage_windows_due(5 * PD_SEC, 10 * PD_SEC), 3);
-	assert_int_equal(usage_windows_due(1 * PD_SEC, 10 * PD_SEC), 11);
-	assert_int_equal(usage_windows_due(60 * PD_SEC, 10 * PD_SEC), 2);
+	assert_int_equal(usage_windows_retained(5 * PD_SEC, 10 * PD_SEC), 3);
+	assert_int_equal(usage_windows_retained(1 * PD_SEC, 10 * PD_SEC), 11);
+	assert_int_equal(usage_windows_retained(60 * PD_SEC, 10 * PD_SEC), 2);
 	assert_int_equal(usage_first_window(usage, 5, 9), 9);
 	merge(usage, "e1#1", 7, 1);
 	merge(usage, "e1#1", 4, 1);
@@ -152,7 +152,7 @@
 	usage_t *usage = usage_create("e0#1");
 
 	(void)state;
-	usage_add(usage, 7, "mill");
+	usage_increment(usage, 7, "mill");
 	merge(usage, "e0#1", 7, 9);
 	assert_int_equal(sum_of(usage, 7), 1);
 	usage_destroy(usage);
@@ -164,12 +164,12 @@
 	usage_t *usage = usage_create("e0#1");
 
 	(void)state;
-	usage_add(usage, 7, "mill");
+	usage_increment(usage, 7, "mill");
 	assert_int_equal(unsent(usage), 1);
 	assert_int_equal(unsent(usage), 0);
-	usage_add(usage, 7, "mill");
+	usage_increment(usage, 7, "mill");
 	assert_int_equal(unsent(usage), 2);
-	usage_resend(usage);
+	usage_mark_unsent(usage);
 	assert_int_equal(unsent(usage), 2);
 	usage_destroy(usage);
 }
--- a/tests/unit/test_usage_inflight.c
+++ b/tests/unit/test_usage_inflight.c
@@ -199,9 +199,9 @@
 {
 	report_t *report = *state;
 
-	usage_inflight_forget(report->inflight, WINDOW);
+	usage_inflight_discard(report->inflight, WINDOW);
 	assert_non_null(usage_inflight_find(report->inflight, start_of(&first)));
-	usage_inflight_forget(report->inflight, WINDOW + 1);
+	usage_inflight_discard(report->inflight, WINDOW + 1);
 	assert_null(usage_inflight_find(report->inflight, start_of(&first)));
 }
 
--- a/tests/unit/test_usage_watermark.c
+++ b/tests/unit/test_usage_watermark.c
@@ -56,7 +56,7 @@
 	fleet->leader = usage_create("g0#1");
 	fleet->marks = usage_watermarks_create();
 	for (int i = 0; i < RATE; i++)
-		usage_add(fleet->leader, WINDOW, "mill");
+		usage_increment(fleet->leader, WINDOW, "mill");
 	for (int i = 1; i < GATEWAYS; i++)
 		receive(fleet, i, 1, WINDOW, RATE);
 	*state = fleet;
@@ -182,9 +182,9 @@
 	for (int i = 1; i < GATEWAYS; i++)
 		close_window(fleet, i, 1, i == 5 ? WINDOW - 1 : WINDOW);
 	usage_watermarks_give_up(fleet->marks, fleet->leader, WINDOW);
-	usage_watermarks_forget(fleet->marks, WINDOW);
+	usage_watermarks_discard(fleet->marks, WINDOW);
 	assert_true(is_complete(fleet, WINDOW));
-	usage_watermarks_forget(fleet->marks, WINDOW + 1);
+	usage_watermarks_discard(fleet->marks, WINDOW + 1);
 	assert_false(is_complete(fleet, WINDOW));
 }
 
