--- a/core/forward/usage.c
+++ b/core/forward/usage.c
@@ -1,34 +1,35 @@
-/* Grow-only counters by window, by start and by account. */
+/* Grow-only counters by window, incarnation and account. */
 #include "core/forward/usage.h"
 
 #include <string.h>
 
 #include "core/hash.h"
 
-/* Of the number of a start; the rest are its VM's. */
+/* Low bits of an incarnation id; the high bits identify the VM. */
 #define INCARNATION_BITS 32
-/* So many kills of all in one window may lose that much together. */
+/* Kills of all gateways in one window that may together lose the allowed error. */
 #define KILLS_PER_WINDOW 3
-/* A tick of the sender, one of the writer, and the way to the store. */
+/* A tick of the sender, a tick of the writer, and the latency of the store. */
 #define WRITE_LATENCY (45 * PD_MSEC)
 #define WRITE_PERIOD_MIN (80 * PD_MSEC)
 #define WRITE_PERIOD_MAX (250 * PD_MSEC)
-/* A writer receives at most a message in so long while all gateways send. */
+/* Limits a writer to one received message per this time when all gateways send. */
 #define SEND_PERIOD_PER_GATEWAY (300 * PD_USEC)
 #define SEND_PERIOD_MIN (20 * PD_MSEC)
 #define SEND_PERIOD_MAX (100 * PD_MSEC)
-/* Until gateways that all start at once have found each other. */
+/* Time that gateways which all start at once need to discover each other. */
 #define FIRST_WRITE_DELAY_PER_GATEWAY (4 * PD_MSEC)
 #define FIRST_WRITE_DELAY_MIN (40 * PD_MSEC)
 #define FIRST_WRITE_DELAY_MAX (150 * PD_MSEC)
 
-/* One account's count; a start counts few accounts, so they are searched. */
+/* One account's count. An incarnation has few accounts, so a linear search will do. */
 typedef struct counter {
 	char *account; /* interned */
 	uint64_t count;
-	uint64_t sent; /* of an own count: as sent last */
+	uint64_t sent; /* own counters only: the value that was sent last */
 } counter_t;
 
+/* The counters of one incarnation in one window. */
 typedef struct counter_set {
 	uint64_t incarnation_id;
 	GArray *counters; /* of counter_t */
@@ -36,13 +37,13 @@
 
 typedef struct window {
 	int64_t number;
-	GHashTable *counter_sets; /* start -> counter_set_t */
+	GHashTable *counter_sets; /* incarnation id -> counter_set_t */
 } window_t;
 
 struct usage {
-	uint64_t own_id; /* of this gateway */
-	GPtrArray *windows; /* of window_t; there are few */
-	bool has_unsent; /* own counts have not been sent as they are */
+	uint64_t own_id; /* incarnation id of this gateway */
+	GPtrArray *windows; /* of window_t; only a few, so they are searched */
+	bool has_unsent; /* own counters have grown since they were sent */
 };
 
 static void counter_clear(void *data)
@@ -67,8 +68,8 @@
 }
 
 /*
- * Returns the length of the id of the VM, which an incarnation begins with; "#" and a
- * name of the start follow it.
+ * Returns the length of the VM id at the beginning of an incarnation name, which is the
+ * VM id, "#" and a name that is unique among the runs on that VM.
  */
 size_t usage_vm_len(const char *incarnation)
 {
@@ -78,8 +79,8 @@
 }
 
 /*
- * Returns the number of a gateway's start, by its incarnation. The upper half is the same
- * for all starts of a VM.
+ * Returns the id of an incarnation by its name. The upper half is the same for all
+ * incarnations on a VM.
  */
 uint64_t usage_incarnation_id(const char *incarnation)
 {
@@ -88,19 +89,19 @@
 	       (uint32_t)hash_string(incarnation);
 }
 
-/* Returns the number of a start's VM. */
+/* Returns the part of an incarnation id that identifies its VM. */
 uint32_t usage_incarnation_vm(uint64_t incarnation_id)
 {
 	return (uint32_t)(incarnation_id >> INCARNATION_BITS);
 }
 
-/* Returns the number of this gateway's start. */
+/* Returns the incarnation id of this gateway. */
 uint64_t usage_own_id(const usage_t *usage)
 {
 	return usage->own_id;
 }
 
-/* Returns empty counts of the start with that incarnation; the caller owns them. */
+/* Returns empty counters for the gateway of that incarnation; the caller owns them. */
 usage_t *usage_create(const char *incarnation)
 {
 	usage_t *usage = g_new0(usage_t, 1);
@@ -110,7 +111,7 @@
 	return usage;
 }
 
-/* Frees the counts; NULL is allowed. */
+/* Frees the counters; NULL is allowed. */
 void usage_destroy(usage_t *usage)
 {
 	if (!usage)
@@ -159,7 +160,7 @@
 	return set;
 }
 
-/* Returns what this gateway counted in a window itself; NULL: nothing. */
+/* Returns this gateway's own counters of a window, or NULL if there are none. */
 static counter_set_t *window_own_counter_set(const usage_t *usage,
 					     const window_t *window)
 {
@@ -190,19 +191,21 @@
 				   account);
 }
 
-/* Counts one request of this gateway. */
+/* Counts one request that this gateway sent for an account. */
 void usage_increment(usage_t *usage, int64_t window, const char *account)
 {
 	usage_counter(usage, window, usage->own_id, account)->count++;
 	usage->has_unsent = true;
 }
 
-/* Merges a count that another gateway sent, or that was read from the store. */
+/*
+ * Merges a count that was received from another gateway or read from the store. Own
+ * counts are ignored, as they can't be newer than those held here.
+ */
 void usage_merge(usage_t *usage, const usage_entry_t *entry)
 {
 	counter_t *counter;
 
-	/* Nobody knows more of the own counts. */
 	if (entry->incarnation_id == usage->own_id)
 		return;
 	counter = usage_counter(usage, entry->window, entry->incarnation_id,
@@ -224,8 +227,8 @@
 }
 
 /*
- * Calls EACH for all counts of the windows from FROM on. Those of a window
- * follow each other, and among them those of a start.
+ * Calls EACH for all counts of the windows from FROM on, grouped by window and within a
+ * window by incarnation.
  */
 void usage_each(const usage_t *usage, int64_t from, usage_each_t each, void *ctx)
 {
@@ -269,7 +272,7 @@
 	}
 }
 
-/* Calls EACH for own counts that have grown since they were last sent. */
+/* Calls EACH for own counts that have grown since they were sent; marks them as sent. */
 void usage_each_unsent(usage_t *usage, usage_each_t each, void *ctx)
 {
 	usage->has_unsent = false;
@@ -282,7 +285,7 @@
 	}
 }
 
-/* Returns whether own counts have grown since they were last sent. */
+/* Returns whether own counts have grown since they were sent. */
 bool usage_has_unsent(const usage_t *usage)
 {
 	return usage->has_unsent;
@@ -294,7 +297,7 @@
 		g_array_index(set->counters, counter_t, i).sent = 0;
 }
 
-/* Has all own counts sent again: to another receiver, or as messages were lost. */
+/* Marks all own counts as unsent, as the receiver changed or messages were lost. */
 void usage_mark_unsent(usage_t *usage)
 {
 	usage->has_unsent = true;
@@ -307,7 +310,7 @@
 	}
 }
 
-/* Returns what a start has counted of an account in a window. */
+/* Returns an incarnation's count of an account in a window; 0 if there is none. */
 uint64_t usage_count(const usage_t *usage, int64_t window,
 		     uint64_t incarnation_id, const char *account)
 {
@@ -337,7 +340,7 @@
 	*sum += entry->count;
 }
 
-/* Calls EACH for each account that is counted in a window, with its sum. */
+/* Calls EACH for each account with counts in a window, with the sum of all gateways. */
 void usage_each_sum(const usage_t *usage, int64_t window, usage_each_sum_t each,
 		    void *ctx)
 {
@@ -359,7 +362,7 @@
 	g_hash_table_unref(sums);
 }
 
-/* Returns the first window from FROM on that has counts, TO if none before it has. */
+/* Returns the first window in [FROM, TO) that has counts, or TO if none has. */
 int64_t usage_first_window(const usage_t *usage, int64_t from, int64_t to)
 {
 	int64_t first = to;
@@ -373,7 +376,7 @@
 	return first;
 }
 
-/* Drops the windows before one. */
+/* Frees the counts of the windows before BEFORE. */
 void usage_discard(usage_t *usage, int64_t before)
 {
 	for (guint i = usage->windows->len; i > 0; i--) {
@@ -385,15 +388,16 @@
 }
 
 /*
- * Returns how many windows there are, the current one included, whose reports are
- * not overdue; a report is due that long after the end of its window.
+ * Returns the number of windows, including the current one, whose counts have to be
+ * retained: those whose reports are not overdue. A report is due DUE after the end of
+ * its window, which is WINDOW long.
  */
 int64_t usage_windows_retained(pd_time_t window, pd_time_t due)
 {
 	return (due + window - 1) / window + 1;
 }
 
-/* Returns how long a gateway waits after sending counts before it sends more. */
+/* Returns the minimum time between two sends of counts by one of GATEWAYS gateways. */
 pd_time_t usage_send_period(unsigned int gateways)
 {
 	return CLAMP(gateways * SEND_PERIOD_PER_GATEWAY, SEND_PERIOD_MIN,
@@ -401,8 +405,8 @@
 }
 
 /*
- * Returns how long after a start of one of so many gateways the first write may be
- * made. All may start at once, and know only then who writes.
+ * Returns how long one of GATEWAYS gateways waits after its start before it writes a
+ * checkpoint. All may start at once, and need that time to agree on the writers.
  */
 pd_time_t usage_first_write_delay(unsigned int gateways)
 {
@@ -411,11 +415,12 @@
 }
 
 /*
- * Returns how often each writer has to write counts that gateways send every
- * SEND_PERIOD, so that kills of all lose less of a window than a report may be off.
- * The writers take turns, so counts wait for a part of a period at most. A writer of
- * less AGE than a window writes twice as often: all gateways may just have been
- * killed, and what several kills lose in one window adds up.
+ * Returns the period at which each writer has to write the counts that gateways send
+ * every SEND_PERIOD, so that KILLS_PER_WINDOW kills of all gateways in one window lose
+ * less than a report may miss. The writers take turns, so counts wait for at most
+ * 1/USAGE_WRITERS of a period. A writer that has run for an AGE of less than a window
+ * writes twice as often: all gateways may just have been killed, and the losses of
+ * several kills in one window add up.
  */
 pd_time_t usage_write_period(pd_time_t window, pd_time_t send_period, pd_time_t age)
 {
@@ -427,7 +432,7 @@
 	return age < window ? period / 2 : period;
 }
 
-/* Returns whether it is the turn of a writer, numbered from 0, by the time of day. */
+/* Returns whether it is writer WRITER's turn (0 is the first) at time of day WALL. */
 bool usage_is_writer_turn(pd_time_t wall, pd_time_t period, int writer)
 {
 	return wall / (period / USAGE_WRITERS) % USAGE_WRITERS == writer;
--- a/core/forward/usage.h
+++ b/core/forward/usage.h
@@ -1,8 +1,9 @@
 /*
- * How many requests of each client account began to run in each window of time,
- * counted by every start of every gateway. Counts only grow and are merged by
- * maximum, so they may be received in any order, by any way and any number of
- * times. usage-notes.md bounds what a kill of all gateways loses.
+ * Grow-only counters (a G-Counter CRDT) of the requests of each client account that
+ * began to run in each time window, one per gateway incarnation, that is, per run of
+ * a gateway process. Counters are merged by maximum, so they may be received in any
+ * order, over any path and any number of times. usage-notes.md bounds how many
+ * counts are lost when all gateways are killed.
  */
 #ifndef PISTACHIO_USAGE_H
 #define PISTACHIO_USAGE_H
@@ -13,16 +14,16 @@
 
 #include "ports/clock.h"
 
-/* A report may be off by one part in so many of its window. */
+/* A report may miss at most 1/USAGE_ERROR_DIVISOR of the requests of its window. */
 #define USAGE_ERROR_DIVISOR 20
-/* How many gateways write all counts, each an object of its own. */
+/* Number of checkpoint writers; each stores all counts in an object of its own. */
 #define USAGE_WRITERS 2
 
 typedef struct usage usage_t;
 
-/* The count of one account in one window by one start of a gateway. */
+/* The count of one account in one window by one incarnation of a gateway. */
 typedef struct usage_entry {
-	int64_t window;
+	int64_t window; /* window number: time of day / window length */
 	uint64_t incarnation_id; /* see usage_incarnation_id() */
 	const char *account;
 	uint64_t count;
--- a/core/forward/usage_gap.c
+++ b/core/forward/usage_gap.c
@@ -1,9 +1,9 @@
-/* Times without a checkpoint, by window. */
+/* Checkpoint gaps by window. */
 #include "core/forward/usage_gap.h"
 
 #include <glib.h>
 
-/* Returns how much of a window of that length lies in the gap. */
+/* Returns how much of window WINDOW, which is LENGTH long, lies in the gap. */
 pd_time_t usage_gap_in_window(const usage_gap_t *gap, int64_t window,
 			      pd_time_t length)
 {
--- a/core/forward/usage_gap.h
+++ b/core/forward/usage_gap.h
@@ -1,7 +1,7 @@
 /*
- * The time of which the checkpoint holds no counts, after all gateways were killed: for
- * operators, who learn from it which reports of usage may be short. usage-notes.md says
- * why such counts can't be kept.
+ * The time span whose counts no checkpoint holds after all gateways were killed. It is
+ * reported to operators, as usage reports of the windows in it may be too low.
+ * usage-notes.md explains why such counts can't be kept.
  */
 #ifndef PISTACHIO_USAGE_GAP_H
 #define PISTACHIO_USAGE_GAP_H
@@ -10,10 +10,10 @@
 
 #include "ports/clock.h"
 
-/* Times of day; nothing is missing if it ends no later than it begins. */
+/* Times of day; the gap is empty if TO is not after FROM. */
 typedef struct usage_gap {
-	pd_time_t from; /* the checkpoint was written last; 0: unknown */
-	pd_time_t to; /* the first of the gateways that are alive has started */
+	pd_time_t from; /* last write of the checkpoint; 0: unknown, no gap */
+	pd_time_t to; /* start of the gateway that has run for longest */
 } usage_gap_t;
 
 pd_time_t usage_gap_in_window(const usage_gap_t *gap, int64_t window,
--- a/tests/unit/test_usage_gap.c
+++ b/tests/unit/test_usage_gap.c
@@ -1,4 +1,4 @@
-/* Which windows of usage a time without a checkpoint touches. */
+/* Tests of the overlap of usage windows with a checkpoint gap. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -9,9 +9,9 @@
 #include "core/forward/usage_gap.h"
 
 #define LENGTH (5 * PD_SEC)
-#define BEGIN (7 * LENGTH) /* of window 7 */
+#define BEGIN (7 * LENGTH) /* start of window 7 */
 
-static void test_a_gap_is_shared_out_over_its_windows(void **state)
+static void test_gap_is_split_by_window(void **state)
 {
 	const usage_gap_t gap = { BEGIN + 4 * PD_SEC, BEGIN + LENGTH + PD_SEC };
 
@@ -22,7 +22,7 @@
 	assert_int_equal(usage_gap_in_window(&gap, 9, LENGTH), 0);
 }
 
-static void test_a_long_gap_covers_whole_windows(void **state)
+static void test_long_gap_covers_whole_windows(void **state)
 {
 	const usage_gap_t gap = { BEGIN - PD_SEC, BEGIN + 2 * LENGTH };
 
@@ -31,8 +31,8 @@
 	assert_int_equal(usage_gap_in_window(&gap, 8, LENGTH), LENGTH);
 }
 
-/* Guards against windows that are called short as one gateway was restarted. */
-static void test_gateways_that_live_on_leave_no_gap(void **state)
+/* Guards against reporting a gap although only one gateway was restarted. */
+static void test_surviving_gateway_leaves_no_gap(void **state)
 {
 	const usage_gap_t gap = { BEGIN + 4 * PD_SEC, BEGIN + 3 * PD_SEC };
 	const usage_gap_t unknown = { 0, BEGIN + 3 * PD_SEC };
@@ -45,9 +45,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_gap_is_shared_out_over_its_windows),
-		cmocka_unit_test(test_a_long_gap_covers_whole_windows),
-		cmocka_unit_test(test_gateways_that_live_on_leave_no_gap),
+		cmocka_unit_test(test_gap_is_split_by_window),
+		cmocka_unit_test(test_long_gap_covers_whole_windows),
+		cmocka_unit_test(test_surviving_gateway_leaves_no_gap),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
