--- a/adapters/gateway/flight_pack.c
+++ b/adapters/gateway/flight_pack.c
@@ -13,19 +13,19 @@
 }
 
 /* Packs what a start has in flight. */
-void flight_pack(msgpack_packer *packer, const usage_flight_t *flight)
+void flight_pack(msgpack_packer *packer, const inflight_snapshot_t *flight)
 {
 	const GArray *expected = flight->expected;
 
 	msgpack_pack_array(packer, HEAD_FIELDS + CELL_FIELDS * expected->len);
 	msgpack_pack_uint64(packer, flight->incarnation_id);
-	pack_time(packer, flight->booted);
-	pack_time(packer, flight->begun);
-	pack_time(packer, flight->told);
+	pack_time(packer, flight->boot_time);
+	pack_time(packer, flight->started_at);
+	pack_time(packer, flight->taken_at);
 	msgpack_pack_int64(packer, flight->window);
 	for (guint i = 0; i < expected->len; i++) {
-		const usage_expected_t *cell =
-			&g_array_index(expected, usage_expected_t, i);
+		const inflight_expected_t *cell =
+			&g_array_index(expected, inflight_expected_t, i);
 
 		msgpack_write_text(packer, cell->account);
 		msgpack_pack_uint64(packer, cell->count);
@@ -33,26 +33,26 @@
 }
 
 /* Returns what a start has in flight, owned by the caller; NULL: it is none. */
-usage_flight_t *flight_read(const msgpack_object *object)
+inflight_snapshot_t *flight_read(const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *fields =
 		msgpack_field_items(object, HEAD_FIELDS, &count);
-	usage_flight_t *flight;
+	inflight_snapshot_t *flight;
 
 	if (!fields)
 		return NULL;
-	flight = usage_flight_create(msgpack_field_number(&fields[0]));
-	flight->booted = pd_time_of_ms(msgpack_field_number(&fields[1]));
-	flight->begun = pd_time_of_ms(msgpack_field_number(&fields[2]));
-	flight->told = pd_time_of_ms(msgpack_field_number(&fields[3]));
+	flight = inflight_snapshot_create(msgpack_field_number(&fields[0]));
+	flight->boot_time = pd_time_of_ms(msgpack_field_number(&fields[1]));
+	flight->started_at = pd_time_of_ms(msgpack_field_number(&fields[2]));
+	flight->taken_at = pd_time_of_ms(msgpack_field_number(&fields[3]));
 	flight->window = (int64_t)msgpack_field_number(&fields[4]);
 	for (uint32_t i = HEAD_FIELDS; i + 1 < count; i += CELL_FIELDS) {
 		char *account = msgpack_field_text(&fields[i]);
 
 		if (account)
-			usage_flight_add(flight, account,
-					 msgpack_field_number(&fields[i + 1]));
+			inflight_snapshot_add(flight, account,
+					      msgpack_field_number(&fields[i + 1]));
 		g_free(account);
 	}
 	return flight;
--- a/adapters/gateway/flight_pack.h
+++ b/adapters/gateway/flight_pack.h
@@ -9,7 +9,7 @@
 
 #include "core/forward/usage_inflight.h"
 
-void flight_pack(msgpack_packer *packer, const usage_flight_t *flight);
-usage_flight_t *flight_read(const msgpack_object *object);
+void flight_pack(msgpack_packer *packer, const inflight_snapshot_t *flight);
+inflight_snapshot_t *flight_read(const msgpack_object *object);
 
 #endif
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -197,7 +197,8 @@
 unsigned int peers_pack_counts(msgpack_sbuffer *buffer, gateway_peers_t *peers)
 {
 	bool flight_is_new = peers_flight_is_unsent(peers);
-	const usage_flight_t *flight = gateway_requests_note_flight(peers->gateway);
+	const inflight_snapshot_t *flight =
+		gateway_requests_note_flight(peers->gateway);
 	list_writer_t usage;
 	list_writer_t uses;
 	msgpack_packer packer;
@@ -218,7 +219,7 @@
 		flight_pack(&packer, flight);
 	else
 		msgpack_pack_nil(&packer);
-	peers->flight_sent = flight ? flight->told : 0;
+	peers->flight_sent = flight ? flight->taken_at : 0;
 	return usage.count + uses.count + flight_is_new;
 }
 
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -627,10 +627,10 @@
 
 static void take_flight(gateway_t *gateway, const msgpack_object *object)
 {
-	usage_flight_t *flight = flight_read(object);
+	inflight_snapshot_t *flight = flight_read(object);
 
 	if (flight)
-		usage_inflight_take(gateway->inflight, flight);
+		usage_inflight_update(gateway->inflight, flight);
 }
 
 static int take_counts(gateway_peers_t *peers, const msgpack_object *fields)
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -423,12 +423,12 @@
 bool peers_flight_is_unsent(const gateway_peers_t *peers)
 {
 	const gateway_t *gateway = peers->gateway;
-	const usage_flight_t *flight =
+	const inflight_snapshot_t *flight =
 		usage_inflight_find(gateway->inflight,
 				    usage_own_id(gateway->usage));
 
 	return gateway->flight_changed ||
-	       (flight && flight->told > peers->flight_sent);
+	       (flight && flight->taken_at > peers->flight_sent);
 }
 
 /* Counts that have changed are sent at once, unless others have just been sent. */
--- a/adapters/gateway/request_flight.c
+++ b/adapters/gateway/request_flight.c
@@ -24,24 +24,26 @@
 	return counts;
 }
 
-static usage_flight_t *flight_now(const gateway_t *gateway)
+static inflight_snapshot_t *flight_now(const gateway_t *gateway)
 {
-	usage_flight_t *flight = usage_flight_create(usage_own_id(gateway->usage));
+	inflight_snapshot_t *flight =
+		inflight_snapshot_create(usage_own_id(gateway->usage));
 	GHashTable *counts = count_in_flight(gateway);
 	GHashTableIter iter;
 	gpointer account;
 	gpointer count;
 
-	flight->told = gateway_now();
-	flight->booted = time_vote_wall(gateway->vote, flight->told) - flight->told;
-	flight->begun = gateway->started_at;
+	flight->taken_at = gateway_now();
+	flight->boot_time = time_vote_wall(gateway->vote, flight->taken_at) -
+			    flight->taken_at;
+	flight->started_at = gateway->started_at;
 	flight->window = gateway_window(gateway);
 	g_hash_table_iter_init(&iter, counts);
 	while (g_hash_table_iter_next(&iter, &account, &count))
-		usage_flight_add(flight, account,
-				 usage_count(gateway->usage, flight->window,
-					     flight->incarnation_id, account) +
-					 GPOINTER_TO_UINT(count));
+		inflight_snapshot_add(flight, account,
+				      usage_count(gateway->usage, flight->window,
+						  flight->incarnation_id, account) +
+					      GPOINTER_TO_UINT(count));
 	g_hash_table_unref(counts);
 	return flight;
 }
@@ -50,10 +52,10 @@
  * Notes what this gateway has in flight if that has changed, and returns what was noted
  * last, borrowed.
  */
-const usage_flight_t *gateway_requests_note_flight(gateway_t *gateway)
+const inflight_snapshot_t *gateway_requests_note_flight(gateway_t *gateway)
 {
 	if (gateway->flight_changed)
-		usage_inflight_take(gateway->inflight, flight_now(gateway));
+		usage_inflight_update(gateway->inflight, flight_now(gateway));
 	gateway->flight_changed = false;
 	return usage_inflight_find(gateway->inflight, usage_own_id(gateway->usage));
 }
--- a/adapters/gateway/request_flight.h
+++ b/adapters/gateway/request_flight.h
@@ -4,6 +4,6 @@
 
 #include "adapters/gateway/gateway_state.h"
 
-const usage_flight_t *gateway_requests_note_flight(gateway_t *gateway);
+const inflight_snapshot_t *gateway_requests_note_flight(gateway_t *gateway);
 
 #endif
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -108,7 +108,7 @@
 	return buffer_encode(&buffer);
 }
 
-static void add_flight(void *ctx, const usage_flight_t *flight)
+static void add_flight(void *ctx, const inflight_snapshot_t *flight)
 {
 	list_writer_t *writer = ctx;
 
@@ -260,10 +260,10 @@
 
 	packed_list_open(&list, encoded, 0);
 	for (uint32_t i = 0; i < list.count; i++) {
-		usage_flight_t *flight = flight_read(&list.items[i]);
+		inflight_snapshot_t *flight = flight_read(&list.items[i]);
 
 		if (flight)
-			usage_inflight_take(inflight, flight);
+			usage_inflight_update(inflight, flight);
 	}
 	if (!list.items)
 		rc = pd_error_set(err, PD_ERROR_INPUT,
--- a/core/forward/usage_inflight.c
+++ b/core/forward/usage_inflight.c
@@ -5,43 +5,45 @@
  * Boots of a VM that differ by less are the same one: clocks are set and corrected by
  * seconds, and a VM that boots anew has been up for longer.
  */
-#define BOOT_TOLERANCE (10 * PD_SEC)
+#define BOOT_TIME_TOLERANCE (10 * PD_SEC)
 
 struct usage_inflight {
-	GHashTable *by_incarnation; /* of usage_flight_t */
+	GHashTable *by_incarnation; /* of inflight_snapshot_t */
 };
 
 static void expected_clear(void *data)
 {
-	g_free(((usage_expected_t *)data)->account);
+	g_free(((inflight_expected_t *)data)->account);
 }
 
 /* Returns a start's requests in flight, none as yet; the caller owns them. */
-usage_flight_t *usage_flight_create(uint64_t incarnation_id)
+inflight_snapshot_t *inflight_snapshot_create(uint64_t incarnation_id)
 {
-	usage_flight_t *flight = g_new0(usage_flight_t, 1);
+	inflight_snapshot_t *snapshot = g_new0(inflight_snapshot_t, 1);
 
-	flight->incarnation_id = incarnation_id;
-	flight->expected = g_array_new(FALSE, FALSE, sizeof(usage_expected_t));
-	g_array_set_clear_func(flight->expected, expected_clear);
-	return flight;
+	snapshot->incarnation_id = incarnation_id;
+	snapshot->expected =
+		g_array_new(FALSE, FALSE, sizeof(inflight_expected_t));
+	g_array_set_clear_func(snapshot->expected, expected_clear);
+	return snapshot;
 }
 
 /* Frees them; NULL is allowed. */
-void usage_flight_destroy(usage_flight_t *flight)
+void inflight_snapshot_destroy(inflight_snapshot_t *snapshot)
 {
-	if (!flight)
+	if (!snapshot)
 		return;
-	g_array_unref(flight->expected);
-	g_free(flight);
+	g_array_unref(snapshot->expected);
+	g_free(snapshot);
 }
 
 /* Adds an account, copied, with what its count would be. */
-void usage_flight_add(usage_flight_t *flight, const char *account, uint64_t count)
+void inflight_snapshot_add(inflight_snapshot_t *snapshot, const char *account,
+			   uint64_t count)
 {
-	const usage_expected_t expected = { g_strdup(account), count };
+	const inflight_expected_t expected = { g_strdup(account), count };
 
-	g_array_append_val(flight->expected, expected);
+	g_array_append_val(snapshot->expected, expected);
 }
 
 /* Returns what no start has told; the caller owns it. */
@@ -51,7 +53,7 @@
 
 	inflight->by_incarnation =
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-				      (GDestroyNotify)usage_flight_destroy);
+				      (GDestroyNotify)inflight_snapshot_destroy);
 	return inflight;
 }
 
@@ -65,57 +67,58 @@
 }
 
 /* Takes what a start has in flight, and owns it; what it told before is replaced. */
-void usage_inflight_take(usage_inflight_t *inflight, usage_flight_t *flight)
+void usage_inflight_update(usage_inflight_t *inflight, inflight_snapshot_t *snapshot)
 {
-	const usage_flight_t *known =
-		usage_inflight_find(inflight, flight->incarnation_id);
+	const inflight_snapshot_t *known =
+		usage_inflight_find(inflight, snapshot->incarnation_id);
 
-	if (known && known->told > flight->told) {
-		usage_flight_destroy(flight);
+	if (known && known->taken_at > snapshot->taken_at) {
+		inflight_snapshot_destroy(snapshot);
 		return;
 	}
-	g_hash_table_replace(inflight->by_incarnation, &flight->incarnation_id,
-			     flight);
+	g_hash_table_replace(inflight->by_incarnation,
+			     &snapshot->incarnation_id, snapshot);
 }
 
 /* Returns what a start has told last, borrowed; NULL: nothing. */
-const usage_flight_t *usage_inflight_find(const usage_inflight_t *inflight,
-					  uint64_t incarnation_id)
+const inflight_snapshot_t *usage_inflight_find(const usage_inflight_t *inflight,
+					       uint64_t incarnation_id)
 {
 	return g_hash_table_lookup(inflight->by_incarnation, &incarnation_id);
 }
 
 /* Calls EACH for what starts have told in the windows from FROM on. */
 void usage_inflight_each(const usage_inflight_t *inflight, int64_t from,
-			 usage_flight_each_t each, void *ctx)
+			 inflight_snapshot_each_t each, void *ctx)
 {
 	GHashTableIter iter;
-	gpointer flight;
+	gpointer snapshot;
 
 	g_hash_table_iter_init(&iter, inflight->by_incarnation);
-	while (g_hash_table_iter_next(&iter, NULL, &flight)) {
-		if (((const usage_flight_t *)flight)->window >= from)
-			each(ctx, flight);
+	while (g_hash_table_iter_next(&iter, NULL, &snapshot)) {
+		if (((const inflight_snapshot_t *)snapshot)->window >= from)
+			each(ctx, snapshot);
 	}
 }
 
-static bool is_same_boot(const usage_flight_t *one, const usage_flight_t *other)
+static bool is_same_boot(const inflight_snapshot_t *one,
+			 const inflight_snapshot_t *other)
 {
-	return ABS(one->booted - other->booted) < BOOT_TOLERANCE;
+	return ABS(one->boot_time - other->boot_time) < BOOT_TIME_TOLERANCE;
 }
 
 /* Returns the time of day at which this was told. */
-static pd_time_t flight_time(const usage_flight_t *flight)
+static pd_time_t snapshot_wall_time(const inflight_snapshot_t *snapshot)
 {
-	return flight->booted + flight->told;
+	return snapshot->boot_time + snapshot->taken_at;
 }
 
 /*
  * Returns whether a VM has lost power under this start: it has booted anew since, and no
  * other start has followed in the same boot.
  */
-static bool flight_is_lost(const usage_inflight_t *inflight,
-			   const usage_flight_t *flight)
+static bool snapshot_lost_power(const usage_inflight_t *inflight,
+				const inflight_snapshot_t *snapshot)
 {
 	bool rebooted = false;
 	GHashTableIter iter;
@@ -123,32 +126,33 @@
 
 	g_hash_table_iter_init(&iter, inflight->by_incarnation);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const usage_flight_t *other = value;
+		const inflight_snapshot_t *other = value;
 
 		if (usage_incarnation_vm(other->incarnation_id) !=
-		    usage_incarnation_vm(flight->incarnation_id))
+		    usage_incarnation_vm(snapshot->incarnation_id))
 			continue;
-		if (!is_same_boot(other, flight))
-			rebooted |= flight_time(other) > flight_time(flight);
-		else if (other->begun >= flight->told)
+		if (!is_same_boot(other, snapshot))
+			rebooted |= snapshot_wall_time(other) >
+				    snapshot_wall_time(snapshot);
+		else if (other->started_at >= snapshot->taken_at)
 			return false;
 	}
 	return rebooted;
 }
 
-static void flight_each_uncounted(const usage_flight_t *flight,
-				  const usage_t *usage, usage_each_t each,
-				  void *ctx)
+static void snapshot_each_uncounted(const inflight_snapshot_t *snapshot,
+				    const usage_t *usage, usage_each_t each,
+				    void *ctx)
 {
-	for (guint i = 0; i < flight->expected->len; i++) {
-		const usage_expected_t *expected =
-			&g_array_index(flight->expected, usage_expected_t, i);
-		uint64_t counted = usage_count(usage, flight->window,
-					       flight->incarnation_id,
+	for (guint i = 0; i < snapshot->expected->len; i++) {
+		const inflight_expected_t *expected =
+			&g_array_index(snapshot->expected, inflight_expected_t, i);
+		uint64_t counted = usage_count(usage, snapshot->window,
+					       snapshot->incarnation_id,
 					       expected->account);
 		const usage_entry_t entry = {
-			.window = flight->window,
-			.incarnation_id = flight->incarnation_id,
+			.window = snapshot->window,
+			.incarnation_id = snapshot->incarnation_id,
 			.account = expected->account,
 			.count = expected->count - counted,
 		};
@@ -171,26 +175,26 @@
 
 	g_hash_table_iter_init(&iter, inflight->by_incarnation);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const usage_flight_t *flight = value;
+		const inflight_snapshot_t *snapshot = value;
 
-		if (flight->window == window && flight->expected->len &&
-		    flight_is_lost(inflight, flight))
-			flight_each_uncounted(flight, usage, each, ctx);
+		if (snapshot->window == window && snapshot->expected->len &&
+		    snapshot_lost_power(inflight, snapshot))
+			snapshot_each_uncounted(snapshot, usage, each, ctx);
 	}
 }
 
-static gboolean flight_is_old(gpointer incarnation_id, gpointer value,
-			      gpointer before)
+static gboolean snapshot_is_expired(gpointer incarnation_id, gpointer value,
+				    gpointer before)
 {
-	const usage_flight_t *flight = value;
+	const inflight_snapshot_t *snapshot = value;
 
 	(void)incarnation_id;
-	return flight->window < *(int64_t *)before;
+	return snapshot->window < *(int64_t *)before;
 }
 
 /* Drops what was told in the windows before one. */
 void usage_inflight_discard(usage_inflight_t *inflight, int64_t before)
 {
-	g_hash_table_foreach_remove(inflight->by_incarnation, flight_is_old,
-				    &before);
+	g_hash_table_foreach_remove(inflight->by_incarnation,
+				    snapshot_is_expired, &before);
 }
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -264,11 +264,11 @@
 	assert_int_equal(calls_reported(rig), CALLS);
 }
 
-static void add_expected(void *ctx, const usage_flight_t *flight)
+static void add_expected(void *ctx, const inflight_snapshot_t *flight)
 {
 	for (guint i = 0; i < flight->expected->len; i++)
 		*(uint64_t *)ctx +=
-			g_array_index(flight->expected, usage_expected_t, i).count;
+			g_array_index(flight->expected, inflight_expected_t, i).count;
 }
 
 /* Returns how many calls are checkpointed as in flight. */
@@ -286,21 +286,22 @@
 }
 
 /* Adds a flight as if its VM had lost power since. */
-static void add_rebooted(void *ctx, const usage_flight_t *flight)
+static void add_rebooted(void *ctx, const inflight_snapshot_t *flight)
 {
-	usage_flight_t *moved = usage_flight_create(flight->incarnation_id);
+	inflight_snapshot_t *moved =
+		inflight_snapshot_create(flight->incarnation_id);
 
-	moved->booted = flight->booted - BOOTS_APART;
-	moved->begun = flight->begun;
-	moved->told = flight->told;
+	moved->boot_time = flight->boot_time - BOOTS_APART;
+	moved->started_at = flight->started_at;
+	moved->taken_at = flight->taken_at;
 	moved->window = flight->window;
 	for (guint i = 0; i < flight->expected->len; i++) {
-		const usage_expected_t *expected =
-			&g_array_index(flight->expected, usage_expected_t, i);
+		const inflight_expected_t *expected =
+			&g_array_index(flight->expected, inflight_expected_t, i);
 
-		usage_flight_add(moved, expected->account, expected->count);
+		inflight_snapshot_add(moved, expected->account, expected->count);
 	}
-	usage_inflight_take(ctx, moved);
+	usage_inflight_update(ctx, moved);
 }
 
 /* Has the checkpoint say that the VMs of all starts have lost power since. */
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -260,18 +260,19 @@
 {
 	usage_t *usage = usage_create("g#1");
 	usage_inflight_t *inflight = usage_inflight_create();
-	usage_flight_t *flight = usage_flight_create(usage_own_id(usage));
+	inflight_snapshot_t *flight =
+		inflight_snapshot_create(usage_own_id(usage));
 	std::pair<std::string, std::string> packed;
 	char *text;
 
 	usage_increment(usage, 7, "mill");
 	usage_increment(usage, 7, "gin");
 	usage_increment(usage, 8, "mill");
-	flight->booted = PD_SEC;
-	flight->told = PD_SEC;
+	flight->boot_time = PD_SEC;
+	flight->taken_at = PD_SEC;
 	flight->window = 8;
-	usage_flight_add(flight, "mill", 3);
-	usage_inflight_take(inflight, flight);
+	inflight_snapshot_add(flight, "mill", 3);
+	usage_inflight_update(inflight, flight);
 	text = usage_table_write(usage, inflight, 0);
 	packed = { decoded(text, "counts"), decoded(text, "in_flight") };
 	g_free(text);
--- a/tests/property/test_usage.cc
+++ b/tests/property/test_usage.cc
@@ -108,19 +108,20 @@
 }
 
 /* Returns what a gateway has in flight, owned by the caller. */
-static usage_flight_t *flight_of(const fleet &all, const gateway &one)
+static inflight_snapshot_t *flight_of(const fleet &all, const gateway &one)
 {
 	uint64_t own = usage_own_id(one.usage.get());
-	usage_flight_t *flight = usage_flight_create(own);
+	inflight_snapshot_t *flight = inflight_snapshot_create(own);
 
-	flight->booted = one.booted;
-	flight->begun = one.started_at - one.booted;
-	flight->told = all.now - one.booted;
+	flight->boot_time = one.booted;
+	flight->started_at = one.started_at - one.booted;
+	flight->taken_at = all.now - one.booted;
 	flight->window = window;
 	if (!one.answers.empty())
-		usage_flight_add(flight, account,
-				 usage_count(one.usage.get(), window, own, account) +
-					 one.answers.size());
+		inflight_snapshot_add(flight, account,
+				      usage_count(one.usage.get(), window, own,
+						  account) +
+					      one.answers.size());
 	return flight;
 }
 
@@ -204,8 +205,8 @@
 
 		if (target < 0 || !message.all->gateways[target].runs)
 			continue;
-		usage_inflight_take(message.all->gateways[target].inflight.get(),
-				    flight_of(*message.all, sender));
+		usage_inflight_update(message.all->gateways[target].inflight.get(),
+				      flight_of(*message.all, sender));
 	}
 }
 
@@ -256,7 +257,7 @@
 	    (object_writer_is_regular(object) &&
 	     !usage_is_writer_turn(all.now, period, (int)slot)))
 		return;
-	usage_inflight_take(writer.inflight.get(), flight_of(all, writer));
+	usage_inflight_update(writer.inflight.get(), flight_of(all, writer));
 	text = usage_table_write(writer.usage.get(), writer.inflight.get(), window);
 	made.text = text;
 	g_free(text);
--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -154,19 +154,19 @@
 
 	(void)state;
 	for (uint64_t start = 0; start < STARTS; start++) {
-		usage_flight_t *flight = usage_flight_create(start << 40);
+		inflight_snapshot_t *flight = inflight_snapshot_create(start << 40);
 
-		flight->booted = 1772338322000 * PD_MSEC;
-		flight->begun = 94107805 * PD_MSEC;
-		flight->told = 94107905 * PD_MSEC;
+		flight->boot_time = 1772338322000 * PD_MSEC;
+		flight->started_at = 94107805 * PD_MSEC;
+		flight->taken_at = 94107905 * PD_MSEC;
 		flight->window = 353445120;
 		for (int i = 0; i < ACCOUNTS_IN_FLIGHT; i++) {
 			char account[16];
 
 			g_snprintf(account, sizeof(account), "account-%d", i);
-			usage_flight_add(flight, account, 200);
+			inflight_snapshot_add(flight, account, 200);
 		}
-		usage_inflight_take(inflight, flight);
+		usage_inflight_update(inflight, flight);
 	}
 	text = usage_table_write(usage, inflight, 0);
 	assert_true(strlen(text) < FLEET_BYTES_MAX);
--- a/tests/unit/test_flight_pack.c
+++ b/tests/unit/test_flight_pack.c
@@ -9,9 +9,9 @@
 #include "adapters/gateway/flight_pack.h"
 
 /* Reads what was packed; NULL: it is nothing that is in flight. */
-static usage_flight_t *read_packed(const msgpack_sbuffer *buffer)
+static inflight_snapshot_t *read_packed(const msgpack_sbuffer *buffer)
 {
-	usage_flight_t *flight;
+	inflight_snapshot_t *flight;
 	msgpack_unpacked unpacked;
 	size_t offset = 0;
 
@@ -26,43 +26,44 @@
 
 static void test_a_flight_survives_the_round_trip(void **state)
 {
-	usage_flight_t *flight =
-		usage_flight_create(usage_incarnation_id("g0#1"));
-	usage_flight_t *read;
+	inflight_snapshot_t *flight =
+		inflight_snapshot_create(usage_incarnation_id("g0#1"));
+	inflight_snapshot_t *read;
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	(void)state;
-	flight->booted = 1772338322000 * PD_MSEC;
-	flight->begun = 94107805 * PD_MSEC;
-	flight->told = 94107905 * PD_MSEC;
+	flight->boot_time = 1772338322000 * PD_MSEC;
+	flight->started_at = 94107805 * PD_MSEC;
+	flight->taken_at = 94107905 * PD_MSEC;
 	flight->window = 354467664;
-	usage_flight_add(flight, "mill", 7);
-	usage_flight_add(flight, "gin \"\\", 1);
+	inflight_snapshot_add(flight, "mill", 7);
+	inflight_snapshot_add(flight, "gin \"\\", 1);
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	flight_pack(&packer, flight);
 	read = read_packed(&buffer);
 	assert_non_null(read);
 	assert_true(read->incarnation_id == flight->incarnation_id);
-	assert_int_equal(read->booted, flight->booted);
-	assert_int_equal(read->begun, flight->begun);
-	assert_int_equal(read->told, flight->told);
+	assert_int_equal(read->boot_time, flight->boot_time);
+	assert_int_equal(read->started_at, flight->started_at);
+	assert_int_equal(read->taken_at, flight->taken_at);
 	assert_int_equal(read->window, flight->window);
 	assert_int_equal(read->expected->len, 2);
-	assert_string_equal(g_array_index(read->expected, usage_expected_t, 1).account,
-			    "gin \"\\");
-	assert_int_equal(g_array_index(read->expected, usage_expected_t, 0).count,
+	assert_string_equal(
+		g_array_index(read->expected, inflight_expected_t, 1).account,
+		"gin \"\\");
+	assert_int_equal(g_array_index(read->expected, inflight_expected_t, 0).count,
 			 7);
-	usage_flight_destroy(read);
-	usage_flight_destroy(flight);
+	inflight_snapshot_destroy(read);
+	inflight_snapshot_destroy(flight);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
 /* Guards against times that overflow. */
 static void test_times_of_no_sense_are_bounded(void **state)
 {
-	usage_flight_t *read;
+	inflight_snapshot_t *read;
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
@@ -74,9 +75,10 @@
 		msgpack_pack_uint64(&packer, UINT64_MAX);
 	read = read_packed(&buffer);
 	assert_non_null(read);
-	assert_true(read->booted > 0 && read->booted <= (pd_time_t)PD_TIME_MAX);
-	assert_true(read->told > 0 && read->told <= (pd_time_t)PD_TIME_MAX);
-	usage_flight_destroy(read);
+	assert_true(read->boot_time > 0 &&
+		    read->boot_time <= (pd_time_t)PD_TIME_MAX);
+	assert_true(read->taken_at > 0 && read->taken_at <= (pd_time_t)PD_TIME_MAX);
+	inflight_snapshot_destroy(read);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
--- a/tests/unit/test_usage_inflight.c
+++ b/tests/unit/test_usage_inflight.c
@@ -43,15 +43,15 @@
 static void tell(report_t *report, const life_t *life, pd_time_t at,
 		 int64_t window, uint64_t expected)
 {
-	usage_flight_t *flight = usage_flight_create(start_of(life));
+	inflight_snapshot_t *flight = inflight_snapshot_create(start_of(life));
 
-	flight->booted = life->booted;
-	flight->begun = life->begun - life->booted;
-	flight->told = at - life->booted;
+	flight->boot_time = life->booted;
+	flight->started_at = life->begun - life->booted;
+	flight->taken_at = at - life->booted;
 	flight->window = window;
 	if (expected)
-		usage_flight_add(flight, "mill", expected);
-	usage_inflight_take(report->inflight, flight);
+		inflight_snapshot_add(flight, "mill", expected);
+	usage_inflight_update(report->inflight, flight);
 }
 
 static void count(report_t *report, const life_t *life, uint64_t counted)
