--- a/core/forward/usage_inflight.c
+++ b/core/forward/usage_inflight.c
@@ -1,9 +1,9 @@
-/* Requests in flight by start, and which of them ran after power was lost. */
+/* Requests in flight by incarnation, and which of them ran after a power loss. */
 #include "core/forward/usage_inflight.h"
 
 /*
- * Boots of a VM that differ by less are the same one: clocks are set and corrected by
- * seconds, and a VM that boots anew has been up for longer.
+ * Boot times of a VM that differ by less belong to the same boot: the clock may have been
+ * corrected by seconds in between. A VM that reboots has usually been up for longer.
  */
 #define BOOT_TIME_TOLERANCE (10 * PD_SEC)
 
@@ -16,7 +16,7 @@
 	g_free(((inflight_expected_t *)data)->account);
 }
 
-/* Returns a start's requests in flight, none as yet; the caller owns them. */
+/* Returns a snapshot without requests of an incarnation; the caller owns it. */
 inflight_snapshot_t *inflight_snapshot_create(uint64_t incarnation_id)
 {
 	inflight_snapshot_t *snapshot = g_new0(inflight_snapshot_t, 1);
@@ -28,7 +28,7 @@
 	return snapshot;
 }
 
-/* Frees them; NULL is allowed. */
+/* Frees a snapshot; NULL is allowed. */
 void inflight_snapshot_destroy(inflight_snapshot_t *snapshot)
 {
 	if (!snapshot)
@@ -37,7 +37,10 @@
 	g_free(snapshot);
 }
 
-/* Adds an account, copied, with what its count would be. */
+/*
+ * Adds an account to a snapshot; the name is copied. COUNT is what the account's count
+ * would be if all its requests in flight were answered.
+ */
 void inflight_snapshot_add(inflight_snapshot_t *snapshot, const char *account,
 			   uint64_t count)
 {
@@ -46,7 +49,7 @@
 	g_array_append_val(snapshot->expected, expected);
 }
 
-/* Returns what no start has told; the caller owns it. */
+/* Returns an empty set of snapshots; the caller owns it. */
 usage_inflight_t *usage_inflight_create(void)
 {
 	usage_inflight_t *inflight = g_new0(usage_inflight_t, 1);
@@ -57,7 +60,7 @@
 	return inflight;
 }
 
-/* Frees it; NULL is allowed. */
+/* Frees the set and its snapshots; NULL is allowed. */
 void usage_inflight_destroy(usage_inflight_t *inflight)
 {
 	if (!inflight)
@@ -66,7 +69,10 @@
 	g_free(inflight);
 }
 
-/* Takes what a start has in flight, and owns it; what it told before is replaced. */
+/*
+ * Stores a snapshot, of which it takes ownership, in place of the incarnation's previous
+ * one. Frees it instead if the previous one was taken later.
+ */
 void usage_inflight_update(usage_inflight_t *inflight, inflight_snapshot_t *snapshot)
 {
 	const inflight_snapshot_t *known =
@@ -80,14 +86,14 @@
 			     &snapshot->incarnation_id, snapshot);
 }
 
-/* Returns what a start has told last, borrowed; NULL: nothing. */
+/* Returns the latest snapshot of an incarnation, borrowed; NULL if there is none. */
 const inflight_snapshot_t *usage_inflight_find(const usage_inflight_t *inflight,
 					       uint64_t incarnation_id)
 {
 	return g_hash_table_lookup(inflight->by_incarnation, &incarnation_id);
 }
 
-/* Calls EACH for what starts have told in the windows from FROM on. */
+/* Calls EACH for the snapshots whose windows are FROM or later. */
 void usage_inflight_each(const usage_inflight_t *inflight, int64_t from,
 			 inflight_snapshot_each_t each, void *ctx)
 {
@@ -107,15 +113,15 @@
 	return ABS(one->boot_time - other->boot_time) < BOOT_TIME_TOLERANCE;
 }
 
-/* Returns the time of day at which this was told. */
+/* Returns the time of day at which a snapshot was taken. */
 static pd_time_t snapshot_wall_time(const inflight_snapshot_t *snapshot)
 {
 	return snapshot->boot_time + snapshot->taken_at;
 }
 
 /*
- * Returns whether a VM has lost power under this start: it has booted anew since, and no
- * other start has followed in the same boot.
+ * Returns whether the VM lost power while the snapshot's incarnation ran: it has rebooted
+ * since, and no later incarnation started in the same boot.
  */
 static bool snapshot_lost_power(const usage_inflight_t *inflight,
 				const inflight_snapshot_t *snapshot)
@@ -163,8 +169,8 @@
 }
 
 /*
- * Calls EACH for the requests of a window that were in flight when their VMs lost power,
- * by start and account, less those that were counted since.
+ * Calls EACH with the number of requests of a window that were in flight when their VMs
+ * lost power, by incarnation and account. Requests that are in USAGE are subtracted.
  */
 void usage_inflight_each_lost(const usage_inflight_t *inflight,
 			      const usage_t *usage, int64_t window,
@@ -192,7 +198,7 @@
 	return snapshot->window < *(int64_t *)before;
 }
 
-/* Drops what was told in the windows before one. */
+/* Frees the snapshots of the windows before BEFORE. */
 void usage_inflight_discard(usage_inflight_t *inflight, int64_t before)
 {
 	g_hash_table_foreach_remove(inflight->by_incarnation,
--- a/core/forward/usage_inflight.h
+++ b/core/forward/usage_inflight.h
@@ -1,8 +1,8 @@
 /*
- * The requests that each start of a gateway has in flight: sent to an upstream, not
- * answered, and so not counted. Upstreams drop them when a process is killed, as its
- * connections close, but not when its VM loses power: they run them, and the usage of the
- * window has to name them. usage-notes.md has the argument.
+ * The requests that each gateway incarnation has in flight: sent to an upstream, but not
+ * answered and thus not counted yet. Upstreams cancel them when the gateway process is
+ * killed, as its connections close, but not when its VM loses power. Then they run the
+ * requests, so the usage of the window has to include them; see usage-notes.md.
  */
 #ifndef PISTACHIO_USAGE_INFLIGHT_H
 #define PISTACHIO_USAGE_INFLIGHT_H
@@ -17,14 +17,14 @@
 	uint64_t count;
 } inflight_expected_t;
 
-/* What one start has in flight, in the window that it is. */
+/* The requests that one incarnation has in flight, counted in the current window. */
 typedef struct inflight_snapshot {
 	uint64_t incarnation_id; /* see usage_incarnation_id() */
-	pd_time_t boot_time; /* time of day at which the steady clock of its VM was 0 */
-	pd_time_t started_at; /* by that clock, when the start began */
-	pd_time_t taken_at; /* by that clock, when this was so; later ones replace it */
+	pd_time_t boot_time; /* time of day at which the VM's steady clock was 0 */
+	pd_time_t started_at; /* start of the incarnation, by the VM's steady clock */
+	pd_time_t taken_at; /* by the VM's steady clock; a later snapshot replaces this */
 	int64_t window;
-	GArray *expected; /* inflight_expected_t of the accounts with some in flight */
+	GArray *expected; /* inflight_expected_t of accounts with requests in flight */
 } inflight_snapshot_t;
 
 typedef void (*inflight_snapshot_each_t)(void *ctx,
--- a/tests/unit/test_usage_inflight.c
+++ b/tests/unit/test_usage_inflight.c
@@ -1,4 +1,4 @@
-/* Which requests in flight count for the usage of a window. */
+/* Tests of which requests in flight count for the usage of a window. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -17,46 +17,55 @@
 	usage_inflight_t *inflight;
 } report_t;
 
-/* A start of a VM whose steady clock was 0 at BOOTED. */
-typedef struct life {
+/* One run of the gateway on a VM. */
+typedef struct incarnation {
 	int vm;
-	int start;
-	pd_time_t booted;
-	pd_time_t begun; /* times of day */
-} life_t;
-
-static const life_t first = { 1, 1, NOON - 400 * PD_SEC, NOON };
-static const life_t same_boot = { 1, 2, NOON - 400 * PD_SEC, NOON + 2 * PD_SEC };
-static const life_t next_boot = { 1, 3, NOON + 3 * PD_SEC, NOON + 4 * PD_SEC };
+	int number; /* unique on the VM */
+	pd_time_t boot_time; /* time of day at which the VM's steady clock was 0 */
+	pd_time_t started_at; /* time of day */
+} incarnation_t;
+
+static const incarnation_t first_run = { 1, 1, NOON - 400 * PD_SEC, NOON };
+static const incarnation_t second_run = { 1, 2, NOON - 400 * PD_SEC,
+					  NOON + 2 * PD_SEC };
+static const incarnation_t run_after_reboot = { 1, 3, NOON + 3 * PD_SEC,
+						NOON + 4 * PD_SEC };
 /* The steady clock of a VM need not begin at 0. */
-static const life_t older_boot = { 1, 3, NOON - 9000 * PD_SEC, NOON + 4 * PD_SEC };
+static const incarnation_t run_with_clock_offset = { 1, 3, NOON - 9000 * PD_SEC,
+						     NOON + 4 * PD_SEC };
 
-static uint64_t start_of(const life_t *life)
+static uint64_t id_of(const incarnation_t *incarnation)
 {
-	char incarnation[32];
+	char name[32];
 
-	snprintf(incarnation, sizeof(incarnation), "g%d#%d", life->vm, life->start);
-	return usage_incarnation_id(incarnation);
+	snprintf(name, sizeof(name), "g%d#%d", incarnation->vm,
+		 incarnation->number);
+	return usage_incarnation_id(name);
 }
 
-/* Has a start tell at a time of day that its count would be EXPECTED. */
-static void tell(report_t *report, const life_t *life, pd_time_t at,
-		 int64_t window, uint64_t expected)
+/*
+ * Adds an incarnation's snapshot, taken at time of day AT: its count would be EXPECTED if
+ * all its requests in flight were answered; 0: none is in flight.
+ */
+static void add_snapshot(report_t *report, const incarnation_t *incarnation,
+			 pd_time_t at, int64_t window, uint64_t expected)
 {
-	inflight_snapshot_t *flight = inflight_snapshot_create(start_of(life));
+	inflight_snapshot_t *snapshot =
+		inflight_snapshot_create(id_of(incarnation));
 
-	flight->boot_time = life->booted;
-	flight->started_at = life->begun - life->booted;
-	flight->taken_at = at - life->booted;
-	flight->window = window;
+	snapshot->boot_time = incarnation->boot_time;
+	snapshot->started_at = incarnation->started_at - incarnation->boot_time;
+	snapshot->taken_at = at - incarnation->boot_time;
+	snapshot->window = window;
 	if (expected)
-		inflight_snapshot_add(flight, "mill", expected);
-	usage_inflight_update(report->inflight, flight);
+		inflight_snapshot_add(snapshot, "mill", expected);
+	usage_inflight_update(report->inflight, snapshot);
 }
 
-static void count(report_t *report, const life_t *life, uint64_t counted)
+static void count(report_t *report, const incarnation_t *incarnation,
+		  uint64_t counted)
 {
-	const usage_entry_t entry = { WINDOW, start_of(life), "mill", counted };
+	const usage_entry_t entry = { WINDOW, id_of(incarnation), "mill", counted };
 
 	usage_merge(report->usage, &entry);
 }
@@ -68,7 +77,7 @@
 	*(uint64_t *)ctx += entry->count;
 }
 
-static uint64_t lost(const report_t *report)
+static uint64_t lost_requests(const report_t *report)
 {
 	uint64_t sum = 0;
 
@@ -77,15 +86,15 @@
 	return sum;
 }
 
-/* The first start has counted 40 requests, and has 6 in flight a second later. */
+/* The first run has counted 40 requests, and has 6 in flight a second after its start. */
 static int setup(void **state)
 {
 	report_t *report = g_new0(report_t, 1);
 
 	report->usage = usage_create("g0#1");
 	report->inflight = usage_inflight_create();
-	count(report, &first, 40);
-	tell(report, &first, NOON + PD_SEC, WINDOW, 46);
+	count(report, &first_run, 40);
+	add_snapshot(report, &first_run, NOON + PD_SEC, WINDOW, 46);
 	*state = report;
 	return 0;
 }
@@ -100,134 +109,142 @@
 	return 0;
 }
 
-/* Guards against reports without what upstreams ran after power was lost. */
-static void test_requests_in_flight_count_when_power_is_lost(void **state)
+/* Guards against reports that omit requests which ran although their gateway lost power. */
+static void test_power_loss_counts_requests_in_flight(void **state)
 {
 	report_t *report = *state;
 
-	assert_int_equal(lost(report), 0);
-	tell(report, &next_boot, next_boot.begun, WINDOW, 0);
-	assert_int_equal(lost(report), 6);
+	assert_int_equal(lost_requests(report), 0);
+	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
+		     WINDOW, 0);
+	assert_int_equal(lost_requests(report), 6);
 }
 
-static void test_a_steady_clock_may_begin_anywhere(void **state)
+static void test_steady_clock_may_start_at_any_value(void **state)
 {
 	report_t *report = *state;
 
-	tell(report, &older_boot, older_boot.begun, WINDOW, 0);
-	assert_int_equal(lost(report), 6);
+	add_snapshot(report, &run_with_clock_offset,
+		     run_with_clock_offset.started_at, WINDOW, 0);
+	assert_int_equal(lost_requests(report), 6);
 }
 
-/* Guards against bills for requests that were dropped with their connections. */
-static void test_requests_of_a_killed_process_do_not_count(void **state)
+/* Guards against billing requests that were cancelled when their connections closed. */
+static void test_killed_process_counts_no_requests_in_flight(void **state)
 {
 	report_t *report = *state;
 
-	tell(report, &same_boot, same_boot.begun, WINDOW, 0);
-	assert_int_equal(lost(report), 0);
-	tell(report, &next_boot, next_boot.begun, WINDOW, 0);
-	assert_int_equal(lost(report), 0);
+	add_snapshot(report, &second_run, second_run.started_at, WINDOW, 0);
+	assert_int_equal(lost_requests(report), 0);
+	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
+		     WINDOW, 0);
+	assert_int_equal(lost_requests(report), 0);
 }
 
-/* Guards against kills in a row of which only the last is told. */
-static void test_the_last_start_of_a_boot_loses_power(void **state)
+/* Guards against counting an incarnation that was killed before the power loss. */
+static void test_only_last_incarnation_of_boot_loses_power(void **state)
 {
 	report_t *report = *state;
 
-	tell(report, &same_boot, same_boot.begun + PD_SEC / 2, WINDOW, 3);
-	tell(report, &next_boot, next_boot.begun, WINDOW, 9);
-	assert_int_equal(lost(report), 3);
+	add_snapshot(report, &second_run, second_run.started_at + PD_SEC / 2,
+		     WINDOW, 3);
+	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
+		     WINDOW, 9);
+	assert_int_equal(lost_requests(report), 3);
 }
 
-/* Guards against requests that are counted twice, as one writer knows more. */
-static void test_what_was_counted_since_is_not_lost(void **state)
+/* Guards against counting a request twice that another writer knows as answered. */
+static void test_counted_requests_are_not_lost(void **state)
 {
 	report_t *report = *state;
 
-	count(report, &first, 44);
-	tell(report, &next_boot, next_boot.begun, WINDOW, 0);
-	assert_int_equal(lost(report), 2);
-	count(report, &first, 50);
-	assert_int_equal(lost(report), 0);
+	count(report, &first_run, 44);
+	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
+		     WINDOW, 0);
+	assert_int_equal(lost_requests(report), 2);
+	count(report, &first_run, 50);
+	assert_int_equal(lost_requests(report), 0);
 }
 
-static void test_what_was_told_last_holds(void **state)
+static void test_latest_snapshot_wins(void **state)
 {
 	report_t *report = *state;
 
-	tell(report, &first, NOON + PD_SEC + 20 * PD_MSEC, WINDOW, 43);
-	tell(report, &first, NOON + PD_SEC, WINDOW, 46);
-	/* Requests may be sent between two notes of the same moment. */
-	tell(report, &first, NOON + PD_SEC + 20 * PD_MSEC, WINDOW, 41);
-	tell(report, &next_boot, next_boot.begun, WINDOW, 0);
-	assert_int_equal(lost(report), 1);
+	add_snapshot(report, &first_run, NOON + PD_SEC + 20 * PD_MSEC, WINDOW, 43);
+	add_snapshot(report, &first_run, NOON + PD_SEC, WINDOW, 46);
+	/* Requests may be sent between two snapshots of the same moment. */
+	add_snapshot(report, &first_run, NOON + PD_SEC + 20 * PD_MSEC, WINDOW, 41);
+	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
+		     WINDOW, 0);
+	assert_int_equal(lost_requests(report), 1);
 }
 
-/* Guards against a request that counts in two windows. */
-static void test_requests_count_in_the_window_that_was_told_last(void **state)
+/* Guards against counting a request in two windows. */
+static void test_requests_count_in_window_of_latest_snapshot(void **state)
 {
 	report_t *report = *state;
 
-	tell(report, &first, NOON + PD_SEC + 20 * PD_MSEC, WINDOW + 1, 6);
-	tell(report, &next_boot, next_boot.begun, WINDOW + 1, 0);
-	assert_int_equal(lost(report), 0);
+	add_snapshot(report, &first_run, NOON + PD_SEC + 20 * PD_MSEC,
+		     WINDOW + 1, 6);
+	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
+		     WINDOW + 1, 0);
+	assert_int_equal(lost_requests(report), 0);
 }
 
-/* Guards against clocks that are corrected and look like a boot. */
-static void test_a_clock_that_is_set_is_no_boot(void **state)
+/* Guards against taking a clock correction for a reboot. */
+static void test_clock_correction_is_no_reboot(void **state)
 {
 	report_t *report = *state;
-	life_t corrected = same_boot;
+	incarnation_t corrected = second_run;
 
-	corrected.booted += 5 * PD_SEC;
-	corrected.begun += 5 * PD_SEC;
-	tell(report, &corrected, corrected.begun, WINDOW, 0);
-	assert_int_equal(lost(report), 0);
+	corrected.boot_time += 5 * PD_SEC;
+	corrected.started_at += 5 * PD_SEC;
+	add_snapshot(report, &corrected, corrected.started_at, WINDOW, 0);
+	assert_int_equal(lost_requests(report), 0);
 }
 
-static void test_other_vms_say_nothing(void **state)
+static void test_reboots_of_other_vms_are_ignored(void **state)
 {
 	report_t *report = *state;
-	life_t other = next_boot;
+	incarnation_t other = run_after_reboot;
 
 	other.vm = 2;
-	tell(report, &other, other.begun, WINDOW, 0);
-	assert_int_equal(lost(report), 0);
+	add_snapshot(report, &other, other.started_at, WINDOW, 0);
+	assert_int_equal(lost_requests(report), 0);
 }
 
-static void test_old_windows_are_dropped(void **state)
+static void test_old_windows_are_discarded(void **state)
 {
 	report_t *report = *state;
 
 	usage_inflight_discard(report->inflight, WINDOW);
-	assert_non_null(usage_inflight_find(report->inflight, start_of(&first)));
+	assert_non_null(usage_inflight_find(report->inflight, id_of(&first_run)));
 	usage_inflight_discard(report->inflight, WINDOW + 1);
-	assert_null(usage_inflight_find(report->inflight, start_of(&first)));
+	assert_null(usage_inflight_find(report->inflight, id_of(&first_run)));
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_requests_in_flight_count_when_power_is_lost,
+		cmocka_unit_test_setup_teardown(test_power_loss_counts_requests_in_flight,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_steady_clock_may_begin_anywhere,
+		cmocka_unit_test_setup_teardown(test_steady_clock_may_start_at_any_value,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_requests_of_a_killed_process_do_not_count,
+		cmocka_unit_test_setup_teardown(test_killed_process_counts_no_requests_in_flight,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_the_last_start_of_a_boot_loses_power,
+		cmocka_unit_test_setup_teardown(test_only_last_incarnation_of_boot_loses_power,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_what_was_counted_since_is_not_lost,
+		cmocka_unit_test_setup_teardown(test_counted_requests_are_not_lost,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_what_was_told_last_holds,
+		cmocka_unit_test_setup_teardown(test_latest_snapshot_wins,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(
-			test_requests_count_in_the_window_that_was_told_last,
-			setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_clock_that_is_set_is_no_boot,
+		cmocka_unit_test_setup_teardown(test_requests_count_in_window_of_latest_snapshot,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_other_vms_say_nothing,
+		cmocka_unit_test_setup_teardown(test_clock_correction_is_no_reboot,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_old_windows_are_dropped,
+		cmocka_unit_test_setup_teardown(test_reboots_of_other_vms_are_ignored,
+						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_old_windows_are_discarded,
 						setup, teardown),
 	};
 
