--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -184,9 +184,9 @@
 			const msgpack_object *object)
 {
 	if (object->type != MSGPACK_OBJECT_NIL)
-		usage_watermarks_take(gateway->watermarks,
-				      usage_incarnation_id(incarnation),
-				      (int64_t)msgpack_field_number(object));
+		usage_watermarks_advance(gateway->watermarks,
+					 usage_incarnation_id(incarnation),
+					 (int64_t)msgpack_field_number(object));
 }
 
 static void take_members(gateway_peers_t *peers, const msgpack_object *object)
--- a/core/forward/usage_watermark.c
+++ b/core/forward/usage_watermark.c
@@ -1,30 +1,30 @@
-/* Watermarks of the starts that count usage. */
+/* Watermarks of the usage counts of gateway incarnations. */
 #include "core/forward/usage_watermark.h"
 
 /*
- * Starts whose counts may not be all there may have counted up to one part in so many:
- * half of what a report may be off by, as kills lose the other half.
+ * A report is complete if at most 1/OPEN_DIVISOR of its requests are by incarnations with
+ * counts still to come: half of the error allowed, as kills take the other half.
  */
-#define OPEN_PART (2 * USAGE_ERROR_DIVISOR)
-/* Counts come in with the gateways' states, and the slowest take so long. */
-#define SETTLE_TIME (2200 * PD_MSEC)
-/* An open report waits for one part in so many of the time until it is due. */
-#define WAIT_PART 2
+#define OPEN_DIVISOR (2 * USAGE_ERROR_DIVISOR)
+/* Counts arrive with the gateways' periodic states; the slowest take this long. */
+#define COUNTS_DELIVERY_TIME (2200 * PD_MSEC)
+/* An incomplete report waits for 1/DELAY_DIVISOR of the time until it is due. */
+#define DELAY_DIVISOR 2
 
-/* What was received of a VM's starts. */
+/* The watermark of a VM's latest incarnation. */
 typedef struct watermark {
 	uint32_t vm;
 	uint64_t latest; /* incarnation id */
-	uint64_t previous; /* the one before, whose messages may come late; 0: none */
-	int64_t closed; /* the last window whose counts by that start are all here */
-	int64_t given_up; /* whose report has waited in vain; INT64_MIN: none has */
+	uint64_t previous; /* incarnation id; its messages may come late; 0: none */
+	int64_t closed; /* last window whose counts by LATEST were all received */
+	int64_t given_up; /* window reported without its counts; INT64_MIN: none */
 } watermark_t;
 
 struct usage_watermarks {
 	GHashTable *by_vm; /* of watermark_t */
 };
 
-/* Returns watermarks of no start; the caller owns them. */
+/* Returns an empty set of watermarks; the caller owns it. */
 usage_watermarks_t *usage_watermarks_create(void)
 {
 	usage_watermarks_t *marks = g_new0(usage_watermarks_t, 1);
@@ -66,11 +66,11 @@
 }
 
 /*
- * Takes that a start has sent all its counts of the windows up to CLOSED, with these
- * counts. Earlier starts of its VM have ended.
+ * Records that all counts of an incarnation were received for the windows up to CLOSED.
+ * Earlier incarnations of its VM have ended.
  */
-void usage_watermarks_take(usage_watermarks_t *marks, uint64_t incarnation_id,
-			   int64_t closed)
+void usage_watermarks_advance(usage_watermarks_t *marks,
+			      uint64_t incarnation_id, int64_t closed)
 {
 	watermark_t *mark = marks_add(marks, incarnation_id);
 
@@ -86,12 +86,12 @@
 }
 
 /*
- * Returns whether counts of a window by a start may still be on their way. OWN is the
- * start of this gateway: it has its own counts, and earlier starts of its VM have ended.
+ * Returns whether counts of a window by an incarnation may still arrive. OWN is the
+ * incarnation id of this gateway, which has its own counts; earlier incarnations of its
+ * VM have ended.
  */
-static bool incarnation_is_open(const usage_watermarks_t *marks,
-				uint64_t incarnation_id, uint64_t own,
-				int64_t window)
+static bool is_open(const usage_watermarks_t *marks, uint64_t incarnation_id,
+		    uint64_t own, int64_t window)
 {
 	const watermark_t *mark = marks_find(marks, incarnation_id);
 
@@ -117,15 +117,14 @@
 	if (entry->window > sum->window)
 		return;
 	sum->coverage.counted += entry->count;
-	if (incarnation_is_open(sum->marks, entry->incarnation_id, sum->own,
-				sum->window))
+	if (is_open(sum->marks, entry->incarnation_id, sum->own, sum->window))
 		sum->coverage.open += entry->count;
 }
 
 /*
- * Returns what a report of a window that has ended would cover. A start that has counted
- * in the window or the one before is open until it, or a later start of its VM, was
- * heard to have closed the window.
+ * Returns how complete the report of a past window would be. An incarnation with counts in
+ * the window or the previous one is open until it, or a later incarnation of its VM, has
+ * reported that it closed the window.
  */
 usage_coverage_t usage_watermarks_coverage(const usage_watermarks_t *marks,
 					   const usage_t *usage, int64_t window)
@@ -140,42 +139,42 @@
 	return sum.coverage;
 }
 
-/* Returns whether what may be missing is less than a report may be off by. */
+/* Returns whether the counts that may be missing are within the error allowed. */
 bool usage_coverage_is_complete(const usage_coverage_t *coverage)
 {
-	return coverage->open * OPEN_PART <= coverage->counted;
+	return coverage->open * OPEN_DIVISOR <= coverage->counted;
 }
 
-typedef struct giving_up {
+typedef struct give_up_ctx {
 	usage_watermarks_t *marks;
 	uint64_t own;
 	int64_t window;
-} giving_up_t;
+} give_up_ctx_t;
 
-static void give_up_open(void *ctx, const usage_entry_t *entry)
+static void give_up_on_open(void *ctx, const usage_entry_t *entry)
 {
-	const giving_up_t *giving = ctx;
+	const give_up_ctx_t *give_up = ctx;
 
-	if (entry->window > giving->window ||
-	    !incarnation_is_open(giving->marks, entry->incarnation_id,
-				 giving->own, giving->window))
+	if (entry->window > give_up->window ||
+	    !is_open(give_up->marks, entry->incarnation_id, give_up->own,
+		     give_up->window))
 		return;
-	marks_add(giving->marks, entry->incarnation_id)->given_up = giving->window;
+	marks_add(give_up->marks, entry->incarnation_id)->given_up = give_up->window;
 }
 
 /*
- * Notes that the report of a window was made while starts were open: later ones do not
- * wait for these, unless they are heard, as their VMs may be gone for good.
+ * Records that the report of a window was made without the open incarnations. Later
+ * reports don't wait for them unless they are heard again, as their VMs may be gone.
  */
 void usage_watermarks_give_up(usage_watermarks_t *marks, const usage_t *usage,
 			      int64_t window)
 {
-	giving_up_t giving = { marks, usage_own_id(usage), window };
+	give_up_ctx_t give_up = { marks, usage_own_id(usage), window };
 
-	usage_each(usage, window - 1, give_up_open, &giving);
+	usage_each(usage, window - 1, give_up_on_open, &give_up);
 }
 
-static gboolean mark_is_old(gpointer vm, gpointer value, gpointer before)
+static gboolean watermark_is_expired(gpointer vm, gpointer value, gpointer before)
 {
 	const watermark_t *mark = value;
 
@@ -183,17 +182,19 @@
 	return MAX(mark->closed, mark->given_up) < *(int64_t *)before;
 }
 
-/* Drops the watermarks of VMs that were last heard before a window. */
+/* Frees the watermarks of VMs that were last heard before window BEFORE. */
 void usage_watermarks_discard(usage_watermarks_t *marks, int64_t before)
 {
-	g_hash_table_foreach_remove(marks->by_vm, mark_is_old, &before);
+	g_hash_table_foreach_remove(marks->by_vm, watermark_is_expired, &before);
 }
 
 /*
- * Returns how long after the end of its window a report is made that is due DUE after it.
- * One that is not COMPLETE waits, but leaves the next leader time in case this one dies.
+ * Returns the delay from the end of a window to its report, which is due DUE after the end.
+ * A report that is not COMPLETE waits, but leaves the next leader time to make it in case
+ * this one dies.
  */
 pd_time_t usage_report_delay(bool complete, pd_time_t due)
 {
-	return complete ? SETTLE_TIME : MAX(SETTLE_TIME, due / WAIT_PART);
+	return complete ? COUNTS_DELIVERY_TIME
+			: MAX(COUNTS_DELIVERY_TIME, due / DELAY_DIVISOR);
 }
--- a/core/forward/usage_watermark.h
+++ b/core/forward/usage_watermark.h
@@ -1,8 +1,7 @@
 /*
- * Up to which window each start of a gateway has sent all its counts, as far as this
- * gateway has received them: whether the report of a window would be complete. For
- * reports that are made while gateways are cut off or restarted; usage-notes.md has the
- * argument.
+ * Watermarks: the last window for which all counts of a gateway incarnation have been
+ * received. They tell whether a window's report would be complete while gateways are
+ * partitioned or restarted; see usage-notes.md.
  */
 #ifndef PISTACHIO_USAGE_WATERMARK_H
 #define PISTACHIO_USAGE_WATERMARK_H
@@ -11,16 +10,16 @@
 
 typedef struct usage_watermarks usage_watermarks_t;
 
-/* What a window's report would be made of. */
+/* How complete the report of a window would be. */
 typedef struct usage_coverage {
-	uint64_t counted; /* requests known in the window and the one before */
-	uint64_t open; /* of these, by starts whose counts may not be all there */
+	uint64_t counted; /* known requests of the window and the previous one */
+	uint64_t open; /* those of them by incarnations with counts still to come */
 } usage_coverage_t;
 
 usage_watermarks_t *usage_watermarks_create(void);
 void usage_watermarks_destroy(usage_watermarks_t *marks);
-void usage_watermarks_take(usage_watermarks_t *marks, uint64_t incarnation_id,
-			   int64_t closed);
+void usage_watermarks_advance(usage_watermarks_t *marks,
+			      uint64_t incarnation_id, int64_t closed);
 usage_coverage_t usage_watermarks_coverage(const usage_watermarks_t *marks,
 					   const usage_t *usage, int64_t window);
 bool usage_coverage_is_complete(const usage_coverage_t *coverage);
