--- a/tests/unit/test_forward_counts.c
+++ b/tests/unit/test_forward_counts.c
@@ -1,4 +1,4 @@
-/* Retry windows, usage, work and the vote on the time. */
+/* Tests of retry windows, usage counters and work rates. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -18,10 +18,10 @@
 				       .window = 10 * PD_SEC };
 
 /*
- * All requests of a service fail. Each sent once more, the upstreams would get
- * twice the load at the moment at which they can least take it.
+ * Guards against a retry storm: all requests of a service fail, and if each were retried,
+ * the upstreams would get twice the load when they are already overloaded.
  */
-static void test_repeats_stay_within_their_part(void **state)
+static void test_retries_stay_within_budget(void **state)
 {
 	retry_windows_t *windows = retry_windows_create(&limits);
 	unsigned int repeats = 0;
@@ -38,7 +38,7 @@
 	retry_windows_destroy(windows);
 }
 
-static void test_repeats_of_the_past_are_forgotten(void **state)
+static void test_retries_of_the_past_are_forgotten(void **state)
 {
 	retry_windows_t *windows = retry_windows_create(&limits);
 	unsigned int repeats = 0;
@@ -51,7 +51,7 @@
 	retry_windows_destroy(windows);
 }
 
-static void add_up(void *ctx, const char *account, uint64_t sum)
+static void add_sum(void *ctx, const char *account, uint64_t sum)
 {
 	assert_string_equal(account, "mill");
 	*(uint64_t *)ctx += sum;
@@ -66,7 +66,7 @@
 {
 	uint64_t sum = 0;
 
-	usage_each_sum(usage, window, add_up, &sum);
+	usage_each_sum(usage, window, add_sum, &sum);
 	return sum;
 }
 
@@ -87,8 +87,8 @@
 	usage_merge(usage, &entry);
 }
 
-/* Guards against a report without what a gateway counted that has died since. */
-static void test_counts_of_a_dead_peer_stay_in_the_sum(void **state)
+/* Guards against a report without the counts of a gateway that has died. */
+static void test_counts_of_dead_peer_stay_in_sum(void **state)
 {
 	usage_t *usage = usage_create("e0#1");
 
@@ -96,7 +96,7 @@
 	usage_increment(usage, 7, "mill");
 	merge(usage, "e1#1", 7, 5);
 	merge(usage, "e1#1", 7, 3);
-	merge(usage, "e1#2", 7, 2); /* its next start */
+	merge(usage, "e1#2", 7, 2); /* its next incarnation */
 	merge(usage, "e1#2", 8, 9);
 	assert_int_equal(sum_of(usage, 7), 1 + 5 + 2);
 	usage_discard(usage, 8);
@@ -105,8 +105,8 @@
 	usage_destroy(usage);
 }
 
-/* Guards against a report of only what was counted after a kill of all gateways. */
-static void test_checkpointed_counts_add_to_those_of_a_new_start(void **state)
+/* Guards against a report of only the counts since all gateways were killed. */
+static void test_stored_counts_add_to_those_of_new_incarnation(void **state)
 {
 	usage_t *usage = usage_create("e0#2");
 
@@ -118,7 +118,7 @@
 }
 
 /* Guards against billing a request twice that two writers have checkpointed. */
-static void test_counts_by_two_ways_are_counted_once(void **state)
+static void test_count_received_twice_is_counted_once(void **state)
 {
 	usage_t *usage = usage_create("e0#1");
 
@@ -130,8 +130,8 @@
 	usage_destroy(usage);
 }
 
-/* Guards against counts that are dropped or skipped before their report is due. */
-static void test_windows_are_kept_until_their_report_is_due(void **state)
+/* Guards against counts that are discarded or skipped before their report is due. */
+static void test_windows_are_retained_until_report_is_due(void **state)
 {
 	usage_t *usage = usage_create("e0#1");
 
@@ -146,8 +146,8 @@
 	usage_destroy(usage);
 }
 
-/* Guards against own counts that come back from the store and are added again. */
-static void test_own_counts_that_come_back_change_nothing(void **state)
+/* Guards against adding own counts again when they are read from the store. */
+static void test_own_counts_from_store_are_ignored(void **state)
 {
 	usage_t *usage = usage_create("e0#1");
 
@@ -158,8 +158,8 @@
 	usage_destroy(usage);
 }
 
-/* Guards against counts that were lost with a connection and never sent again. */
-static void test_counts_are_sent_once_and_again_on_demand(void **state)
+/* Guards against counts that are lost with a connection and never sent again. */
+static void test_counts_are_sent_once_unless_marked_unsent(void **state)
 {
 	usage_t *usage = usage_create("e0#1");
 
@@ -174,7 +174,7 @@
 	usage_destroy(usage);
 }
 
-/* A peer that starts anew counts from nothing; that is no negative work. */
+/* Guards against negative work when a peer restarts and counts from 0. */
 static void test_work_of_a_restarted_peer(void **state)
 {
 	work_rate_t *work = work_rate_create();
@@ -197,14 +197,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_repeats_stay_within_their_part),
-		cmocka_unit_test(test_repeats_of_the_past_are_forgotten),
-		cmocka_unit_test(test_counts_of_a_dead_peer_stay_in_the_sum),
-		cmocka_unit_test(test_checkpointed_counts_add_to_those_of_a_new_start),
-		cmocka_unit_test(test_counts_by_two_ways_are_counted_once),
-		cmocka_unit_test(test_windows_are_kept_until_their_report_is_due),
-		cmocka_unit_test(test_own_counts_that_come_back_change_nothing),
-		cmocka_unit_test(test_counts_are_sent_once_and_again_on_demand),
+		cmocka_unit_test(test_retries_stay_within_budget),
+		cmocka_unit_test(test_retries_of_the_past_are_forgotten),
+		cmocka_unit_test(test_counts_of_dead_peer_stay_in_sum),
+		cmocka_unit_test(test_stored_counts_add_to_those_of_new_incarnation),
+		cmocka_unit_test(test_count_received_twice_is_counted_once),
+		cmocka_unit_test(test_windows_are_retained_until_report_is_due),
+		cmocka_unit_test(test_own_counts_from_store_are_ignored),
+		cmocka_unit_test(test_counts_are_sent_once_unless_marked_unsent),
 		cmocka_unit_test(test_work_of_a_restarted_peer),
 	};
 
