--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -293,8 +293,9 @@
 		return;
 	gateway->limits_version = config->version;
 	for (guint i = 0; i < config->accounts->len; i++)
-		token_limits_know(gateway->limits,
-				  g_ptr_array_index(config->accounts, i), now);
+		token_limits_add_account(gateway->limits,
+					 g_ptr_array_index(config->accounts, i),
+					 now);
 }
 
 /* Reads the own clock and counts the votes on the time of day. */
@@ -328,7 +329,7 @@
 	upstream_links_run(gateway, now);
 	gateway_peers_run(gateway->peers, now);
 	know_accounts(gateway, now);
-	token_limits_set_entries(gateway->limits, gateway_count(gateway));
+	token_limits_set_gateway_count(gateway->limits, gateway_count(gateway));
 	token_limits_set_lag(gateway->limits,
 			     gateway_peers_lag(gateway->peers, now));
 	work_rate_run(gateway->work, now);
@@ -423,7 +424,7 @@
 {
 	const gateway_settings_t *settings = gateway->settings;
 	const retry_limits_t retries = gateway_settings_retries(settings);
-	const token_rules_t limits = gateway_settings_limits(settings);
+	const token_limits_config_t limits = gateway_settings_limits(settings);
 
 	gateway->upstreams = forward_upstreams_create();
 	gateway->outage = store_outage_create(gateway->started_at);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -74,7 +74,7 @@
 		msgpack_pack_float(packer, (float)use->level);
 	else
 		msgpack_pack_nil(packer);
-	msgpack_pack_uint64(packer, (uint64_t)MAX(use->asked, 0));
+	msgpack_pack_uint64(packer, (uint64_t)MAX(use->requested, 0));
 }
 
 /* Returns an account's use in a table of sums, added as none if it is not there. */
@@ -108,8 +108,8 @@
 
 		use->total += *(double *)total -
 			      value_or_zero(except->totals, account);
-		use->asked += value_or_zero(peers->asked, account) -
-			      value_or_zero(except->asked, account);
+		use->requested += value_or_zero(peers->asked, account) -
+				  value_or_zero(except->asked, account);
 	}
 }
 
@@ -206,8 +206,8 @@
 	list_writer_init(&usage);
 	list_writer_init(&uses);
 	usage_each_unsent(peers->gateway->usage, pack_usage, &usage);
-	token_limits_each_news(peers->gateway->limits, gateway_now(),
-			       add_new_use, &uses);
+	token_limits_each_changed(peers->gateway->limits, gateway_now(),
+				  add_new_use, &uses);
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, COUNTS_FIELDS);
 	msgpack_pack_uint8(&packer, MESSAGE_COUNTS);
@@ -374,7 +374,7 @@
 	msgpack_sbuffer_init(&buffer);
 	peers_pack_state(&buffer, peers, asks, full);
 	if (asks)
-		token_limits_told(peers->gateway->limits);
+		token_limits_mark_reported(peers->gateway->limits);
 	peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
 }
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -76,11 +76,12 @@
 		if (!read_use(&items[i], &use))
 			continue;
 		if (adopt && use.has_level)
-			token_limits_adopt(limits, use.account, use.level, now);
-		token_limits_heard(limits, use.account, peer->incarnation,
-				   use.total, recent, now);
-		token_limits_asked(limits, use.account, peer->incarnation,
-				   use.asked, now);
+			token_limits_raise_level(limits, use.account, use.level,
+						 now);
+		token_limits_record_peer_use(limits, use.account, peer->incarnation,
+					     use.total, recent, now);
+		token_limits_record_peer_demand(limits, use.account,
+						peer->incarnation, use.asked, now);
 		part_set(&totals, use.account, use.total);
 		part_set(&asked, use.account, use.asked);
 		g_free(use.account);
@@ -99,11 +100,12 @@
 	for (uint32_t i = 0; i < count; i++) {
 		if (!read_use(&items[i], &use))
 			continue;
-		token_limits_heard(limits, use.account, EVERYBODY, use.total,
-				   false, now);
-		token_limits_asked(limits, use.account, EVERYBODY, use.asked, now);
+		token_limits_record_peer_use(limits, use.account, EVERYBODY,
+					     use.total, false, now);
+		token_limits_record_peer_demand(limits, use.account, EVERYBODY,
+						use.asked, now);
 		if (use.has_level)
-			token_limits_follow(limits, use.account, use.level, now);
+			token_limits_set_level(limits, use.account, use.level, now);
 		g_free(use.account);
 	}
 }
@@ -318,7 +320,7 @@
 		log_line(G_LOG_LEVEL_INFO, PART, "found=%s address=%s", who,
 			 address);
 		if (peer->incarnation)
-			token_limits_forget_peer(peers->gateway->limits,
+			token_limits_remove_peer(peers->gateway->limits,
 						 peer->incarnation);
 		peers_forget_counts(peers, peer);
 	}
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -375,7 +375,7 @@
 	peers->summed_at = now;
 	if (followed != (aggregator != NULL)) {
 		/* The same use would be counted by both. */
-		token_limits_forget_peers(peers->gateway->limits);
+		token_limits_clear_peers(peers->gateway->limits);
 		work_rate_forget_peers(peers->gateway->work);
 		LIST_FOR_EACH (it, &peers->list)
 			peers_unload(peers, LIST_ENTRY(it, peer_t, node)->loads);
--- a/adapters/gateway/reload.c
+++ b/adapters/gateway/reload.c
@@ -66,9 +66,10 @@
 
 		retry_windows_change(gateway->retries, &limits);
 	} else if (g_str_has_prefix(setting->key, "limits.")) {
-		const token_rules_t rules = gateway_settings_limits(settings);
+		const token_limits_config_t rules =
+			gateway_settings_limits(settings);
 
-		token_limits_change(gateway->limits, &rules);
+		token_limits_configure(gateway->limits, &rules);
 	}
 }
 
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -106,7 +106,7 @@
 
 static bool request_within_limit(gateway_request_t *request)
 {
-	token_verdict_t verdict;
+	token_decision_t verdict;
 	double amount;
 
 	if (!request->account)
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -86,7 +86,7 @@
 static void request_refund(gateway_request_t *request)
 {
 	if (request->account && request->taken > 0 && !request->runs)
-		token_limits_return(request->gateway->limits,
+		token_limits_refund(request->gateway->limits,
 				    request->account->name, request->taken);
 	request->taken = 0;
 }
--- a/adapters/gateway/settings.c
+++ b/adapters/gateway/settings.c
@@ -89,9 +89,9 @@
 }
 
 /* Returns how accounts' limits are kept. */
-token_rules_t gateway_settings_limits(const gateway_settings_t *settings)
+token_limits_config_t gateway_settings_limits(const gateway_settings_t *settings)
 {
-	return (token_rules_t){
+	return (token_limits_config_t){
 		.window = (pd_time_t)(settings->limits_window_s * PD_SEC),
 		.overage = settings->limits_overage,
 		.slack = settings->limits_slack,
--- a/adapters/gateway/settings.h
+++ b/adapters/gateway/settings.h
@@ -37,7 +37,7 @@
 const setting_table_t *gateway_settings_table(void);
 gateway_settings_t *gateway_settings_read(const char *path, pd_error_t *err);
 retry_limits_t gateway_settings_retries(const gateway_settings_t *settings);
-token_rules_t gateway_settings_limits(const gateway_settings_t *settings);
+token_limits_config_t gateway_settings_limits(const gateway_settings_t *settings);
 void gateway_settings_destroy(gateway_settings_t *settings);
 
 #endif
--- a/core/forward/peer_uses.c
+++ b/core/forward/peer_uses.c
@@ -13,7 +13,7 @@
  * A silent peer is predicted to go on for so long, also if it is cut off: otherwise
  * entries that hear late, or not, would each hand out the whole limit.
  */
-#define SILENCE_MAX (15 * PD_SEC)
+#define PREDICTION_TIME_MAX (15 * PD_SEC)
 
 typedef struct peer_use {
 	list_node_t node; /* among the predicted ones, oldest report first */
@@ -21,17 +21,17 @@
 	bool predicted;
 	double total;
 	double rate; /* a second */
-	pd_time_t heard_at;
-	double asked;
-	double demand; /* a second: the rate at which asked grows */
-	pd_time_t asked_at; /* 0: never reported */
+	pd_time_t reported_at;
+	double requested;
+	double demand; /* a second: the rate at which requested grows */
+	pd_time_t demand_reported_at; /* 0: never reported */
 } peer_use_t;
 
 struct peer_uses {
 	GHashTable *peers; /* name -> peer_use_t */
 	list_node_t predicted;
 	double rate; /* a second, of all predicted peers */
-	pd_time_t run_at; /* up to when predictions were made */
+	pd_time_t updated_at; /* up to when predictions were made */
 	double pending; /* predicted, and not returned yet */
 };
 
@@ -68,7 +68,7 @@
 	peer_uses_t *uses = g_new0(peer_uses_t, 1);
 
 	list_init(&uses->predicted);
-	uses->run_at = now;
+	uses->updated_at = now;
 	uses->peers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					    peer_use_destroy);
 	return uses;
@@ -86,27 +86,27 @@
 /* Returns what a peer uses at its last rate from one time to another. */
 static double predicted_use(const peer_use_t *use, pd_time_t from, pd_time_t to)
 {
-	pd_time_t end = MIN(to, use->heard_at + SILENCE_MAX);
+	pd_time_t end = MIN(to, use->reported_at + PREDICTION_TIME_MAX);
 
 	return end > from ? use->rate * (double)(end - from) / PD_SEC : 0;
 }
 
 /* Brings the predictions up to now, and ends those of silent peers. */
-static void peer_uses_run(peer_uses_t *uses, pd_time_t now)
+static void peer_uses_update(peer_uses_t *uses, pd_time_t now)
 {
-	if (now <= uses->run_at)
+	if (now <= uses->updated_at)
 		return;
 	while (!list_empty(&uses->predicted)) {
 		peer_use_t *oldest =
 			LIST_ENTRY(uses->predicted.next, peer_use_t, node);
 
-		if (now - oldest->heard_at < SILENCE_MAX)
+		if (now - oldest->reported_at < PREDICTION_TIME_MAX)
 			break;
-		uses->pending += predicted_use(oldest, uses->run_at, now);
+		uses->pending += predicted_use(oldest, uses->updated_at, now);
 		stop_predicting(oldest);
 	}
-	uses->pending += uses->rate * (double)(now - uses->run_at) / PD_SEC;
-	uses->run_at = now;
+	uses->pending += uses->rate * (double)(now - uses->updated_at) / PD_SEC;
+	uses->updated_at = now;
 }
 
 /* Returns what peers are predicted to have used since the last call. */
@@ -114,7 +114,7 @@
 {
 	double amount;
 
-	peer_uses_run(uses, now);
+	peer_uses_update(uses, now);
 	amount = uses->pending;
 	uses->pending = 0;
 	return amount;
@@ -127,7 +127,7 @@
 
 	use->uses = uses;
 	use->total = total;
-	use->heard_at = now;
+	use->reported_at = now;
 	list_init(&use->node);
 	start_predicting(use);
 	g_hash_table_insert(uses->peers, g_strdup(peer), use);
@@ -143,52 +143,53 @@
 		      bool recent, pd_time_t now, double *used)
 {
 	peer_use_t *use = g_hash_table_lookup(uses->peers, peer);
-	double grown;
+	double growth;
 
 	*used = 0;
-	peer_uses_run(uses, now);
+	peer_uses_update(uses, now);
 	if (!use) {
 		add_peer(uses, peer, total, now);
 		*used = recent ? total : 0;
 		return true;
 	}
-	if (now - use->heard_at < PEER_USES_SPAN_MIN)
+	if (now - use->reported_at < PEER_USES_INTERVAL_MIN)
 		return false;
-	grown = total - use->total;
+	growth = total - use->total;
 	stop_predicting(use);
 	/* A total that falls is that of another set of peers: nothing is known. */
-	if (grown >= 0) {
-		double span = (double)(now - use->heard_at);
+	if (growth >= 0) {
+		double span = (double)(now - use->reported_at);
 
-		*used = peer_uses_predict(uses, now) + grown -
-			predicted_use(use, use->heard_at, now);
-		use->rate += (grown * PD_SEC / span - use->rate) *
+		*used = peer_uses_predict(uses, now) + growth -
+			predicted_use(use, use->reported_at, now);
+		use->rate += (growth * PD_SEC / span - use->rate) *
 			     PEER_USES_RATE_WEIGHT;
 	}
 	use->total = total;
-	use->heard_at = now;
+	use->reported_at = now;
 	start_predicting(use);
-	return grown >= 0;
+	return growth >= 0;
 }
 
 /*
  * Takes a peer's report of all it was asked for since its start, granted or not; after
  * peer_uses_report() of the same message.
  */
-void peer_uses_report_demand(peer_uses_t *uses, const char *peer, double asked,
-			     pd_time_t now)
+void peer_uses_report_demand(peer_uses_t *uses, const char *peer,
+			     double requested, pd_time_t now)
 {
 	peer_use_t *use = g_hash_table_lookup(uses->peers, peer);
 
-	if (!use || (use->asked_at && now - use->asked_at < PEER_USES_SPAN_MIN))
+	if (!use || (use->demand_reported_at &&
+		     now - use->demand_reported_at < PEER_USES_INTERVAL_MIN))
 		return;
-	if (use->asked_at && asked >= use->asked)
-		use->demand += ((asked - use->asked) * PD_SEC /
-					(double)(now - use->asked_at) -
+	if (use->demand_reported_at && requested >= use->requested)
+		use->demand += ((requested - use->requested) * PD_SEC /
+					(double)(now - use->demand_reported_at) -
 				use->demand) *
 			       PEER_USES_RATE_WEIGHT;
-	use->asked = asked;
-	use->asked_at = now;
+	use->requested = requested;
+	use->demand_reported_at = now;
 }
 
 /* Returns what callers ask of all peers in a second, but for those long silent. */
@@ -202,20 +203,20 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const peer_use_t *use = value;
 
-		if (now - use->asked_at < SILENCE_MAX)
+		if (now - use->demand_reported_at < PREDICTION_TIME_MAX)
 			demand += use->demand;
 	}
 	return demand;
 }
 
 /* Forgets a peer; what it was predicted to use so far stays used. */
-void peer_uses_forget(peer_uses_t *uses, const char *peer)
+void peer_uses_remove(peer_uses_t *uses, const char *peer)
 {
 	g_hash_table_remove(uses->peers, peer);
 }
 
 /* Forgets all peers, as others report for them from now on. */
-void peer_uses_forget_all(peer_uses_t *uses)
+void peer_uses_clear(peer_uses_t *uses)
 {
 	g_hash_table_remove_all(uses->peers);
 }
--- a/core/forward/token_limits.c
+++ b/core/forward/token_limits.c
@@ -10,7 +10,7 @@
  * The part of what a window allows that is handed out. The rest is for what
  * several entries grant at the same moment, before they hear of each other.
  */
-#define USED_PART 0.95
+#define USABLE_FRACTION 0.95
 /*
  * Between two times that it hears its peers, an entry takes no more than so
  * many times its even share of the bucket. Without that, a flood at all entries
@@ -26,55 +26,55 @@
  * them for ten seconds and more. What a flood takes beyond the bucket in a round
  * grows by the same factor, so a bucket that runs low is shared strictly.
  */
-#define CLUMP 3
-#define CLUMP_LEVEL 0.25
+#define BURST_REQUESTS 3
+#define BURST_LEVEL_MIN 0.25
 /*
  * What a bucket holds at the start of an entry if nothing at all is checkpointed of
  * the account, as it is new.
  */
-#define START_PART 0.15
+#define INITIAL_FILL 0.15
 /*
  * What a start takes of the level checkpointed, which is some 0.2 s old when all
  * entries are killed: in that time a level falls by less than this, see
  * token-limits-notes.md. With a quarter, 333 requests of accounts within limits
  * were refused on six days with two kills of all each, with half of it 40.
  */
-#define RECORD_PART 0.5
-/* A start goes by the demand checkpointed until it has measured its own. */
-#define RECORD_DEMAND_KEPT (1500 * PD_MSEC)
+#define RESTORED_FRACTION 0.5
+/* A start goes by the demand checkpointed until it has measured_requested its own. */
+#define RESTORED_DEMAND_TTL (1500 * PD_MSEC)
 /* How long it takes at least until all entries know what one has granted. */
 #define LAG_MIN (500 * PD_MSEC)
 /* A request larger than the bucket needs this part of it to be there. */
-#define FULL_PART 0.8
+#define OVERSIZED_REQUEST_LEVEL 0.8
 
 typedef struct bucket {
 	double level;
 	double own_total;
-	double told_total; /* of that: told to the aggregator that is followed */
-	double asked; /* own_total, and what was refused */
-	double told_asked; /* of asked: told to who keeps the record */
-	double measured; /* of asked: when the demand was measured last */
+	double reported_total; /* of that: told to the aggregator that is followed */
+	double requested; /* own_total, and what was refused */
+	double reported_requested; /* of requested: told to who keeps the record */
+	double measured_requested; /* of requested: when the demand was measured_requested last */
 	pd_time_t measured_at; /* 0: never */
 	double demand; /* a second, here */
-	double record_demand; /* a second, at all, before this start */
-	pd_time_t record_at; /* when that was read */
+	double restored_demand; /* a second, at all, before this start */
+	pd_time_t restored_at; /* when that was read */
 	double rate; /* a second, as of the last request */
-	bool adopted; /* the level is a peer's, or the record's */
+	bool has_shared_level; /* the level is a peer's, or the record's */
 	double size; /* 0: nothing is known of the limit */
 	double debt_max; /* what the level may be below nothing */
-	pd_time_t filled_at; /* up to when the level was brought */
-	double taken; /* since a peer was last heard */
-	unsigned int taken_times; /* requests that took it */
-	double taken_level; /* of the bucket after that; under 0: not yet set */
-	pd_time_t heard_at; /* when a round of peers began to be heard */
+	pd_time_t updated_at; /* up to when the level was brought */
+	double round_tokens; /* since a peer was last heard */
+	unsigned int round_requests; /* requests that took it */
+	double round_level; /* of the bucket after that; under 0: not yet set */
+	pd_time_t round_began_at; /* when a round of peers began to be heard */
 	peer_uses_t *peers;
 } bucket_t;
 
 struct token_limits {
-	token_rules_t rules;
-	double start_part; /* of a bucket, that it starts with */
-	unsigned int entries; /* that share the buckets */
-	pd_time_t lag; /* until all entries know what one has granted */
+	token_limits_config_t config;
+	double initial_fill; /* of a bucket, that it starts with */
+	unsigned int gateway_count; /* that share the buckets */
+	pd_time_t lag; /* until all gateway_count know what one has granted */
 	GRand *random;
 	GHashTable *buckets; /* account name -> bucket_t */
 };
@@ -93,12 +93,12 @@
  * were its buckets full, a restart of all entries would grant every account its
  * burst once more, on top of a window that may be used up.
  */
-token_limits_t *token_limits_create(const token_rules_t *rules, bool filled)
+token_limits_t *token_limits_create(const token_limits_config_t *config, bool full)
 {
 	token_limits_t *limits = g_new0(token_limits_t, 1);
 
-	limits->rules = *rules;
-	limits->start_part = filled ? 1 : START_PART;
+	limits->config = *config;
+	limits->initial_fill = full ? 1 : INITIAL_FILL;
 	limits->lag = LAG_MIN;
 	limits->random = g_rand_new_with_seed(0);
 	limits->buckets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
@@ -107,15 +107,17 @@
 }
 
 /* Goes by other rules from now on; what is in the buckets stays. */
-void token_limits_change(token_limits_t *limits, const token_rules_t *rules)
+void token_limits_configure(token_limits_t *limits,
+			    const token_limits_config_t *config)
 {
-	limits->rules = *rules;
+	limits->config = *config;
 }
 
 /* Says how many entries share the buckets. */
-void token_limits_set_entries(token_limits_t *limits, unsigned int entries)
+void token_limits_set_gateway_count(token_limits_t *limits,
+				    unsigned int gateway_count)
 {
-	limits->entries = entries;
+	limits->gateway_count = gateway_count;
 }
 
 /* Says how long it takes until all entries know what one has granted. */
@@ -133,7 +135,7 @@
 /* Has buckets start with nothing: what was used before could not be learned. */
 void token_limits_begin_empty(token_limits_t *limits)
 {
-	limits->start_part = 0;
+	limits->initial_fill = 0;
 }
 
 /* Frees the buckets; NULL is allowed. */
@@ -154,7 +156,7 @@
 	if (bucket)
 		return bucket;
 	bucket = g_new0(bucket_t, 1);
-	bucket->filled_at = now;
+	bucket->updated_at = now;
 	bucket->peers = peer_uses_create(now);
 	g_hash_table_insert(limits->buckets, g_strdup(account), bucket);
 	return bucket;
@@ -169,32 +171,32 @@
 static double bucket_size(const token_limits_t *limits,
 			  const forward_account_t *account)
 {
-	const token_rules_t *rules = &limits->rules;
-	double flow = account->rate * (double)rules->window / PD_SEC;
-	double allowed = (flow + account->burst) * (1 + rules->overage);
+	const token_limits_config_t *config = &limits->config;
+	double flow = account->rate * (double)config->window / PD_SEC;
+	double allowed = (flow + account->burst) * (1 + config->overage);
 
 	if (account->in_tokens)
-		allowed += rules->slack;
-	return MAX(allowed * USED_PART - flow, account->burst);
+		allowed += config->slack;
+	return MAX(allowed * USABLE_FRACTION - flow, account->burst);
 }
 
 /* Brings the level up to now, by the limit that was seen last. */
-static void bucket_run(bucket_t *bucket, pd_time_t now)
+static void bucket_update(bucket_t *bucket, pd_time_t now)
 {
-	bucket->level += bucket->rate * (double)(now - bucket->filled_at) / PD_SEC;
-	bucket->filled_at = now;
+	bucket->level += bucket->rate * (double)(now - bucket->updated_at) / PD_SEC;
+	bucket->updated_at = now;
 	bucket->level -= peer_uses_predict(bucket->peers, now);
 	bucket->level = CLAMP(bucket->level, -bucket->debt_max, bucket->size);
 }
 
 /*
  * Brings the level up to now by an account's limit. A bucket is there as soon as
- * a peer tells of the account, and fills from then on: filled only from the
+ * a peer tells of the account, and fills from then on: full only from the
  * first request here on, it lacked all that peers had used before, and in large
  * fleets, where requests of an account come seldom, every seventh was refused.
  */
-static void bucket_fill(const token_limits_t *limits, bucket_t *bucket,
-			const forward_account_t *account, pd_time_t now)
+static void bucket_refill(const token_limits_t *limits, bucket_t *bucket,
+			  const forward_account_t *account, pd_time_t now)
 {
 	bool first = bucket->size <= 0;
 
@@ -203,10 +205,10 @@
 	/* After a window without grants nobody asks what was granted before. */
 	bucket->debt_max =
 		MAX(bucket->size,
-		    account->rate * (double)limits->rules.window / PD_SEC);
-	if (first && !bucket->adopted)
-		bucket->level += bucket->size * limits->start_part;
-	bucket_run(bucket, now);
+		    account->rate * (double)limits->config.window / PD_SEC);
+	if (first && !bucket->has_shared_level)
+		bucket->level += bucket->size * limits->initial_fill;
+	bucket_update(bucket, now);
 }
 
 /* Returns what callers of an account ask of all entries in a second. */
@@ -214,8 +216,8 @@
 {
 	double demand = bucket->demand + peer_uses_demand(bucket->peers, now);
 
-	if (bucket->record_at && now - bucket->record_at < RECORD_DEMAND_KEPT)
-		return MAX(demand, bucket->record_demand);
+	if (bucket->restored_at && now - bucket->restored_at < RESTORED_DEMAND_TTL)
+		return MAX(demand, bucket->restored_demand);
 	return demand;
 }
 
@@ -229,36 +231,38 @@
  * account that sent seven times its usual, in half a second. An account that asks
  * for less than that never loses: the probability is one.
  */
-static bool bucket_lets_pass(token_limits_t *limits, const bucket_t *bucket,
-			     pd_time_t now)
+static bool bucket_admits_randomly(token_limits_t *limits,
+				   const bucket_t *bucket, pd_time_t now)
 {
 	double demand = bucket_demand(bucket, now);
 	double grants = bucket->rate + bucket->level * PD_SEC / (double)limits->lag;
 
-	if (limits->entries <= 1 || grants >= demand)
+	if (limits->gateway_count <= 1 || grants >= demand)
 		return true;
 	return g_rand_double(limits->random) * demand < grants;
 }
 
 /* Says whether this entry's share until it hears its peers allows for more. */
-static bool bucket_shares(const bucket_t *bucket, unsigned int entries)
+static bool bucket_is_within_share(const bucket_t *bucket, unsigned int gateway_count)
 {
-	double share = bucket->taken_level * SHARE_FACTOR / MAX(entries, 1);
-	unsigned int times = bucket->level >= bucket->size * CLUMP_LEVEL ? CLUMP
-									 : 1;
+	double share = bucket->round_level * SHARE_FACTOR / MAX(gateway_count, 1);
+	unsigned int times = bucket->level >= bucket->size * BURST_LEVEL_MIN
+				     ? BURST_REQUESTS
+				     : 1;
 
-	return entries <= 1 || bucket->taken_times < times || bucket->taken < share;
+	return gateway_count <= 1 || bucket->round_requests < times ||
+	       bucket->round_tokens < share;
 }
 
 /* Begins a new round: what this entry took is in its peers' sums by now. */
-static void bucket_round(bucket_t *bucket, pd_time_t now)
+static void bucket_begin_round(bucket_t *bucket, pd_time_t now)
 {
-	if (now - bucket->heard_at < PEER_USES_SPAN_MIN)
+	if (now - bucket->round_began_at < PEER_USES_INTERVAL_MIN)
 		return;
-	bucket->heard_at = now;
-	bucket->taken = 0;
-	bucket->taken_times = 0;
-	bucket->taken_level = -1;
+	bucket->round_began_at = now;
+	bucket->round_tokens = 0;
+	bucket->round_requests = 0;
+	bucket->round_level = -1;
 }
 
 /*
@@ -266,41 +270,42 @@
  * much. VERDICT says what that was judged by, and when there will be.
  */
 bool token_limits_take(token_limits_t *limits, const forward_account_t *account,
-		       double amount, pd_time_t now, token_verdict_t *verdict)
+		       double amount, pd_time_t now, token_decision_t *decision)
 {
 	bucket_t *bucket;
 	double needed;
 
-	*verdict = (token_verdict_t){ 0 };
+	*decision = (token_decision_t){ 0 };
 	if (account->rate <= 0)
 		return true;
 	bucket = limits_bucket(limits, account->name, now);
-	bucket_fill(limits, bucket, account, now);
-	needed = MIN(amount, bucket->size * FULL_PART);
-	if (!bucket->heard_at)
-		bucket_round(bucket, now);
+	bucket_refill(limits, bucket, account, now);
+	needed = MIN(amount, bucket->size * OVERSIZED_REQUEST_LEVEL);
+	if (!bucket->round_began_at)
+		bucket_begin_round(bucket, now);
 	/* Only now all peers of the round were heard. */
-	if (bucket->taken_level < 0)
-		bucket->taken_level = MAX(bucket->level, 0);
-	verdict->level = bucket->level;
-	verdict->needed = needed;
-	bucket->asked += amount;
-	if (bucket->level >= needed && bucket_shares(bucket, limits->entries) &&
-	    bucket_lets_pass(limits, bucket, now)) {
+	if (bucket->round_level < 0)
+		bucket->round_level = MAX(bucket->level, 0);
+	decision->level = bucket->level;
+	decision->needed = needed;
+	bucket->requested += amount;
+	if (bucket->level >= needed &&
+	    bucket_is_within_share(bucket, limits->gateway_count) &&
+	    bucket_admits_randomly(limits, bucket, now)) {
 		bucket->level -= amount;
-		bucket->taken += amount;
-		bucket->taken_times++;
+		bucket->round_tokens += amount;
+		bucket->round_requests++;
 		bucket->own_total += amount;
 		return true;
 	}
-	verdict->retry_after =
+	decision->retry_after =
 		(pd_time_t)((needed - bucket->level) / account->rate * PD_SEC);
-	verdict->retry_after = MAX(verdict->retry_after, PEER_USES_SPAN_MIN);
+	decision->retry_after = MAX(decision->retry_after, PEER_USES_INTERVAL_MIN);
 	return false;
 }
 
 /* Gives back what a request took that then did not run. */
-void token_limits_return(token_limits_t *limits, const char *account, double amount)
+void token_limits_refund(token_limits_t *limits, const char *account, double amount)
 {
 	bucket_t *bucket = g_hash_table_lookup(limits->buckets, account);
 
@@ -319,33 +324,34 @@
 {
 	bucket_t *bucket = limits_bucket(limits, account, now);
 
-	if (bucket->adopted || bucket->size > 0)
+	if (bucket->has_shared_level || bucket->size > 0)
 		return;
-	bucket->level += level > 0 ? level * RECORD_PART : level;
-	bucket->adopted = true;
-	bucket->record_demand = demand;
-	bucket->record_at = now;
+	bucket->level += level > 0 ? level * RESTORED_FRACTION : level;
+	bucket->has_shared_level = true;
+	bucket->restored_demand = demand;
+	bucket->restored_at = now;
 }
 
 /* Has an account's bucket there before its first request. */
-void token_limits_know(token_limits_t *limits, const forward_account_t *account,
-		       pd_time_t now)
+void token_limits_add_account(token_limits_t *limits,
+			      const forward_account_t *account, pd_time_t now)
 {
 	if (account->rate > 0)
-		bucket_fill(limits, limits_bucket(limits, account->name, now),
-			    account, now);
+		bucket_refill(limits, limits_bucket(limits, account->name, now),
+			      account, now);
 }
 
 /*
  * Hears from a peer how much it was asked for in all since it started, also what
- * it refused; after token_limits_heard() of the same message.
+ * it refused; after token_limits_record_peer_use() of the same message.
  */
-void token_limits_asked(token_limits_t *limits, const char *account,
-			const char *peer, double asked, pd_time_t now)
+void token_limits_record_peer_demand(token_limits_t *limits,
+				     const char *account, const char *peer,
+				     double requested, pd_time_t now)
 {
 	bucket_t *bucket = limits_bucket(limits, account, now);
 
-	peer_uses_report_demand(bucket->peers, peer, asked, now);
+	peer_uses_report_demand(bucket->peers, peer, requested, now);
 }
 
 /* Returns what callers of an account ask of all entries in a second. */
@@ -357,8 +363,8 @@
 	return bucket ? bucket_demand(bucket, now) : 0;
 }
 
-/* Notes that the aggregator that is followed was told all that was taken here. */
-void token_limits_told(token_limits_t *limits)
+/* Notes that the aggregator that is followed was told all that was round_tokens here. */
+void token_limits_mark_reported(token_limits_t *limits)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -367,7 +373,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		bucket_t *bucket = value;
 
-		bucket->told_total = bucket->own_total;
+		bucket->reported_total = bucket->own_total;
 	}
 }
 
@@ -377,25 +383,26 @@
  * start, so what all others took in the first tenths of a second after a start of
  * all stayed in its bucket.
  */
-void token_limits_follow(token_limits_t *limits, const char *account,
-			 double level, pd_time_t now)
+void token_limits_set_level(token_limits_t *limits, const char *account,
+			    double level, pd_time_t now)
 {
 	bucket_t *bucket = limits_bucket(limits, account, now);
 
 	/* The level has what peers were predicted to use until now. */
 	peer_uses_predict(bucket->peers, now);
-	bucket->level = level - (bucket->own_total - bucket->told_total);
-	bucket->filled_at = now;
-	bucket->adopted = true;
+	bucket->level = level - (bucket->own_total - bucket->reported_total);
+	bucket->updated_at = now;
+	bucket->has_shared_level = true;
 }
 
 /*
- * Hears from a peer how much it has taken out in all since it started. RECENT
+ * Hears from a peer how much it has round_tokens out in all since it started. RECENT
  * says that it started so short a time ago that all of it counts; of an older
  * peer only what it takes from now on can be told.
  */
-void token_limits_heard(token_limits_t *limits, const char *account,
-			const char *peer, double total, bool recent, pd_time_t now)
+void token_limits_record_peer_use(token_limits_t *limits, const char *account,
+				  const char *peer, double total, bool recent,
+				  pd_time_t now)
 {
 	bucket_t *bucket = limits_bucket(limits, account, now);
 	double used;
@@ -403,72 +410,73 @@
 	if (!peer_uses_report(bucket->peers, peer, total, recent, now, &used))
 		return;
 	bucket->level -= used;
-	bucket_round(bucket, now);
+	bucket_begin_round(bucket, now);
 }
 
 /*
- * Forgets what peers told, when others tell it from now on. What was taken out
+ * Forgets what peers told, when others tell it from now on. What was round_tokens out
  * of the buckets stays out.
  */
-void token_limits_forget_peers(token_limits_t *limits)
+void token_limits_clear_peers(token_limits_t *limits)
 {
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, limits->buckets);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		peer_uses_forget_all(((bucket_t *)value)->peers);
+		peer_uses_clear(((bucket_t *)value)->peers);
 }
 
-/* Forgets a peer that has ended, and what it was taken to go on with. */
-void token_limits_forget_peer(token_limits_t *limits, const char *peer)
+/* Forgets a peer that has ended, and what it was round_tokens to go on with. */
+void token_limits_remove_peer(token_limits_t *limits, const char *peer)
 {
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, limits->buckets);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		peer_uses_forget(((bucket_t *)value)->peers, peer);
+		peer_uses_remove(((bucket_t *)value)->peers, peer);
 }
 
 /*
  * Takes over a bucket's level from a peer that has run for longer, for an entry
  * that has just started and does not know what was used before.
  */
-void token_limits_adopt(token_limits_t *limits, const char *account,
-			double level, pd_time_t now)
+void token_limits_raise_level(token_limits_t *limits, const char *account,
+			      double level, pd_time_t now)
 {
 	bucket_t *bucket = limits_bucket(limits, account, now);
 
 	bucket->level = MAX(bucket->level, level);
-	bucket->filled_at = now;
-	bucket->adopted = true;
+	bucket->updated_at = now;
+	bucket->has_shared_level = true;
 }
 
 /* Measures how much callers ask for here; over short times that says nothing. */
-static void bucket_measure(bucket_t *bucket, pd_time_t now)
+static void bucket_measure_demand(bucket_t *bucket, pd_time_t now)
 {
 	pd_time_t span = now - bucket->measured_at;
 
-	if (bucket->measured_at && span < PEER_USES_SPAN_MIN)
+	if (bucket->measured_at && span < PEER_USES_INTERVAL_MIN)
 		return;
 	if (bucket->measured_at)
-		bucket->demand += ((bucket->asked - bucket->measured) * PD_SEC /
-					   (double)span -
-				   bucket->demand) *
-				  PEER_USES_RATE_WEIGHT;
-	bucket->measured = bucket->asked;
+		bucket->demand +=
+			((bucket->requested - bucket->measured_requested) *
+				 PD_SEC / (double)span -
+			 bucket->demand) *
+			PEER_USES_RATE_WEIGHT;
+	bucket->measured_requested = bucket->requested;
 	bucket->measured_at = now;
 }
 
 /* Brings a bucket up to now and returns what there is to tell of it. */
-static token_use_t bucket_use(bucket_t *bucket, pd_time_t now)
+static token_use_t bucket_get_use(bucket_t *bucket, pd_time_t now)
 {
 	if (bucket->size > 0)
-		bucket_run(bucket, now);
-	bucket_measure(bucket, now);
+		bucket_update(bucket, now);
+	bucket_measure_demand(bucket, now);
 	return (token_use_t){ .total = bucket->own_total,
-			      .asked = bucket->asked,
+			      .requested = bucket->requested,
 			      .has_level = bucket->size > 0,
 			      .level = bucket->level };
 }
@@ -483,15 +491,15 @@
 
 	g_hash_table_iter_init(&iter, limits->buckets);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
-		token_use_t use = bucket_use(value, now);
+		token_use_t use = bucket_get_use(value, now);
 
 		each(ctx, name, &use);
 	}
 }
 
 /* The same for accounts of which requests came since the last time. */
-void token_limits_each_news(token_limits_t *limits, pd_time_t now,
-			    token_limits_each_t each, void *ctx)
+void token_limits_each_changed(token_limits_t *limits, pd_time_t now,
+			       token_limits_each_t each, void *ctx)
 {
 	GHashTableIter iter;
 	gpointer name;
@@ -502,10 +510,10 @@
 		bucket_t *bucket = value;
 		token_use_t use;
 
-		if (bucket->told_asked == bucket->asked)
+		if (bucket->reported_requested == bucket->requested)
 			continue;
-		bucket->told_asked = bucket->asked;
-		use = bucket_use(bucket, now);
+		bucket->reported_requested = bucket->requested;
+		use = bucket_get_use(bucket, now);
 		each(ctx, name, &use);
 	}
 }
--- a/core/forward/token_limits.h
+++ b/core/forward/token_limits.h
@@ -7,25 +7,25 @@
 
 #include "core/forward/config.h"
 
-typedef struct token_rules {
+typedef struct token_limits_config {
 	pd_time_t window;
 	double overage; /* part of the limit that may be used beyond it */
 	double slack; /* tokens that may be used beyond it in a window */
-} token_rules_t;
+} token_limits_config_t;
 
 typedef struct token_limits token_limits_t;
 
 /* What a request was judged by. */
-typedef struct token_verdict {
+typedef struct token_decision {
 	double level; /* of the bucket before it */
 	double needed; /* of the level */
 	pd_time_t retry_after; /* 0 if it was granted */
-} token_verdict_t;
+} token_decision_t;
 
 /* What an entry knows of an account's use. */
 typedef struct token_use {
 	double total; /* taken here since this entry's start */
-	double asked; /* the same, and what was refused */
+	double requested; /* the same, and what was refused */
 	bool has_level; /* the account's limit is known here */
 	double level; /* of the shared bucket */
 } token_use_t;
@@ -33,37 +33,40 @@
 typedef void (*token_limits_each_t)(void *ctx, const char *account,
 				    const token_use_t *use);
 
-token_limits_t *token_limits_create(const token_rules_t *rules, bool filled);
-void token_limits_change(token_limits_t *limits, const token_rules_t *rules);
-void token_limits_set_entries(token_limits_t *limits, unsigned int entries);
+token_limits_t *token_limits_create(const token_limits_config_t *config, bool full);
+void token_limits_configure(token_limits_t *limits,
+			    const token_limits_config_t *config);
+void token_limits_set_gateway_count(token_limits_t *limits,
+				    unsigned int gateway_count);
 void token_limits_set_lag(token_limits_t *limits, pd_time_t lag);
 void token_limits_seed(token_limits_t *limits, uint32_t seed);
 void token_limits_begin_empty(token_limits_t *limits);
 void token_limits_restore(token_limits_t *limits, const char *account,
 			  double level, double demand, pd_time_t now);
-void token_limits_know(token_limits_t *limits, const forward_account_t *account,
-		       pd_time_t now);
+void token_limits_add_account(token_limits_t *limits,
+			      const forward_account_t *account, pd_time_t now);
 void token_limits_destroy(token_limits_t *limits);
 bool token_limits_take(token_limits_t *limits, const forward_account_t *account,
-		       double amount, pd_time_t now, token_verdict_t *verdict);
-void token_limits_return(token_limits_t *limits, const char *account,
+		       double amount, pd_time_t now, token_decision_t *decision);
+void token_limits_refund(token_limits_t *limits, const char *account,
 			 double amount);
-void token_limits_heard(token_limits_t *limits, const char *account,
-			const char *peer, double total, bool recent,
-			pd_time_t now);
-void token_limits_asked(token_limits_t *limits, const char *account,
-			const char *peer, double asked, pd_time_t now);
+void token_limits_record_peer_use(token_limits_t *limits, const char *account,
+				  const char *peer, double total, bool recent,
+				  pd_time_t now);
+void token_limits_record_peer_demand(token_limits_t *limits,
+				     const char *account, const char *peer,
+				     double requested, pd_time_t now);
 double token_limits_demand(const token_limits_t *limits, const char *account,
 			   pd_time_t now);
-void token_limits_told(token_limits_t *limits);
-void token_limits_follow(token_limits_t *limits, const char *account,
-			 double level, pd_time_t now);
-void token_limits_forget_peer(token_limits_t *limits, const char *peer);
-void token_limits_forget_peers(token_limits_t *limits);
-void token_limits_adopt(token_limits_t *limits, const char *account,
-			double level, pd_time_t now);
-void token_limits_each_news(token_limits_t *limits, pd_time_t now,
-			    token_limits_each_t each, void *ctx);
+void token_limits_mark_reported(token_limits_t *limits);
+void token_limits_set_level(token_limits_t *limits, const char *account,
+			    double level, pd_time_t now);
+void token_limits_remove_peer(token_limits_t *limits, const char *peer);
+void token_limits_clear_peers(token_limits_t *limits);
+void token_limits_raise_level(token_limits_t *limits, const char *account,
+			      double level, pd_time_t now);
+void token_limits_each_changed(token_limits_t *limits, pd_time_t now,
+			       token_limits_each_t each, void *ctx);
 void token_limits_each(token_limits_t *limits, pd_time_t now,
 		       token_limits_each_t each, void *ctx);
 
--- a/tests/property/test_token_limits.cc
+++ b/tests/property/test_token_limits.cc
@@ -28,7 +28,7 @@
 static const pd_time_t write_period = 100 * PD_MSEC;
 static const pd_time_t day = 30 * PD_SEC;
 static const unsigned mesh_max = 12; /* beyond, an aggregator sums up for all */
-static const token_rules_t rules = { 8 * PD_SEC, 0.1, 140000 };
+static const token_limits_config_t config = { 8 * PD_SEC, 0.1, 140000 };
 
 struct request {
 	pd_time_t at;
@@ -92,8 +92,8 @@
 
 	double allowed() const
 	{
-		return (account.rate * 8 + account.burst) * (1 + rules.overage) +
-		       rules.slack;
+		return (account.rate * 8 + account.burst) * (1 + config.overage) +
+		       config.slack;
 	}
 
 	/* The most that was granted in any window of eight seconds. */
@@ -106,7 +106,7 @@
 		for (const request &grant : grants) {
 			window.push_back(grant);
 			sum += grant.tokens;
-			while (window.front().at <= grant.at - rules.window) {
+			while (window.front().at <= grant.at - config.window) {
 				sum -= window.front().tokens;
 				window.pop_front();
 			}
@@ -124,16 +124,16 @@
 		lives++;
 		for (node &entry : nodes) {
 			entry = node();
-			entry.limits = token_limits_create(&rules, first);
+			entry.limits = token_limits_create(&config, first);
 			token_limits_seed(entry.limits, g_rand_int(random));
-			token_limits_set_entries(entry.limits,
-						 (unsigned)nodes.size());
+			token_limits_set_gateway_count(entry.limits,
+						       (unsigned)nodes.size());
 			token_limits_set_lag(entry.limits, period * 5 / 2);
 			if (!first)
 				token_limits_restore(entry.limits, account.name,
 						     level, demand, now);
-			token_limits_know(entry.limits, &account,
-					  first ? start : now);
+			token_limits_add_account(entry.limits, &account,
+						 first ? start : now);
 			entry.tells_at =
 				now + g_rand_int_range(random, 0, (int)period);
 		}
@@ -173,10 +173,12 @@
 
 	void hear(node &to, size_t from, const token_use_t &use)
 	{
-		token_limits_heard(to.limits, account.name, name(from).c_str(),
-				   use.total, true, now);
-		token_limits_asked(to.limits, account.name, name(from).c_str(),
-				   use.asked, now);
+		token_limits_record_peer_use(to.limits, account.name,
+					     name(from).c_str(), use.total,
+					     true, now);
+		token_limits_record_peer_demand(to.limits, account.name,
+						name(from).c_str(),
+						use.requested, now);
 	}
 
 	void tell()
@@ -210,7 +212,7 @@
 	{
 		hear(nodes[0], from, use);
 		sum_total += use.total - last(from).total;
-		sum_asked += use.asked - last(from).asked;
+		sum_asked += use.requested - last(from).requested;
 		last(from) = use;
 	}
 
@@ -222,15 +224,19 @@
 		token_use_t aggregator;
 
 		hear_sum(from, use);
-		token_limits_told(entry.limits);
+		token_limits_mark_reported(entry.limits);
 		aggregator = use_of(nodes[0]);
-		token_limits_heard(entry.limits, account.name, "everybody",
-				   sum_total - use.total + aggregator.total,
-				   false, now);
-		token_limits_asked(entry.limits, account.name, "everybody",
-				   sum_asked - use.asked + aggregator.asked, now);
-		token_limits_follow(entry.limits, account.name,
-				    aggregator.level, now);
+		token_limits_record_peer_use(entry.limits, account.name,
+					     "everybody",
+					     sum_total - use.total + aggregator.total,
+					     false, now);
+		token_limits_record_peer_demand(entry.limits, account.name,
+						"everybody",
+						sum_asked - use.requested +
+							aggregator.requested,
+						now);
+		token_limits_set_level(entry.limits, account.name,
+				       aggregator.level, now);
 	}
 
 	token_use_t &last(size_t number)
@@ -260,12 +266,12 @@
 			node &entry =
 				nodes[(size_t)g_rand_int_range(random, 0,
 							       (int)nodes.size())];
-			token_verdict_t verdict;
+			token_decision_t decision;
 
 			due -= tokens;
 			asked++;
 			if (token_limits_take(entry.limits, &account, tokens,
-					      now, &verdict))
+					      now, &decision))
 				grants.push_back({ now, tokens });
 			else
 				refused++;
--- a/tests/unit/test_peer_uses.c
+++ b/tests/unit/test_peer_uses.c
@@ -93,7 +93,8 @@
 		/* The last quarter of the peers falls silent half-way. */
 		if (step > STEPS / 2 && i >= PEERS * 3 / 4)
 			continue;
-		if (model[i].heard && now - model[i].heard_at < PEER_USES_SPAN_MIN)
+		if (model[i].heard &&
+		    now - model[i].heard_at < PEER_USES_INTERVAL_MIN)
 			continue;
 		assert_true(peer_uses_report(uses, peer_name(name, i), total,
 					     false, now, &used));
@@ -132,7 +133,7 @@
 	(void)state;
 	peer_uses_report(uses, "a", 0, true, START, &used);
 	peer_uses_report(uses, "a", 1000, true, START + PD_SEC, &used);
-	peer_uses_forget(uses, "a");
+	peer_uses_remove(uses, "a");
 	assert_float_equal(peer_uses_predict(uses, START + 9 * PD_SEC), 0, 1e-6);
 	peer_uses_destroy(uses);
 }
--- a/tests/unit/test_token_limits.c
+++ b/tests/unit/test_token_limits.c
@@ -17,9 +17,9 @@
 #define WINDOW_STEPS 800 /* 8 s */
 #define REQUEST 2000.0 /* tokens */
 
-static const token_rules_t rules = { .window = 8 * PD_SEC,
-				     .overage = 0.1,
-				     .slack = 140000 };
+static const token_limits_config_t config = { .window = 8 * PD_SEC,
+					      .overage = 0.1,
+					      .slack = 140000 };
 static const forward_account_t account = { .name = (char *)"mill",
 					   .in_tokens = true,
 					   .rate = 200000,
@@ -41,8 +41,8 @@
 static void fleet_start(fleet_t *fleet, bool filled)
 {
 	for (unsigned int i = 0; i < ENTRIES; i++) {
-		fleet->entries[i] = token_limits_create(&rules, filled);
-		token_limits_set_entries(fleet->entries[i], ENTRIES);
+		fleet->entries[i] = token_limits_create(&config, filled);
+		token_limits_set_gateway_count(fleet->entries[i], ENTRIES);
 		fleet->lives[i]++;
 	}
 }
@@ -68,8 +68,9 @@
 		 teller->fleet->lives[teller->from]);
 	for (unsigned int i = 0; i < ENTRIES; i++) {
 		if (i != teller->from)
-			token_limits_heard(teller->fleet->entries[i], name, who,
-					   use->total, true, teller->now);
+			token_limits_record_peer_use(teller->fleet->entries[i],
+						     name, who, use->total,
+						     true, teller->now);
 	}
 }
 
@@ -85,21 +86,21 @@
 /* Callers ask for RATE tokens a second, evenly at all entries. */
 static void fleet_ask(fleet_t *fleet, unsigned int step, double rate, pd_time_t now)
 {
-	token_verdict_t verdict;
+	token_decision_t decision;
 
 	fleet->asked += rate * (double)STEP / PD_SEC;
 	for (unsigned int i = 0; fleet->asked >= REQUEST; i++) {
 		fleet->asked -= REQUEST;
 		if (token_limits_take(fleet->entries[(step + i) % ENTRIES],
-				      &account, REQUEST, now, &verdict))
+				      &account, REQUEST, now, &decision))
 			fleet->granted[step] += REQUEST;
 	}
 }
 
 static double allowed(void)
 {
-	return (account.rate * 8 + account.burst) * (1 + rules.overage) +
-	       rules.slack;
+	return (account.rate * 8 + account.burst) * (1 + config.overage) +
+	       config.slack;
 }
 
 static double worst_window(const fleet_t *fleet)
@@ -215,15 +216,15 @@
 
 static void test_a_refusal_says_when_to_come_back(void **state)
 {
-	token_limits_t *limits = token_limits_create(&rules, false);
-	token_verdict_t verdict;
+	token_limits_t *limits = token_limits_create(&config, false);
+	token_decision_t decision;
 
 	(void)state;
-	while (token_limits_take(limits, &account, REQUEST, START, &verdict))
+	while (token_limits_take(limits, &account, REQUEST, START, &decision))
 		continue;
-	assert_true(verdict.retry_after >= 100 * PD_MSEC);
+	assert_true(decision.retry_after >= 100 * PD_MSEC);
 	assert_true(token_limits_take(limits, &account, REQUEST,
-				      START + verdict.retry_after, &verdict));
+				      START + decision.retry_after, &decision));
 	token_limits_destroy(limits);
 }
 
@@ -233,11 +234,11 @@
 	const forward_account_t small = { .name = (char *)"small",
 					  .rate = 10,
 					  .burst = 10 };
-	token_limits_t *limits = token_limits_create(&rules, true);
-	token_verdict_t verdict;
+	token_limits_t *limits = token_limits_create(&config, true);
+	token_decision_t decision;
 
 	(void)state;
-	assert_true(token_limits_take(limits, &small, 1000, START, &verdict));
+	assert_true(token_limits_take(limits, &small, 1000, START, &decision));
 	token_limits_destroy(limits);
 }
 
@@ -248,16 +249,16 @@
  */
 static void test_a_clump_goes_in_a_large_fleet(void **state)
 {
-	token_limits_t *limits = token_limits_create(&rules, true);
-	token_verdict_t verdict;
+	token_limits_t *limits = token_limits_create(&config, true);
+	token_decision_t decision;
 
 	(void)state;
-	token_limits_set_entries(limits, 280);
+	token_limits_set_gateway_count(limits, 280);
 	for (int i = 0; i < 3; i++)
 		assert_true(token_limits_take(limits, &small_account, 7000,
-					      START, &verdict));
+					      START, &decision));
 	assert_false(token_limits_take(limits, &small_account, 7000, START,
-				       &verdict));
+				       &decision));
 	token_limits_destroy(limits);
 }
 
@@ -267,15 +268,15 @@
  */
 static void test_a_low_bucket_is_shared_strictly(void **state)
 {
-	token_limits_t *limits = token_limits_create(&rules, false);
-	token_verdict_t verdict;
+	token_limits_t *limits = token_limits_create(&config, false);
+	token_decision_t decision;
 
 	(void)state;
-	token_limits_set_entries(limits, 280);
+	token_limits_set_gateway_count(limits, 280);
 	assert_true(token_limits_take(limits, &small_account, 7000, START,
-				      &verdict));
+				      &decision));
 	assert_false(token_limits_take(limits, &small_account, 7000, START,
-				       &verdict));
+				       &decision));
 	token_limits_destroy(limits);
 }
 
@@ -286,19 +287,20 @@
  */
 static void test_a_bucket_fills_before_the_first_request(void **state)
 {
-	token_limits_t *limits = token_limits_create(&rules, true);
-	token_verdict_t verdict;
+	token_limits_t *limits = token_limits_create(&config, true);
+	token_decision_t decision;
 	double total = 0;
 	pd_time_t now = START;
 
 	(void)state;
-	token_limits_set_entries(limits, 280);
+	token_limits_set_gateway_count(limits, 280);
 	for (; now < START + 20 * PD_SEC; now += 500 * PD_MSEC) {
-		token_limits_heard(limits, account.name, "all", total, false, now);
+		token_limits_record_peer_use(limits, account.name, "all", total,
+					     false, now);
 		total += account.rate / 4;
 	}
-	assert_true(token_limits_take(limits, &account, REQUEST, now, &verdict));
-	assert_true(verdict.level > account.burst / 2);
+	assert_true(token_limits_take(limits, &account, REQUEST, now, &decision));
+	assert_true(decision.level > account.burst / 2);
 	token_limits_destroy(limits);
 }
 
@@ -309,14 +311,15 @@
  */
 static void test_demand_of_a_peer_that_is_gone_is_forgotten(void **state)
 {
-	token_limits_t *limits = token_limits_create(&rules, true);
+	token_limits_t *limits = token_limits_create(&config, true);
 	pd_time_t now = START;
 
 	(void)state;
 	for (int i = 0; i < 8; i++, now += 250 * PD_MSEC) {
-		token_limits_heard(limits, account.name, "gone#1", 0, true, now);
-		token_limits_asked(limits, account.name, "gone#1", i * 50000.0,
-				   now);
+		token_limits_record_peer_use(limits, account.name, "gone#1", 0,
+					     true, now);
+		token_limits_record_peer_demand(limits, account.name, "gone#1",
+						i * 50000.0, now);
 	}
 	assert_true(token_limits_demand(limits, account.name, now) > 100000);
 	now += 16 * PD_SEC;
