--- a/core/forward/peer_uses.c
+++ b/core/forward/peer_uses.c
@@ -1,7 +1,7 @@
 /*
- * Predictions of what peers use. An aggregator brings the buckets of all accounts up
- * to date for each message of hundreds of peers, so a prediction must not walk them:
- * one sum of rates serves all peers that were heard lately.
+ * Predictions of peers' use. An aggregator updates the buckets of all accounts for each
+ * message of hundreds of peers, so a prediction must not iterate over the peers: one
+ * sum of rates covers all peers that reported lately.
  */
 #include "core/forward/peer_uses.h"
 
@@ -10,29 +10,29 @@
 #include "core/list.h"
 
 /*
- * A silent peer is predicted to go on for so long, also if it is cut off: otherwise
- * entries that hear late, or not, would each hand out the whole limit.
+ * How long a silent peer is predicted to go on using tokens, also if it is cut off.
+ * Otherwise gateways whose reports are late or lost would each grant the whole limit.
  */
 #define PREDICTION_TIME_MAX (15 * PD_SEC)
 
 typedef struct peer_use {
-	list_node_t node; /* among the predicted ones, oldest report first */
+	list_node_t node; /* in the list of predicted peers, oldest report first */
 	peer_uses_t *uses;
 	bool predicted;
 	double total;
-	double rate; /* a second */
+	double rate; /* tokens per second */
 	pd_time_t reported_at;
 	double requested;
-	double demand; /* a second: the rate at which requested grows */
+	double demand; /* tokens per second: the rate at which requested grows */
 	pd_time_t demand_reported_at; /* 0: never reported */
 } peer_use_t;
 
 struct peer_uses {
 	GHashTable *peers; /* name -> peer_use_t */
 	list_node_t predicted;
-	double rate; /* a second, of all predicted peers */
-	pd_time_t updated_at; /* up to when predictions were made */
-	double pending; /* predicted, and not returned yet */
+	double rate; /* tokens per second, of all predicted peers */
+	pd_time_t updated_at; /* time up to which pending is current */
+	double pending; /* tokens predicted, but not returned by peer_uses_predict() yet */
 };
 
 static void stop_predicting(peer_use_t *use)
@@ -44,7 +44,7 @@
 	use->predicted = false;
 	list_remove(&use->node);
 	uses->rate -= use->rate;
-	/* No rounding error is left to add up. */
+	/* Keeps rounding errors from adding up. */
 	if (list_empty(&uses->predicted))
 		uses->rate = 0;
 }
@@ -62,7 +62,7 @@
 	g_free(data);
 }
 
-/* Returns the uses of no peers yet; the caller owns them. */
+/* Returns a table without peers; the caller owns it. */
 peer_uses_t *peer_uses_create(pd_time_t now)
 {
 	peer_uses_t *uses = g_new0(peer_uses_t, 1);
@@ -74,7 +74,7 @@
 	return uses;
 }
 
-/* Frees the uses; NULL is allowed. */
+/* Frees the table; NULL is allowed. */
 void peer_uses_destroy(peer_uses_t *uses)
 {
 	if (!uses)
@@ -83,7 +83,7 @@
 	g_free(uses);
 }
 
-/* Returns what a peer uses at its last rate from one time to another. */
+/* Returns the tokens that a peer uses at its last rate from time FROM to time TO. */
 static double predicted_use(const peer_use_t *use, pd_time_t from, pd_time_t to)
 {
 	pd_time_t end = MIN(to, use->reported_at + PREDICTION_TIME_MAX);
@@ -91,7 +91,10 @@
 	return end > from ? use->rate * (double)(end - from) / PD_SEC : 0;
 }
 
-/* Brings the predictions up to now, and ends those of silent peers. */
+/*
+ * Updates the predictions to NOW, and stops those of peers that were silent for too
+ * long.
+ */
 static void peer_uses_update(peer_uses_t *uses, pd_time_t now)
 {
 	if (now <= uses->updated_at)
@@ -109,7 +112,7 @@
 	uses->updated_at = now;
 }
 
-/* Returns what peers are predicted to have used since the last call. */
+/* Returns the tokens that peers are predicted to have used since the last call. */
 double peer_uses_predict(peer_uses_t *uses, pd_time_t now)
 {
 	double amount;
@@ -134,10 +137,10 @@
 }
 
 /*
- * Takes a peer's report of all it has used since its start. USED is set to what all
- * peers have used since the last prediction; of a peer's first report that is
- * everything if it is RECENT, else nothing. Returns false, and no use, if the report
- * comes too early or its total has fallen.
+ * Records a peer's report of all tokens that it has used since its start. USED is set
+ * to the tokens that all peers have used since the last prediction; a peer's first
+ * report counts in full if it is RECENT, else not at all. Returns false and sets USED
+ * to 0 if the report comes too early or its total has fallen.
  */
 bool peer_uses_report(peer_uses_t *uses, const char *peer, double total,
 		      bool recent, pd_time_t now, double *used)
@@ -156,7 +159,7 @@
 		return false;
 	growth = total - use->total;
 	stop_predicting(use);
-	/* A total that falls is that of another set of peers: nothing is known. */
+	/* A falling total is that of another set of peers, so the growth is unknown. */
 	if (growth >= 0) {
 		double span = (double)(now - use->reported_at);
 
@@ -172,8 +175,8 @@
 }
 
 /*
- * Takes a peer's report of all it was asked for since its start, granted or not; after
- * peer_uses_report() of the same message.
+ * Records a peer's report of all tokens that it was asked for since its start, granted
+ * or not. Has to follow peer_uses_report() for the same message.
  */
 void peer_uses_report_demand(peer_uses_t *uses, const char *peer,
 			     double requested, pd_time_t now)
@@ -192,7 +195,9 @@
 	use->demand_reported_at = now;
 }
 
-/* Returns what callers ask of all peers in a second, but for those long silent. */
+/*
+ * Returns the tokens per second that callers request at all peers, except silent ones.
+ */
 double peer_uses_demand(const peer_uses_t *uses, pd_time_t now)
 {
 	double demand = 0;
@@ -209,13 +214,13 @@
 	return demand;
 }
 
-/* Forgets a peer; what it was predicted to use so far stays used. */
+/* Removes a peer; the use predicted for it so far stays counted. */
 void peer_uses_remove(peer_uses_t *uses, const char *peer)
 {
 	g_hash_table_remove(uses->peers, peer);
 }
 
-/* Forgets all peers, as others report for them from now on. */
+/* Removes all peers, because others report for them from now on. */
 void peer_uses_clear(peer_uses_t *uses)
 {
 	g_hash_table_remove_all(uses->peers);
--- a/core/forward/peer_uses.h
+++ b/core/forward/peer_uses.h
@@ -1,6 +1,6 @@
 /*
- * What the other entries take out of one account's bucket: their reported totals,
- * and between two reports what they take at their last rate.
+ * The tokens that the other gateways take out of one account's bucket: the totals that
+ * they report, and between two reports a prediction from their last rate.
  */
 #ifndef PISTACHIO_PEER_USES_H
 #define PISTACHIO_PEER_USES_H
@@ -9,9 +9,12 @@
 
 #include "ports/clock.h"
 
-/* A rate is measured over at least this, so that one request is no rate. */
+/*
+ * Minimum time over which a rate is measured, so that a single request is not taken for
+ * one.
+ */
 #define PEER_USES_INTERVAL_MIN (100 * PD_MSEC)
-#define PEER_USES_RATE_WEIGHT 0.5 /* of the newest measure */
+#define PEER_USES_RATE_WEIGHT 0.5 /* of the newest measurement */
 
 typedef struct peer_uses peer_uses_t;
 
--- a/core/forward/token_limits.c
+++ b/core/forward/token_limits.c
@@ -1,80 +1,85 @@
 /*
- * Buckets of the client accounts, shared by all entries. token-limits-notes.md
- * adds up what they grant at worst.
+ * Token buckets of the client accounts, shared by all gateways. token-limits-notes.md
+ * has a bound of what they grant in the worst case.
  */
 #include "core/forward/token_limits.h"
 
 #include "core/forward/peer_uses.h"
 
 /*
- * The part of what a window allows that is handed out. The rest is for what
- * several entries grant at the same moment, before they hear of each other.
+ * The fraction of what a window allows that buckets hand out. The rest is a reserve for
+ * requests that several gateways grant at the same moment, before they learn of each
+ * other's.
  */
 #define USABLE_FRACTION 0.95
 /*
- * Between two times that it hears its peers, an entry takes no more than so
- * many times its even share of the bucket. Without that, a flood at all entries
- * at once took a tenth more than a window allows, as each emptied the whole
- * bucket by itself. Uneven entries still get what they need in a few rounds.
+ * Between two rounds of reports from its peers, a gateway takes at most this multiple
+ * of its even share of the bucket. Without that limit, a flood at all gateways at once
+ * took a tenth more than a window allows, as each gateway emptied the whole bucket by
+ * itself. Gateways with uneven load still get what they need within a few rounds.
  */
 #define SHARE_FACTOR 4.0
 /*
- * So many requests go in such a round whatever the share is, while the bucket is
- * this full: callers send in clumps, and in a fleet of hundreds the share is less
- * than one request. With one, 280 entries refused 12 in 100 of the requests of
- * accounts that used half of their limits, and after a restart of all most of
- * them for ten seconds and more. What a flood takes beyond the bucket in a round
- * grows by the same factor, so a bucket that runs low is shared strictly.
+ * Requests that are granted per round regardless of the share, while the bucket is at
+ * least this full: callers send in bursts, and in a fleet of hundreds the share is less
+ * than one request. With one request, 280 gateways refused 12 in 100 of the requests of
+ * accounts that used half of their limits, and after a restart of all most of them for
+ * ten seconds and more. What a flood takes beyond the bucket in a round grows by the
+ * same factor, so a bucket that runs low is shared strictly.
  */
 #define BURST_REQUESTS 3
 #define BURST_LEVEL_MIN 0.25
 /*
- * What a bucket holds at the start of an entry if nothing at all is checkpointed of
- * the account, as it is new.
+ * Initial fill of a bucket, as a fraction of its size, if the checkpoint has no record
+ * of the account because it is new.
  */
 #define INITIAL_FILL 0.15
 /*
- * What a start takes of the level checkpointed, which is some 0.2 s old when all
- * entries are killed: in that time a level falls by less than this, see
- * token-limits-notes.md. With a quarter, 333 requests of accounts within limits
- * were refused on six days with two kills of all each, with half of it 40.
+ * Fraction of the checkpointed level that a new gateway process starts with. The record
+ * is about 0.2 s old when all gateways are killed, and in that time a level falls by
+ * less than this, see token-limits-notes.md. With a quarter, 333 requests of accounts
+ * within their limits were refused on six days with two kills of all gateways each;
+ * with half of the level, 40.
  */
 #define RESTORED_FRACTION 0.5
-/* A start goes by the demand checkpointed until it has measured_requested its own. */
+/*
+ * How long a new gateway process uses the checkpointed demand until it has measured its
+ * own.
+ */
 #define RESTORED_DEMAND_TTL (1500 * PD_MSEC)
-/* How long it takes at least until all entries know what one has granted. */
+/* Minimum time until all gateways know what one of them has granted. */
 #define LAG_MIN (500 * PD_MSEC)
-/* A request larger than the bucket needs this part of it to be there. */
+/* A request that is larger than the bucket needs the bucket to be this full. */
 #define OVERSIZED_REQUEST_LEVEL 0.8
 
 typedef struct bucket {
 	double level;
 	double own_total;
-	double reported_total; /* of that: told to the aggregator that is followed */
-	double requested; /* own_total, and what was refused */
-	double reported_requested; /* of requested: told to who keeps the record */
-	double measured_requested; /* of requested: when the demand was measured_requested last */
+	double reported_total; /* part of own_total that the followed aggregator knows */
+	double requested; /* own_total plus what was refused */
+	double reported_requested; /* part of requested that the record keeper knows */
+	double measured_requested; /* value of requested at the last measurement of demand */
 	pd_time_t measured_at; /* 0: never */
-	double demand; /* a second, here */
-	double restored_demand; /* a second, at all, before this start */
-	pd_time_t restored_at; /* when that was read */
-	double rate; /* a second, as of the last request */
-	bool has_shared_level; /* the level is a peer's, or the record's */
-	double size; /* 0: nothing is known of the limit */
-	double debt_max; /* what the level may be below nothing */
-	pd_time_t updated_at; /* up to when the level was brought */
-	double round_tokens; /* since a peer was last heard */
-	unsigned int round_requests; /* requests that took it */
-	double round_level; /* of the bucket after that; under 0: not yet set */
-	pd_time_t round_began_at; /* when a round of peers began to be heard */
+	double demand; /* tokens per second, at this gateway */
+	double restored_demand; /* tokens per second, of all gateways, before this start */
+	pd_time_t restored_at; /* when the checkpoint was read; 0: it had no record */
+	double rate; /* tokens per second, as of the last request */
+	bool has_shared_level; /* the level is from a peer or the checkpoint */
+	double size; /* 0: the account's limit is not known yet */
+	double debt_max; /* how far the level may fall below 0 */
+	pd_time_t updated_at; /* time up to which the level is current */
+	double round_tokens; /* taken since the round began */
+	unsigned int round_requests; /* requests granted since the round began */
+	double round_level; /* level at the beginning of the round; negative: not set yet */
+	pd_time_t round_began_at; /* when the first report of the round came */
 	peer_uses_t *peers;
 } bucket_t;
 
 struct token_limits {
 	token_limits_config_t config;
-	double initial_fill; /* of a bucket, that it starts with */
-	unsigned int gateway_count; /* that share the buckets */
-	pd_time_t lag; /* until all gateway_count know what one has granted */
+	double initial_fill; /* of a new bucket, as a fraction of its size */
+	unsigned int gateway_count; /* gateways that share the buckets */
+	pd_time_t lag; /* time until all gateways know what one has granted */
 	GRand *random;
 	GHashTable *buckets; /* account name -> bucket_t */
 };
@@ -88,10 +93,10 @@
 }
 
 /*
- * Returns an empty set of buckets; the caller owns it. FILLED says that nothing
- * can have been used before. An entry that starts later does not know what was:
- * were its buckets full, a restart of all entries would grant every account its
- * burst once more, on top of a window that may be used up.
+ * Returns an empty set of buckets; the caller owns it. FULL says that nothing can have
+ * been used before, so buckets start full. A gateway that starts later does not know
+ * what was used: if its buckets were full, a restart of all gateways would grant every
+ * account its burst once more, on top of a window that may be used up.
  */
 token_limits_t *token_limits_create(const token_limits_config_t *config, bool full)
 {
@@ -106,33 +111,33 @@
 	return limits;
 }
 
-/* Goes by other rules from now on; what is in the buckets stays. */
+/* Replaces the configuration; the levels of the buckets stay. */
 void token_limits_configure(token_limits_t *limits,
 			    const token_limits_config_t *config)
 {
 	limits->config = *config;
 }
 
-/* Says how many entries share the buckets. */
+/* Sets the number of gateways that share the buckets. */
 void token_limits_set_gateway_count(token_limits_t *limits,
 				    unsigned int gateway_count)
 {
 	limits->gateway_count = gateway_count;
 }
 
-/* Says how long it takes until all entries know what one has granted. */
+/* Sets the time until all gateways know what one has granted, LAG_MIN at least. */
 void token_limits_set_lag(token_limits_t *limits, pd_time_t lag)
 {
 	limits->lag = MAX(lag, LAG_MIN);
 }
 
-/* Has this entry draw other lots than others with the same requests. */
+/* Seeds the random admission, so that gateways decide independently of each other. */
 void token_limits_seed(token_limits_t *limits, uint32_t seed)
 {
 	g_rand_set_seed(limits->random, seed);
 }
 
-/* Has buckets start with nothing: what was used before could not be learned. */
+/* Makes new buckets start empty, because earlier use could not be read. */
 void token_limits_begin_empty(token_limits_t *limits)
 {
 	limits->initial_fill = 0;
@@ -163,10 +168,10 @@
 }
 
 /*
- * Returns what a full bucket holds: so much that with what flows in, a window
- * takes in no more than it allows. Requests come in clumps, and a bucket of the
- * account's burst alone refused 8 in 100 of the requests of accounts that use
- * about half of their rate; this one 2 in 100.
+ * Returns the size of an account's bucket: as much as a window allows, less what flows
+ * in during the window. Requests come in bursts, and a bucket of only the account's
+ * burst refused 8 in 100 of the requests of accounts that use about half of their rate;
+ * this one refuses 2 in 100.
  */
 static double bucket_size(const token_limits_t *limits,
 			  const forward_account_t *account)
@@ -180,7 +185,7 @@
 	return MAX(allowed * USABLE_FRACTION - flow, account->burst);
 }
 
-/* Brings the level up to now, by the limit that was seen last. */
+/* Updates the level to NOW, by the limit that was seen last. */
 static void bucket_update(bucket_t *bucket, pd_time_t now)
 {
 	bucket->level += bucket->rate * (double)(now - bucket->updated_at) / PD_SEC;
@@ -190,10 +195,11 @@
 }
 
 /*
- * Brings the level up to now by an account's limit. A bucket is there as soon as
- * a peer tells of the account, and fills from then on: full only from the
- * first request here on, it lacked all that peers had used before, and in large
- * fleets, where requests of an account come seldom, every seventh was refused.
+ * Updates the level to NOW by an account's limit. A bucket is created as soon as a peer
+ * reports use of the account, and fills from then on. When it filled only from the
+ * first request at this gateway on, it lacked everything that peers had used before,
+ * and in large fleets, where requests of an account are rare at each gateway, every
+ * seventh was refused.
  */
 static void bucket_refill(const token_limits_t *limits, bucket_t *bucket,
 			  const forward_account_t *account, pd_time_t now)
@@ -202,7 +208,7 @@
 
 	bucket->size = bucket_size(limits, account);
 	bucket->rate = account->rate;
-	/* After a window without grants nobody asks what was granted before. */
+	/* After a window without grants, earlier grants don't matter any more. */
 	bucket->debt_max =
 		MAX(bucket->size,
 		    account->rate * (double)limits->config.window / PD_SEC);
@@ -211,7 +217,7 @@
 	bucket_update(bucket, now);
 }
 
-/* Returns what callers of an account ask of all entries in a second. */
+/* Returns the tokens per second that callers of an account request at all gateways. */
 static double bucket_demand(const bucket_t *bucket, pd_time_t now)
 {
 	double demand = bucket->demand + peer_uses_demand(bucket->peers, now);
@@ -222,14 +228,15 @@
 }
 
 /*
- * Says whether a request goes by lot. What the entries grant together until they
- * have heard of it is not to be more than the bucket holds and what flows in, so
- * where callers ask for more, each request is granted with the probability that
- * makes it so. This holds for any number of entries and any size of requests;
- * shares alone don't, as each entry has at least one request a round: just after
- * all were killed, 63 that did not know each other yet took 1.6 buckets of an
- * account that sent seven times its usual, in half a second. An account that asks
- * for less than that never loses: the probability is one.
+ * Returns whether a request passes random admission. Until all gateways know of each
+ * other's grants, together they must not grant more than the bucket's level and what
+ * flows in. So where callers request more, each request is granted with the probability
+ * that limits the grants to that. This holds for any number of gateways and any size of
+ * requests. Shares alone don't ensure it, as each gateway grants at least one request a
+ * round: just after a kill of all gateways, 63 gateways that did not know each other
+ * yet granted 1.6 buckets within half a second to an account that sent seven times its
+ * usual load. An account that requests less than that is always admitted, as the
+ * probability is one.
  */
 static bool bucket_admits_randomly(token_limits_t *limits,
 				   const bucket_t *bucket, pd_time_t now)
@@ -242,7 +249,7 @@
 	return g_rand_double(limits->random) * demand < grants;
 }
 
-/* Says whether this entry's share until it hears its peers allows for more. */
+/* Returns whether this gateway may take more in this round. */
 static bool bucket_is_within_share(const bucket_t *bucket, unsigned int gateway_count)
 {
 	double share = bucket->round_level * SHARE_FACTOR / MAX(gateway_count, 1);
@@ -254,7 +261,7 @@
 	       bucket->round_tokens < share;
 }
 
-/* Begins a new round: what this entry took is in its peers' sums by now. */
+/* Begins a new round: the peers' totals include by now what this gateway took. */
 static void bucket_begin_round(bucket_t *bucket, pd_time_t now)
 {
 	if (now - bucket->round_began_at < PEER_USES_INTERVAL_MIN)
@@ -266,8 +273,9 @@
 }
 
 /*
- * Takes AMOUNT out of the account's bucket. Returns false if there is not as
- * much. VERDICT says what that was judged by, and when there will be.
+ * Takes AMOUNT tokens out of the account's bucket. Returns false if they are not
+ * granted. DECISION is set to the level and the tokens needed, and for a refusal to the
+ * time after which to retry.
  */
 bool token_limits_take(token_limits_t *limits, const forward_account_t *account,
 		       double amount, pd_time_t now, token_decision_t *decision)
@@ -283,7 +291,7 @@
 	needed = MIN(amount, bucket->size * OVERSIZED_REQUEST_LEVEL);
 	if (!bucket->round_began_at)
 		bucket_begin_round(bucket, now);
-	/* Only now all peers of the round were heard. */
+	/* The reports of all peers of the round have arrived only by now. */
 	if (bucket->round_level < 0)
 		bucket->round_level = MAX(bucket->level, 0);
 	decision->level = bucket->level;
@@ -304,7 +312,7 @@
 	return false;
 }
 
-/* Gives back what a request took that then did not run. */
+/* Returns the tokens of a request that did not run to the bucket. */
 void token_limits_refund(token_limits_t *limits, const char *account, double amount)
 {
 	bucket_t *bucket = g_hash_table_lookup(limits->buckets, account);
@@ -316,8 +324,9 @@
 }
 
 /*
- * Takes what a start finds checkpointed of an account: the shared level, and what
- * callers asked for in a second. A debt holds in full.
+ * Initializes an account's bucket from the checkpoint, by the shared level and the
+ * tokens per second that callers requested. A negative level is taken over in full.
+ * Does nothing if the bucket has a level already.
  */
 void token_limits_restore(token_limits_t *limits, const char *account,
 			  double level, double demand, pd_time_t now)
@@ -332,7 +341,7 @@
 	bucket->restored_at = now;
 }
 
-/* Has an account's bucket there before its first request. */
+/* Creates an account's bucket before its first request. */
 void token_limits_add_account(token_limits_t *limits,
 			      const forward_account_t *account, pd_time_t now)
 {
@@ -342,8 +351,8 @@
 }
 
 /*
- * Hears from a peer how much it was asked for in all since it started, also what
- * it refused; after token_limits_record_peer_use() of the same message.
+ * Records how many tokens a peer was asked for since it started, including those it
+ * refused. Has to follow token_limits_record_peer_use() for the same message.
  */
 void token_limits_record_peer_demand(token_limits_t *limits,
 				     const char *account, const char *peer,
@@ -354,7 +363,7 @@
 	peer_uses_report_demand(bucket->peers, peer, requested, now);
 }
 
-/* Returns what callers of an account ask of all entries in a second. */
+/* Returns the tokens per second that callers of an account request at all gateways. */
 double token_limits_demand(const token_limits_t *limits, const char *account,
 			   pd_time_t now)
 {
@@ -363,7 +372,7 @@
 	return bucket ? bucket_demand(bucket, now) : 0;
 }
 
-/* Notes that the aggregator that is followed was told all that was round_tokens here. */
+/* Records that the followed aggregator knows all tokens that were taken here. */
 void token_limits_mark_reported(token_limits_t *limits)
 {
 	GHashTableIter iter;
@@ -378,17 +387,19 @@
 }
 
 /*
- * Takes a bucket's level from the aggregator that hears all entries. Sums alone did not
- * do: of the first sum that an entry hears it can't tell what was used before its
- * start, so what all others took in the first tenths of a second after a start of
- * all stayed in its bucket.
+ * Sets a bucket's level to that of the aggregator, which receives the totals of all
+ * gateways. Totals alone are not enough: from the first total that a gateway receives
+ * it can't tell what was used before its own start, so what all others took in the
+ * first tenths of a second after a restart of all stayed in its bucket.
  */
 void token_limits_set_level(token_limits_t *limits, const char *account,
 			    double level, pd_time_t now)
 {
 	bucket_t *bucket = limits_bucket(limits, account, now);
 
-	/* The level has what peers were predicted to use until now. */
+	/*
+	 * The aggregator's level includes what peers were predicted to use until now.
+	 */
 	peer_uses_predict(bucket->peers, now);
 	bucket->level = level - (bucket->own_total - bucket->reported_total);
 	bucket->updated_at = now;
@@ -396,9 +407,9 @@
 }
 
 /*
- * Hears from a peer how much it has round_tokens out in all since it started. RECENT
- * says that it started so short a time ago that all of it counts; of an older
- * peer only what it takes from now on can be told.
+ * Records how many tokens a peer has taken since it started. RECENT says that it
+ * started so recently that all of them count; of an older peer only later increases are
+ * known to be new.
  */
 void token_limits_record_peer_use(token_limits_t *limits, const char *account,
 				  const char *peer, double total, bool recent,
@@ -414,8 +425,8 @@
 }
 
 /*
- * Forgets what peers told, when others tell it from now on. What was round_tokens out
- * of the buckets stays out.
+ * Forgets the reports of all peers, because others report for them from now on. The
+ * tokens that they took stay taken.
  */
 void token_limits_clear_peers(token_limits_t *limits)
 {
@@ -427,7 +438,7 @@
 		peer_uses_clear(((bucket_t *)value)->peers);
 }
 
-/* Forgets a peer that has ended, and what it was round_tokens to go on with. */
+/* Forgets a peer that has ended, and stops predicting its use. */
 void token_limits_remove_peer(token_limits_t *limits, const char *peer)
 {
 	GHashTableIter iter;
@@ -439,8 +450,8 @@
 }
 
 /*
- * Takes over a bucket's level from a peer that has run for longer, for an entry
- * that has just started and does not know what was used before.
+ * Raises a bucket's level to that of a peer that has run for longer, for a gateway that
+ * has just started and does not know what was used before.
  */
 void token_limits_raise_level(token_limits_t *limits, const char *account,
 			      double level, pd_time_t now)
@@ -452,7 +463,7 @@
 	bucket->has_shared_level = true;
 }
 
-/* Measures how much callers ask for here; over short times that says nothing. */
+/* Measures the demand at this gateway, if the last measurement is long enough ago. */
 static void bucket_measure_demand(bucket_t *bucket, pd_time_t now)
 {
 	pd_time_t span = now - bucket->measured_at;
@@ -469,7 +480,7 @@
 	bucket->measured_at = now;
 }
 
-/* Brings a bucket up to now and returns what there is to tell of it. */
+/* Updates a bucket to NOW and returns the account's use. */
 static token_use_t bucket_get_use(bucket_t *bucket, pd_time_t now)
 {
 	if (bucket->size > 0)
@@ -481,7 +492,7 @@
 			      .level = bucket->level };
 }
 
-/* Calls EACH with what this entry knows of every account's use. */
+/* Calls EACH with this gateway's view of every account's use. */
 void token_limits_each(token_limits_t *limits, pd_time_t now,
 		       token_limits_each_t each, void *ctx)
 {
@@ -497,7 +508,7 @@
 	}
 }
 
-/* The same for accounts of which requests came since the last time. */
+/* Calls EACH for the accounts with requests since the last call. */
 void token_limits_each_changed(token_limits_t *limits, pd_time_t now,
 			       token_limits_each_t each, void *ctx)
 {
--- a/core/forward/token_limits.h
+++ b/core/forward/token_limits.h
@@ -1,6 +1,7 @@
 /*
- * What each client account may use, over all entries together. Every entry
- * keeps the account's whole bucket and takes out what it and the others use.
+ * Rate limits of the client accounts over all gateways together. Every gateway keeps a
+ * copy of each account's whole token bucket and takes out the tokens that it and the
+ * others use.
  */
 #ifndef PISTACHIO_TOKEN_LIMITS_H
 #define PISTACHIO_TOKEN_LIMITS_H
@@ -9,23 +10,23 @@
 
 typedef struct token_limits_config {
 	pd_time_t window;
-	double overage; /* part of the limit that may be used beyond it */
-	double slack; /* tokens that may be used beyond it in a window */
+	double overage; /* fraction of the limit by which it may be exceeded */
+	double slack; /* tokens by which the limit may be exceeded in a window */
 } token_limits_config_t;
 
 typedef struct token_limits token_limits_t;
 
-/* What a request was judged by. */
+/* The basis of the decision on a request. */
 typedef struct token_decision {
-	double level; /* of the bucket before it */
-	double needed; /* of the level */
+	double level; /* of the bucket before the request */
+	double needed; /* tokens that the level had to cover */
 	pd_time_t retry_after; /* 0 if it was granted */
 } token_decision_t;
 
-/* What an entry knows of an account's use. */
+/* A gateway's view of an account's use. */
 typedef struct token_use {
-	double total; /* taken here since this entry's start */
-	double requested; /* the same, and what was refused */
+	double total; /* tokens taken here since this gateway started */
+	double requested; /* total plus the tokens refused */
 	bool has_level; /* the account's limit is known here */
 	double level; /* of the shared bucket */
 } token_use_t;
--- a/tests/property/test_token_limits.cc
+++ b/tests/property/test_token_limits.cc
@@ -1,16 +1,14 @@
 /*
- * What an account is granted over entries that hear of each other late, while it
- * sends many times its limit and all entries are killed, once or again and again.
- *
- * All entries are killed at the height of a flood. What the account had used by then
- * nobody knew after the start: each entry began with a guess, each granted at least
- * one request a round whatever its share was, and of the first sums that it heard it
- * could not tell what was used before. The log showed 1.6 buckets granted in the
- * half second after the start, by 63 entries, and the upstreams ran up to 12.6 %
- * more than a window allows, at the cost of the other accounts' callers.
- *
- * The sum over any window must stay within what the settings allow, for few and for
- * many entries, small and large requests, and any number of kills.
+ * Simulates an account that sends many times its limit to gateways which learn of each
+ * other's use late, while all gateways are killed once or several times. Guards against
+ * granting more than the limit after all gateways were killed at the height of a flood.
+ * No gateway knew then what the account had used before: each started with a guess,
+ * granted at least one request a round regardless of its share, and could not tell what
+ * part of the first totals it received was used before. 63 gateways granted 1.6 buckets
+ * in the half second after the start, and the upstreams ran up to 12.6 % more than a
+ * window allows, at the cost of other accounts. The sum over any window must stay
+ * within what the settings allow, for any number of gateways, size of requests and
+ * number of kills.
  */
 #include <rapidcheck.h>
 
@@ -26,8 +24,9 @@
 static const pd_time_t start = 1000 * PD_SEC;
 static const pd_time_t step = 10 * PD_MSEC;
 static const pd_time_t write_period = 100 * PD_MSEC;
-static const pd_time_t day = 30 * PD_SEC;
-static const unsigned mesh_max = 12; /* beyond, an aggregator sums up for all */
+static const pd_time_t duration = 30 * PD_SEC;
+static const unsigned mesh_max =
+	12; /* gateways; in larger fleets an aggregator sums up the reports */
 static const token_limits_config_t config = { 8 * PD_SEC, 0.1, 140000 };
 
 struct request {
@@ -35,19 +34,21 @@
 	double tokens;
 };
 
-struct node {
+struct gateway {
 	token_limits_t *limits = nullptr;
-	pd_time_t tells_at = 0;
-	pd_time_t counts_at = 0; /* when it tells who keeps the record */
+	pd_time_t reports_at = 0;
+	pd_time_t reports_to_writer_at =
+		0; /* when it reports to the writer of the record */
 };
 
-/* A fleet with one account, and the record that it keeps in the store. */
+/* A fleet with one account, and the record of that account in the store. */
 class fleet
 {
       public:
-	fleet(unsigned size, double rate, double tokens, double asks, uint32_t seed)
-	    : nodes(size), random(g_rand_new_with_seed(seed)), mean(tokens),
-	      factor(asks)
+	fleet(unsigned size, double rate, double tokens, double request_factor,
+	      uint32_t seed)
+	    : gateways(size), random(g_rand_new_with_seed(seed)), mean(tokens),
+	      factor(request_factor)
 	{
 		account.name = const_cast<char *>("mill");
 		account.in_tokens = true;
@@ -56,14 +57,14 @@
 		period = size <= mesh_max ? 250 * PD_MSEC
 			 : size <= 100	  ? 200 * PD_MSEC
 					  : 2 * PD_MSEC * size;
-		start_all(true);
+		start_gateways(true);
 	}
 	fleet(const fleet &) = delete;
 	fleet &operator=(const fleet &) = delete;
 
 	~fleet()
 	{
-		stop_all();
+		stop_gateways();
 		g_rand_free(random);
 	}
 
@@ -71,22 +72,22 @@
 	{
 		pd_time_t back = 0;
 
-		for (now = start; now < start + day; now += step) {
+		for (now = start; now < start + duration; now += step) {
 			for (pd_time_t kill : kills)
 				if (now == start + kill && !back) {
-					stop_all();
+					stop_gateways();
 					back = now + down;
 				}
 			if (back && now >= back) {
-				start_all(false);
+				start_gateways(false);
 				back = 0;
 			}
 			if (back)
 				continue;
-			tell();
+			send_reports();
 			if (now >= writes_at)
 				write_record();
-			ask();
+			send_requests();
 		}
 	}
 
@@ -96,8 +97,8 @@
 		       config.slack;
 	}
 
-	/* The most that was granted in any window of eight seconds. */
-	double worst() const
+	/* Returns the most tokens that were granted in any window of eight seconds. */
+	double max_granted() const
 	{
 		std::deque<request> window;
 		double sum = 0;
@@ -115,63 +116,63 @@
 		return most;
 	}
 
-	unsigned asked = 0;
+	unsigned requested = 0;
 	unsigned refused = 0;
 
       private:
-	void start_all(bool first)
+	void start_gateways(bool first)
 	{
-		lives++;
-		for (node &entry : nodes) {
-			entry = node();
-			entry.limits = token_limits_create(&config, first);
-			token_limits_seed(entry.limits, g_rand_int(random));
-			token_limits_set_gateway_count(entry.limits,
-						       (unsigned)nodes.size());
-			token_limits_set_lag(entry.limits, period * 5 / 2);
+		incarnations++;
+		for (gateway &one : gateways) {
+			one = gateway();
+			one.limits = token_limits_create(&config, first);
+			token_limits_seed(one.limits, g_rand_int(random));
+			token_limits_set_gateway_count(one.limits,
+						       (unsigned)gateways.size());
+			token_limits_set_lag(one.limits, period * 5 / 2);
 			if (!first)
-				token_limits_restore(entry.limits, account.name,
+				token_limits_restore(one.limits, account.name,
 						     level, demand, now);
-			token_limits_add_account(entry.limits, &account,
+			token_limits_add_account(one.limits, &account,
 						 first ? start : now);
-			entry.tells_at =
+			one.reports_at =
 				now + g_rand_int_range(random, 0, (int)period);
 		}
-		/* The first write comes when it is known who goes first. */
+		/* The first write comes when the gateways agree on the writers. */
 		writes_at = now + 300 * PD_MSEC;
 	}
 
 	pd_time_t count_period() const
 	{
 		return std::max(write_period,
-				write_period / 100 * (pd_time_t)nodes.size());
+				write_period / 100 * (pd_time_t)gateways.size());
 	}
 
-	void stop_all()
+	void stop_gateways()
 	{
-		for (node &entry : nodes)
-			token_limits_destroy(entry.limits);
+		for (gateway &one : gateways)
+			token_limits_destroy(one.limits);
 	}
 
 	std::string name(size_t number) const
 	{
-		return std::to_string(number) + "#" + std::to_string(lives);
+		return std::to_string(number) + "#" + std::to_string(incarnations);
 	}
 
-	static void note_use(void *ctx, const char *, const token_use_t *use)
+	static void copy_use(void *ctx, const char *, const token_use_t *use)
 	{
 		*static_cast<token_use_t *>(ctx) = *use;
 	}
 
-	token_use_t use_of(const node &entry) const
+	token_use_t use_of(const gateway &one) const
 	{
 		token_use_t use = {};
 
-		token_limits_each(entry.limits, now, note_use, &use);
+		token_limits_each(one.limits, now, copy_use, &use);
 		return use;
 	}
 
-	void hear(node &to, size_t from, const token_use_t &use)
+	void receive(gateway &to, size_t from, const token_use_t &use)
 	{
 		token_limits_record_peer_use(to.limits, account.name,
 					     name(from).c_str(), use.total,
@@ -181,119 +182,118 @@
 						use.requested, now);
 	}
 
-	void tell()
+	void send_reports()
 	{
-		for (size_t i = 0; i < nodes.size(); i++) {
-			if (now >= nodes[i].counts_at && i > 0) {
-				nodes[i].counts_at = now + count_period();
-				hear_sum(i, use_of(nodes[i]));
+		for (size_t i = 0; i < gateways.size(); i++) {
+			if (now >= gateways[i].reports_to_writer_at && i > 0) {
+				gateways[i].reports_to_writer_at =
+					now + count_period();
+				receive_at_aggregator(i, use_of(gateways[i]));
 			}
-			if (now < nodes[i].tells_at)
+			if (now < gateways[i].reports_at)
 				continue;
-			nodes[i].tells_at = now + period;
-			if (nodes.size() <= mesh_max)
-				tell_mesh(i);
+			gateways[i].reports_at = now + period;
+			if (gateways.size() <= mesh_max)
+				report_to_mesh(i);
 			else if (i > 0)
-				tell_aggregator(i);
+				report_to_aggregator(i);
 		}
 	}
 
-	void tell_mesh(size_t from)
+	void report_to_mesh(size_t from)
 	{
-		token_use_t use = use_of(nodes[from]);
+		token_use_t use = use_of(gateways[from]);
 
-		for (size_t i = 0; i < nodes.size(); i++)
+		for (size_t i = 0; i < gateways.size(); i++)
 			if (i != from)
-				hear(nodes[i], from, use);
+				receive(gateways[i], from, use);
 	}
 
-	/* The first entry hears another, for the record and for its sums. */
-	void hear_sum(size_t from, const token_use_t &use)
+	/* The first gateway receives a report, for the record and for its sums. */
+	void receive_at_aggregator(size_t from, const token_use_t &use)
 	{
-		hear(nodes[0], from, use);
-		sum_total += use.total - last(from).total;
-		sum_asked += use.requested - last(from).requested;
-		last(from) = use;
+		receive(gateways[0], from, use);
+		sum_total += use.total - last_use(from).total;
+		sum_requested += use.requested - last_use(from).requested;
+		last_use(from) = use;
 	}
 
-	/* The aggregator hears one entry, and answers with the sums of all others. */
-	void tell_aggregator(size_t from)
+	/* The aggregator receives a report, and answers with the sums of all others. */
+	void report_to_aggregator(size_t from)
 	{
-		node &entry = nodes[from];
-		token_use_t use = use_of(entry);
+		gateway &one = gateways[from];
+		token_use_t use = use_of(one);
 		token_use_t aggregator;
 
-		hear_sum(from, use);
-		token_limits_mark_reported(entry.limits);
-		aggregator = use_of(nodes[0]);
-		token_limits_record_peer_use(entry.limits, account.name,
-					     "everybody",
+		receive_at_aggregator(from, use);
+		token_limits_mark_reported(one.limits);
+		aggregator = use_of(gateways[0]);
+		token_limits_record_peer_use(one.limits, account.name, "everybody",
 					     sum_total - use.total + aggregator.total,
 					     false, now);
-		token_limits_record_peer_demand(entry.limits, account.name,
+		token_limits_record_peer_demand(one.limits, account.name,
 						"everybody",
-						sum_asked - use.requested +
+						sum_requested - use.requested +
 							aggregator.requested,
 						now);
-		token_limits_set_level(entry.limits, account.name,
+		token_limits_set_level(one.limits, account.name,
 				       aggregator.level, now);
 	}
 
-	token_use_t &last(size_t number)
+	token_use_t &last_use(size_t number)
 	{
-		if (sums_of != lives) {
-			sums_of = lives;
-			lasts.assign(nodes.size(), token_use_t());
+		if (sums_incarnation != incarnations) {
+			sums_incarnation = incarnations;
+			last_uses.assign(gateways.size(), token_use_t());
 			sum_total = 0;
-			sum_asked = 0;
+			sum_requested = 0;
 		}
-		return lasts[number];
+		return last_uses[number];
 	}
 
 	void write_record()
 	{
 		writes_at = now + write_period;
-		level = use_of(nodes[0]).level;
-		demand = token_limits_demand(nodes[0].limits, account.name, now);
+		level = use_of(gateways[0]).level;
+		demand = token_limits_demand(gateways[0].limits, account.name, now);
 	}
 
-	/* Callers ask at random entries, for sizes around the mean. */
-	void ask()
+	/* Sends requests of random sizes around the mean to random gateways. */
+	void send_requests()
 	{
 		due += account.rate * factor * (double)step / PD_SEC;
 		while (due > 0) {
 			double tokens = mean * (0.2 + 1.6 * g_rand_double(random));
-			node &entry =
-				nodes[(size_t)g_rand_int_range(random, 0,
-							       (int)nodes.size())];
+			gateway &one = gateways[(size_t)g_rand_int_range(
+				random, 0, (int)gateways.size())];
 			token_decision_t decision;
 
 			due -= tokens;
-			asked++;
-			if (token_limits_take(entry.limits, &account, tokens,
-					      now, &decision))
+			requested++;
+			if (token_limits_take(one.limits, &account, tokens, now,
+					      &decision))
 				grants.push_back({ now, tokens });
 			else
 				refused++;
 		}
 	}
 
-	std::vector<node> nodes;
+	std::vector<gateway> gateways;
 	GRand *random;
 	forward_account_t account = {};
 	double mean;
-	double factor; /* of the limit, that callers ask for */
+	double factor; /* callers request this multiple of the limit */
 	pd_time_t period;
 	pd_time_t now = start;
 	pd_time_t writes_at = 0;
-	unsigned lives = 0;
+	unsigned incarnations = 0;
 	double due = 0;
 	double level = 0;
 	double demand = 0;
-	unsigned sums_of = 0;
-	std::vector<token_use_t> lasts;
+	unsigned sums_incarnation = 0;
+	std::vector<token_use_t> last_uses;
 	double sum_total = 0;
-	double sum_asked = 0;
+	double sum_requested = 0;
 	std::vector<request> grants;
 };
 
@@ -319,12 +319,15 @@
 		if (getenv("SHOW"))
 			printf("%u rate %.0f mean %.0f x%.1f kills %zu: %.3f\n",
 			       size, rate, mean, factor, at.size(),
-			       all.worst() / all.allowed());
-		RC_ASSERT(all.worst() <= all.allowed());
+			       all.max_granted() / all.allowed());
+		RC_ASSERT(all.max_granted() <= all.allowed());
 	});
 }
 
-/* An account that keeps its limit is refused little, also after a kill of all. */
+/*
+ * Guards against refusing requests of an account within its limit, also after a kill of
+ * all gateways.
+ */
 static bool prop_within(unsigned size)
 {
 	std::string name = "callers within limits are served, " +
@@ -338,8 +341,8 @@
 		all.run({ 9000 * PD_MSEC }, down);
 		if (getenv("SHOW"))
 			printf("%u refused %u of %u\n", size, all.refused,
-			       all.asked);
-		RC_ASSERT(all.refused * 50 <= all.asked);
+			       all.requested);
+		RC_ASSERT(all.refused * 50 <= all.requested);
 	});
 }
 
@@ -347,7 +350,7 @@
 {
 	bool ok = true;
 
-	/* Each case is 30 s of a fleet: CASES=1000 is for long runs by hand. */
+	/* Each case simulates 30 s; set CASES=1000 for long runs by hand. */
 	const char *given = getenv("RC_PARAMS");
 	const char *cases = getenv("CASES");
 	std::string params = given ? given : "seed=20261202";
--- a/tests/unit/test_peer_uses.c
+++ b/tests/unit/test_peer_uses.c
@@ -1,4 +1,6 @@
-/* Predictions of what peers use, against a model that walks all peers. */
+/*
+ * Tests of the predictions of peers' use, against a model that iterates over all peers.
+ */
 #include <math.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,21 +16,22 @@
 
 #define START (1000 * PD_SEC)
 #define STEP (10 * PD_MSEC)
-#define SILENCE (15 * PD_SEC)
+#define PREDICTION_TIME (15 * PD_SEC)
 #define PEERS 40
 #define STEPS 6000 /* one minute */
 #define NAME_MAX_LEN 16
-#define MANY 300
-#define FEW 10
+#define MANY_PEERS 300
+#define FEW_PEERS 10
 #define PREDICTIONS 20000
 #define ATTEMPTS 5
-#define TIMES_FEW 5 /* a walk over MANY peers takes MANY / FEW times as long */
+#define RATIO_MAX \
+	5 /* iterating over the peers would give MANY_PEERS / FEW_PEERS */
 
 typedef struct model_peer {
-	bool heard;
+	bool has_reported;
 	double total;
 	double rate;
-	pd_time_t heard_at;
+	pd_time_t reported_at;
 } model_peer_t;
 
 static const char *peer_name(char *name, unsigned int peer)
@@ -37,41 +40,45 @@
 	return name;
 }
 
-/* Returns what all peers of the model are predicted to use in a step up to NOW. */
+/*
+ * Returns the tokens that all peers of the model are predicted to use in a step up to
+ * NOW.
+ */
 static double model_step(const model_peer_t *peers, pd_time_t now)
 {
 	double sum = 0;
 
 	for (unsigned int i = 0; i < PEERS; i++) {
-		pd_time_t from = MAX(now - STEP, peers[i].heard_at);
-		pd_time_t to = MIN(now, peers[i].heard_at + SILENCE);
+		pd_time_t from = MAX(now - STEP, peers[i].reported_at);
+		pd_time_t to = MIN(now, peers[i].reported_at + PREDICTION_TIME);
 
-		if (peers[i].heard && to > from)
+		if (peers[i].has_reported && to > from)
 			sum += peers[i].rate * (double)(to - from) / PD_SEC;
 	}
 	return sum;
 }
 
-/* Has a peer of the model report; returns what its report corrects. */
+/* Records a report of a peer of the model; returns the correction to its prediction. */
 static double model_report(model_peer_t *peer, double total, pd_time_t now)
 {
-	pd_time_t span = now - peer->heard_at;
-	double grown = total - peer->total;
+	pd_time_t span = now - peer->reported_at;
+	double growth = total - peer->total;
 	double used = 0;
 
-	if (peer->heard) {
-		used = grown - peer->rate * (double)MIN(span, SILENCE) / PD_SEC;
-		peer->rate += (grown * PD_SEC / (double)span - peer->rate) *
+	if (peer->has_reported) {
+		used = growth -
+		       peer->rate * (double)MIN(span, PREDICTION_TIME) / PD_SEC;
+		peer->rate += (growth * PD_SEC / (double)span - peer->rate) *
 			      PEER_USES_RATE_WEIGHT;
 	}
-	peer->heard = true;
+	peer->has_reported = true;
 	peer->total = total;
-	peer->heard_at = now;
+	peer->reported_at = now;
 	return used;
 }
 
-/* Guards against a running sum that drifts from what the peers add up to. */
-static void test_predictions_equal_those_of_each_peer(void **state)
+/* Guards against a running sum that drifts from the sum over the peers. */
+static void test_prediction_equals_sum_over_peers(void **state)
 {
 	model_peer_t model[PEERS] = { 0 };
 	peer_uses_t *uses = peer_uses_create(START);
@@ -90,11 +97,11 @@
 		now += STEP;
 		expected += model_step(model, now);
 		got += peer_uses_predict(uses, now);
-		/* The last quarter of the peers falls silent half-way. */
+		/* The last quarter of the peers falls silent half-way through. */
 		if (step > STEPS / 2 && i >= PEERS * 3 / 4)
 			continue;
-		if (model[i].heard &&
-		    now - model[i].heard_at < PEER_USES_INTERVAL_MIN)
+		if (model[i].has_reported &&
+		    now - model[i].reported_at < PEER_USES_INTERVAL_MIN)
 			continue;
 		assert_true(peer_uses_report(uses, peer_name(name, i), total,
 					     false, now, &used));
@@ -106,8 +113,8 @@
 	g_rand_free(random);
 }
 
-/* Guards against a limit that a peer which was cut off grants once more. */
-static void test_a_silent_peer_goes_on_for_a_while(void **state)
+/* Guards against granting a limit once more because a peer was cut off. */
+static void test_use_of_silent_peer_is_predicted_for_a_time(void **state)
 {
 	peer_uses_t *uses = peer_uses_create(START);
 	double used;
@@ -124,8 +131,8 @@
 	peer_uses_destroy(uses);
 }
 
-/* Guards against use that a dead peer is predicted to go on with. */
-static void test_a_forgotten_peer_uses_no_more(void **state)
+/* Guards against predicting that a dead peer goes on using tokens. */
+static void test_removed_peer_uses_no_more(void **state)
 {
 	peer_uses_t *uses = peer_uses_create(START);
 	double used;
@@ -138,8 +145,8 @@
 	peer_uses_destroy(uses);
 }
 
-/* Guards against a total that starts anew and is taken for negative use. */
-static void test_a_falling_total_is_no_use(void **state)
+/* Guards against taking a total that restarts from 0 for negative use. */
+static void test_falling_total_is_no_use(void **state)
 {
 	peer_uses_t *uses = peer_uses_create(START);
 	double used;
@@ -155,7 +162,7 @@
 	peer_uses_destroy(uses);
 }
 
-/* Returns the shortest processor time that a series of predictions took, in us. */
+/* Returns the shortest processor time of a series of predictions, in microseconds. */
 static double time_predictions(unsigned int peers)
 {
 	peer_uses_t *uses = peer_uses_create(START);
@@ -179,21 +186,22 @@
 	return shortest;
 }
 
-/* Guards against an aggregator whose work for one message grows with the fleet. */
-static void test_a_prediction_costs_the_same_in_any_fleet(void **state)
+/* Guards against an aggregator whose work for each message grows with the fleet. */
+static void test_cost_of_prediction_is_independent_of_fleet_size(void **state)
 {
 	(void)state;
-	assert_true(time_predictions(MANY) < TIMES_FEW * time_predictions(FEW));
+	assert_true(time_predictions(MANY_PEERS) <
+		    RATIO_MAX * time_predictions(FEW_PEERS));
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_predictions_equal_those_of_each_peer),
-		cmocka_unit_test(test_a_silent_peer_goes_on_for_a_while),
-		cmocka_unit_test(test_a_forgotten_peer_uses_no_more),
-		cmocka_unit_test(test_a_falling_total_is_no_use),
-		cmocka_unit_test(test_a_prediction_costs_the_same_in_any_fleet),
+		cmocka_unit_test(test_prediction_equals_sum_over_peers),
+		cmocka_unit_test(test_use_of_silent_peer_is_predicted_for_a_time),
+		cmocka_unit_test(test_removed_peer_uses_no_more),
+		cmocka_unit_test(test_falling_total_is_no_use),
+		cmocka_unit_test(test_cost_of_prediction_is_independent_of_fleet_size),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_token_limits.c
+++ b/tests/unit/test_token_limits.c
@@ -1,4 +1,4 @@
-/* Limits of client accounts in sum over entries that hear of each other late. */
+/* Tests of account limits over several gateways that learn of each other's use late. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,8 +11,8 @@
 
 #define START (1000 * PD_SEC)
 #define STEP (10 * PD_MSEC)
-#define TELL_STEPS 25 /* peers tell each other every 250 ms */
-#define ENTRIES 6
+#define REPORT_STEPS 25 /* gateways report to each other every 250 ms */
+#define GATEWAYS 6
 #define STEPS 2400 /* 24 s */
 #define WINDOW_STEPS 800 /* 8 s */
 #define REQUEST 2000.0 /* tokens */
@@ -32,66 +32,67 @@
 						 .burst = 36000 };
 
 typedef struct fleet {
-	token_limits_t *entries[ENTRIES];
-	unsigned int lives[ENTRIES]; /* names the start of each */
+	token_limits_t *gateways[GATEWAYS];
+	unsigned int incarnations[GATEWAYS]; /* numbers of the gateways' current incarnations */
 	double granted[STEPS];
-	double asked;
+	double requested;
 } fleet_t;
 
-static void fleet_start(fleet_t *fleet, bool filled)
+static void fleet_start(fleet_t *fleet, bool full)
 {
-	for (unsigned int i = 0; i < ENTRIES; i++) {
-		fleet->entries[i] = token_limits_create(&config, filled);
-		token_limits_set_gateway_count(fleet->entries[i], ENTRIES);
-		fleet->lives[i]++;
+	for (unsigned int i = 0; i < GATEWAYS; i++) {
+		fleet->gateways[i] = token_limits_create(&config, full);
+		token_limits_set_gateway_count(fleet->gateways[i], GATEWAYS);
+		fleet->incarnations[i]++;
 	}
 }
 
-static void fleet_end(fleet_t *fleet)
+static void fleet_stop(fleet_t *fleet)
 {
-	for (unsigned int i = 0; i < ENTRIES; i++)
-		token_limits_destroy(fleet->entries[i]);
+	for (unsigned int i = 0; i < GATEWAYS; i++)
+		token_limits_destroy(fleet->gateways[i]);
 }
 
-typedef struct teller {
+typedef struct report_ctx {
 	fleet_t *fleet;
 	unsigned int from;
 	pd_time_t now;
-} teller_t;
+} report_ctx_t;
 
-static void tell(void *ctx, const char *name, const token_use_t *use)
+static void deliver_report(void *ctx, const char *name, const token_use_t *use)
 {
-	const teller_t *teller = ctx;
+	const report_ctx_t *report = ctx;
 	char who[32];
 
-	snprintf(who, sizeof(who), "%u#%u", teller->from,
-		 teller->fleet->lives[teller->from]);
-	for (unsigned int i = 0; i < ENTRIES; i++) {
-		if (i != teller->from)
-			token_limits_record_peer_use(teller->fleet->entries[i],
+	snprintf(who, sizeof(who), "%u#%u", report->from,
+		 report->fleet->incarnations[report->from]);
+	for (unsigned int i = 0; i < GATEWAYS; i++) {
+		if (i != report->from)
+			token_limits_record_peer_use(report->fleet->gateways[i],
 						     name, who, use->total,
-						     true, teller->now);
+						     true, report->now);
 	}
 }
 
-static void fleet_tell(fleet_t *fleet, pd_time_t now)
+static void fleet_report(fleet_t *fleet, pd_time_t now)
 {
-	for (unsigned int i = 0; i < ENTRIES; i++) {
-		teller_t teller = { fleet, i, now };
+	for (unsigned int i = 0; i < GATEWAYS; i++) {
+		report_ctx_t report = { fleet, i, now };
 
-		token_limits_each(fleet->entries[i], now, tell, &teller);
+		token_limits_each(fleet->gateways[i], now, deliver_report, &report);
 	}
 }
 
-/* Callers ask for RATE tokens a second, evenly at all entries. */
-static void fleet_ask(fleet_t *fleet, unsigned int step, double rate, pd_time_t now)
+/* Callers request RATE tokens a second, evenly at all gateways. */
+static void fleet_request(fleet_t *fleet, unsigned int step, double rate,
+			  pd_time_t now)
 {
 	token_decision_t decision;
 
-	fleet->asked += rate * (double)STEP / PD_SEC;
-	for (unsigned int i = 0; fleet->asked >= REQUEST; i++) {
-		fleet->asked -= REQUEST;
-		if (token_limits_take(fleet->entries[(step + i) % ENTRIES],
+	fleet->requested += rate * (double)STEP / PD_SEC;
+	for (unsigned int i = 0; fleet->requested >= REQUEST; i++) {
+		fleet->requested -= REQUEST;
+		if (token_limits_take(fleet->gateways[(step + i) % GATEWAYS],
 				      &account, REQUEST, now, &decision))
 			fleet->granted[step] += REQUEST;
 	}
@@ -119,10 +120,11 @@
 }
 
 /*
- * An account asks for many times its limit at all entries at once. Each grants
- * on news of the others that is a quarter of a second old.
+ * Guards against exceeding a limit in a flood: an account requests many times its limit
+ * at all gateways at once, and each grants by reports of the others that are a quarter
+ * of a second old.
  */
-static void test_a_flood_stays_within_the_limit(void **state)
+static void test_flood_stays_within_limit(void **state)
 {
 	fleet_t fleet = { 0 };
 
@@ -131,22 +133,22 @@
 	for (unsigned int step = 0; step < STEPS; step++) {
 		pd_time_t now = START + step * STEP;
 
-		if (step % TELL_STEPS == 0)
-			fleet_tell(&fleet, now);
-		fleet_ask(&fleet, step, account.rate * 7.5, now);
+		if (step % REPORT_STEPS == 0)
+			fleet_report(&fleet, now);
+		fleet_request(&fleet, step, account.rate * 7.5, now);
 	}
 	assert_true(worst_window(&fleet) <= allowed());
-	/* And the account gets what it may use. */
+	/* The account still gets what it is allowed. */
 	assert_true(worst_window(&fleet) >= account.rate * 8);
-	fleet_end(&fleet);
+	fleet_stop(&fleet);
 }
 
 /*
- * All entries are killed at the height of a flood and know nothing when they
- * are back. If each handed out the whole limit anew, the upstreams would get
- * twice what the account may use.
+ * Guards against granting a limit twice: all gateways are killed at the height of a
+ * flood and know nothing after their restart. If each granted the whole limit again,
+ * the upstreams would get twice what the account may use.
  */
-static void test_a_restart_of_all_grants_no_second_limit(void **state)
+static void test_restart_of_all_grants_no_second_limit(void **state)
 {
 	(void)state;
 	for (unsigned int killed_at = 50; killed_at < 1000; killed_at += 50) {
@@ -157,25 +159,26 @@
 			pd_time_t now = START + step * STEP;
 
 			if (step == killed_at) {
-				fleet_end(&fleet);
+				fleet_stop(&fleet);
 				fleet_start(&fleet, false);
 			}
-			if (step % TELL_STEPS == 0)
-				fleet_tell(&fleet, now);
-			/* They are down for a second. */
+			if (step % REPORT_STEPS == 0)
+				fleet_report(&fleet, now);
+			/* The gateways are down for a second. */
 			if (step < killed_at || step >= killed_at + 100)
-				fleet_ask(&fleet, step, account.rate * 7.5, now);
+				fleet_request(&fleet, step, account.rate * 7.5,
+					      now);
 		}
 		assert_true(worst_window(&fleet) <= allowed());
-		fleet_end(&fleet);
+		fleet_stop(&fleet);
 	}
 }
 
 /*
- * The links between entries go silent. Each then knows only what the others
- * used before, and would grant the whole limit if it took silence for idleness.
+ * Guards against taking silence for idleness: when the links between gateways fail,
+ * each only knows what the others used before, and could grant the whole limit.
  */
-static void test_silent_peers_are_taken_to_go_on(void **state)
+static void test_silent_peers_are_assumed_to_go_on(void **state)
 {
 	fleet_t fleet = { 0 };
 
@@ -184,16 +187,16 @@
 	for (unsigned int step = 0; step < STEPS; step++) {
 		pd_time_t now = START + step * STEP;
 
-		if (step % TELL_STEPS == 0 && step < 1200)
-			fleet_tell(&fleet, now);
-		fleet_ask(&fleet, step, account.rate * 3, now);
+		if (step % REPORT_STEPS == 0 && step < 1200)
+			fleet_report(&fleet, now);
+		fleet_request(&fleet, step, account.rate * 3, now);
 	}
 	assert_true(worst_window(&fleet) <= allowed());
-	fleet_end(&fleet);
+	fleet_stop(&fleet);
 }
 
-/* Requests come in clumps; an account well below its limit is not refused. */
-static void test_clumps_below_the_limit_are_granted(void **state)
+/* Guards against refusing bursts of an account that is well below its limit. */
+static void test_bursts_below_limit_are_granted(void **state)
 {
 	fleet_t fleet = { 0 };
 	double granted = 0;
@@ -203,18 +206,18 @@
 	for (unsigned int step = 0; step < STEPS; step++) {
 		pd_time_t now = START + step * STEP;
 
-		if (step % TELL_STEPS == 0)
-			fleet_tell(&fleet, now);
-		/* A quarter of the time at twice the rate. */
-		fleet_ask(&fleet, step, step % 100 < 25 ? account.rate * 2 : 0,
-			  now);
+		if (step % REPORT_STEPS == 0)
+			fleet_report(&fleet, now);
+		/* At twice the rate for a quarter of the time. */
+		fleet_request(&fleet, step,
+			      step % 100 < 25 ? account.rate * 2 : 0, now);
 		granted += fleet.granted[step];
 	}
 	assert_true(granted > account.rate * 0.5 * 24 * 0.98);
-	fleet_end(&fleet);
+	fleet_stop(&fleet);
 }
 
-static void test_a_refusal_says_when_to_come_back(void **state)
+static void test_refusal_has_retry_time(void **state)
 {
 	token_limits_t *limits = token_limits_create(&config, false);
 	token_decision_t decision;
@@ -228,8 +231,8 @@
 	token_limits_destroy(limits);
 }
 
-/* A request larger than the bucket would otherwise never be let through. */
-static void test_a_huge_request_is_not_starved(void **state)
+/* Guards against never granting a request that is larger than the bucket. */
+static void test_oversized_request_is_granted(void **state)
 {
 	const forward_account_t small = { .name = (char *)"small",
 					  .rate = 10,
@@ -243,11 +246,12 @@
 }
 
 /*
- * In a fleet of hundreds an entry's even share of a small account's bucket is less
- * than one request. Callers send a few at once; all but the first would be
- * refused, although the account uses little of its limit.
+ * Guards against refusing bursts in a fleet of hundreds, where a gateway's even share
+ * of a small account's bucket is less than one request. Callers send a few requests at
+ * once, and all but the first would be refused although the account uses little of its
+ * limit.
  */
-static void test_a_clump_goes_in_a_large_fleet(void **state)
+static void test_burst_is_granted_in_large_fleet(void **state)
 {
 	token_limits_t *limits = token_limits_create(&config, true);
 	token_decision_t decision;
@@ -263,10 +267,10 @@
 }
 
 /*
- * A bucket that runs low is shared strictly, or a flood at hundreds of entries
- * would take many times what is left before they hear of each other.
+ * Guards against a flood at hundreds of gateways that takes many times what is left in
+ * a bucket before they learn of each other's grants.
  */
-static void test_a_low_bucket_is_shared_strictly(void **state)
+static void test_low_bucket_is_shared_strictly(void **state)
 {
 	token_limits_t *limits = token_limits_create(&config, false);
 	token_decision_t decision;
@@ -281,11 +285,12 @@
 }
 
 /*
- * An entry hears from its peers for some seconds that an account uses half of its
- * limit, and then gets its own first request of it. Taken out of a bucket that
- * did not fill meanwhile, the peers' use would have it refused.
+ * Guards against a bucket that only fills from the first request on: for some seconds a
+ * gateway learns from its peers that an account uses half of its limit, and then
+ * receives its own first request of it. If the peers' use were taken out of a bucket
+ * that did not fill meanwhile, the request would be refused.
  */
-static void test_a_bucket_fills_before_the_first_request(void **state)
+static void test_bucket_fills_before_first_request(void **state)
 {
 	token_limits_t *limits = token_limits_create(&config, true);
 	token_decision_t decision;
@@ -305,11 +310,12 @@
 }
 
 /*
- * VMs are replaced all day. What callers asked of one that is gone is asked of the
- * others by then: counted on, it would grow with each replacement, until accounts
- * that keep their limits are granted by lot as if they sent many times as much.
+ * Guards against counting the demand at gateways that are gone. VMs are replaced all
+ * day, and callers move to other gateways, which count their requests. If the old
+ * demand were kept, it would grow with each replacement, until accounts within their
+ * limits were throttled as if they sent many times as much.
  */
-static void test_demand_of_a_peer_that_is_gone_is_forgotten(void **state)
+static void test_demand_of_silent_peer_expires(void **state)
 {
 	token_limits_t *limits = token_limits_create(&config, true);
 	pd_time_t now = START;
@@ -330,16 +336,16 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_flood_stays_within_the_limit),
-		cmocka_unit_test(test_a_restart_of_all_grants_no_second_limit),
-		cmocka_unit_test(test_silent_peers_are_taken_to_go_on),
-		cmocka_unit_test(test_clumps_below_the_limit_are_granted),
-		cmocka_unit_test(test_a_refusal_says_when_to_come_back),
-		cmocka_unit_test(test_a_huge_request_is_not_starved),
-		cmocka_unit_test(test_a_clump_goes_in_a_large_fleet),
-		cmocka_unit_test(test_a_low_bucket_is_shared_strictly),
-		cmocka_unit_test(test_a_bucket_fills_before_the_first_request),
-		cmocka_unit_test(test_demand_of_a_peer_that_is_gone_is_forgotten),
+		cmocka_unit_test(test_flood_stays_within_limit),
+		cmocka_unit_test(test_restart_of_all_grants_no_second_limit),
+		cmocka_unit_test(test_silent_peers_are_assumed_to_go_on),
+		cmocka_unit_test(test_bursts_below_limit_are_granted),
+		cmocka_unit_test(test_refusal_has_retry_time),
+		cmocka_unit_test(test_oversized_request_is_granted),
+		cmocka_unit_test(test_burst_is_granted_in_large_fleet),
+		cmocka_unit_test(test_low_bucket_is_shared_strictly),
+		cmocka_unit_test(test_bucket_fills_before_first_request),
+		cmocka_unit_test(test_demand_of_silent_peer_expires),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
