--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -526,7 +526,7 @@
 	record->before = checkpoint->written_at;
 	add_leader(checkpoint, record);
 	token_limits_each(gateway->limits, now, add_account, &accounts);
-	time_vote_each_off(gateway->vote, now, add_clock, &clocks);
+	time_vote_each_offset(gateway->vote, now, add_clock, &clocks);
 	text = checkpoint_record_write(record);
 	checkpoint_record_destroy(record);
 	return text;
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -301,7 +301,7 @@
 /* Reads the own clock and counts the votes on the time of day. */
 static void run_vote(gateway_t *gateway, pd_time_t now)
 {
-	clock_steps_t steps = time_vote_run(gateway->vote, gateway_wall(), now);
+	clock_steps_t steps = time_vote_update(gateway->vote, gateway_wall(), now);
 
 	if (steps.own || steps.fleet)
 		log_line(G_LOG_LEVEL_WARNING, PART,
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -348,8 +348,8 @@
 	uint64_t age = msgpack_field_number(&fields[STATE_CLOCK_AGE]);
 
 	if (wall <= PD_TIME_MAX && age <= PD_TIME_MAX)
-		time_vote_receive(gateway->vote, peer->vm_id, (pd_time_t)wall,
-				  (pd_time_t)age, now);
+		time_vote_receive_reading(gateway->vote, peer->vm_id,
+					  (pd_time_t)wall, (pd_time_t)age, now);
 }
 
 /* Takes from a peer's message whether it was served by the store. */
@@ -424,7 +424,7 @@
 		(unsigned int)msgpack_field_number(&fields[STATE_COUNT]);
 	wall = msgpack_field_number(&fields[STATE_WALL]);
 	if (wall <= PD_TIME_MAX)
-		time_vote_follow(gateway->vote, (pd_time_t)wall, now);
+		time_vote_receive_result(gateway->vote, (pd_time_t)wall, now);
 	take_sums(peers, &fields[STATE_TOTALS]);
 	take_works(gateway, EVERYBODY, &fields[STATE_WORKS], NULL);
 	take_speeds(gateway, &fields[STATE_SPEEDS]);
--- a/core/forward/time_vote.h
+++ b/core/forward/time_vote.h
@@ -17,7 +17,7 @@
 #include "ports/clock.h"
 
 /* A smaller change of a clock is drift, or a message that was late. */
-#define CLOCK_STEP (100 * PD_MSEC)
+#define CLOCK_STEP_MIN (100 * PD_MSEC)
 
 typedef struct time_vote time_vote_t;
 
@@ -27,18 +27,19 @@
 	pd_time_t fleet;
 } clock_steps_t;
 
-/* WHO is NULL for the own clock; OFFSET is how far it is ahead of the fleet's time. */
-typedef void (*clock_each_t)(void *ctx, const char *who, pd_time_t offset);
+/* PEER is NULL for the own clock; OFFSET is how far it is ahead of the fleet's time. */
+typedef void (*clock_each_t)(void *ctx, const char *peer, pd_time_t offset);
 
 time_vote_t *time_vote_create(void);
 void time_vote_destroy(time_vote_t *vote);
-clock_steps_t time_vote_run(time_vote_t *vote, pd_time_t own_wall, pd_time_t now);
-void time_vote_receive(time_vote_t *vote, const char *who, pd_time_t wall,
-		       pd_time_t step_age, pd_time_t now);
-void time_vote_correct(time_vote_t *vote, const char *who, pd_time_t offset);
-void time_vote_each_off(const time_vote_t *vote, pd_time_t now,
-			clock_each_t each, void *ctx);
-void time_vote_follow(time_vote_t *vote, pd_time_t wall, pd_time_t now);
+clock_steps_t time_vote_update(time_vote_t *vote, pd_time_t own_wall,
+			       pd_time_t now);
+void time_vote_receive_reading(time_vote_t *vote, const char *peer,
+			       pd_time_t wall, pd_time_t step_age, pd_time_t now);
+void time_vote_correct(time_vote_t *vote, const char *peer, pd_time_t offset);
+void time_vote_each_offset(const time_vote_t *vote, pd_time_t now,
+			   clock_each_t each, void *ctx);
+void time_vote_receive_result(time_vote_t *vote, pd_time_t wall, pd_time_t now);
 pd_time_t time_vote_wall(const time_vote_t *vote, pd_time_t now);
 pd_time_t time_vote_own_wall(const time_vote_t *vote, pd_time_t now);
 pd_time_t time_vote_own_step_age(const time_vote_t *vote, pd_time_t now);
