--- a/core/forward/time_vote.c
+++ b/core/forward/time_vote.c
@@ -1,36 +1,42 @@
-/* Votes on the difference between the time of day and the own steady clock. */
+/* Votes on the difference between the time of day and this VM's steady clock. */
 #include "core/forward/time_vote.h"
 
 #include <stdbool.h>
 #include <stdlib.h>
 
 #define READING_MAX_AGE \
-	(30 * PD_SEC) /* drift over that time is far under a second */
-/* A clock that has stepped has no vote for so long; most jump back before. */
+	(30 * PD_SEC) /* clocks drift by far less than a second in that time */
+/*
+ * How long a clock that has stepped has no vote; most clocks step back within that
+ * time.
+ */
 #define DISTRUST_TIME (60 * PD_SEC)
 #define VOTE_PERIOD (100 * PD_MSEC)
-/* What a cut held up comes at once when it ends, and then what is sent anew. */
+/*
+ * Messages that a network partition delayed arrive together when it ends, followed by
+ * those that are sent again.
+ */
 #define MESSAGE_DELAY_MAX (3 * PD_SEC)
 
 typedef struct reading {
-	pd_time_t difference; /* from the own steady clock */
-	pd_time_t received_at; /* 0: not yet */
+	pd_time_t difference; /* time of day minus this VM's steady clock */
+	pd_time_t received_at; /* 0: never */
 	pd_time_t trusted_from;
-	pd_time_t correction; /* how far it was ahead before a restart of all */
-	bool stepped; /* since its gateway has started */
-	pd_time_t behind_since; /* readings that fell behind came; 0: they did not */
+	pd_time_t correction; /* offset from the fleet's time before all gateways were restarted */
+	bool stepped; /* the clock has stepped since its gateway started */
+	pd_time_t behind_since; /* since when readings are behind the earlier ones; 0: they are not */
 } reading_t;
 
 struct time_vote {
 	GHashTable *peers; /* name -> reading_t */
 	reading_t own;
-	reading_t fleet; /* the outcome of a vote of many, as received */
-	pd_time_t difference; /* the outcome of the own vote */
-	pd_time_t own_step_at; /* 0: the own clock has not stepped */
+	reading_t fleet; /* the result of an aggregator's vote, as received */
+	pd_time_t difference; /* the result of the own vote */
+	pd_time_t own_step_at; /* 0: never */
 	pd_time_t next_vote_at;
 };
 
-/* Returns a vote of nobody yet; the caller owns it. */
+/* Returns a vote without readings; the caller owns it. */
 time_vote_t *time_vote_create(void)
 {
 	time_vote_t *vote = g_new0(time_vote_t, 1);
@@ -49,7 +55,10 @@
 	g_free(vote);
 }
 
-/* Takes the own clock's reading. Returns by how much it has stepped, 0 if not. */
+/*
+ * Stores the own clock's reading. Returns the size of its step, or 0 if it has not
+ * stepped.
+ */
 static pd_time_t read_own(time_vote_t *vote, pd_time_t wall, pd_time_t now)
 {
 	pd_time_t difference = wall - now;
@@ -105,7 +114,7 @@
 	return 2 * nearer > votes->len;
 }
 
-/* Counts the votes. Returns by how much the outcome has stepped, 0 if it has not. */
+/* Counts the votes. Returns the step of the result, or 0 if it has not stepped. */
 static pd_time_t count_votes(time_vote_t *vote, pd_time_t now)
 {
 	GArray *votes = g_array_new(FALSE, FALSE, sizeof(pd_time_t));
@@ -133,8 +142,8 @@
 }
 
 /*
- * Takes the own clock's reading, and counts the votes if that is due. NOW is the own
- * steady clock.
+ * Stores the own clock's reading and counts the votes if that is due. Returns the steps
+ * of the own clock and of the fleet's time. NOW is this VM's steady clock.
  */
 clock_steps_t time_vote_update(time_vote_t *vote, pd_time_t own_wall, pd_time_t now)
 {
@@ -159,9 +168,9 @@
 }
 
 /*
- * Takes a difference from the own steady clock. One that falls behind though the clock
- * has not JUMPED is taken for that of a message that was under way for long, unless
- * others follow for longer than messages are held up.
+ * Stores a clock's difference from this VM's steady clock. If it falls behind although
+ * the clock has STEPPED not set, the message was probably delayed, and the reading is
+ * ignored unless others like it follow for longer than messages are delayed.
  */
 static void reading_take(reading_t *reading, pd_time_t difference, bool stepped,
 			 pd_time_t now)
@@ -181,8 +190,8 @@
 }
 
 /*
- * Takes a peer's clock reading. STEP_AGE is how long ago that clock has stepped, 0 if
- * it has not; what is known of a clock holds over a restart of its gateway.
+ * Stores a peer's clock reading. STEP_AGE is the time since that clock stepped, 0 if it
+ * has not. The reading and the distrust of a clock survive a restart of its gateway.
  */
 void time_vote_receive_reading(time_vote_t *vote, const char *peer,
 			       pd_time_t wall, pd_time_t step_age, pd_time_t now)
@@ -199,8 +208,8 @@
 }
 
 /*
- * Corrects a clock, the own one if WHO is NULL, by how far it was ahead of the
- * fleet's time before a restart of all gateways. That holds until it jumps.
+ * Sets the correction of a clock, the own one if PEER is NULL: its offset from the
+ * fleet's time before all gateways were restarted. It applies until the clock steps.
  */
 void time_vote_correct(time_vote_t *vote, const char *peer, pd_time_t offset)
 {
@@ -220,7 +229,10 @@
 		each(ctx, peer, offset);
 }
 
-/* Calls EACH for clocks that are off. */
+/*
+ * Calls EACH for the clocks whose offset from the fleet's time is CLOCK_STEP_MIN or
+ * more.
+ */
 void time_vote_each_offset(const time_vote_t *vote, pd_time_t now,
 			   clock_each_t each, void *ctx)
 {
@@ -234,7 +246,9 @@
 		report_offset(vote, peer, reading, now, each, ctx);
 }
 
-/* Takes the outcome of a vote of many, which goes before the own one. */
+/*
+ * Stores the result of an aggregator's vote, which takes precedence over the own one.
+ */
 void time_vote_receive_result(time_vote_t *vote, pd_time_t wall, pd_time_t now)
 {
 	reading_take(&vote->fleet, wall - now, false, now);
@@ -248,13 +262,13 @@
 	return vote->difference + now;
 }
 
-/* Returns the time of day by the own clock. */
+/* Returns the time of day of the own clock. */
 pd_time_t time_vote_own_wall(const time_vote_t *vote, pd_time_t now)
 {
 	return vote->own.difference + now;
 }
 
-/* Returns how long ago the own clock has stepped; 0: it has not. */
+/* Returns the time since the own clock stepped, or 0 if it has not. */
 pd_time_t time_vote_own_step_age(const time_vote_t *vote, pd_time_t now)
 {
 	return vote->own_step_at ? MAX(now - vote->own_step_at, 1) : 0;
--- a/core/forward/time_vote.h
+++ b/core/forward/time_vote.h
@@ -1,13 +1,11 @@
 /*
- * The fleet's time of day, by a vote of the clocks of this gateway and its peers. A
- * VM whose clock jumps by seconds would count requests in the wrong window, and
- * report a window that has not ended.
- *
- * Steady clocks don't jump, so the time that was voted is kept by the own steady
- * clock. A clock that has jumped against the steady clock of its own VM has no vote
- * for a while, and the fleet's time jumps only if most of the votes are nearer to
- * the new time. How far clocks are off is kept in the checkpoint, and they are
- * corrected by it after a restart of all.
+ * The fleet's time of day, by a vote of the clocks of this gateway and its peers. A VM
+ * whose clock steps by seconds would otherwise count requests in the wrong window, and
+ * report a window that has not ended. Steady clocks don't step, so the voted time is
+ * kept as a difference from this VM's steady clock. A clock that has stepped against
+ * the steady clock of its own VM has no vote for a while, and the fleet's time steps
+ * only if most of the votes are nearer to the new time. The offsets of clocks are kept
+ * in the checkpoint and corrected by it after a restart of all gateways.
  */
 #ifndef PISTACHIO_TIME_VOTE_H
 #define PISTACHIO_TIME_VOTE_H
@@ -16,18 +14,21 @@
 
 #include "ports/clock.h"
 
-/* A smaller change of a clock is drift, or a message that was late. */
+/* Smaller changes of a clock are drift or delayed messages. */
 #define CLOCK_STEP_MIN (100 * PD_MSEC)
 
 typedef struct time_vote time_vote_t;
 
-/* By how much clocks jumped; 0: they did not. */
+/* Sizes of clock steps; 0: no step. */
 typedef struct clock_steps {
 	pd_time_t own;
 	pd_time_t fleet;
 } clock_steps_t;
 
-/* PEER is NULL for the own clock; OFFSET is how far it is ahead of the fleet's time. */
+/*
+ * PEER is NULL for the own clock; OFFSET is positive if it is ahead of the fleet's
+ * time.
+ */
 typedef void (*clock_each_t)(void *ctx, const char *peer, pd_time_t offset);
 
 time_vote_t *time_vote_create(void);
--- a/tests/unit/test_time_vote.c
+++ b/tests/unit/test_time_vote.c
@@ -13,18 +13,20 @@
 
 #define START (1000 * PD_SEC)
 #define TRUE_WALL (1700000000 * PD_SEC) /* the true time of day at START */
-#define MESSAGE_PERIOD (250 * PD_MSEC) /* of the messages between gateways */
+#define MESSAGE_PERIOD (250 * PD_MSEC) /* between two messages of a gateway */
 #define GATEWAYS_MAX 64
-/* What a report may be error, as time: a twentieth of a window of five seconds. */
+/*
+ * The error that a report may have, as time: a twentieth of a window of five seconds.
+ */
 #define TOLERANCE (250 * PD_MSEC)
 
-/* Gateways that all receive each other; [0] is where the vote is counted. */
+/* Gateways that all receive each other's readings; gateway 0 counts the votes. */
 typedef struct fleet {
 	time_vote_t *vote;
 	int size;
 	pd_time_t now;
-	pd_time_t offsets[GATEWAYS_MAX]; /* of the clocks, from the true time */
-	pd_time_t step_at[GATEWAYS_MAX]; /* 0: it has not jumped */
+	pd_time_t offsets[GATEWAYS_MAX]; /* of the clocks from the true time */
+	pd_time_t stepped_at[GATEWAYS_MAX]; /* 0: the clock has not stepped */
 } fleet_t;
 
 static pd_time_t true_wall(const fleet_t *fleet)
@@ -33,12 +35,12 @@
 }
 
 /* Sends all clocks' readings once. */
-static void fleet_send(fleet_t *fleet)
+static void fleet_send_readings(fleet_t *fleet)
 {
 	for (int i = 1; i < fleet->size; i++) {
 		char *name = g_strdup_printf("e%d", i);
-		pd_time_t age = fleet->step_at[i]
-					? fleet->now - fleet->step_at[i] + 1
+		pd_time_t age = fleet->stepped_at[i]
+					? fleet->now - fleet->stepped_at[i] + 1
 					: 0;
 
 		time_vote_receive_reading(fleet->vote, name,
@@ -55,34 +57,34 @@
 	fleet_t fleet = { .vote = time_vote_create(), .size = size, .now = START };
 
 	time_vote_update(fleet.vote, TRUE_WALL, START);
-	fleet_send(&fleet);
+	fleet_send_readings(&fleet);
 	return fleet;
 }
 
-/* Lets time run_for; returns by how much the vote was error at most. */
+/* Simulates TIME; returns the maximum error of the voted time. */
 static pd_time_t run_for(fleet_t *fleet, pd_time_t time)
 {
 	pd_time_t error = 0;
 
 	for (pd_time_t end = fleet->now + time; fleet->now < end;) {
 		fleet->now += MESSAGE_PERIOD;
-		fleet_send(fleet);
+		fleet_send_readings(fleet);
 		error = MAX(error, ABS(time_vote_wall(fleet->vote, fleet->now) -
 				       true_wall(fleet)));
 	}
 	return error;
 }
 
-/* Has the clocks from FIRST up to, not including, LAST step_clocks by STEP. */
+/* Steps the clocks of the gateways in [FIRST, LAST) by STEP. */
 static void step_clocks(fleet_t *fleet, int first, int last, pd_time_t step)
 {
 	for (int i = first; i < last; i++) {
 		fleet->offsets[i] += step;
-		fleet->step_at[i] = fleet->now;
+		fleet->stepped_at[i] = fleet->now;
 	}
 }
 
-/* Has clocks step_clocks for six seconds, and returns by how much the vote was error. */
+/* Steps clocks for six seconds; returns the maximum error of the voted time. */
 static pd_time_t max_error_during_step(int size, int first, int last, pd_time_t step)
 {
 	fleet_t fleet = fleet_of(size);
@@ -96,7 +98,7 @@
 	return error;
 }
 
-/* Guards against requests in wrong windows as the own clock jumps. */
+/* Guards against counting requests in the wrong window when the own clock steps. */
 static void test_step_of_own_clock_is_outvoted(void **state)
 {
 	time_vote_t *vote = time_vote_create();
@@ -113,7 +115,7 @@
 	time_vote_destroy(vote);
 }
 
-/* Guards against a tie of the clocks that goes to those that have jumped. */
+/* Guards against a tied vote that is won by the clocks that have stepped. */
 static void test_steps_of_half_of_the_clocks_are_ignored(void **state)
 {
 	(void)state;
@@ -127,7 +129,7 @@
 	}
 }
 
-/* Guards against a wrong source of time that all clocks but some follow, or all. */
+/* Guards against following a wrong time source when most or all clocks follow it. */
 static void test_steps_of_most_clocks_are_ignored(void **state)
 {
 	(void)state;
@@ -141,7 +143,7 @@
 	assert_true(max_error_during_step(1, 0, 1, 5 * PD_SEC) < TOLERANCE);
 }
 
-/* Guards against a step_clocks that is forgotten as the gateway restarts. */
+/* Guards against forgetting a step when the gateway restarts. */
 static void test_step_is_known_after_restart(void **state)
 {
 	fleet_t fleet = fleet_of(6);
@@ -150,32 +152,32 @@
 	run_for(&fleet, 2 * PD_SEC);
 	step_clocks(&fleet, 3, 6, -2500 * PD_MSEC);
 	run_for(&fleet, PD_SEC);
-	memset(fleet.step_at, 0, sizeof(fleet.step_at));
+	memset(fleet.stepped_at, 0, sizeof(fleet.stepped_at));
 	assert_true(run_for(&fleet, 5 * PD_SEC) < TOLERANCE);
 	time_vote_destroy(fleet.vote);
 }
 
-/* The clocks that are error, as a checkpoint has them. */
+/* The clock offsets in a checkpoint. */
 typedef struct checkpoint {
 	pd_time_t offsets[GATEWAYS_MAX];
 } checkpoint_t;
 
-static void checkpoint_clock(void *ctx, const char *who, pd_time_t offset)
+static void checkpoint_offset(void *ctx, const char *who, pd_time_t offset)
 {
 	checkpoint_t *clocks = ctx;
 
 	clocks->offsets[who ? atoi(who + 1) : 0] = offset;
 }
 
-/* Kills all gateways; they are back after a second, with what is checkpoint. */
+/* Kills all gateways, and restarts them after a second with the checkpoint. */
 static void restart_all(fleet_t *fleet)
 {
 	checkpoint_t clocks = { { 0 } };
 
-	time_vote_each_offset(fleet->vote, fleet->now, checkpoint_clock, &clocks);
+	time_vote_each_offset(fleet->vote, fleet->now, checkpoint_offset, &clocks);
 	time_vote_destroy(fleet->vote);
 	fleet->vote = time_vote_create();
-	memset(fleet->step_at, 0, sizeof(fleet->step_at));
+	memset(fleet->stepped_at, 0, sizeof(fleet->stepped_at));
 	fleet->now += PD_SEC;
 	time_vote_update(fleet->vote, true_wall(fleet) + fleet->offsets[0],
 			 fleet->now);
@@ -186,10 +188,10 @@
 			time_vote_correct(fleet->vote, name, clocks.offsets[i]);
 		g_free(name);
 	}
-	fleet_send(fleet);
+	fleet_send_readings(fleet);
 }
 
-/* Guards against clocks that are error and taken for right after a kill of all. */
+/* Guards against trusting clocks with offsets after all gateways were killed. */
 static void test_clocks_are_corrected_after_restart_of_all(void **state)
 {
 	(void)state;
@@ -215,7 +217,7 @@
 	}
 }
 
-/* Guards against a time that is held for ever though all clocks were corrected. */
+/* Guards against keeping the old time for ever when clocks were corrected for good. */
 static void test_correction_of_most_clocks_is_followed(void **state)
 {
 	fleet_t fleet = fleet_of(6);
@@ -232,7 +234,10 @@
 	time_vote_destroy(fleet.vote);
 }
 
-/* Guards against a start that keeps its own wrong clock beside peers that agree. */
+/*
+ * Guards against a gateway that starts with a wrong clock and trusts it more than its
+ * peers.
+ */
 static void test_new_gateway_with_wrong_clock_takes_peers_time(void **state)
 {
 	fleet_t fleet = fleet_of(6);
@@ -246,11 +251,11 @@
 	time_vote_destroy(fleet.vote);
 }
 
-/* Guards against drift that is not followed until it is a step_clocks. */
+/* Guards against drift that is not followed until it is large enough for a step. */
 static void test_drift_is_followed(void **state)
 {
 	fleet_t fleet = fleet_of(6);
-	pd_time_t drift = 500; /* a second's, as slewing clocks may */
+	pd_time_t drift = 500; /* per second, as slewing clocks may drift */
 
 	(void)state;
 	for (int second = 0; second < 600; second++) {
@@ -263,10 +268,10 @@
 	time_vote_destroy(fleet.vote);
 }
 
-/* Sends all clocks' readings as of LATE ago, as when a cut has ended. */
-static void fleet_send_late(fleet_t *fleet, pd_time_t late)
+/* Sends all clocks' readings as they were DELAY ago, as at the end of a partition. */
+static void fleet_send_delayed_readings(fleet_t *fleet, pd_time_t delay)
 {
-	pd_time_t wall = true_wall(fleet) - late;
+	pd_time_t wall = true_wall(fleet) - delay;
 
 	for (int i = 1; i < fleet->size; i++) {
 		char *name = g_strdup_printf("e%d", i);
@@ -278,7 +283,7 @@
 	time_vote_update(fleet->vote, true_wall(fleet), fleet->now);
 }
 
-/* Guards against messages that a cut held up and that are taken for jumps of clocks. */
+/* Guards against taking messages that a partition delayed for clock steps. */
 static void test_delayed_messages_do_not_move_time(void **state)
 {
 	(void)state;
@@ -290,7 +295,7 @@
 		fleet.now += 2 * PD_SEC;
 		for (int i = 0; i < 8; i++) {
 			fleet.now += CLOCK_STEP_MIN;
-			fleet_send_late(&fleet, 2 * PD_SEC);
+			fleet_send_delayed_readings(&fleet, 2 * PD_SEC);
 			assert_true(ABS(time_vote_wall(fleet.vote, fleet.now) -
 					true_wall(&fleet)) < CLOCK_STEP_MIN);
 		}
@@ -299,7 +304,7 @@
 	}
 }
 
-/* Guards against a fleet that keeps a time that all others have given up. */
+/* Guards against a gateway that keeps a time which all others have left. */
 static void test_clocks_that_stay_behind_are_followed(void **state)
 {
 	fleet_t fleet = fleet_of(6);
