--- a/core/forward/time_vote.c
+++ b/core/forward/time_vote.c
@@ -4,8 +4,8 @@
 #include <stdbool.h>
 #include <stdlib.h>
 
-#define READING_MAX_AGE \
-	(30 * PD_SEC) /* clocks drift by far less than a second in that time */
+/* Clocks drift by far less than a second in that time. */
+#define READING_MAX_AGE (30 * PD_SEC)
 /*
  * How long a clock that has stepped has no vote; most clocks step back within that
  * time.
@@ -169,7 +169,7 @@
 
 /*
  * Stores a clock's difference from this VM's steady clock. If it falls behind although
- * the clock has STEPPED not set, the message was probably delayed, and the reading is
+ * STEPPED is not set, the message was probably delayed, and the reading is
  * ignored unless others like it follow for longer than messages are delayed.
  */
 static void reading_take(reading_t *reading, pd_time_t difference, bool stepped,
