--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -187,8 +187,8 @@
 		forward_upstreams_speeds(gateway->upstreams);
 	scale_zone_t zones[SCALE_ZONES_MAX];
 	const scale_demand_t demand = {
-		.sent = work_rate_of(gateway->work, service->name),
-		.away = work_rate_away(gateway->work, service->name),
+		.sent = work_rate_get(gateway->work, service->name),
+		.away = work_rate_refused(gateway->work, service->name),
 		.rate = engine_speeds_known(speeds, service->name)
 				? engine_speeds_rate(speeds, service->name)
 				: 0,
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -332,7 +332,7 @@
 	token_limits_set_gateway_count(gateway->limits, gateway_count(gateway));
 	token_limits_set_lag(gateway->limits,
 			     gateway_peers_lag(gateway->peers, now));
-	work_rate_run(gateway->work, now);
+	work_rate_update(gateway->work, now);
 	gateway_duties_run(gateway->duties, now);
 	gateway_reload_run(gateway, now);
 	log_buffer_flush(now);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -125,7 +125,7 @@
 		if (!service)
 			continue;
 		total = msgpack_field_decimal(&pair[1]);
-		work_rate_heard(gateway->work, who, service, total);
+		work_rate_record_peer(gateway->work, who, service, total);
 		if (part)
 			part_set(part, service, total);
 		g_free(service);
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -376,7 +376,7 @@
 	if (followed != (aggregator != NULL)) {
 		/* The same use would be counted by both. */
 		token_limits_clear_peers(peers->gateway->limits);
-		work_rate_forget_peers(peers->gateway->work);
+		work_rate_clear_peers(peers->gateway->work);
 		LIST_FOR_EACH (it, &peers->list)
 			peers_unload(peers, LIST_ENTRY(it, peer_t, node)->loads);
 	}
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -48,7 +48,7 @@
 	if (shed_admits(shed_of(gateway, request->service), request->rank, work,
 			g_rand_double(gateway->random)))
 		return true;
-	work_rate_add_away(gateway->work, request->service, work);
+	work_rate_add_refused(gateway->work, request->service, work);
 	gateway_request_refuse(request, 503, retry_after, "engines pressed");
 	return false;
 }
--- a/core/forward/work_rate.c
+++ b/core/forward/work_rate.c
@@ -11,12 +11,12 @@
 #define FALL_WEIGHT 0.02 /* of a sample below it */
 
 /* Work that was turned away is kept as that of a service of such a name. */
-#define AWAY_PREFIX "away:"
+#define REFUSED_PREFIX "away:"
 
 typedef struct service_work {
 	double own;
 	GHashTable *peers; /* peer -> double: its total as last heard */
-	double gained; /* since the last sample */
+	double added; /* since the last sample */
 	double rate;
 } service_work_t;
 
@@ -71,24 +71,24 @@
 	service_work_t *known = work_service(work, service);
 
 	known->own += amount;
-	known->gained += amount;
+	known->added += amount;
 }
 
 /*
  * Adds what this entry turned away for want of engines. Without it the fleet is
  * sized by what it got done, and stays too small for what is asked of it.
  */
-void work_rate_add_away(work_rate_t *work, const char *service, double amount)
+void work_rate_add_refused(work_rate_t *work, const char *service, double amount)
 {
-	char *name = g_strconcat(AWAY_PREFIX, service, NULL);
+	char *name = g_strconcat(REFUSED_PREFIX, service, NULL);
 
 	work_rate_add(work, name, amount);
 	g_free(name);
 }
 
 /* Hears what a peer has sent since it started; the first time sets the base. */
-void work_rate_heard(work_rate_t *work, const char *peer, const char *service,
-		     double total)
+void work_rate_record_peer(work_rate_t *work, const char *peer,
+			   const char *service, double total)
 {
 	service_work_t *known = work_service(work, service);
 	double *last = g_hash_table_lookup(known->peers, peer);
@@ -99,12 +99,12 @@
 		g_hash_table_insert(known->peers, g_strdup(peer), last);
 		return;
 	}
-	known->gained += MAX(total - *last, 0);
+	known->added += MAX(total - *last, 0);
 	*last = total;
 }
 
 /* Forgets what peers told, when others tell it from now on. */
-void work_rate_forget_peers(work_rate_t *work)
+void work_rate_clear_peers(work_rate_t *work)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -115,29 +115,29 @@
 }
 
 /* Takes a sample if one is due. */
-void work_rate_run(work_rate_t *work, pd_time_t now)
+void work_rate_update(work_rate_t *work, pd_time_t now)
 {
-	pd_time_t passed = now - work->sampled_at;
+	pd_time_t elapsed = now - work->sampled_at;
 	GHashTableIter iter;
 	gpointer value;
 
-	if (passed < SAMPLE_PERIOD)
+	if (elapsed < SAMPLE_PERIOD)
 		return;
 	g_hash_table_iter_init(&iter, work->services);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		service_work_t *service = value;
-		double sample = service->gained * PD_SEC / (double)passed;
+		double sample = service->added * PD_SEC / (double)elapsed;
 		double weight = sample > service->rate ? RISE_WEIGHT : FALL_WEIGHT;
 
 		if (work->sampled_at)
 			service->rate += (sample - service->rate) * weight;
-		service->gained = 0;
+		service->added = 0;
 	}
 	work->sampled_at = now;
 }
 
 /* Returns the work a second that all entries send to a service. */
-double work_rate_of(const work_rate_t *work, const char *service)
+double work_rate_get(const work_rate_t *work, const char *service)
 {
 	const service_work_t *known = g_hash_table_lookup(work->services, service);
 
@@ -145,10 +145,10 @@
 }
 
 /* Returns the work a second that all entries turn away from a service. */
-double work_rate_away(const work_rate_t *work, const char *service)
+double work_rate_refused(const work_rate_t *work, const char *service)
 {
-	char *name = g_strconcat(AWAY_PREFIX, service, NULL);
-	double rate = work_rate_of(work, name);
+	char *name = g_strconcat(REFUSED_PREFIX, service, NULL);
+	double rate = work_rate_get(work, name);
 
 	g_free(name);
 	return rate;
--- a/tests/unit/test_forward_counts.c
+++ b/tests/unit/test_forward_counts.c
@@ -182,15 +182,15 @@
 	double total = 0;
 
 	(void)state;
-	work_rate_run(work, now);
+	work_rate_update(work, now);
 	for (int i = 0; i < 100; i++) {
 		now += 500 * PD_MSEC;
 		total = i == 50 ? 0 : total + 500;
-		work_rate_heard(work, "e1", "s", total);
-		work_rate_run(work, now);
+		work_rate_record_peer(work, "e1", "s", total);
+		work_rate_update(work, now);
 	}
-	assert_true(work_rate_of(work, "s") > 900);
-	assert_true(work_rate_of(work, "s") < 1100);
+	assert_true(work_rate_get(work, "s") > 900);
+	assert_true(work_rate_get(work, "s") < 1100);
 	work_rate_destroy(work);
 }
 
