--- a/core/forward/work_rate.c
+++ b/core/forward/work_rate.c
@@ -1,22 +1,22 @@
-/* Sums entries' totals and takes a rate that rises fast and falls slowly. */
+/* Sums the gateways' totals and calculates a rate that rises fast and falls slowly. */
 #include "core/forward/work_rate.h"
 
 /*
- * Load comes in waves of tens of seconds and in bursts of a few. Upstreams take
- * seconds to start, so a rise counts within about two seconds, and a lull of a
- * few seconds lets nothing go.
+ * Load comes in waves of tens of seconds and in bursts of a few seconds. Upstreams take
+ * seconds to start, so the rate follows a rise within about two seconds, while a lull
+ * of a few seconds releases no upstream.
  */
 #define SAMPLE_PERIOD (500 * PD_MSEC)
-#define RISE_WEIGHT 0.1 /* of a sample above the rate */
-#define FALL_WEIGHT 0.02 /* of a sample below it */
+#define RISE_WEIGHT 0.1 /* weight of a sample above the rate */
+#define FALL_WEIGHT 0.02 /* weight of a sample below the rate */
 
-/* Work that was turned away is kept as that of a service of such a name. */
+/* Refused work is stored as that of a service with this prefix before its name. */
 #define REFUSED_PREFIX "away:"
 
 typedef struct service_work {
 	double own;
-	GHashTable *peers; /* peer -> double: its total as last heard */
-	double added; /* since the last sample */
+	GHashTable *peers; /* peer -> double: its last reported total */
+	double added; /* work added since the last sample */
 	double rate;
 } service_work_t;
 
@@ -33,7 +33,7 @@
 	g_free(service);
 }
 
-/* Returns an empty count; the caller owns it. */
+/* Returns an object without any work; the caller owns it. */
 work_rate_t *work_rate_create(void)
 {
 	work_rate_t *work = g_new0(work_rate_t, 1);
@@ -43,7 +43,7 @@
 	return work;
 }
 
-/* Frees the count; NULL is allowed. */
+/* Frees the object; NULL is allowed. */
 void work_rate_destroy(work_rate_t *work)
 {
 	if (!work)
@@ -65,7 +65,7 @@
 	return service;
 }
 
-/* Adds what this entry sends. */
+/* Adds work that this gateway sends to a service. */
 void work_rate_add(work_rate_t *work, const char *service, double amount)
 {
 	service_work_t *known = work_service(work, service);
@@ -75,8 +75,8 @@
 }
 
 /*
- * Adds what this entry turned away for want of engines. Without it the fleet is
- * sized by what it got done, and stays too small for what is asked of it.
+ * Adds work that this gateway refused for lack of engines. Without it the fleet would
+ * be sized by the work it gets done, and stay too small for the demand.
  */
 void work_rate_add_refused(work_rate_t *work, const char *service, double amount)
 {
@@ -86,7 +86,10 @@
 	g_free(name);
 }
 
-/* Hears what a peer has sent since it started; the first time sets the base. */
+/*
+ * Records the total work that a peer has sent to a service since the peer's start. The
+ * first total is only the base for the next ones.
+ */
 void work_rate_record_peer(work_rate_t *work, const char *peer,
 			   const char *service, double total)
 {
@@ -103,7 +106,7 @@
 	*last = total;
 }
 
-/* Forgets what peers told, when others tell it from now on. */
+/* Forgets the totals of all peers, because others report for them from now on. */
 void work_rate_clear_peers(work_rate_t *work)
 {
 	GHashTableIter iter;
@@ -114,7 +117,7 @@
 		g_hash_table_remove_all(((service_work_t *)value)->peers);
 }
 
-/* Takes a sample if one is due. */
+/* Updates the rates if a sample is due. */
 void work_rate_update(work_rate_t *work, pd_time_t now)
 {
 	pd_time_t elapsed = now - work->sampled_at;
@@ -136,7 +139,7 @@
 	work->sampled_at = now;
 }
 
-/* Returns the work a second that all entries send to a service. */
+/* Returns the work per second that all gateways send to a service. */
 double work_rate_get(const work_rate_t *work, const char *service)
 {
 	const service_work_t *known = g_hash_table_lookup(work->services, service);
@@ -144,7 +147,7 @@
 	return known ? known->rate : 0;
 }
 
-/* Returns the work a second that all entries turn away from a service. */
+/* Returns the work per second that all gateways refuse for a service. */
 double work_rate_refused(const work_rate_t *work, const char *service)
 {
 	char *name = g_strconcat(REFUSED_PREFIX, service, NULL);
@@ -154,7 +157,7 @@
 	return rate;
 }
 
-/* Calls EACH with what this entry has sent to every service. */
+/* Calls EACH with the total work that this gateway has sent to every service. */
 void work_rate_each_own(const work_rate_t *work, work_rate_each_t each, void *ctx)
 {
 	GHashTableIter iter;
--- a/core/forward/work_rate.h
+++ b/core/forward/work_rate.h
@@ -1,6 +1,6 @@
 /*
- * How much work a second all entries send to each service, from what each has
- * sent since it started.
+ * Work per second that all gateways together send to each service, calculated from the
+ * totals that each has sent since its start.
  */
 #ifndef PISTACHIO_WORK_RATE_H
 #define PISTACHIO_WORK_RATE_H
--- a/tests/unit/test_forward_counts.c
+++ b/tests/unit/test_forward_counts.c
@@ -175,7 +175,7 @@
 }
 
 /* Guards against negative work when a peer restarts and counts from 0. */
-static void test_work_of_a_restarted_peer(void **state)
+static void test_work_of_restarted_peer(void **state)
 {
 	work_rate_t *work = work_rate_create();
 	pd_time_t now = START;
@@ -205,7 +205,7 @@
 		cmocka_unit_test(test_windows_are_retained_until_report_is_due),
 		cmocka_unit_test(test_own_counts_from_store_are_ignored),
 		cmocka_unit_test(test_counts_are_sent_once_unless_marked_unsent),
-		cmocka_unit_test(test_work_of_a_restarted_peer),
+		cmocka_unit_test(test_work_of_restarted_peer),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
