--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -189,7 +189,7 @@
 	const scale_demand_t demand = {
 		.sent = work_rate_get(gateway->work, service->name),
 		.away = work_rate_refused(gateway->work, service->name),
-		.rate = engine_speeds_known(speeds, service->name)
+		.rate = engine_speeds_is_known(speeds, service->name)
 				? engine_speeds_rate(speeds, service->name)
 				: 0,
 	};
--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -56,7 +56,7 @@
 			rate = MAX(rate,
 				   gateway_engine_rate(gateway, service->name));
 	}
-	return engine_tokens(rate, ENGINE_RUNNING_TIME);
+	return engine_time_to_tokens(rate, ENGINE_RUNNING_REQUEST_TIME);
 }
 
 static double load_weight(const load_t *load, double running_tokens)
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -146,10 +146,9 @@
 		/* A peer may not have this gateway keep services of its own. */
 		if (service && gateway->config &&
 		    forward_config_service(gateway->config, service))
-			engine_speeds_told(forward_upstreams_speeds(
-						   gateway->upstreams),
-					   service,
-					   msgpack_field_decimal(&pair[1]));
+			engine_speeds_record_peer(
+				forward_upstreams_speeds(gateway->upstreams),
+				service, msgpack_field_decimal(&pair[1]));
 		g_free(service);
 	}
 }
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -119,10 +119,10 @@
 	if (request->reading > 0) {
 		/* The first event: the prompt was read. */
 		if (request->reads_alone)
-			engine_speeds_seen(forward_upstreams_speeds(
-						   request->gateway->upstreams),
-					   request->service, request->reading,
-					   gateway_now() - request->sent_at);
+			engine_speeds_record_sample(
+				forward_upstreams_speeds(request->gateway->upstreams),
+				request->service, request->reading,
+				gateway_now() - request->sent_at);
 		request->upstream->reading -= request->reading;
 		request->reading = 0;
 		forward_upstream_answered(request->upstream);
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -201,8 +201,8 @@
 {
 	const forward_call_t *call = request->call;
 	double rate = gateway_engine_rate(request->gateway, request->service);
-	double output =
-		call->output_tokens * engine_tokens(rate, ENGINE_OUTPUT_TIME);
+	double output = call->output_tokens *
+			engine_time_to_tokens(rate, ENGINE_OUTPUT_TOKEN_TIME);
 
 	request->reading = unread;
 	/*
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -31,7 +31,8 @@
 	double rate = gateway_engine_rate(request->gateway, request->service);
 
 	return MAX(call->prompt_tokens - forward_call_shared(call), 0) +
-	       call->output_tokens * engine_tokens(rate, ENGINE_OUTPUT_TIME);
+	       call->output_tokens *
+		       engine_time_to_tokens(rate, ENGINE_OUTPUT_TOKEN_TIME);
 }
 
 /* Says whether a request is let in; if not, it was refused. */
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -117,8 +117,10 @@
 {
 	return forward_upstream_reading(upstream) + unread +
 	       forward_upstream_running(upstream) *
-		       engine_tokens(search->rate, ENGINE_RUNNING_TIME) +
-	       (elsewhere ? engine_tokens(search->rate, OTHER_ZONE_TIME) : 0);
+		       engine_time_to_tokens(search->rate,
+					     ENGINE_RUNNING_REQUEST_TIME) +
+	       (elsewhere ? engine_time_to_tokens(search->rate, OTHER_ZONE_TIME)
+			  : 0);
 }
 
 static double plain_cost(const forward_upstream_t *upstream, bool elsewhere)
--- a/core/forward/engine_cost.h
+++ b/core/forward/engine_cost.h
@@ -13,15 +13,15 @@
  * What one running request costs the others there: a batch step grows by 0.05 ms
  * a request, over some 50 steps until a new prompt is through.
  */
-#define ENGINE_RUNNING_TIME (2300 * PD_USEC)
+#define ENGINE_RUNNING_REQUEST_TIME (2300 * PD_USEC)
 /*
  * What making a token costs: in a batch of some 40 requests a step of a few
  * milliseconds makes 40 tokens, while prompts are read beside them.
  */
-#define ENGINE_OUTPUT_TIME (40 * PD_USEC)
+#define ENGINE_OUTPUT_TOKEN_TIME (40 * PD_USEC)
 
 /* Returns how many prompt tokens are read in a time, at RATE a second. */
-static inline double engine_tokens(double rate, pd_time_t time)
+static inline double engine_time_to_tokens(double rate, pd_time_t time)
 {
 	return rate * (double)time / PD_SEC;
 }
--- a/core/forward/engine_speed.c
+++ b/core/forward/engine_speed.c
@@ -6,41 +6,41 @@
  * 40,000 and 160,000; a guess between them is wrong by a factor of two for a
  * second or so.
  */
-#define RATE_GUESS 80000.0
+#define RATE_DEFAULT 80000.0
 /* What is seen or told outside these bounds is no engine's speed. */
 #define RATE_MIN 100.0
 #define RATE_MAX 1e8
-/* Own sights from which on an entry goes by them, and tells them. */
-#define SIGHTS_ENOUGH 10
+/* Own sample_count from which on an entry goes by them, and tells them. */
+#define SAMPLES_MIN 10
 /*
- * A sight moves the estimate by this part of it divided by the number of sights,
- * at least by STEP_LEAST: the first ones find the speed, the later ones follow
+ * A sight moves the estimate by this part of it divided by the number of sample_count,
+ * at least by STEP_MIN: the first ones find the speed, the later ones follow
  * engines that were replaced by others within some hundred requests.
  */
 #define STEP_FIRST 1.0
-#define STEP_LEAST 0.02
+#define STEP_MIN 0.02
 /*
  * Steps down are this part of steps up, so that one sight in ten is faster than
- * the estimate. Most sights are slower than the engine: requests of other entries
+ * the estimate. Most sample_count are slower than the engine: requests of other entries
  * were there that this one had not heard of. By the median, an engine that read
  * 42,800 tokens a second was taken for one of 21,000, and twice as many ordered.
  */
-#define SLOW_WEIGHT 0.11
+#define STEP_DOWN_FACTOR 0.11
 /* What peers tell is smoothed, so that no single one decides. */
-#define TOLD_WEIGHT 0.2
+#define PEER_WEIGHT 0.2
 /*
  * Prompts that are not well above the mean tell of connections and of the pace of
  * steps, not of reading: by all above it, an engine that read 157,000 tokens a
  * second was taken for one of 70,000.
  */
-#define LONG_FACTOR 1.5
+#define LONG_PROMPT_FACTOR 1.5
 #define MEAN_WEIGHT 0.05
 
 typedef struct speed {
 	double rate; /* own estimate; 0: nothing seen */
-	unsigned int sights;
+	unsigned int sample_count;
 	double mean_tokens; /* of prompts that were read alone */
-	double told; /* by peers; 0: nothing */
+	double peer_rate; /* by peers; 0: nothing */
 } speed_t;
 
 struct engine_speeds {
@@ -81,56 +81,60 @@
  * Moves towards a high quantile: by the same steps, however far off the sight is. With a mean, an upstream that hangs or is several times slower than
  * the others would teach all entries a wrong speed.
  */
-static void speed_follow(speed_t *speed, double rate)
+static void speed_add_sample(speed_t *speed, double rate)
 {
 	double step;
 
-	speed->sights++;
-	if (speed->sights == 1) {
+	speed->sample_count++;
+	if (speed->sample_count == 1) {
 		speed->rate = rate;
 		return;
 	}
-	step = MAX(STEP_FIRST / speed->sights, STEP_LEAST);
+	step = MAX(STEP_FIRST / speed->sample_count, STEP_MIN);
 	if (rate > speed->rate)
 		speed->rate = MIN(speed->rate * (1 + step), rate);
 	else
-		speed->rate = MAX(speed->rate / (1 + step * SLOW_WEIGHT), rate);
+		speed->rate =
+			MAX(speed->rate / (1 + step * STEP_DOWN_FACTOR), rate);
 }
 
 /*
  * Notes that an engine which had nothing else to read took so long from the send
  * of a prompt with so many unread tokens to its first event.
  */
-void engine_speeds_seen(engine_speeds_t *speeds, const char *service,
-			double tokens, pd_time_t took)
+void engine_speeds_record_sample(engine_speeds_t *speeds, const char *service,
+				 double tokens, pd_time_t elapsed)
 {
 	speed_t *speed = speed_of(speeds, service);
-	double rate = tokens * PD_SEC / (double)MAX(took, 1);
-	bool is_long = tokens >= speed->mean_tokens * LONG_FACTOR;
+	double rate = tokens * PD_SEC / (double)MAX(elapsed, 1);
+	bool is_long = tokens >= speed->mean_tokens * LONG_PROMPT_FACTOR;
 
 	speed->mean_tokens += (tokens - speed->mean_tokens) * MEAN_WEIGHT;
 	if (is_long && rate >= RATE_MIN && rate <= RATE_MAX)
-		speed_follow(speed, rate);
+		speed_add_sample(speed, rate);
 }
 
 /* Notes the speed that a peer learned. */
-void engine_speeds_told(engine_speeds_t *speeds, const char *service, double rate)
+void engine_speeds_record_peer(engine_speeds_t *speeds, const char *service,
+			       double rate)
 {
 	speed_t *speed;
 
 	if (!(rate >= RATE_MIN && rate <= RATE_MAX))
 		return;
 	speed = speed_of(speeds, service);
-	speed->told += speed->told > 0 ? (rate - speed->told) * TOLD_WEIGHT : rate;
+	speed->peer_rate += speed->peer_rate > 0
+				    ? (rate - speed->peer_rate) * PEER_WEIGHT
+				    : rate;
 }
 
 static double speed_rate(const speed_t *speed)
 {
 	if (!speed)
 		return 0;
-	if (speed->sights >= SIGHTS_ENOUGH || speed->told <= 0)
+	if (speed->sample_count >= SAMPLES_MIN || speed->peer_rate <= 0)
 		return speed->rate;
-	return speed->told;
+	return speed->peer_rate;
 }
 
 /*
@@ -138,11 +142,12 @@
  * it. After a start the first prompts wait for others that nobody has told of
  * yet; a fleet was ordered five times too large by three of them.
  */
-bool engine_speeds_known(const engine_speeds_t *speeds, const char *service)
+bool engine_speeds_is_known(const engine_speeds_t *speeds, const char *service)
 {
 	const speed_t *speed = g_hash_table_lookup(speeds->services, service);
 
-	return speed && (speed->sights >= SIGHTS_ENOUGH || speed->told > 0);
+	return speed &&
+	       (speed->sample_count >= SAMPLES_MIN || speed->peer_rate > 0);
 }
 
 /* Returns the prompt tokens that an engine of a service reads in a second. */
@@ -150,7 +155,7 @@
 {
 	double rate = speed_rate(g_hash_table_lookup(speeds->services, service));
 
-	return rate > 0 ? rate : RATE_GUESS;
+	return rate > 0 ? rate : RATE_DEFAULT;
 }
 
 /* Calls EACH with what this entry has seen itself, where that is enough. */
@@ -165,7 +170,7 @@
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		const speed_t *speed = value;
 
-		if (speed->sights >= SIGHTS_ENOUGH)
+		if (speed->sample_count >= SAMPLES_MIN)
 			each(ctx, name, speed->rate);
 	}
 }
--- a/core/forward/engine_speed.h
+++ b/core/forward/engine_speed.h
@@ -16,10 +16,11 @@
 
 engine_speeds_t *engine_speeds_create(void);
 void engine_speeds_destroy(engine_speeds_t *speeds);
-void engine_speeds_seen(engine_speeds_t *speeds, const char *service,
-			double tokens, pd_time_t took);
-void engine_speeds_told(engine_speeds_t *speeds, const char *service, double rate);
-bool engine_speeds_known(const engine_speeds_t *speeds, const char *service);
+void engine_speeds_record_sample(engine_speeds_t *speeds, const char *service,
+				 double tokens, pd_time_t elapsed);
+void engine_speeds_record_peer(engine_speeds_t *speeds, const char *service,
+			       double rate);
+bool engine_speeds_is_known(const engine_speeds_t *speeds, const char *service);
 double engine_speeds_rate(const engine_speeds_t *speeds, const char *service);
 void engine_speeds_each_own(const engine_speeds_t *speeds,
 			    engine_speeds_each_t each, void *ctx);
