--- a/core/forward/engine_speed.c
+++ b/core/forward/engine_speed.c
@@ -1,53 +1,53 @@
-/* Follows a high quantile of the speeds at which prompts were read. */
+/* Estimates a high quantile of the measured prefill speeds. */
 #include "core/forward/engine_speed.h"
 
 /*
- * Tokens a second, until anything was seen. Engines that two customers run read
- * 40,000 and 160,000; a guess between them is wrong by a factor of two for a
- * second or so.
+ * Tokens per second, until anything is known. Engines that two customers run process
+ * 40,000 and 160,000; a guess between them is wrong by a factor of two for about a
+ * second.
  */
 #define RATE_DEFAULT 80000.0
-/* What is seen or told outside these bounds is no engine's speed. */
+/* Tokens per second; values outside these bounds are not the speed of an engine. */
 #define RATE_MIN 100.0
 #define RATE_MAX 1e8
 /* Own sample_count from which on an entry goes by them, and tells them. */
 #define SAMPLES_MIN 10
 /*
- * A sight moves the estimate by this part of it divided by the number of sample_count,
- * at least by STEP_MIN: the first ones find the speed, the later ones follow
- * engines that were replaced by others within some hundred requests.
+ * The first samples move the estimate by STEP_FIRST divided by the number of samples
+ * and so find the speed. The later ones move it by STEP_MIN, which follows a
+ * replacement of the engines within some hundred requests.
  */
 #define STEP_FIRST 1.0
 #define STEP_MIN 0.02
 /*
- * Steps down are this part of steps up, so that one sight in ten is faster than
- * the estimate. Most sample_count are slower than the engine: requests of other entries
- * were there that this one had not heard of. By the median, an engine that read
- * 42,800 tokens a second was taken for one of 21,000, and twice as many ordered.
+ * Ratio of steps down to steps up, so that one sample in ten is above the estimate.
+ * Most samples are slower than the engine, because it also had requests of other
+ * gateways that this one did not know of yet. By the median, an engine with 42,800
+ * tokens a second was estimated at 21,000, and twice as many engines were ordered.
  */
 #define STEP_DOWN_FACTOR 0.11
-/* What peers tell is smoothed, so that no single one decides. */
+/* Weight of a peer's report in the average, so that no single peer decides. */
 #define PEER_WEIGHT 0.2
 /*
- * Prompts that are not well above the mean tell of connections and of the pace of
- * steps, not of reading: by all above it, an engine that read 157,000 tokens a
- * second was taken for one of 70,000.
+ * Only prompts that are well above the mean length count, as the times of others depend
+ * on connections and the duration of batch steps: by all above the mean, an engine with
+ * 157,000 tokens a second was estimated at 70,000.
  */
 #define LONG_PROMPT_FACTOR 1.5
 #define MEAN_WEIGHT 0.05
 
 typedef struct speed {
-	double rate; /* own estimate; 0: nothing seen */
+	double rate; /* tokens per second, own estimate; 0: no samples */
 	unsigned int sample_count;
-	double mean_tokens; /* of prompts that were read alone */
-	double peer_rate; /* by peers; 0: nothing */
+	double mean_tokens; /* of prompts that were processed alone */
+	double peer_rate; /* tokens per second, reported by peers; 0: none */
 } speed_t;
 
 struct engine_speeds {
 	GHashTable *services; /* name -> speed_t */
 };
 
-/* Returns speeds of which nothing is known; the caller owns them. */
+/* Returns an object in which no speed is known; the caller owns it. */
 engine_speeds_t *engine_speeds_create(void)
 {
 	engine_speeds_t *speeds = g_new0(engine_speeds_t, 1);
@@ -57,7 +57,7 @@
 	return speeds;
 }
 
-/* Frees them; NULL is allowed. */
+/* Frees the speeds; NULL is allowed. */
 void engine_speeds_destroy(engine_speeds_t *speeds)
 {
 	if (!speeds)
@@ -78,8 +78,9 @@
 }
 
 /*
- * Moves towards a high quantile: by the same steps, however far off the sight is. With a mean, an upstream that hangs or is several times slower than
- * the others would teach all entries a wrong speed.
+ * Moves the estimate towards a high quantile, by steps whose size does not depend on
+ * the distance of the sample. With a mean, an upstream that hangs or is several times
+ * slower than the others would give all gateways a wrong speed.
  */
 static void speed_add_sample(speed_t *speed, double rate)
 {
@@ -99,8 +100,8 @@
 }
 
 /*
- * Notes that an engine which had nothing else to read took so long from the send
- * of a prompt with so many unread tokens to its first event.
+ * Records that an engine with nothing else to process took ELAPSED from the send of a
+ * prompt with TOKENS uncached tokens to its first event.
  */
 void engine_speeds_record_sample(engine_speeds_t *speeds, const char *service,
 				 double tokens, pd_time_t elapsed)
@@ -114,7 +115,7 @@
 		speed_add_sample(speed, rate);
 }
 
-/* Notes the speed that a peer learned. */
+/* Records the tokens per second that a peer estimated; ignores implausible values. */
 void engine_speeds_record_peer(engine_speeds_t *speeds, const char *service,
 			       double rate)
 {
@@ -138,9 +139,9 @@
 }
 
 /*
- * Says whether enough was seen or told of a service's engines to order some by
- * it. After a start the first prompts wait for others that nobody has told of
- * yet; a fleet was ordered five times too large by three of them.
+ * Returns whether the speed of a service's engines is known well enough to size a fleet
+ * by it. After a start the first prompts wait for those of other gateways that have not
+ * been reported yet; a fleet was ordered five times too large by three such samples.
  */
 bool engine_speeds_is_known(const engine_speeds_t *speeds, const char *service)
 {
@@ -150,7 +151,10 @@
 	       (speed->sample_count >= SAMPLES_MIN || speed->peer_rate > 0);
 }
 
-/* Returns the prompt tokens that an engine of a service reads in a second. */
+/*
+ * Returns the prompt tokens per second that an engine of a service processes, or
+ * RATE_DEFAULT if nothing is known.
+ */
 double engine_speeds_rate(const engine_speeds_t *speeds, const char *service)
 {
 	double rate = speed_rate(g_hash_table_lookup(speeds->services, service));
@@ -158,7 +162,7 @@
 	return rate > 0 ? rate : RATE_DEFAULT;
 }
 
-/* Calls EACH with what this entry has seen itself, where that is enough. */
+/* Calls EACH with this gateway's own estimates that have enough samples. */
 void engine_speeds_each_own(const engine_speeds_t *speeds,
 			    engine_speeds_each_t each, void *ctx)
 {
--- a/core/forward/engine_speed.h
+++ b/core/forward/engine_speed.h
@@ -1,6 +1,7 @@
 /*
- * How fast the engines of each service read prompts, learned from requests.
- * engine-speed-notes.md says how and why.
+ * The prefill speed of each service's engines: the prompt tokens that an engine
+ * processes per second, learned from requests. engine-speed-notes.md explains the
+ * method.
  */
 #ifndef PISTACHIO_ENGINE_SPEED_H
 #define PISTACHIO_ENGINE_SPEED_H
--- a/tests/unit/test_engine_speed.c
+++ b/tests/unit/test_engine_speed.c
@@ -1,4 +1,4 @@
-/* What entries learn of the speed at which engines read prompts. */
+/* Tests of the estimates of the prefill speed of engines. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,7 +10,8 @@
 #include "core/forward/engine_speed.h"
 
 #define SERVICE "s"
-#define STEP_LATENCY (7 * PD_MSEC) /* of an engine, whatever it reads */
+#define STEP_LATENCY \
+	(7 * PD_MSEC) /* of an engine's batch step, in addition to the time for the tokens */
 
 static const double engine_rates[] = { 4000, 42800, 900000 };
 
@@ -26,7 +27,10 @@
 	return 0;
 }
 
-/* Prompts of 200 to 20,000 tokens are read alone; SLOWER: by a faulty engine. */
+/*
+ * Records samples of prompts of 200 to 20,000 tokens, processed alone; SLOWDOWN is
+ * above 1 for a faulty engine.
+ */
 static void record_samples(engine_speeds_t *speeds, GRand *random,
 			   unsigned int count, double rate, double slowdown)
 {
@@ -46,7 +50,7 @@
 	assert_true(engine_speeds_rate(speeds, SERVICE) < rate * 1.3);
 }
 
-/* A short step of an engine counts for more before a fast one. */
+/* Returns the expected estimate; the batch step reduces it more for fast engines. */
 static double expected_rate(double rate)
 {
 	return 15000 / (15000 / rate + (double)STEP_LATENCY / PD_SEC);
@@ -59,9 +63,9 @@
 }
 
 /*
- * Engines of another customer are ten times slowdown or faster than those that the
- * program was tried with. With a wrong figure the fleet is too small by that
- * factor, and callers are turned away until somebody changes a constant.
+ * Guards against a built-in speed: engines of another customer are ten times slower or
+ * faster than those that the program was tested with. With a wrong speed the fleet is
+ * too small by that factor, and callers are refused until somebody changes a constant.
  */
 static void test_any_engine_speed_is_learned(void **state)
 {
@@ -78,9 +82,9 @@
 }
 
 /*
- * Every fourth engine hangs or works eight times slowdown for a while. A mean of
- * what is seen would have all entries take the sound ones for slow as well, and
- * order a fleet many times too large.
+ * Guards against a mean of the samples: every fourth engine hangs or is eight times
+ * slower for a while. By the mean all gateways would take the other engines for slow as
+ * well, and order a fleet many times too large.
  */
 static void test_few_slow_engines_are_ignored(void **state)
 {
@@ -105,7 +109,10 @@
 	g_rand_free(random);
 }
 
-/* An entry that starts sizes the fleet within a second, before it sent much. */
+/*
+ * A gateway that has just started sizes the fleet within a second, before it has sent
+ * much.
+ */
 static void test_new_gateway_uses_peers_rate(void **state)
 {
 	GRand *random = g_rand_new_with_seed(7);
@@ -113,13 +120,13 @@
 	for (int i = 0; i < 9; i++)
 		engine_speeds_record_peer(*state, SERVICE, 42800);
 	assert_rate_near(*state, 42800);
-	/* A peer that makes no sense changes nothing. */
+	/* Implausible reports change nothing. */
 	engine_speeds_record_peer(*state, SERVICE, 0);
 	engine_speeds_record_peer(*state, SERVICE, -1);
 	engine_speeds_record_peer(*state, SERVICE, 1e300);
 	engine_speeds_record_peer(*state, SERVICE, (double)NAN);
 	assert_rate_near(*state, 42800);
-	/* Enough of its own counts for more. */
+	/* Enough samples of its own take precedence. */
 	record_samples(*state, random, 100, 10000, 1);
 	assert_rate_near(*state, 10000);
 	g_rand_free(random);
