--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -36,7 +36,8 @@
 
 	g_hash_table_iter_init(&iter, duties->plans);
 	while (g_hash_table_iter_next(&iter, &service, &plan))
-		duties_note_set_need(note, service, scale_plan_basis(plan)->need);
+		duties_note_set_need(note, service,
+				     scale_plan_basis(plan)->planned_load);
 }
 
 /*
@@ -109,11 +110,11 @@
 		order->confirmed = true;
 		order->taken_at = now;
 		if (order->reclaimable)
-			scale_plan_granted(duties_plan(duties, order->service),
-					   order->zone, order->asked, now);
+			scale_plan_mark_granted(duties_plan(duties, order->service),
+						order->zone, order->asked, now);
 	} else if (reply->status == 409) {
-		scale_plan_refused(duties_plan(duties, order->service),
-				   order->zone, now);
+		scale_plan_mark_refused(duties_plan(duties, order->service),
+					order->zone, now);
 		duties->plan_at = now; /* lasting ones start late enough */
 	}
 }
@@ -131,7 +132,7 @@
 		 "ask service=%s zone=%s reclaimable=%d wanted=%u before=%u "
 		 "need=%.2f load=%.2f rate=%.0f shortage=%d",
 		 order->service, order->zone, order->reclaimable, order->wanted,
-		 order->ordered, basis->need, basis->load, basis->rate,
+		 order->ordered, basis->planned_load, basis->load, basis->rate,
 		 basis->shortage);
 	duties_post(order->duties, wire_scale_path(), body, order_replied, order);
 	g_free(body);
@@ -145,9 +146,10 @@
 static void order_run(order_t *order, const forward_service_t *service,
 		      unsigned int wanted, pd_time_t now)
 {
-	unsigned int serving = scale_plan_serving(order->duties->gateway->upstreams,
-						  order->service, order->zone,
-						  order->reclaimable);
+	unsigned int serving =
+		scale_plan_count_serving(order->duties->gateway->upstreams,
+					 order->service, order->zone,
+					 order->reclaimable);
 	bool late = serving < wanted &&
 		    now - order->taken_at > service->boot_time + BOOT_MARGIN;
 
@@ -188,7 +190,7 @@
 	scale_zone_t zones[SCALE_ZONES_MAX];
 	const scale_demand_t demand = {
 		.sent = work_rate_get(gateway->work, service->name),
-		.away = work_rate_refused(gateway->work, service->name),
+		.refused = work_rate_refused(gateway->work, service->name),
 		.rate = engine_speeds_is_known(speeds, service->name)
 				? engine_speeds_rate(speeds, service->name)
 				: 0,
@@ -206,7 +208,7 @@
 		return;
 	for (unsigned int i = 0; i < count; i++)
 		order_run(duties_order(duties, service->name, zones[i].zone, false),
-			  service, zones[i].lasting, now);
+			  service, zones[i].on_demand, now);
 }
 
 /* Plans the fleets of all services, and orders what they lack. */
--- a/core/forward/engine_speed.c
+++ b/core/forward/engine_speed.c
@@ -10,7 +10,7 @@
 /* Tokens per second; values outside these bounds are not the speed of an engine. */
 #define RATE_MIN 100.0
 #define RATE_MAX 1e8
-/* Own sample_count from which on an entry goes by them, and tells them. */
+/* Own samples from which on a gateway uses and reports its own estimate. */
 #define SAMPLES_MIN 10
 /*
  * The first samples move the estimate by STEP_FIRST divided by the number of samples
--- a/tests/unit/test_scale_plan.c
+++ b/tests/unit/test_scale_plan.c
@@ -105,7 +105,7 @@
 	unsigned int sum = 0;
 
 	for (unsigned int i = 0; i < rig->count; i++)
-		sum += rig->zones[i].lasting;
+		sum += rig->zones[i].on_demand;
 	return sum;
 }
 
@@ -172,7 +172,7 @@
 	forward_upstreams_begin_listing(rig->upstreams);
 	start(rig, "a", 3, false);
 	forward_upstreams_end_listing(rig->upstreams, rig->revision, rig->now);
-	scale_plan_refused(rig->plan, "b", rig->now);
+	scale_plan_mark_refused(rig->plan, "b", rig->now);
 	pass(rig, PD_SEC, 6);
 	assert_true(lasting(rig) > before);
 }
@@ -191,7 +191,7 @@
 		memcpy(before, rig->zones, sizeof(before));
 		pass(rig, PD_SEC, i % 2 ? 4.5 : 5);
 		for (unsigned int k = 0; k < rig->count; k++)
-			changes += before[k].lasting != rig->zones[k].lasting ||
+			changes += before[k].on_demand != rig->zones[k].on_demand ||
 				   before[k].reclaimable !=
 					   rig->zones[k].reclaimable;
 	}
@@ -227,7 +227,7 @@
 	start(rig, "b", 5, true);
 	start(rig, "c", 5, true);
 	pass(rig, 20 * PD_SEC, 5);
-	scale_plan_refused(rig->plan, "a", rig->now);
+	scale_plan_mark_refused(rig->plan, "a", rig->now);
 	pass(rig, PD_SEC, 5);
 	assert_true(lasting(rig) >= 7);
 }
@@ -240,7 +240,7 @@
 	forward_upstreams_begin_listing(rig->upstreams);
 	for (size_t i = 0; i < G_N_ELEMENTS(zones); i++) {
 		start(rig, zones[i], lasting_each, false);
-		scale_plan_refused(rig->plan, zones[i], rig->now);
+		scale_plan_mark_refused(rig->plan, zones[i], rig->now);
 	}
 	forward_upstreams_end_listing(rig->upstreams, rig->revision, rig->now);
 }
@@ -279,7 +279,7 @@
 	before = reclaimable(rig);
 	reclaim_all(rig, 1);
 	for (unsigned int i = 0; i < rig->count; i++)
-		scale_plan_granted(rig->plan, rig->zones[i].zone, 5, rig->now);
+		scale_plan_mark_granted(rig->plan, rig->zones[i].zone, 5, rig->now);
 	pass(rig, PD_SEC, 9);
 	assert_int_equal(reclaimable(rig), before);
 }
@@ -296,10 +296,10 @@
 	scale_plan_restore(rig->plan, 6);
 	start(rig, "a", 2, false);
 	start(rig, "b", 2, false);
-	scale_plan_refused(rig->plan, "c", rig->now + 4 * PD_SEC);
+	scale_plan_mark_refused(rig->plan, "c", rig->now + 4 * PD_SEC);
 	pass(rig, 5 * PD_SEC, 1);
 	assert_true(lasting(rig) >= 9);
-	assert_true(scale_plan_basis(rig->plan)->need >= 6);
+	assert_true(scale_plan_basis(rig->plan)->planned_load >= 6);
 	assert_true(scale_plan_basis(rig->plan)->shortage);
 }
 
@@ -312,7 +312,7 @@
 	scale_plan_restore(rig->plan, INFINITY);
 	start(rig, "a", 4, false);
 	pass(rig, 5 * PD_SEC, 0);
-	assert_true(scale_plan_basis(rig->plan)->need <= 4);
+	assert_true(scale_plan_basis(rig->plan)->planned_load <= 4);
 }
 
 static void test_zones_keep_their_bounds(void **state)
@@ -322,7 +322,8 @@
 	start(rig, "a", 3, false);
 	pass(rig, 60 * PD_SEC, 100);
 	for (unsigned int i = 0; i < rig->count; i++) {
-		unsigned int sum = rig->zones[i].lasting + rig->zones[i].reclaimable;
+		unsigned int sum =
+			rig->zones[i].on_demand + rig->zones[i].reclaimable;
 
 		assert_true(sum >= 1 && sum <= 6);
 	}
