--- a/core/forward/scale_plan.c
+++ b/core/forward/scale_plan.c
@@ -1,66 +1,83 @@
-/* Sizes a service's fleet by its load, mostly of upstreams that are cheap. */
+/*
+ * Sizes a service's fleet by its load, with as many cheap reclaimable upstreams as
+ * possible.
+ */
 #include "core/forward/scale_plan.h"
 
 #include <math.h>
 #include <string.h>
 
 /*
- * How many engines there are for each that would be busy throughout. Prompts
- * are of very uneven length and come in clumps, so queues grow long before an
- * engine is busy. Nearly all can be reclaimed, at a fifth of the price: that a
- * zone of them goes is answered within the notice (SHORTAGE_FACTOR).
+ * Engines per engine that the load would keep busy. Prompts are of very uneven length
+ * and come in bursts, so queues grow long before an engine is fully busy. Nearly all
+ * can be reclaimable ones, at a fifth of the price: if a zone of them is reclaimed,
+ * others are ordered within the notice (SHORTAGE_FACTOR).
  */
 #define FLEET_FACTOR 2.0
 /*
- * Lasting ones while no shortage is seen. They carry the most urgent work from
- * the end of a notice until others serve. With none, first events were late
- * for seconds at each reclaim; each more costs as much as five reclaimable ones.
+ * On-demand engines per busy engine, plus a constant, while there is no shortage. They
+ * serve the most urgent requests from the end of a reclaim notice until replacements
+ * serve. Without any, first events were late for seconds at each reclaim; each further
+ * one costs as much as five reclaimable ones.
  */
 #define ON_DEMAND_FACTOR 0.35
 #define ON_DEMAND_SPARE 0.5
 /*
- * While reclaimable ones are refused, lasting ones make a fleet of this by
- * themselves: where one zone is reclaimed and no others are to be had, the next
- * zone is likely to go too, and lasting ones start later than a notice runs out.
- * Counting on those that were left, first events were late until the shortage
- * was over. It is dear, but only for as long as the shortage.
+ * On-demand engines per busy engine during a shortage, when orders of reclaimable ones
+ * are refused: where one zone is reclaimed and no others are available, the next zone
+ * is likely to be reclaimed too, and on-demand engines take longer to start than a
+ * notice lasts. When the remaining reclaimable ones were counted on, first events were
+ * late until the shortage was over. It is expensive, but only for as long as the
+ * shortage.
  */
 #define SHORTAGE_FACTOR 1.5
-/* Lasting ones are kept up to this until those that replace them serve. */
+/*
+ * Engines per busy engine up to which on-demand ones are kept until their replacements
+ * serve.
+ */
 #define KEPT_ON_DEMAND_FACTOR 1.0
 /*
- * Places that running requests take, of a fleet with FLEET_FACTOR, as a part of
- * what they may take at most: a place taken is no queue, as a busy engine is.
+ * Weight of the slots in use, for a fleet sized by FLEET_FACTOR: unlike a busy engine,
+ * a slot in use does not mean that requests queue.
  */
 #define SLOTS_FACTOR 0.7
-/* With little load seen, the size that was found is trusted for so long. */
+/*
+ * How long the load has to be measured before it replaces the initial size of the
+ * fleet.
+ */
 #define INITIAL_SIZE_TTL (15 * PD_SEC)
-/* A fleet that has not grown for so long has listed itself. */
+/* Upstreams have all registered if their number has not grown for this long. */
 #define DISCOVERY_SETTLE_TIME (1500 * PD_MSEC)
-#define LOAD_MIN 0.1 /* engines' worth; less is no load */
-/* Requests in progress rise and fall faster than engines start and stop. */
+#define LOAD_MIN 0.1 /* in busy engines; less counts as no load */
+/*
+ * Weights for smoothing the number of running requests, which changes faster than
+ * engines start and stop.
+ */
 #define RISE_WEIGHT 0.1
 #define FALL_WEIGHT 0.02
-/* How long a zone that had none to give is not counted on. */
+/* How long a zone that refused an order is taken to have no reclaimable upstreams. */
 #define REFUSAL_TTL (3 * PD_SEC)
 /*
- * The fleet shrinks only after it was too large for so long, and once in such a
- * time. Each change drains engines and loses what they have cached: a fleet that
- * followed the load up and down served 85 in 100 in time where one of constant
- * size and the same price served 91. Held for two minutes instead, a fleet that a
- * first wave had made too large cost 0.01 more of worth.
+ * The fleet shrinks only after it was too large for this long, and once in such a time.
+ * Each change drains engines and loses what they have cached: a fleet that followed the
+ * load up and down served 85 in 100 requests in time, where one of constant size and
+ * the same price served 91. With a delay of two minutes, a fleet that a first wave had
+ * made too large cost 0.01 more of worth.
  */
 #define SHRINK_DELAY (20 * PD_SEC)
 
-/* Of upstreams that a zone refuses so many are asked for still, to see when it has some. */
+/*
+ * Reclaimable upstreams that are still ordered in a zone that refuses them, to detect
+ * the end of the shortage.
+ */
 #define PROBE_COUNT 1
-/* Granted upstreams serve so much after their boot time at the latest. */
+/* Granted upstreams serve at most this long after their boot time. */
 #define BOOT_MARGIN PD_SEC
 
 typedef struct zone_state {
 	char *zone;
 	pd_time_t refused_until;
-	unsigned int granted; /* reclaimable, with the last order that was taken */
+	unsigned int granted; /* reclaimable upstreams of the last order that was granted */
 	pd_time_t granted_at;
 	unsigned int on_demand; /* as planned last */
 	unsigned int reclaimable;
@@ -68,14 +85,14 @@
 
 struct scale_plan {
 	GArray *zones; /* of zone_state_t */
-	pd_time_t load_seen_at; /* when load was first seen; 0: not yet */
-	double initial_count; /* upstreams that were there before any load */
-	double initial_load; /* engines' worth of load that they speak of */
-	pd_time_t count_grew_at; /* when there were last more than before */
-	bool initialized; /* a plan was made, on the numbers found */
-	double running; /* requests in progress, smoothed */
-	double held_load; /* engines' worth of load that is planned for */
-	double restored_load; /* the same, as an earlier holder noted it; 0: not known */
+	pd_time_t load_seen_at; /* when load was first measured; 0: not yet */
+	double initial_count; /* upstreams that were registered before the first plan */
+	double initial_load; /* load, in busy engines, for which a fleet of that size is made */
+	pd_time_t count_grew_at; /* when the number of registered upstreams last grew */
+	bool initialized; /* a plan was made, starting from the upstreams found */
+	double running; /* running requests, smoothed */
+	double held_load; /* load, in busy engines, that the fleet is sized for */
+	double restored_load; /* held_load of an earlier leader; 0: not known */
 	pd_time_t below_since;
 	scale_basis_t basis;
 };
@@ -85,7 +102,7 @@
 	g_free(((zone_state_t *)data)->zone);
 }
 
-/* Returns a plan that knows nothing; the caller owns it. */
+/* Returns a plan without any state; the caller owns it. */
 scale_plan_t *scale_plan_create(void)
 {
 	scale_plan_t *plan = g_new0(scale_plan_t, 1);
@@ -120,9 +137,10 @@
 }
 
 /*
- * Takes over the load that an earlier holder of the duty planned for. Without it
- * a new holder takes what it finds for the size that was meant, and if that is in
- * the middle of a shortage, it lets lasting ones go.
+ * Restores the load, in busy engines, that an earlier leader planned for; ignores
+ * values that are not positive and finite. Without it a new leader takes the size that
+ * it finds for the intended one, and in the middle of a shortage it releases on-demand
+ * upstreams.
  */
 void scale_plan_restore(scale_plan_t *plan, double planned_load)
 {
@@ -130,19 +148,21 @@
 		plan->restored_load = planned_load;
 }
 
-/* Returns what the last plan was made by. */
+/* Returns the basis of the last plan, borrowed. */
 const scale_basis_t *scale_plan_basis(const scale_plan_t *plan)
 {
 	return &plan->basis;
 }
 
-/* Notes that a zone had no reclaimable upstream to give. */
+/* Records that a zone refused an order of reclaimable upstreams. */
 void scale_plan_mark_refused(scale_plan_t *plan, const char *zone, pd_time_t now)
 {
 	plan_zone(plan, zone)->refused_until = now + REFUSAL_TTL;
 }
 
-/* Notes that a zone's order for NUMBER reclaimable upstreams was taken. */
+/*
+ * Records that a zone granted an order that brings its reclaimable upstreams to NUMBER.
+ */
 void scale_plan_mark_granted(scale_plan_t *plan, const char *zone,
 			     unsigned int number, pd_time_t now)
 {
@@ -152,7 +172,10 @@
 	state->granted_at = now;
 }
 
-/* Returns how many serve in a zone, or in all if that is NULL. */
+/*
+ * Returns how many upstreams of a kind serve in a zone, or in all zones if ZONE is
+ * NULL.
+ */
 unsigned int scale_plan_count_serving(forward_upstreams_t *upstreams,
 				      const char *service, const char *zone,
 				      bool reclaimable)
@@ -186,8 +209,8 @@
 }
 
 /*
- * Returns how many engines the load would keep busy: by the work sent to them,
- * or by the places that requests in progress take.
+ * Returns the number of engines that the load would keep busy: by the work sent and
+ * refused, or by the slots that running requests take, whichever is more.
  */
 static double plan_load(scale_plan_t *plan, const forward_service_t *service,
 			forward_upstreams_t *upstreams,
@@ -199,25 +222,32 @@
 
 	plan->running += (running - plan->running) *
 			 (running > plan->running ? RISE_WEIGHT : FALL_WEIGHT);
-	/* What was turned away would have taken as many places as the rest. */
+	/* Refused requests would have taken slots in proportion to their work. */
 	slots = plan->running / MAX(service->engine_slots, 1) * SLOTS_FACTOR *
 		requested / MAX(demand->sent, 1);
 	return MAX(demand->rate > 0 ? requested / demand->rate : 0, slots);
 }
 
-/* Says whether the load has been seen for long enough to go by it. */
+/*
+ * Returns whether the load has been measured for long enough to size the fleet by it.
+ */
 static bool plan_is_measured(const scale_plan_t *plan, pd_time_t now)
 {
 	return plan->load_seen_at && now - plan->load_seen_at >= INITIAL_SIZE_TTL;
 }
 
-/* Returns the load to plan for: what is seen, or what the fleet was made for. */
+/*
+ * Returns the load to plan for: the measured one, or at first that of the initial size.
+ * COUNT is the number of upstreams that serve.
+ */
 static double plan_hold_load(scale_plan_t *plan, double load, double count,
 			     pd_time_t now)
 {
 	if (!plan->count_grew_at)
 		plan->count_grew_at = now;
-	/* What was ordered since says nothing of the size that was meant. */
+	/*
+	 * Upstreams that were ordered since then say nothing about the intended size.
+	 */
 	if (!plan->initialized && count > plan->initial_count) {
 		plan->initial_count = count;
 		plan->count_grew_at = now;
@@ -257,7 +287,10 @@
 		zone->on_demand = (unsigned int)((int)zone->on_demand + by);
 }
 
-/* Gives one more of a kind to the zone that has least of it, the cheapest. */
+/*
+ * Adds one of a kind to the zone that has fewest of it, the cheapest if several do.
+ * Returns false if all zones are full.
+ */
 static bool add_one(const forward_service_t *service, scale_zone_t *zones,
 		    unsigned int count, bool reclaimable)
 {
@@ -280,7 +313,10 @@
 	return true;
 }
 
-/* Takes one of a kind from the zone that has most of it, the dearest. */
+/*
+ * Removes one of a kind from the zone that has most of it, the most expensive if
+ * several do. Returns false if no zone may have fewer.
+ */
 static bool remove_one(const forward_service_t *service, scale_zone_t *zones,
 		       unsigned int count, bool reclaimable)
 {
@@ -304,7 +340,7 @@
 	return true;
 }
 
-/* Returns how many of a kind all zones have. */
+/* Returns how many of a kind all zones have together. */
 static unsigned int zones_total(const scale_zone_t *zones, unsigned int count,
 				bool reclaimable)
 {
@@ -315,7 +351,10 @@
 	return sum;
 }
 
-/* Brings the sum of a kind to what is wanted, with as few moves as it takes. */
+/*
+ * Adds or removes upstreams of a kind until WANTED are left, with as few changes as
+ * possible.
+ */
 static void adjust_total(const forward_service_t *service, scale_zone_t *zones,
 			 unsigned int count, bool reclaimable, unsigned int wanted)
 {
@@ -331,10 +370,10 @@
 	}
 }
 
-/* How many of each kind there should be in all zones. */
+/* The totals to plan over all zones. */
 typedef struct scale_totals {
 	unsigned int on_demand;
-	unsigned int on_demand_min; /* in place of others, if there is no room */
+	unsigned int on_demand_min; /* in place of refused ones, if a zone is full */
 	unsigned int reclaimable;
 } scale_totals_t;
 
@@ -344,8 +383,8 @@
 }
 
 /*
- * NEED is the load that the fleet is held for, LOAD what is seen at present; a
- * shortage is answered by that, as it is soon over.
+ * Returns the totals for the load that the fleet is sized for. A shortage is handled by
+ * the current LOAD instead, because it is over soon.
  */
 static scale_totals_t plan_totals(double planned_load, double load,
 				  unsigned int on_demand_now,
@@ -365,12 +404,15 @@
 	if (shortage)
 		totals.on_demand =
 			MAX(totals.on_demand, round_up(load * SHORTAGE_FACTOR));
-	/* None is let go before those that take its place serve. */
+	/* On-demand upstreams are kept until their replacements serve. */
 	totals.on_demand = MAX(totals.on_demand, MIN(on_demand_now, missing));
 	return totals;
 }
 
-/* Begins with the numbers last planned, at first with those that are there. */
+/*
+ * Sets ZONES to the numbers of the last plan, or to those that serve if there was none.
+ * Returns the number of zones.
+ */
 static unsigned int init_zones(scale_plan_t *plan, const forward_service_t *service,
 			       forward_upstreams_t *upstreams,
 			       scale_zone_t zones[SCALE_ZONES_MAX])
@@ -407,7 +449,7 @@
 	return false;
 }
 
-/* Returns how many reclaimable upstreams a zone has, with those that boot. */
+/* Returns how many reclaimable upstreams a zone has, including those that boot. */
 static unsigned int zone_available(const zone_state_t *state,
 				   const forward_service_t *service,
 				   forward_upstreams_t *upstreams, pd_time_t now)
@@ -421,8 +463,8 @@
 }
 
 /*
- * Counts for each zone how many of the planned reclaimable upstreams it refuses, but
- * for the few that are asked for still.
+ * Sets REFUSED to the number of planned reclaimable upstreams that each zone refuses,
+ * without the few that are still ordered as a probe.
  */
 static void count_refused(scale_plan_t *plan, const forward_service_t *service,
 			  forward_upstreams_t *upstreams,
@@ -443,9 +485,9 @@
 }
 
 /*
- * Puts lasting upstreams in the place of reclaimable ones that are refused, where a
- * zone may have no more otherwise, until there are as many as WANTED. Orders that
- * nothing comes of would keep a fleet small for as long as the shortage is.
+ * Replaces refused reclaimable upstreams with on-demand ones in zones that could
+ * otherwise have no more, until there are WANTED on-demand ones. Otherwise orders that
+ * are never granted would keep a fleet small for as long as the shortage lasts.
  */
 static void replace_refused(scale_zone_t *zones, unsigned int count,
 			    unsigned int *refused, unsigned int wanted)
@@ -470,9 +512,9 @@
 }
 
 /*
- * Fills in what should be in each zone; returns how many zones, 0 while it is
- * too early to say. The plan says what is wanted, whatever is there, so an
- * order given twice changes nothing.
+ * Sets ZONES to the upstreams wanted in each zone, and returns the number of zones, or
+ * 0 while it is too early for a plan. A plan has absolute numbers, so an order that is
+ * given twice changes nothing.
  */
 unsigned int scale_plan_make(scale_plan_t *plan, const forward_service_t *service,
 			     forward_upstreams_t *upstreams,
@@ -495,7 +537,7 @@
 	unsigned int count;
 
 	plan->basis = (scale_basis_t){ planned_load, load, demand->rate, shortage };
-	/* The fleet is still listing itself. */
+	/* Upstreams are still registering. */
 	if (!plan->load_seen_at && now - plan->count_grew_at < DISCOVERY_SETTLE_TIME)
 		return 0;
 	count = init_zones(plan, service, upstreams, zones);
--- a/core/forward/scale_plan.h
+++ b/core/forward/scale_plan.h
@@ -1,6 +1,6 @@
 /*
- * How many upstreams of a service there should be in each availability zone,
- * and how many of them may be reclaimed. scale-plan-notes.md weighs the ways.
+ * Plans how many upstreams a service should have in each availability zone, and how
+ * many of them reclaimable. scale-plan-notes.md compares the alternatives.
  */
 #ifndef PISTACHIO_SCALE_PLAN_H
 #define PISTACHIO_SCALE_PLAN_H
@@ -10,26 +10,26 @@
 
 #define SCALE_ZONES_MAX 32
 
-/* The upstreams that are wanted in a zone, each kind apart. */
+/* The upstreams of each kind that are wanted in a zone. */
 typedef struct scale_zone {
 	const char *zone; /* borrowed from the service */
 	unsigned int on_demand;
 	unsigned int reclaimable;
 } scale_zone_t;
 
-/* Work a second that is asked of a service, by all entries. */
+/* The demand for a service, as work per second at all gateways. */
 typedef struct scale_demand {
 	double sent;
-	double refused; /* turned away for want of engines */
-	double rate; /* what one engine gets done; 0: not known yet */
+	double refused; /* refused for lack of engines */
+	double rate; /* work per second that one engine does; 0: not known yet */
 } scale_demand_t;
 
-/* What a plan was made by. */
+/* The basis of a plan. */
 typedef struct scale_basis {
-	double planned_load; /* engines' worth of load that the fleet is held for */
-	double load; /* the same, as seen at present */
-	double rate; /* what one engine gets done a second; 0: not known */
-	bool shortage; /* reclaimable upstreams were refused lately */
+	double planned_load; /* load, in busy engines, that the fleet is sized for */
+	double load; /* load, in busy engines, as currently measured */
+	double rate; /* work per second that one engine does; 0: not known */
+	bool shortage; /* orders of reclaimable upstreams were refused lately */
 } scale_basis_t;
 
 typedef struct scale_plan scale_plan_t;
--- a/tests/unit/test_scale_plan.c
+++ b/tests/unit/test_scale_plan.c
@@ -1,4 +1,4 @@
-/* How many upstreams are ordered, and that none is let go too early. */
+/* Tests of how many upstreams are ordered, and that none is released too early. */
 #include <math.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,7 +13,7 @@
 
 #define START (1000 * PD_SEC)
 #define TICK (500 * PD_MSEC)
-#define ENGINE 117000.0 /* work that keeps one engine busy */
+#define ENGINE_RATE 117000.0 /* work per second that keeps one engine busy */
 
 typedef struct rig {
 	forward_config_t *config;
@@ -65,7 +65,8 @@
 	return 0;
 }
 
-static void start(rig_t *rig, const char *zone, unsigned int number, bool reclaimable)
+static void add_upstreams(rig_t *rig, const char *zone, unsigned int number,
+			  bool reclaimable)
 {
 	char id[32];
 	forward_listing_t listing = { .id = id,
@@ -83,10 +84,15 @@
 	}
 }
 
-/* Lets time pass with a load that is sent, and one that is turned away. */
-static void pass_short(rig_t *rig, pd_time_t time, double load, double away)
+/*
+ * Simulates TIME with LOAD engines' worth of work that is sent, and REFUSED that is
+ * refused.
+ */
+static void simulate_with_refusals(rig_t *rig, pd_time_t time, double load,
+				   double refused)
 {
-	const scale_demand_t demand = { load * ENGINE, away * ENGINE, ENGINE };
+	const scale_demand_t demand = { load * ENGINE_RATE,
+					refused * ENGINE_RATE, ENGINE_RATE };
 
 	for (pd_time_t end = rig->now + time; rig->now < end; rig->now += TICK)
 		rig->count = scale_plan_make(rig->plan, rig->service,
@@ -94,13 +100,13 @@
 					     rig->zones);
 }
 
-/* Lets time pass with a load, in engines' worth of work. */
-static void pass(rig_t *rig, pd_time_t time, double load)
+/* Simulates TIME with LOAD engines' worth of work, none of which is refused. */
+static void simulate(rig_t *rig, pd_time_t time, double load)
 {
-	pass_short(rig, time, load, 0);
+	simulate_with_refusals(rig, time, load, 0);
 }
 
-static unsigned int lasting(const rig_t *rig)
+static unsigned int on_demand_total(const rig_t *rig)
 {
 	unsigned int sum = 0;
 
@@ -109,7 +115,7 @@
 	return sum;
 }
 
-static unsigned int reclaimable(const rig_t *rig)
+static unsigned int reclaimable_total(const rig_t *rig)
 {
 	unsigned int sum = 0;
 
@@ -119,77 +125,82 @@
 }
 
 /*
- * The fleet lists itself one by one after a start. Planned on the first few, the
- * others would be let go before any caller comes.
+ * Guards against a plan for an incomplete fleet: after a start upstreams register one
+ * by one. If the plan were made with the first few, the others would be released before
+ * any caller comes.
  */
-static void test_no_plan_while_the_fleet_lists_itself(void **state)
+static void test_no_plan_while_upstreams_register(void **state)
 {
 	rig_t *rig = *state;
 
-	start(rig, "a", 1, false);
-	pass(rig, PD_SEC, 0);
+	add_upstreams(rig, "a", 1, false);
+	simulate(rig, PD_SEC, 0);
 	assert_int_equal(rig->count, 0);
-	start(rig, "b", 4, false);
-	pass(rig, PD_SEC, 0);
+	add_upstreams(rig, "b", 4, false);
+	simulate(rig, PD_SEC, 0);
 	assert_int_equal(rig->count, 0);
-	pass(rig, 2 * PD_SEC, 0);
+	simulate(rig, 2 * PD_SEC, 0);
 	assert_int_equal(rig->count, 3);
 }
 
 /*
- * Reclaimable upstreams take seconds to start. Lasting ones let go at the order
- * leave callers with too few until then.
+ * Guards against releasing on-demand upstreams when their replacements are ordered:
+ * reclaimable ones take seconds to start, and callers would have too few upstreams
+ * until then.
  */
-static void test_lasting_ones_stay_until_others_serve(void **state)
+static void test_on_demand_ones_stay_until_others_serve(void **state)
 {
 	rig_t *rig = *state;
 	unsigned int before;
 
-	start(rig, "a", 4, false);
-	start(rig, "b", 4, false);
-	start(rig, "c", 4, false);
-	pass(rig, 4 * PD_SEC, 0);
-	before = lasting(rig);
-	assert_true(reclaimable(rig) >= 4);
+	add_upstreams(rig, "a", 4, false);
+	add_upstreams(rig, "b", 4, false);
+	add_upstreams(rig, "c", 4, false);
+	simulate(rig, 4 * PD_SEC, 0);
+	before = on_demand_total(rig);
+	assert_true(reclaimable_total(rig) >= 4);
 	assert_true(before >= 5);
-	start(rig, "a", 4, true);
-	start(rig, "b", 4, true);
-	pass(rig, 4 * PD_SEC, 0);
-	assert_true(lasting(rig) < before);
+	add_upstreams(rig, "a", 4, true);
+	add_upstreams(rig, "b", 4, true);
+	simulate(rig, 4 * PD_SEC, 0);
+	assert_true(on_demand_total(rig) < before);
 }
 
-/* A whole zone of reclaimable upstreams goes, and no others are to be had. */
-static void test_lasting_ones_fill_a_shortage(void **state)
+/* A whole zone of reclaimable upstreams is reclaimed, and no others are available. */
+static void test_on_demand_ones_fill_a_shortage(void **state)
 {
 	rig_t *rig = *state;
 	unsigned int before;
 
-	start(rig, "a", 3, false);
-	start(rig, "b", 3, true);
-	start(rig, "c", 3, true);
-	pass(rig, 10 * PD_SEC, 6);
-	before = lasting(rig);
+	add_upstreams(rig, "a", 3, false);
+	add_upstreams(rig, "b", 3, true);
+	add_upstreams(rig, "c", 3, true);
+	simulate(rig, 10 * PD_SEC, 6);
+	before = on_demand_total(rig);
 	forward_upstreams_begin_listing(rig->upstreams);
-	start(rig, "a", 3, false);
+	add_upstreams(rig, "a", 3, false);
 	forward_upstreams_end_listing(rig->upstreams, rig->revision, rig->now);
 	scale_plan_mark_refused(rig->plan, "b", rig->now);
-	pass(rig, PD_SEC, 6);
-	assert_true(lasting(rig) > before);
+	simulate(rig, PD_SEC, 6);
+	assert_true(on_demand_total(rig) > before);
 }
 
-/* Load that swings from second to second moves no upstream about. */
+/*
+ * Guards against releasing and ordering upstreams when the load fluctuates by the
+ * second.
+ */
 static void test_noise_changes_nothing(void **state)
 {
 	rig_t *rig = *state;
 	unsigned int changes = 0;
 	scale_zone_t before[SCALE_ZONES_MAX];
 
-	start(rig, "a", 6, false);
-	start(rig, "b", 6, true);
-	pass(rig, 60 * PD_SEC, 5); /* until it is sized by the load */
+	add_upstreams(rig, "a", 6, false);
+	add_upstreams(rig, "b", 6, true);
+	simulate(rig, 60 * PD_SEC, 5); /* until the fleet is sized by the load */
 	for (int i = 0; i < 60; i++) {
 		memcpy(before, rig->zones, sizeof(before));
-		pass(rig, PD_SEC, i % 2 ? 4.5 : 5);
+		simulate(rig, PD_SEC, i % 2 ? 4.5 : 5);
 		for (unsigned int k = 0; k < rig->count; k++)
 			changes += before[k].on_demand != rig->zones[k].on_demand ||
 				   before[k].reclaimable !=
@@ -198,120 +209,127 @@
 	assert_int_equal(changes, 0);
 }
 
-/* Nearly all of a calm fleet can be reclaimed, at a fifth of the price. */
-static void test_few_lasting_ones_while_none_is_refused(void **state)
+/*
+ * Without a shortage nearly all upstreams can be reclaimable ones, at a fifth of the
+ * price.
+ */
+static void test_few_on_demand_ones_without_shortage(void **state)
 {
 	rig_t *rig = *state;
 
-	start(rig, "a", 4, false);
-	start(rig, "b", 4, false);
-	start(rig, "c", 4, false);
-	pass(rig, 4 * PD_SEC, 0);
-	start(rig, "a", 3, true);
-	start(rig, "b", 3, true);
-	start(rig, "c", 3, true);
-	pass(rig, 4 * PD_SEC, 5);
-	assert_true(lasting(rig) >= 2);
-	assert_true(lasting(rig) * 3 <= reclaimable(rig));
+	add_upstreams(rig, "a", 4, false);
+	add_upstreams(rig, "b", 4, false);
+	add_upstreams(rig, "c", 4, false);
+	simulate(rig, 4 * PD_SEC, 0);
+	add_upstreams(rig, "a", 3, true);
+	add_upstreams(rig, "b", 3, true);
+	add_upstreams(rig, "c", 3, true);
+	simulate(rig, 4 * PD_SEC, 5);
+	assert_true(on_demand_total(rig) >= 2);
+	assert_true(on_demand_total(rig) * 3 <= reclaimable_total(rig));
 }
 
 /*
- * One zone is reclaimed and no others are to be had. The zones that are left are
- * likely to go too; counted on, they leave callers with too few for seconds.
+ * Guards against counting on the remaining zones when one zone is reclaimed and no
+ * others are available: they are likely to be reclaimed too, which would leave callers
+ * with too few upstreams for seconds.
  */
-static void test_a_shortage_does_not_count_on_those_left(void **state)
+static void test_shortage_does_not_count_on_remaining_ones(void **state)
 {
 	rig_t *rig = *state;
 
-	start(rig, "a", 2, false);
-	start(rig, "b", 5, true);
-	start(rig, "c", 5, true);
-	pass(rig, 20 * PD_SEC, 5);
+	add_upstreams(rig, "a", 2, false);
+	add_upstreams(rig, "b", 5, true);
+	add_upstreams(rig, "c", 5, true);
+	simulate(rig, 20 * PD_SEC, 5);
 	scale_plan_mark_refused(rig->plan, "a", rig->now);
-	pass(rig, PD_SEC, 5);
-	assert_true(lasting(rig) >= 7);
+	simulate(rig, PD_SEC, 5);
+	assert_true(on_demand_total(rig) >= 7);
 }
 
-/* Has every reclaimable upstream leave, and all zones refuse others. */
-static void reclaim_all(rig_t *rig, unsigned int lasting_each)
+/* Reclaims every reclaimable upstream, and has all zones refuse orders of others. */
+static void reclaim_all_and_refuse(rig_t *rig, unsigned int on_demand_each)
 {
 	static const char *const zones[] = { "a", "b", "c" };
 
 	forward_upstreams_begin_listing(rig->upstreams);
 	for (size_t i = 0; i < G_N_ELEMENTS(zones); i++) {
-		start(rig, zones[i], lasting_each, false);
+		add_upstreams(rig, zones[i], on_demand_each, false);
 		scale_plan_mark_refused(rig->plan, zones[i], rig->now);
 	}
 	forward_upstreams_end_listing(rig->upstreams, rig->revision, rig->now);
 }
 
-/* Guards against refused upstreams that take up what a zone may have at most. */
-static void test_refused_ones_leave_room_for_lasting_ones(void **state)
+/* Guards against refused upstreams that use up the maximum of a zone. */
+static void test_refused_ones_leave_room_for_on_demand_ones(void **state)
 {
 	rig_t *rig = *state;
 
-	start(rig, "a", 1, false);
-	start(rig, "b", 1, false);
-	start(rig, "c", 1, false);
-	start(rig, "a", 5, true);
-	start(rig, "b", 5, true);
-	start(rig, "c", 5, true);
-	pass(rig, 20 * PD_SEC, 9);
-	assert_in_range(lasting(rig), 3, 4);
-	reclaim_all(rig, 1);
-	pass(rig, PD_SEC, 9);
-	assert_in_range(lasting(rig), 9, 13);
-	/* Some are asked for still, as nothing else tells when there are any. */
-	assert_true(reclaimable(rig) >= 3);
+	add_upstreams(rig, "a", 1, false);
+	add_upstreams(rig, "b", 1, false);
+	add_upstreams(rig, "c", 1, false);
+	add_upstreams(rig, "a", 5, true);
+	add_upstreams(rig, "b", 5, true);
+	add_upstreams(rig, "c", 5, true);
+	simulate(rig, 20 * PD_SEC, 9);
+	assert_in_range(on_demand_total(rig), 3, 4);
+	reclaim_all_and_refuse(rig, 1);
+	simulate(rig, PD_SEC, 9);
+	assert_in_range(on_demand_total(rig), 9, 13);
+	/*
+	 * Some are still ordered, as only a granted order shows that the shortage is
+	 * over.
+	 */
+	assert_true(reclaimable_total(rig) >= 3);
 }
 
-/* Guards against taking back an order for upstreams that are about to serve. */
-static void test_granted_ones_keep_their_place(void **state)
+/* Guards against cancelling an order of upstreams that are about to serve. */
+static void test_granted_ones_are_kept(void **state)
 {
 	rig_t *rig = *state;
 	unsigned int before;
 
 	rig->service->boot_time = 4 * PD_SEC;
-	start(rig, "a", 1, false);
-	start(rig, "b", 1, false);
-	start(rig, "c", 1, false);
-	pass(rig, 20 * PD_SEC, 9);
-	before = reclaimable(rig);
-	reclaim_all(rig, 1);
+	add_upstreams(rig, "a", 1, false);
+	add_upstreams(rig, "b", 1, false);
+	add_upstreams(rig, "c", 1, false);
+	simulate(rig, 20 * PD_SEC, 9);
+	before = reclaimable_total(rig);
+	reclaim_all_and_refuse(rig, 1);
 	for (unsigned int i = 0; i < rig->count; i++)
 		scale_plan_mark_granted(rig->plan, rig->zones[i].zone, 5, rig->now);
-	pass(rig, PD_SEC, 9);
-	assert_int_equal(reclaimable(rig), before);
+	simulate(rig, PD_SEC, 9);
+	assert_int_equal(reclaimable_total(rig), before);
 }
 
 /*
- * All gateways are killed in the middle of a shortage. Whoever holds the duties
- * next finds a few upstreams; taken for the fleet that was meant, lasting ones
- * would be let go while callers are turned away.
+ * Guards against a new leader that takes the fleet it finds for the intended one: all
+ * gateways are killed in the middle of a shortage, when only a few upstreams are left.
+ * On-demand ones would be released while callers are refused.
  */
-static void test_a_new_holder_goes_on_with_what_was_planned(void **state)
+static void test_new_leader_continues_with_planned_load(void **state)
 {
 	rig_t *rig = *state;
 
 	scale_plan_restore(rig->plan, 6);
-	start(rig, "a", 2, false);
-	start(rig, "b", 2, false);
+	add_upstreams(rig, "a", 2, false);
+	add_upstreams(rig, "b", 2, false);
 	scale_plan_mark_refused(rig->plan, "c", rig->now + 4 * PD_SEC);
-	pass(rig, 5 * PD_SEC, 1);
-	assert_true(lasting(rig) >= 9);
+	simulate(rig, 5 * PD_SEC, 1);
+	assert_true(on_demand_total(rig) >= 9);
 	assert_true(scale_plan_basis(rig->plan)->planned_load >= 6);
 	assert_true(scale_plan_basis(rig->plan)->shortage);
 }
 
-/* A note that makes no sense changes nothing. */
-static void test_a_need_that_is_none_is_not_restored(void **state)
+/* Guards against restoring an implausible load. */
+static void test_invalid_load_is_not_restored(void **state)
 {
 	rig_t *rig = *state;
 
 	scale_plan_restore(rig->plan, -3);
 	scale_plan_restore(rig->plan, INFINITY);
-	start(rig, "a", 4, false);
-	pass(rig, 5 * PD_SEC, 0);
+	add_upstreams(rig, "a", 4, false);
+	simulate(rig, 5 * PD_SEC, 0);
 	assert_true(scale_plan_basis(rig->plan)->planned_load <= 4);
 }
 
@@ -319,8 +337,8 @@
 {
 	rig_t *rig = *state;
 
-	start(rig, "a", 3, false);
-	pass(rig, 60 * PD_SEC, 100);
+	add_upstreams(rig, "a", 3, false);
+	simulate(rig, 60 * PD_SEC, 100);
 	for (unsigned int i = 0; i < rig->count; i++) {
 		unsigned int sum =
 			rig->zones[i].on_demand + rig->zones[i].reclaimable;
@@ -330,47 +348,47 @@
 }
 
 /*
- * A fleet that is too small turns requests away. Sized by what it gets done, it
- * stays as it is, and callers go on being refused.
+ * Guards against sizing the fleet only by the work that it gets done: a fleet that is
+ * too small refuses requests, and would stay too small.
  */
-static void test_what_is_turned_away_is_load(void **state)
+static void test_refused_work_is_load(void **state)
 {
 	rig_t *rig = *state;
 	unsigned int before;
 
-	start(rig, "a", 4, false);
-	pass(rig, 20 * PD_SEC, 3);
-	before = lasting(rig) + reclaimable(rig);
-	pass_short(rig, 5 * PD_SEC, 3, 3);
-	assert_true(lasting(rig) + reclaimable(rig) >= before + 4);
+	add_upstreams(rig, "a", 4, false);
+	simulate(rig, 20 * PD_SEC, 3);
+	before = on_demand_total(rig) + reclaimable_total(rig);
+	simulate_with_refusals(rig, 5 * PD_SEC, 3, 3);
+	assert_true(on_demand_total(rig) + reclaimable_total(rig) >= before + 4);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_no_plan_while_the_fleet_lists_itself,
+		cmocka_unit_test_setup_teardown(test_no_plan_while_upstreams_register,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_lasting_ones_stay_until_others_serve,
+		cmocka_unit_test_setup_teardown(test_on_demand_ones_stay_until_others_serve,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_lasting_ones_fill_a_shortage,
+		cmocka_unit_test_setup_teardown(test_on_demand_ones_fill_a_shortage,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(test_noise_changes_nothing,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_need_that_is_none_is_not_restored,
+		cmocka_unit_test_setup_teardown(test_invalid_load_is_not_restored,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_new_holder_goes_on_with_what_was_planned,
+		cmocka_unit_test_setup_teardown(test_new_leader_continues_with_planned_load,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_shortage_does_not_count_on_those_left,
+		cmocka_unit_test_setup_teardown(test_shortage_does_not_count_on_remaining_ones,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_few_lasting_ones_while_none_is_refused,
+		cmocka_unit_test_setup_teardown(test_few_on_demand_ones_without_shortage,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(test_zones_keep_their_bounds,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_refused_ones_leave_room_for_lasting_ones,
+		cmocka_unit_test_setup_teardown(test_refused_ones_leave_room_for_on_demand_ones,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_granted_ones_keep_their_place,
+		cmocka_unit_test_setup_teardown(test_granted_ones_are_kept,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_what_is_turned_away_is_load,
+		cmocka_unit_test_setup_teardown(test_refused_work_is_load,
 						setup, teardown),
 	};
 
