--- a/core/forward/scale_plan.c
+++ b/core/forward/scale_plan.c
@@ -37,8 +37,8 @@
  */
 #define KEPT_ON_DEMAND_FACTOR 1.0
 /*
- * Weight of the slots in use, for a fleet sized by FLEET_FACTOR: unlike a busy engine,
- * a slot in use does not mean that requests queue.
+ * An engine with all slots in use counts as this many busy engines, in a fleet sized by
+ * FLEET_FACTOR: unlike a busy engine, a slot in use does not mean that requests queue.
  */
 #define SLOTS_FACTOR 0.7
 /*
