--- a/tests/property/test_token_limits.cc
+++ b/tests/property/test_token_limits.cc
@@ -98,7 +98,7 @@
 	}
 
 	/* Returns the most tokens that were granted in any window of eight seconds. */
-	double max_granted() const
+	double worst() const
 	{
 		std::deque<request> window;
 		double sum = 0;
@@ -116,7 +116,7 @@
 		return most;
 	}
 
-	unsigned requested = 0;
+	unsigned asked = 0; /* requests */
 	unsigned refused = 0;
 
       private:
@@ -269,7 +269,7 @@
 			token_decision_t decision;
 
 			due -= tokens;
-			requested++;
+			asked++;
 			if (token_limits_take(one.limits, &account, tokens, now,
 					      &decision))
 				grants.push_back({ now, tokens });
@@ -319,8 +319,8 @@
 		if (getenv("SHOW"))
 			printf("%u rate %.0f mean %.0f x%.1f kills %zu: %.3f\n",
 			       size, rate, mean, factor, at.size(),
-			       all.max_granted() / all.allowed());
-		RC_ASSERT(all.max_granted() <= all.allowed());
+			       all.worst() / all.allowed());
+		RC_ASSERT(all.worst() <= all.allowed());
 	});
 }
 
@@ -341,8 +341,8 @@
 		all.run({ 9000 * PD_MSEC }, down);
 		if (getenv("SHOW"))
 			printf("%u refused %u of %u\n", size, all.refused,
-			       all.requested);
-		RC_ASSERT(all.refused * 50 <= all.requested);
+			       all.asked);
+		RC_ASSERT(all.refused * 50 <= all.asked);
 	});
 }
 
--- a/tests/property/test_usage.cc
+++ b/tests/property/test_usage.cc
@@ -82,7 +82,7 @@
 	std::vector<gateway> gateways;
 	object store[writer_count];
 	std::vector<call> calls;
-	uint64_t true_count = 0;
+	uint64_t truth = 0; /* requests that a report should count */
 	uint64_t revision = 0;
 	pd_time_t send_period;
 	bool in_flight = false; /* requests are answered with a delay, not at once */
@@ -156,7 +156,7 @@
 /* Kills a gateway by a power loss: its upstreams run the requests in flight. */
 static void lose_power(fleet &all, unsigned number)
 {
-	all.true_count += all.gateways[number].answers.size();
+	all.truth += all.gateways[number].answers.size();
 	kill(all, number);
 	all.gateways[number].boot_time += draw(all, 20, 300) * PD_SEC;
 }
@@ -326,7 +326,7 @@
 static void answer(fleet &all, gateway &one)
 {
 	usage_increment(one.usage.get(), window, account);
-	all.true_count++;
+	all.truth++;
 }
 
 static void take_answers(fleet &all, gateway &one)
@@ -399,7 +399,7 @@
 }
 
 /* Returns the count that a report made now from the store alone would contain. */
-static uint64_t stored_count(const fleet &all)
+static uint64_t checkpointed(const fleet &all)
 {
 	usage_t *reader = usage_create("reader#1");
 	usage_inflight_t *inflight = usage_inflight_create();
@@ -420,8 +420,8 @@
 	double requests =
 		rate * all.gateways.size() * (double)window_length / PD_SEC;
 
-	RC_ASSERT(stored_count(all) <= all.true_count);
-	RC_ASSERT((double)(all.true_count - stored_count(all)) <= requests / 20 + 1);
+	RC_ASSERT(checkpointed(all) <= all.truth);
+	RC_ASSERT((double)(all.truth - checkpointed(all)) <= requests / 20 + 1);
 }
 
 static void kill_all(fleet &all)
@@ -516,11 +516,11 @@
 		advance(all, PD_SEC, rate);
 		if (draw(all, 0, 2) && size > writer_count)
 			kill(all, (unsigned)draw(all, 0, writer_count));
-		RC_ASSERT(stored_count(all) <= all.true_count);
+		RC_ASSERT(checkpointed(all) <= all.truth);
 	}
 	start_all(all);
 	advance(all, 8 * PD_SEC, 0);
-	RC_ASSERT(stored_count(all) <= all.true_count);
+	RC_ASSERT(checkpointed(all) <= all.truth);
 }
 
 static unsigned random_size()
