--- a/core/forward/engine_speed.c
+++ b/core/forward/engine_speed.c
@@ -66,6 +66,7 @@
 	g_free(speeds);
 }
 
+/* Returns a service's speed, and creates an unknown one if needed. */
 static speed_t *speed_of(engine_speeds_t *speeds, const char *service)
 {
 	speed_t *speed = g_hash_table_lookup(speeds->services, service);
@@ -129,6 +130,7 @@
 				    : rate;
 }
 
+/* Returns the own estimate, or that of the peers if own samples are few; 0: neither. */
 static double speed_rate(const speed_t *speed)
 {
 	if (!speed)
--- a/core/forward/peer_uses.c
+++ b/core/forward/peer_uses.c
@@ -35,6 +35,7 @@
 	double pending; /* tokens predicted, but not returned by peer_uses_predict() yet */
 };
 
+/* Removes a peer's rate from the sum of the predicted ones. */
 static void stop_predicting(peer_use_t *use)
 {
 	peer_uses_t *uses = use->uses;
@@ -49,6 +50,7 @@
 		uses->rate = 0;
 }
 
+/* Adds a peer's rate to the sum of the predicted ones. */
 static void start_predicting(peer_use_t *use)
 {
 	use->predicted = true;
@@ -56,6 +58,7 @@
 	use->uses->rate += use->rate;
 }
 
+/* Frees a peer_use_t. */
 static void peer_use_destroy(void *data)
 {
 	stop_predicting(data);
@@ -123,6 +126,7 @@
 	return amount;
 }
 
+/* Adds a peer with its first reported total. */
 static void add_peer(peer_uses_t *uses, const char *peer, double total,
 		     pd_time_t now)
 {
--- a/core/forward/scale_plan.c
+++ b/core/forward/scale_plan.c
@@ -97,6 +97,7 @@
 	scale_basis_t basis;
 };
 
+/* Frees the content of a zone_state_t. */
 static void zone_clear(void *data)
 {
 	g_free(((zone_state_t *)data)->zone);
@@ -121,6 +122,9 @@
 	g_free(plan);
 }
 
+/*
+ * Returns a zone's state, and creates it if needed; valid until the next zone is added.
+ */
 static zone_state_t *plan_zone(scale_plan_t *plan, const char *zone)
 {
 	zone_state_t fresh = { 0 };
@@ -194,6 +198,7 @@
 	return count;
 }
 
+/* Returns the number of running requests of a service. */
 static double count_running(forward_upstreams_t *upstreams, const char *service)
 {
 	double sum = 0;
@@ -269,16 +274,19 @@
 	return plan->held_load;
 }
 
+/* Returns the price of an upstream in the service's zone number I. */
 static double zone_price(const forward_service_t *service, guint i)
 {
 	return g_array_index(service->zone_prices, forward_zone_price_t, i).price;
 }
 
+/* Returns the number of upstreams of a kind in a zone. */
 static unsigned int zone_count(const scale_zone_t *zone, bool reclaimable)
 {
 	return reclaimable ? zone->reclaimable : zone->on_demand;
 }
 
+/* Adds BY, which may be negative, to the number of a kind in a zone. */
 static void zone_change_count(scale_zone_t *zone, bool reclaimable, int by)
 {
 	if (reclaimable)
@@ -377,6 +385,7 @@
 	unsigned int reclaimable;
 } scale_totals_t;
 
+/* Returns a number rounded up to an integer, and at least 0. */
 static unsigned int round_up(double number)
 {
 	return (unsigned int)ceil(MAX(number, 0));
@@ -440,6 +449,7 @@
 	return count;
 }
 
+/* Returns whether any zone has lately refused an order. */
 static bool plan_has_shortage(const scale_plan_t *plan, pd_time_t now)
 {
 	for (guint i = 0; i < plan->zones->len; i++) {
--- a/core/forward/time_vote.c
+++ b/core/forward/time_vote.c
@@ -77,11 +77,15 @@
 	return step;
 }
 
+/* Returns whether a reading was received recently enough to be used. */
 static bool is_recent(const reading_t *reading, pd_time_t now)
 {
 	return reading->received_at && now - reading->received_at < READING_MAX_AGE;
 }
 
+/*
+ * Appends a reading's corrected difference to VOTES, unless it is old or not trusted.
+ */
 static void add_vote(GArray *votes, const reading_t *reading, pd_time_t now)
 {
 	pd_time_t difference = reading->difference;
@@ -93,6 +97,7 @@
 	g_array_append_val(votes, difference);
 }
 
+/* Compares two pd_time_t for sorting. */
 static gint compare_times(gconstpointer a, gconstpointer b)
 {
 	pd_time_t left = *(const pd_time_t *)a;
@@ -156,6 +161,7 @@
 	return steps;
 }
 
+/* Returns a peer's reading, and creates an empty one if needed. */
 static reading_t *peer_reading(time_vote_t *vote, const char *peer)
 {
 	reading_t *reading = g_hash_table_lookup(vote->peers, peer);
@@ -219,6 +225,7 @@
 	vote->next_vote_at = 0;
 }
 
+/* Calls EACH if a recent reading is off by CLOCK_STEP_MIN or more. */
 static void report_offset(const time_vote_t *vote, const char *peer,
 			  const reading_t *reading, pd_time_t now,
 			  clock_each_t each, void *ctx)
--- a/core/forward/token_limits.c
+++ b/core/forward/token_limits.c
@@ -84,6 +84,7 @@
 	GHashTable *buckets; /* account name -> bucket_t */
 };
 
+/* Frees a bucket_t. */
 static void bucket_destroy(void *data)
 {
 	bucket_t *bucket = data;
@@ -153,6 +154,7 @@
 	g_free(limits);
 }
 
+/* Returns an account's bucket, and creates an empty one if needed. */
 static bucket_t *limits_bucket(token_limits_t *limits, const char *account,
 			       pd_time_t now)
 {
--- a/core/forward/usage.c
+++ b/core/forward/usage.c
@@ -46,11 +46,13 @@
 	bool has_unsent; /* own counters have grown since they were sent */
 };
 
+/* Releases a counter of a GArray. */
 static void counter_clear(void *data)
 {
 	g_ref_string_release(((counter_t *)data)->account);
 }
 
+/* Frees a counter_set_t. */
 static void counter_set_destroy(void *data)
 {
 	counter_set_t *set = data;
@@ -59,6 +61,7 @@
 	g_free(set);
 }
 
+/* Frees a window_t. */
 static void window_destroy(void *data)
 {
 	window_t *window = data;
@@ -120,6 +123,7 @@
 	g_free(usage);
 }
 
+/* Returns a window by its number, or NULL if it has no counts. */
 static window_t *usage_find_window(const usage_t *usage, int64_t number)
 {
 	for (guint i = 0; i < usage->windows->len; i++) {
@@ -131,6 +135,7 @@
 	return NULL;
 }
 
+/* Returns a window by its number, and creates it if needed. */
 static window_t *usage_window(usage_t *usage, int64_t number)
 {
 	window_t *window = usage_find_window(usage, number);
@@ -145,6 +150,7 @@
 	return window;
 }
 
+/* Returns an incarnation's counters in a window, and creates them if needed. */
 static counter_set_t *window_counter_set(window_t *window, uint64_t incarnation_id)
 {
 	counter_set_t *set =
@@ -167,6 +173,7 @@
 	return g_hash_table_lookup(window->counter_sets, &usage->own_id);
 }
 
+/* Returns an account's counter, and creates it if needed. */
 static counter_t *counter_set_counter(counter_set_t *set, const char *account)
 {
 	counter_t added = { .account = g_ref_string_new_intern(account) };
@@ -183,6 +190,9 @@
 	return &g_array_index(set->counters, counter_t, set->counters->len - 1);
 }
 
+/*
+ * Returns the counter of a window, incarnation and account, and creates it if needed.
+ */
 static counter_t *usage_counter(usage_t *usage, int64_t window,
 				uint64_t incarnation_id, const char *account)
 {
@@ -213,6 +223,7 @@
 	counter->count = MAX(counter->count, entry->count);
 }
 
+/* Calls EACH for all counts of an incarnation in a window. */
 static void counter_set_each(const window_t *window, const counter_set_t *set,
 			     usage_each_t each, void *ctx)
 {
@@ -257,6 +268,9 @@
 	}
 }
 
+/*
+ * Calls EACH for the counts that have grown since they were sent; marks them as sent.
+ */
 static void counter_set_each_unsent(const window_t *window, counter_set_t *set,
 				    usage_each_t each, void *ctx)
 {
@@ -291,6 +305,7 @@
 	return usage->has_unsent;
 }
 
+/* Marks all counts as never sent. */
 static void counter_set_mark_unsent(counter_set_t *set)
 {
 	for (guint i = 0; i < set->counters->len; i++)
@@ -329,6 +344,7 @@
 	return 0;
 }
 
+/* Adds a count to the account's sum in the table CTX. */
 static void sum_add(void *ctx, const usage_entry_t *entry)
 {
 	uint64_t *sum = g_hash_table_lookup(ctx, entry->account);
--- a/core/forward/usage_inflight.c
+++ b/core/forward/usage_inflight.c
@@ -11,6 +11,7 @@
 	GHashTable *by_incarnation; /* of inflight_snapshot_t */
 };
 
+/* Frees the content of an inflight_expected_t. */
 static void expected_clear(void *data)
 {
 	g_free(((inflight_expected_t *)data)->account);
@@ -107,6 +108,7 @@
 	}
 }
 
+/* Returns whether two snapshots were taken in the same boot of their VM. */
 static bool is_same_boot(const inflight_snapshot_t *one,
 			 const inflight_snapshot_t *other)
 {
@@ -146,6 +148,10 @@
 	return rebooted;
 }
 
+/*
+ * Calls EACH with the number of an account's requests in flight that USAGE does not
+ * count.
+ */
 static void snapshot_each_uncounted(const inflight_snapshot_t *snapshot,
 				    const usage_t *usage, usage_each_t each,
 				    void *ctx)
@@ -189,6 +195,7 @@
 	}
 }
 
+/* Returns whether a snapshot's window is before *BEFORE. */
 static gboolean snapshot_is_expired(gpointer incarnation_id, gpointer value,
 				    gpointer before)
 {
--- a/core/forward/usage_watermark.c
+++ b/core/forward/usage_watermark.c
@@ -42,6 +42,7 @@
 	g_free(marks);
 }
 
+/* Returns the watermark of an incarnation's VM, or NULL if there is none. */
 static watermark_t *marks_find(const usage_watermarks_t *marks,
 			       uint64_t incarnation_id)
 {
@@ -50,6 +51,7 @@
 	return g_hash_table_lookup(marks->by_vm, &vm);
 }
 
+/* Returns the watermark of an incarnation's VM, and creates it if needed. */
 static watermark_t *marks_add(usage_watermarks_t *marks, uint64_t incarnation_id)
 {
 	watermark_t *mark = marks_find(marks, incarnation_id);
@@ -110,6 +112,7 @@
 	usage_coverage_t coverage;
 } coverage_sum_t;
 
+/* Adds a count to the coverage in CTX, a coverage_sum_t. */
 static void coverage_add(void *ctx, const usage_entry_t *entry)
 {
 	coverage_sum_t *sum = ctx;
@@ -151,6 +154,7 @@
 	int64_t window;
 } give_up_ctx_t;
 
+/* Marks the watermark of an open incarnation as given up; CTX is a give_up_ctx_t. */
 static void give_up_on_open(void *ctx, const usage_entry_t *entry)
 {
 	const give_up_ctx_t *give_up = ctx;
@@ -174,6 +178,7 @@
 	usage_each(usage, window - 1, give_up_on_open, &give_up);
 }
 
+/* Returns whether a watermark's VM was last heard before window *BEFORE. */
 static gboolean watermark_is_expired(gpointer vm, gpointer value, gpointer before)
 {
 	const watermark_t *mark = value;
--- a/core/forward/work_rate.c
+++ b/core/forward/work_rate.c
@@ -25,6 +25,7 @@
 	pd_time_t sampled_at;
 };
 
+/* Frees a service_work_t. */
 static void service_destroy(void *data)
 {
 	service_work_t *service = data;
@@ -52,6 +53,7 @@
 	g_free(work);
 }
 
+/* Returns a service's work, and creates it if needed. */
 static service_work_t *work_service(work_rate_t *work, const char *name)
 {
 	service_work_t *service = g_hash_table_lookup(work->services, name);
--- a/tests/property/fake_store.h
+++ b/tests/property/fake_store.h
@@ -1,4 +1,4 @@
-/* The lease object for property tests: versions that only grow. */
+/* An in-memory store of the lease record for property tests; versions only grow. */
 #ifndef PISTACHIO_TEST_FAKE_STORE_H
 #define PISTACHIO_TEST_FAKE_STORE_H
 
@@ -27,17 +27,17 @@
 		lease_record_destroy(record);
 	}
 
-	/* Answers a read or write; the record of the answer is the caller's. */
-	struct lease_reply apply(const placer_action_t *ask, bool down)
+	/* Executes a read or write. The caller owns the record of the reply. */
+	struct lease_reply apply(const placer_action_t *action, bool down)
 	{
 		struct lease_reply reply = {};
 
-		reply.op = ask->lease.op;
+		reply.op = action->lease.op;
 		reply.status = STORE_OK;
 		if (down) {
 			reply.status = STORE_DOWN;
-		} else if (ask->kind == PLACER_LEASE_WRITE) {
-			write(ask, &reply);
+		} else if (action->kind == PLACER_LEASE_WRITE) {
+			write(action, &reply);
 		} else if (record) {
 			reply.record = lease_record_copy(record);
 		} else {
@@ -51,11 +51,11 @@
 	unsigned takeovers = 0;
 
       private:
-	void write(const placer_action_t *ask, struct lease_reply *reply)
+	void write(const placer_action_t *action, struct lease_reply *reply)
 	{
-		const lease_record_t *wanted = ask->lease.record;
+		const lease_record_t *wanted = action->lease.record;
 
-		if (ask->lease.version != version) {
+		if (action->lease.version != version) {
 			reply->status = STORE_CONFLICT;
 			return;
 		}
