--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -561,7 +561,7 @@
 	record->previous_write_at = checkpoint->previous_write_at;
 	add_leader(checkpoint, record);
 	token_limits_each(gateway->limits, now, add_account, &accounts);
-	time_vote_each_off(gateway->vote, now, add_clock, &clocks);
+	time_vote_each_offset(gateway->vote, now, add_clock, &clocks);
 	text = checkpoint_record_format(record);
 	checkpoint_record_destroy(record);
 	return text;
@@ -585,7 +585,7 @@
 	 */
 	object_writer_set_period(counts->writer, period * 3 / 4);
 	if (object_writer_is_due(counts->writer, now) &&
-	    (usage_is_turn(wall, period, slot) ||
+	    (usage_is_writer_turn(wall, period, slot) ||
 	     !object_writer_is_regular(counts->writer))) {
 		gateway_requests_update_snapshot(gateway);
 		text = usage_table_encode(gateway->usage, gateway->inflight,
@@ -607,7 +607,7 @@
 static pd_time_t first_write_at(const gateway_checkpoint_t *checkpoint)
 {
 	const gateway_t *gateway = checkpoint->gateway;
-	pd_time_t wait = usage_first_write(gateway_count(gateway));
+	pd_time_t wait = usage_first_write_delay(gateway_count(gateway));
 
 	return gateway->started_at + wait + gateway_jitter(gateway, wait);
 }
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -36,7 +36,8 @@
 
 	g_hash_table_iter_init(&iter, duties->plans);
 	while (g_hash_table_iter_next(&iter, &service, &plan))
-		duties_note_set_need(note, service, scale_plan_basis(plan)->need);
+		duties_note_set_need(note, service,
+				     scale_plan_basis(plan)->planned_load);
 }
 
 /*
@@ -114,11 +115,11 @@
 		order->confirmed = true;
 		order->accepted_at = now;
 		if (order->reclaimable)
-			scale_plan_granted(get_plan(duties, order->service),
-					   order->zone, order->requested, now);
+			scale_plan_mark_granted(get_plan(duties, order->service),
+						order->zone, order->requested, now);
 	} else if (reply->status == 409) {
-		scale_plan_refused(get_plan(duties, order->service),
-				   order->zone, now);
+		scale_plan_mark_refused(get_plan(duties, order->service),
+					order->zone, now);
 		duties->plan_at = now; /* on-demand ones take long enough to start */
 	}
 }
@@ -137,7 +138,7 @@
 		 "ask service=%s zone=%s reclaimable=%d wanted=%u before=%u "
 		 "need=%.2f load=%.2f rate=%.0f shortage=%d",
 		 order->service, order->zone, order->reclaimable, order->target,
-		 order->accepted, basis->need, basis->load, basis->rate,
+		 order->accepted, basis->planned_load, basis->load, basis->rate,
 		 basis->shortage);
 	duties_post(order->duties, wire_scale_path(), body, on_order_reply, order);
 	g_free(body);
@@ -151,9 +152,10 @@
 static void order_run(order_t *order, const forward_service_t *service,
 		      unsigned int target, pd_time_t now)
 {
-	unsigned int serving = scale_plan_serving(order->duties->gateway->upstreams,
-						  order->service, order->zone,
-						  order->reclaimable);
+	unsigned int serving =
+		scale_plan_count_serving(order->duties->gateway->upstreams,
+					 order->service, order->zone,
+					 order->reclaimable);
 	bool late = serving < target &&
 		    now - order->accepted_at > service->boot_time + BOOT_MARGIN;
 
@@ -194,9 +196,9 @@
 		forward_upstreams_speeds(gateway->upstreams);
 	scale_zone_t zones[SCALE_ZONES_MAX];
 	const scale_demand_t demand = {
-		.sent = work_rate_of(gateway->work, service->name),
-		.away = work_rate_away(gateway->work, service->name),
-		.rate = engine_speeds_known(speeds, service->name)
+		.sent = work_rate_get(gateway->work, service->name),
+		.refused = work_rate_refused(gateway->work, service->name),
+		.rate = engine_speeds_is_known(speeds, service->name)
 				? engine_speeds_rate(speeds, service->name)
 				: 0,
 	};
@@ -213,7 +215,7 @@
 		return;
 	for (unsigned int i = 0; i < count; i++)
 		order_run(get_order(duties, service->name, zones[i].zone, false),
-			  service, zones[i].lasting, now);
+			  service, zones[i].on_demand, now);
 }
 
 /* Plans the upstreams of all scaled services every PLAN_PERIOD, and orders them. */
--- a/adapters/gateway/flight_pack.c
+++ b/adapters/gateway/flight_pack.c
@@ -14,19 +14,19 @@
 }
 
 /* Packs the in-flight snapshot of one incarnation. */
-void flight_pack(msgpack_packer *packer, const usage_flight_t *snapshot)
+void flight_pack(msgpack_packer *packer, const inflight_snapshot_t *snapshot)
 {
 	const GArray *expected = snapshot->expected;
 
 	msgpack_pack_array(packer, HEADER_FIELDS + CELL_FIELDS * expected->len);
-	msgpack_pack_uint64(packer, snapshot->start);
-	pack_time(packer, snapshot->booted);
-	pack_time(packer, snapshot->begun);
-	pack_time(packer, snapshot->told);
+	msgpack_pack_uint64(packer, snapshot->incarnation_id);
+	pack_time(packer, snapshot->boot_time);
+	pack_time(packer, snapshot->started_at);
+	pack_time(packer, snapshot->taken_at);
 	msgpack_pack_int64(packer, snapshot->window);
 	for (guint i = 0; i < expected->len; i++) {
-		const usage_expected_t *cell =
-			&g_array_index(expected, usage_expected_t, i);
+		const inflight_expected_t *cell =
+			&g_array_index(expected, inflight_expected_t, i);
 
 		msgpack_write_text(packer, cell->account);
 		msgpack_pack_uint64(packer, cell->count);
@@ -38,26 +38,26 @@
  * malformed. Out-of-range times are clamped; accounts that are no text are
  * skipped.
  */
-usage_flight_t *flight_unpack(const msgpack_object *object)
+inflight_snapshot_t *flight_unpack(const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *fields =
 		msgpack_field_items(object, HEADER_FIELDS, &count);
-	usage_flight_t *snapshot;
+	inflight_snapshot_t *snapshot;
 
 	if (!fields)
 		return NULL;
-	snapshot = usage_flight_create(msgpack_field_number(&fields[0]));
-	snapshot->booted = pd_time_of_ms(msgpack_field_number(&fields[1]));
-	snapshot->begun = pd_time_of_ms(msgpack_field_number(&fields[2]));
-	snapshot->told = pd_time_of_ms(msgpack_field_number(&fields[3]));
+	snapshot = inflight_snapshot_create(msgpack_field_number(&fields[0]));
+	snapshot->boot_time = pd_time_of_ms(msgpack_field_number(&fields[1]));
+	snapshot->started_at = pd_time_of_ms(msgpack_field_number(&fields[2]));
+	snapshot->taken_at = pd_time_of_ms(msgpack_field_number(&fields[3]));
 	snapshot->window = (int64_t)msgpack_field_number(&fields[4]);
 	for (uint32_t i = HEADER_FIELDS; i + 1 < count; i += CELL_FIELDS) {
 		char *account = msgpack_field_text(&fields[i]);
 
 		if (account)
-			usage_flight_add(snapshot, account,
-					 msgpack_field_number(&fields[i + 1]));
+			inflight_snapshot_add(snapshot, account,
+					      msgpack_field_number(&fields[i + 1]));
 		g_free(account);
 	}
 	return snapshot;
--- a/adapters/gateway/flight_pack.h
+++ b/adapters/gateway/flight_pack.h
@@ -10,7 +10,7 @@
 
 #include "core/forward/usage_inflight.h"
 
-void flight_pack(msgpack_packer *packer, const usage_flight_t *snapshot);
-usage_flight_t *flight_unpack(const msgpack_object *object);
+void flight_pack(msgpack_packer *packer, const inflight_snapshot_t *snapshot);
+inflight_snapshot_t *flight_unpack(const msgpack_object *object);
 
 #endif
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -99,7 +99,7 @@
 int64_t gateway_first_due_window(const gateway_t *gateway)
 {
 	return gateway_current_window(gateway) -
-	       usage_windows_due(gateway_window_length(gateway),
+	       usage_windows_retained(gateway_window_length(gateway),
 				 gateway_report_delay_max(gateway)) +
 	       1;
 }
@@ -289,9 +289,9 @@
 		return;
 	gateway->usage_pruned_window = window;
 	first = gateway_first_due_window(gateway) - SPARE_USAGE_WINDOWS;
-	usage_forget(gateway->usage, first);
-	usage_watermarks_forget(gateway->watermarks, first);
-	usage_inflight_forget(gateway->inflight, first);
+	usage_discard(gateway->usage, first);
+	usage_watermarks_discard(gateway->watermarks, first);
+	usage_inflight_discard(gateway->inflight, first);
 }
 
 /*
@@ -308,15 +308,15 @@
 		return;
 	gateway->limits_version = config->version;
 	for (guint i = 0; i < config->accounts->len; i++)
-		token_limits_know(gateway->limits,
-				  g_ptr_array_index(config->accounts, i), now);
+		token_limits_add_account(gateway->limits,
+					 g_ptr_array_index(config->accounts, i),
+					 now);
 }
 
 /* Updates the fleet's agreed time of day from the own clock and the peers' votes. */
 static void run_time_vote(gateway_t *gateway, pd_time_t now)
 {
-	clock_steps_t steps =
-		time_vote_run(gateway->vote, gateway_wall_time(), now);
+	clock_steps_t steps = time_vote_update(gateway->vote, gateway_wall_time(), now);
 
 	if (steps.own || steps.fleet)
 		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
@@ -346,10 +346,10 @@
 	upstream_links_run(gateway, now);
 	gateway_peers_run(gateway->peers, now);
 	create_account_buckets(gateway, now);
-	token_limits_set_entries(gateway->limits, gateway_count(gateway));
+	token_limits_set_gateway_count(gateway->limits, gateway_count(gateway));
 	token_limits_set_lag(gateway->limits,
 			     gateway_peers_propagation_delay(gateway->peers, now));
-	work_rate_run(gateway->work, now);
+	work_rate_update(gateway->work, now);
 	gateway_duties_run(gateway->duties, now);
 	gateway_reload_run(gateway, now);
 	log_buffer_flush(now);
@@ -449,7 +449,7 @@
 {
 	const gateway_settings_t *settings = gateway->settings;
 	const retry_limits_t retries = gateway_settings_retries(settings);
-	const token_rules_t limits = gateway_settings_limits(settings);
+	const token_limits_config_t limits = gateway_settings_limits(settings);
 
 	gateway->upstreams = forward_upstreams_create();
 	gateway->outage = store_outage_create(gateway->started_at);
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -78,7 +78,7 @@
 		msgpack_pack_float(packer, (float)use->level);
 	else
 		msgpack_pack_nil(packer);
-	msgpack_pack_uint64(packer, (uint64_t)MAX(use->asked, 0));
+	msgpack_pack_uint64(packer, (uint64_t)MAX(use->requested, 0));
 }
 
 /*
@@ -117,8 +117,8 @@
 
 		use->total += *(double *)total -
 			      value_or_zero(except->granted, account);
-		use->asked += value_or_zero(peers->requested, account) -
-			      value_or_zero(except->requested, account);
+		use->requested += value_or_zero(peers->requested, account) -
+				  value_or_zero(except->requested, account);
 	}
 }
 
@@ -216,7 +216,7 @@
 unsigned int peers_pack_counts(msgpack_sbuffer *buffer, gateway_peers_t *peers)
 {
 	bool snapshot_is_new = peers_snapshot_is_unsent(peers);
-	const usage_flight_t *snapshot =
+	const inflight_snapshot_t *snapshot =
 		gateway_requests_update_snapshot(peers->gateway);
 	list_writer_t usage;
 	list_writer_t uses;
@@ -225,7 +225,7 @@
 	list_writer_init(&usage);
 	list_writer_init(&uses);
 	usage_each_unsent(peers->gateway->usage, pack_usage, &usage);
-	token_limits_each_news(peers->gateway->limits, gateway_now(),
+	token_limits_each_changed(peers->gateway->limits, gateway_now(),
 			       pack_new_limit_use, &uses);
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, COUNTS_FIELDS);
@@ -238,7 +238,7 @@
 		flight_pack(&packer, snapshot);
 	else
 		msgpack_pack_nil(&packer);
-	peers->snapshot_sent_at = snapshot ? snapshot->told : 0;
+	peers->snapshot_sent_at = snapshot ? snapshot->taken_at : 0;
 	return usage.count + uses.count + snapshot_is_new;
 }
 
@@ -413,7 +413,7 @@
 	msgpack_sbuffer_init(&buffer);
 	peers_pack_state(&buffer, peers, request_summary, full);
 	if (request_summary)
-		token_limits_told(peers->gateway->limits);
+		token_limits_mark_reported(peers->gateway->limits);
 	peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
 }
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -92,11 +92,12 @@
 		if (!read_limit_use(&items[i], &use))
 			continue;
 		if (adopt && use.has_level)
-			token_limits_adopt(limits, use.account, use.level, now);
-		token_limits_heard(limits, use.account, peer->incarnation,
-				   use.granted, recent, now);
-		token_limits_asked(limits, use.account, peer->incarnation,
-				   use.requested, now);
+			token_limits_raise_level(limits, use.account, use.level,
+						 now);
+		token_limits_record_peer_use(limits, use.account, peer->incarnation,
+					     use.granted, recent, now);
+		token_limits_record_peer_demand(limits, use.account,
+						peer->incarnation, use.requested, now);
 		summed_values_set(&granted, use.account, use.granted);
 		summed_values_set(&requested, use.account, use.requested);
 		g_free(use.account);
@@ -118,12 +119,12 @@
 	for (uint32_t i = 0; i < count; i++) {
 		if (!read_limit_use(&items[i], &use))
 			continue;
-		token_limits_heard(limits, use.account, ALL_PEERS, use.granted,
-				   false, now);
-		token_limits_asked(limits, use.account, ALL_PEERS,
+		token_limits_record_peer_use(limits, use.account, ALL_PEERS,
+					     use.granted, false, now);
+		token_limits_record_peer_demand(limits, use.account, ALL_PEERS,
 				   use.requested, now);
 		if (use.has_level)
-			token_limits_follow(limits, use.account, use.level, now);
+			token_limits_set_level(limits, use.account, use.level, now);
 		g_free(use.account);
 	}
 }
@@ -147,7 +148,7 @@
 		if (!service)
 			continue;
 		total = msgpack_field_decimal(&pair[1]);
-		work_rate_heard(gateway->work, who, service, total);
+		work_rate_record_peer(gateway->work, who, service, total);
 		if (summed)
 			summed_values_set(summed, service, total);
 		g_free(service);
@@ -168,10 +169,9 @@
 		/* A peer must not add services unknown to this gateway. */
 		if (service && gateway->config &&
 		    forward_config_service(gateway->config, service))
-			engine_speeds_told(forward_upstreams_speeds(
-						   gateway->upstreams),
-					   service,
-					   msgpack_field_decimal(&pair[1]));
+			engine_speeds_record_peer(
+				forward_upstreams_speeds(gateway->upstreams),
+				service, msgpack_field_decimal(&pair[1]));
 		g_free(service);
 	}
 }
@@ -182,7 +182,7 @@
 {
 	uint32_t count = 0;
 	const msgpack_object *items = msgpack_field_items(object, 0, &count);
-	uint64_t incarnation_id = usage_start(incarnation);
+	uint64_t incarnation_id = usage_incarnation_id(incarnation);
 
 	for (uint32_t i = 0; i < count; i++) {
 		const msgpack_object *fields =
@@ -192,7 +192,7 @@
 		if (account) {
 			const usage_entry_t entry = {
 				.window = (int64_t)msgpack_field_number(&fields[0]),
-				.start = incarnation_id,
+				.incarnation_id = incarnation_id,
 				.account = account,
 				.count = msgpack_field_number(&fields[2]),
 			};
@@ -211,9 +211,9 @@
 			    const msgpack_object *object)
 {
 	if (object->type != MSGPACK_OBJECT_NIL)
-		usage_watermarks_take(gateway->watermarks,
-				      usage_start(incarnation),
-				      (int64_t)msgpack_field_number(object));
+		usage_watermarks_advance(gateway->watermarks,
+					 usage_incarnation_id(incarnation),
+					 (int64_t)msgpack_field_number(object));
 }
 
 /* Adds the members that a peer lists, and records that it heard from them. */
@@ -362,7 +362,7 @@
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "found=%s address=%s",
 			 who, address);
 		if (peer->incarnation)
-			token_limits_forget_peer(peers->gateway->limits,
+			token_limits_remove_peer(peers->gateway->limits,
 						 peer->incarnation);
 		peers_remove_values(peers, peer);
 	}
@@ -391,8 +391,8 @@
 	uint64_t age = msgpack_field_number(&fields[STATE_CLOCK_STEP_AGE]);
 
 	if (wall <= PD_TIME_MAX && age <= PD_TIME_MAX)
-		time_vote_receive(gateway->vote, peer->vm_id, (pd_time_t)wall,
-				  (pd_time_t)age, now);
+		time_vote_receive_reading(gateway->vote, peer->vm_id,
+					  (pd_time_t)wall, (pd_time_t)age, now);
 }
 
 /* Records that a peer was heard from, and whether the store was serving it. */
@@ -475,7 +475,7 @@
 		(unsigned int)msgpack_field_number(&fields[STATE_FLEET_SIZE]);
 	wall = msgpack_field_number(&fields[STATE_WALL_TIME]);
 	if (wall <= PD_TIME_MAX)
-		time_vote_follow(gateway->vote, (pd_time_t)wall, now);
+		time_vote_receive_result(gateway->vote, (pd_time_t)wall, now);
 	apply_limit_use_sums(peers, &fields[STATE_LIMIT_USES]);
 	merge_work(gateway, ALL_PEERS, &fields[STATE_WORK], NULL);
 	merge_engine_speeds(gateway, &fields[STATE_ENGINE_SPEEDS]);
@@ -701,10 +701,10 @@
 /* Merges a peer's in-flight snapshot; malformed ones are ignored. */
 static void merge_inflight(gateway_t *gateway, const msgpack_object *object)
 {
-	usage_flight_t *snapshot = flight_unpack(object);
+	inflight_snapshot_t *snapshot = flight_unpack(object);
 
 	if (snapshot)
-		usage_inflight_take(gateway->inflight, snapshot);
+		usage_inflight_update(gateway->inflight, snapshot);
 }
 
 /*
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -171,7 +171,7 @@
  */
 static void resend_counts(gateway_peers_t *peers)
 {
-	usage_resend(peers->gateway->usage);
+	usage_mark_unsent(peers->gateway->usage);
 	peers->snapshot_sent_at = 0;
 }
 
@@ -426,8 +426,8 @@
 	peers->summary_received_at = now;
 	if (followed != (aggregator != NULL)) {
 		/* Both would count the same use, work and loads. */
-		token_limits_forget_peers(peers->gateway->limits);
-		work_rate_forget_peers(peers->gateway->work);
+		token_limits_clear_peers(peers->gateway->limits);
+		work_rate_clear_peers(peers->gateway->work);
 		LIST_FOR_EACH (it, &peers->list)
 			peers_remove_loads(peers,
 					   LIST_ENTRY(it, peer_t, node)->loads);
@@ -483,12 +483,12 @@
 bool peers_snapshot_is_unsent(const gateway_peers_t *peers)
 {
 	const gateway_t *gateway = peers->gateway;
-	const usage_flight_t *snapshot =
+	const inflight_snapshot_t *snapshot =
 		usage_inflight_find(gateway->inflight,
-				    usage_own_start(gateway->usage));
+				    usage_own_id(gateway->usage));
 
 	return gateway->inflight_changed ||
-	       (snapshot && snapshot->told > peers->snapshot_sent_at);
+	       (snapshot && snapshot->taken_at > peers->snapshot_sent_at);
 }
 
 /*
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -112,7 +112,7 @@
 /* Charges the request to its account's limit. Returns false if it was refused. */
 static bool request_charge(gateway_request_t *request)
 {
-	token_verdict_t verdict;
+	token_decision_t verdict;
 	double amount;
 
 	if (!request->account)
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -91,7 +91,7 @@
 static void request_refund(gateway_request_t *request)
 {
 	if (request->account && request->charged > 0 && !request->possible_runs)
-		token_limits_return(request->gateway->limits,
+		token_limits_refund(request->gateway->limits,
 				    request->account->name, request->charged);
 	request->charged = 0;
 }
@@ -104,7 +104,7 @@
 	if (request->usage_counted || !request->account)
 		return;
 	request->usage_counted = true;
-	usage_add(gateway->usage, gateway_current_window(gateway),
+	usage_increment(gateway->usage, gateway_current_window(gateway),
 		  request->account->name);
 }
 
--- a/adapters/gateway/request_flight.c
+++ b/adapters/gateway/request_flight.c
@@ -28,25 +28,26 @@
 }
 
 /* Returns a snapshot of the requests in flight, owned by the caller. */
-static usage_flight_t *create_snapshot(const gateway_t *gateway)
+static inflight_snapshot_t *create_snapshot(const gateway_t *gateway)
 {
-	usage_flight_t *flight =
-		usage_flight_create(usage_own_start(gateway->usage));
+	inflight_snapshot_t *flight =
+		inflight_snapshot_create(usage_own_id(gateway->usage));
 	GHashTable *counts = count_in_flight(gateway);
 	GHashTableIter iter;
 	gpointer account;
 	gpointer count;
 
-	flight->told = gateway_now();
-	flight->booted = time_vote_wall(gateway->vote, flight->told) - flight->told;
-	flight->begun = gateway->started_at;
+	flight->taken_at = gateway_now();
+	flight->boot_time = time_vote_wall(gateway->vote, flight->taken_at) -
+			    flight->taken_at;
+	flight->started_at = gateway->started_at;
 	flight->window = gateway_current_window(gateway);
 	g_hash_table_iter_init(&iter, counts);
 	while (g_hash_table_iter_next(&iter, &account, &count))
-		usage_flight_add(flight, account,
-				 usage_count(gateway->usage, flight->window,
-					     flight->start, account) +
-					 GPOINTER_TO_UINT(count));
+		inflight_snapshot_add(flight, account,
+				      usage_count(gateway->usage, flight->window,
+						  flight->incarnation_id, account) +
+					      GPOINTER_TO_UINT(count));
 	g_hash_table_unref(counts);
 	return flight;
 }
@@ -55,11 +56,10 @@
  * Replaces the snapshot of this gateway's requests in flight if they have changed, and
  * returns the current one, borrowed.
  */
-const usage_flight_t *gateway_requests_update_snapshot(gateway_t *gateway)
+const inflight_snapshot_t *gateway_requests_update_snapshot(gateway_t *gateway)
 {
 	if (gateway->inflight_changed)
-		usage_inflight_take(gateway->inflight, create_snapshot(gateway));
+		usage_inflight_update(gateway->inflight, create_snapshot(gateway));
 	gateway->inflight_changed = false;
-	return usage_inflight_find(gateway->inflight,
-				   usage_own_start(gateway->usage));
+	return usage_inflight_find(gateway->inflight, usage_own_id(gateway->usage));
 }
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -32,7 +32,8 @@
 	double rate = gateway_engine_rate(request->gateway, request->service);
 
 	return MAX(call->prompt_tokens - forward_call_shared_tokens(call), 0) +
-	       call->output_tokens * engine_tokens(rate, ENGINE_OUTPUT_TIME);
+	       call->output_tokens *
+		       engine_time_to_tokens(rate, ENGINE_OUTPUT_TOKEN_TIME);
 }
 
 /* Returns whether a request is admitted; one that is not was refused with a 503. */
@@ -50,7 +51,7 @@
 	if (shed_admit(get_shed(gateway, request->service), request->rank,
 			work, g_rand_double(gateway->random)))
 		return true;
-	work_rate_add_away(gateway->work, request->service, work);
+	work_rate_add_refused(gateway->work, request->service, work);
 	gateway_request_respond_error(request, 503, retry_after, "engines pressed");
 	return false;
 }
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -84,10 +84,10 @@
 	uint64_t index = account_index(writer, entry->account);
 	uint64_t count = entry->count;
 
-	if (entry->window != writer->window || entry->start != writer->incarnation_id)
+	if (entry->window != writer->window || entry->incarnation_id != writer->incarnation_id)
 		flush_row(writer);
 	writer->window = entry->window;
-	writer->incarnation_id = entry->start;
+	writer->incarnation_id = entry->incarnation_id;
 	g_array_append_val(writer->cells, index);
 	g_array_append_val(writer->cells, count);
 }
@@ -125,7 +125,7 @@
 	return buffer_encode(&buffer);
 }
 
-static void add_snapshot(void *ctx, const usage_flight_t *snapshot)
+static void add_snapshot(void *ctx, const inflight_snapshot_t *snapshot)
 {
 	list_writer_t *writer = ctx;
 
@@ -196,7 +196,7 @@
 		uint64_t index = msgpack_field_number(&fields[i]);
 		usage_entry_t entry = {
 			.window = (int64_t)msgpack_field_number(&fields[0]),
-			.start = msgpack_field_number(&fields[1]),
+			.incarnation_id = msgpack_field_number(&fields[1]),
 			.count = msgpack_field_number(&fields[i + 1]),
 		};
 
@@ -298,10 +298,10 @@
 
 	packed_list_open(&list, encoded, 0);
 	for (uint32_t i = 0; i < list.count; i++) {
-		usage_flight_t *snapshot = flight_unpack(&list.items[i]);
+		inflight_snapshot_t *snapshot = flight_unpack(&list.items[i]);
 
 		if (snapshot)
-			usage_inflight_take(inflight, snapshot);
+			usage_inflight_update(inflight, snapshot);
 	}
 	if (!list.items)
 		rc = pd_error_set(err, PD_ERROR_INPUT,
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -135,8 +135,9 @@
 {
 	return forward_upstream_prefill_tokens(upstream) + uncached_tokens +
 	       forward_upstream_running(upstream) *
-		       engine_tokens(search->prefill_rate, ENGINE_RUNNING_TIME) +
-	       (other_zone ? engine_tokens(search->prefill_rate, CROSS_ZONE_PENALTY)
+		       engine_time_to_tokens(search->prefill_rate,
+					     ENGINE_RUNNING_REQUEST_TIME) +
+	       (other_zone ? engine_time_to_tokens(search->prefill_rate, CROSS_ZONE_PENALTY)
 			   : 0);
 }
 
--- a/core/forward/scale_plan.c
+++ b/core/forward/scale_plan.c
@@ -1,91 +1,109 @@
-/* Sizes a service's fleet by its load, mostly of upstreams that are cheap. */
+/*
+ * Sizes a service's fleet by its load, with as many cheap reclaimable upstreams as
+ * possible.
+ */
 #include "core/forward/scale_plan.h"
 
 #include <math.h>
 #include <string.h>
 
 /*
- * How many engines there are for each that would be busy throughout. Prompts
- * are of very uneven length and come in clumps, so queues grow long before an
- * engine is busy. Nearly all can be reclaimed, at a fifth of the price: that a
- * zone of them goes is answered within the notice (ALARM_FACTOR).
+ * Engines per engine that the load would keep busy. Prompts are of very uneven length
+ * and come in bursts, so queues grow long before an engine is fully busy. Nearly all
+ * can be reclaimable ones, at a fifth of the price: if a zone of them is reclaimed,
+ * others are ordered within the notice (SHORTAGE_FACTOR).
  */
 #define FLEET_FACTOR 2.0
 /*
- * Lasting ones while no shortage is seen. They carry the most urgent work from
- * the end of a notice until others serve. With none, first events were late
- * for seconds at each reclaim; each more costs as much as five reclaimable ones.
+ * On-demand engines per busy engine, plus a constant, while there is no shortage. They
+ * serve the most urgent requests from the end of a reclaim notice until replacements
+ * serve. Without any, first events were late for seconds at each reclaim; each further
+ * one costs as much as five reclaimable ones.
+ */
+#define ON_DEMAND_FACTOR 0.35
+#define ON_DEMAND_SPARE 0.5
+/*
+ * On-demand engines per busy engine during a shortage, when orders of reclaimable ones
+ * are refused: where one zone is reclaimed and no others are available, the next zone
+ * is likely to be reclaimed too, and on-demand engines take longer to start than a
+ * notice lasts. When the remaining reclaimable ones were counted on, first events were
+ * late until the shortage was over. It is expensive, but only for as long as the
+ * shortage.
+ */
+#define SHORTAGE_FACTOR 1.5
+/*
+ * Engines per busy engine up to which on-demand ones are kept until their replacements
+ * serve.
+ */
+#define KEPT_ON_DEMAND_FACTOR 1.0
+/*
+ * An engine with all slots in use counts as this many busy engines, in a fleet sized by
+ * FLEET_FACTOR: unlike a busy engine, a slot in use does not mean that requests queue.
  */
-#define LASTING_FACTOR 0.35
-#define LASTING_SPARE 0.5
+#define SLOTS_FACTOR 0.7
 /*
- * While reclaimable ones are refused, lasting ones make a fleet of this by
- * themselves: where one zone is reclaimed and no others are to be had, the next
- * zone is likely to go too, and lasting ones start later than a notice runs out.
- * Counting on those that were left, first events were late until the shortage
- * was over. It is dear, but only for as long as the shortage.
+ * How long the load has to be measured before it replaces the initial size of the
+ * fleet.
  */
-#define ALARM_FACTOR 1.5
-/* Lasting ones are kept up to this until those that replace them serve. */
-#define KEPT_FACTOR 1.0
+#define INITIAL_SIZE_TTL (15 * PD_SEC)
+/* Upstreams have all registered if their number has not grown for this long. */
+#define DISCOVERY_SETTLE_TIME (1500 * PD_MSEC)
+#define LOAD_MIN 0.1 /* in busy engines; less counts as no load */
 /*
- * Places that running requests take, of a fleet with FLEET_FACTOR, as a part of
- * what they may take at most: a place taken is no queue, as a busy engine is.
+ * Weights for smoothing the number of running requests, which changes faster than
+ * engines start and stop.
  */
-#define PLACES_FACTOR 0.7
-/* With little load seen, the size that was found is trusted for so long. */
-#define TRUST_FOUND (15 * PD_SEC)
-/* A fleet that has not grown for so long has listed itself. */
-#define FOUND_SETTLE (1500 * PD_MSEC)
-#define LOAD_MIN 0.1 /* engines' worth; less is no load */
-/* Requests in progress rise and fall faster than engines start and stop. */
 #define RISE_WEIGHT 0.1
 #define FALL_WEIGHT 0.02
-/* How long a zone that had none to give is not counted on. */
-#define REFUSED_KEPT (3 * PD_SEC)
+/* How long a zone that refused an order is taken to have no reclaimable upstreams. */
+#define REFUSAL_TTL (3 * PD_SEC)
 /*
- * The fleet shrinks only after it was too large for so long, and once in such a
- * time. Each change drains engines and loses what they have cached: a fleet that
- * followed the load up and down served 85 in 100 in time where one of constant
- * size and the same price served 91. Held for two minutes instead, a fleet that a
- * first wave had made too large cost 0.01 more of worth.
+ * The fleet shrinks only after it was too large for this long, and once in such a time.
+ * Each change drains engines and loses what they have cached: a fleet that followed the
+ * load up and down served 85 in 100 requests in time, where one of constant size and
+ * the same price served 91. With a delay of two minutes, a fleet that a first wave had
+ * made too large cost 0.01 more of worth.
  */
-#define SHRINK_AFTER (20 * PD_SEC)
+#define SHRINK_DELAY (20 * PD_SEC)
 
-/* Of upstreams that a zone refuses so many are asked for still, to see when it has some. */
-#define PROBE 1
-/* Granted upstreams serve so much after their boot time at the latest. */
-#define BOOT_LATE PD_SEC
+/*
+ * Reclaimable upstreams that are still ordered in a zone that refuses them, to detect
+ * the end of the shortage.
+ */
+#define PROBE_COUNT 1
+/* Granted upstreams serve at most this long after their boot time. */
+#define BOOT_MARGIN PD_SEC
 
 typedef struct zone_state {
 	char *zone;
 	pd_time_t refused_until;
-	unsigned int granted; /* reclaimable, with the last order that was taken */
+	unsigned int granted; /* reclaimable upstreams of the last order that was granted */
 	pd_time_t granted_at;
-	unsigned int lasting; /* as planned last */
+	unsigned int on_demand; /* as planned last */
 	unsigned int reclaimable;
 } zone_state_t;
 
 struct scale_plan {
 	GArray *zones; /* of zone_state_t */
-	pd_time_t load_since; /* when load was first seen; 0: not yet */
-	double found; /* upstreams that were there before any load */
-	double found_need; /* engines' worth of load that they speak of */
-	pd_time_t found_at; /* when there were last more than before */
-	bool begun; /* a plan was made, on the numbers found */
-	double running; /* requests in progress, smoothed */
-	double held; /* engines' worth of load that is planned for */
-	double kept; /* the same, as an earlier holder noted it; 0: not known */
-	pd_time_t lower_since;
+	pd_time_t load_seen_at; /* when load was first measured; 0: not yet */
+	double initial_count; /* upstreams that were registered before the first plan */
+	double initial_load; /* load, in busy engines, for which a fleet of that size is made */
+	pd_time_t count_grew_at; /* when the number of registered upstreams last grew */
+	bool initialized; /* a plan was made, starting from the upstreams found */
+	double running; /* running requests, smoothed */
+	double held_load; /* load, in busy engines, that the fleet is sized for */
+	double restored_load; /* held_load of an earlier leader; 0: not known */
+	pd_time_t below_since;
 	scale_basis_t basis;
 };
 
+/* Frees the content of a zone_state_t. */
 static void zone_clear(void *data)
 {
 	g_free(((zone_state_t *)data)->zone);
 }
 
-/* Returns a plan that knows nothing; the caller owns it. */
+/* Returns a plan without any state; the caller owns it. */
 scale_plan_t *scale_plan_create(void)
 {
 	scale_plan_t *plan = g_new0(scale_plan_t, 1);
@@ -104,6 +122,9 @@
 	g_free(plan);
 }
 
+/*
+ * Returns a zone's state, and creates it if needed; valid until the next zone is added.
+ */
 static zone_state_t *plan_zone(scale_plan_t *plan, const char *zone)
 {
 	zone_state_t fresh = { 0 };
@@ -120,31 +141,34 @@
 }
 
 /*
- * Takes over the load that an earlier holder of the duty planned for. Without it
- * a new holder takes what it finds for the size that was meant, and if that is in
- * the middle of a shortage, it lets lasting ones go.
+ * Restores the load, in busy engines, that an earlier leader planned for; ignores
+ * values that are not positive and finite. Without it a new leader takes the size that
+ * it finds for the intended one, and in the middle of a shortage it releases on-demand
+ * upstreams.
  */
-void scale_plan_restore(scale_plan_t *plan, double need)
+void scale_plan_restore(scale_plan_t *plan, double planned_load)
 {
-	if (need > 0 && isfinite(need))
-		plan->kept = need;
+	if (planned_load > 0 && isfinite(planned_load))
+		plan->restored_load = planned_load;
 }
 
-/* Returns what the last plan was made by. */
+/* Returns the basis of the last plan, borrowed. */
 const scale_basis_t *scale_plan_basis(const scale_plan_t *plan)
 {
 	return &plan->basis;
 }
 
-/* Notes that a zone had no reclaimable upstream to give. */
-void scale_plan_refused(scale_plan_t *plan, const char *zone, pd_time_t now)
+/* Records that a zone refused an order of reclaimable upstreams. */
+void scale_plan_mark_refused(scale_plan_t *plan, const char *zone, pd_time_t now)
 {
-	plan_zone(plan, zone)->refused_until = now + REFUSED_KEPT;
+	plan_zone(plan, zone)->refused_until = now + REFUSAL_TTL;
 }
 
-/* Notes that a zone's order for NUMBER reclaimable upstreams was taken. */
-void scale_plan_granted(scale_plan_t *plan, const char *zone,
-			unsigned int number, pd_time_t now)
+/*
+ * Records that a zone granted an order that brings its reclaimable upstreams to NUMBER.
+ */
+void scale_plan_mark_granted(scale_plan_t *plan, const char *zone,
+			     unsigned int number, pd_time_t now)
 {
 	zone_state_t *state = plan_zone(plan, zone);
 
@@ -152,9 +176,13 @@
 	state->granted_at = now;
 }
 
-/* Returns how many serve in a zone, or in all if that is NULL. */
-unsigned int scale_plan_serving(forward_upstreams_t *upstreams, const char *service,
-				const char *zone, bool reclaimable)
+/*
+ * Returns how many upstreams of a kind serve in a zone, or in all zones if ZONE is
+ * NULL.
+ */
+unsigned int scale_plan_count_serving(forward_upstreams_t *upstreams,
+				      const char *service, const char *zone,
+				      bool reclaimable)
 {
 	unsigned int count = 0;
 
@@ -170,6 +198,7 @@
 	return count;
 }
 
+/* Returns the number of running requests of a service. */
 static double count_running(forward_upstreams_t *upstreams, const char *service)
 {
 	double sum = 0;
@@ -185,137 +214,159 @@
 }
 
 /*
- * Returns how many engines the load would keep busy: by the work sent to them,
- * or by the places that requests in progress take.
+ * Returns the number of engines that the load would keep busy: by the work sent and
+ * refused, or by the slots that running requests take, whichever is more.
  */
 static double plan_load(scale_plan_t *plan, const forward_service_t *service,
 			forward_upstreams_t *upstreams,
 			const scale_demand_t *demand)
 {
-	double asked = demand->sent + demand->away;
+	double requested = demand->sent + demand->refused;
 	double running = count_running(upstreams, service->name);
-	double places;
+	double slots;
 
 	plan->running += (running - plan->running) *
 			 (running > plan->running ? RISE_WEIGHT : FALL_WEIGHT);
-	/* What was turned away would have taken as many places as the rest. */
-	places = plan->running / MAX(service->engine_slots, 1) * PLACES_FACTOR *
-		 asked / MAX(demand->sent, 1);
-	return MAX(demand->rate > 0 ? asked / demand->rate : 0, places);
+	/* Refused requests would have taken slots in proportion to their work. */
+	slots = plan->running / MAX(service->engine_slots, 1) * SLOTS_FACTOR *
+		requested / MAX(demand->sent, 1);
+	return MAX(demand->rate > 0 ? requested / demand->rate : 0, slots);
 }
 
-/* Says whether the load has been seen for long enough to go by it. */
+/*
+ * Returns whether the load has been measured for long enough to size the fleet by it.
+ */
 static bool plan_is_measured(const scale_plan_t *plan, pd_time_t now)
 {
-	return plan->load_since && now - plan->load_since >= TRUST_FOUND;
+	return plan->load_seen_at && now - plan->load_seen_at >= INITIAL_SIZE_TTL;
 }
 
-/* Returns the load to plan for: what is seen, or what the fleet was made for. */
-static double plan_need(scale_plan_t *plan, double load, double found, pd_time_t now)
+/*
+ * Returns the load to plan for: the measured one, or at first that of the initial size.
+ * COUNT is the number of upstreams that serve.
+ */
+static double plan_hold_load(scale_plan_t *plan, double load, double count,
+			     pd_time_t now)
 {
-	if (!plan->found_at)
-		plan->found_at = now;
-	/* What was ordered since says nothing of the size that was meant. */
-	if (!plan->begun && found > plan->found) {
-		plan->found = found;
-		plan->found_at = now;
-		plan->found_need = found / FLEET_FACTOR;
+	if (!plan->count_grew_at)
+		plan->count_grew_at = now;
+	/*
+	 * Upstreams that were ordered since then say nothing about the intended size.
+	 */
+	if (!plan->initialized && count > plan->initial_count) {
+		plan->initial_count = count;
+		plan->count_grew_at = now;
+		plan->initial_load = count / FLEET_FACTOR;
 	}
-	if (plan->kept > 0)
-		plan->found_need = plan->kept;
-	if (!plan->load_since && load > LOAD_MIN)
-		plan->load_since = now;
+	if (plan->restored_load > 0)
+		plan->initial_load = plan->restored_load;
+	if (!plan->load_seen_at && load > LOAD_MIN)
+		plan->load_seen_at = now;
 	if (!plan_is_measured(plan, now))
-		load = MAX(load, plan->found_need);
-	if (load >= plan->held) {
-		plan->held = load;
-		plan->lower_since = now;
-	} else if (now - plan->lower_since > SHRINK_AFTER) {
-		plan->held = load;
-		plan->lower_since = now;
+		load = MAX(load, plan->initial_load);
+	if (load >= plan->held_load) {
+		plan->held_load = load;
+		plan->below_since = now;
+	} else if (now - plan->below_since > SHRINK_DELAY) {
+		plan->held_load = load;
+		plan->below_since = now;
 	}
-	return plan->held;
+	return plan->held_load;
 }
 
+/* Returns the price of an upstream in the service's zone number I. */
 static double zone_price(const forward_service_t *service, guint i)
 {
 	return g_array_index(service->zone_prices, forward_zone_price_t, i).price;
 }
 
-static unsigned int zone_has(const scale_zone_t *zone, bool reclaimable)
+/* Returns the number of upstreams of a kind in a zone. */
+static unsigned int zone_count(const scale_zone_t *zone, bool reclaimable)
 {
-	return reclaimable ? zone->reclaimable : zone->lasting;
+	return reclaimable ? zone->reclaimable : zone->on_demand;
 }
 
-static void zone_change(scale_zone_t *zone, bool reclaimable, int by)
+/* Adds BY, which may be negative, to the number of a kind in a zone. */
+static void zone_change_count(scale_zone_t *zone, bool reclaimable, int by)
 {
 	if (reclaimable)
 		zone->reclaimable = (unsigned int)((int)zone->reclaimable + by);
 	else
-		zone->lasting = (unsigned int)((int)zone->lasting + by);
+		zone->on_demand = (unsigned int)((int)zone->on_demand + by);
 }
 
-/* Gives one more of a kind to the zone that has least of it, the cheapest. */
+/*
+ * Adds one of a kind to the zone that has fewest of it, the cheapest if several do.
+ * Returns false if all zones are full.
+ */
 static bool add_one(const forward_service_t *service, scale_zone_t *zones,
 		    unsigned int count, bool reclaimable)
 {
 	unsigned int best = count;
 
 	for (unsigned int i = 0; i < count; i++) {
-		unsigned int has = zone_has(&zones[i], reclaimable);
+		unsigned int current = zone_count(&zones[i], reclaimable);
 
-		if (zones[i].lasting + zones[i].reclaimable >= service->zone_max)
+		if (zones[i].on_demand + zones[i].reclaimable >= service->zone_max)
 			continue;
-		if (best == count || has < zone_has(&zones[best], reclaimable) ||
-		    (has == zone_has(&zones[best], reclaimable) &&
+		if (best == count ||
+		    current < zone_count(&zones[best], reclaimable) ||
+		    (current == zone_count(&zones[best], reclaimable) &&
 		     zone_price(service, i) < zone_price(service, best)))
 			best = i;
 	}
 	if (best == count)
 		return false;
-	zone_change(&zones[best], reclaimable, 1);
+	zone_change_count(&zones[best], reclaimable, 1);
 	return true;
 }
 
-/* Takes one of a kind from the zone that has most of it, the dearest. */
+/*
+ * Removes one of a kind from the zone that has most of it, the most expensive if
+ * several do. Returns false if no zone may have fewer.
+ */
 static bool remove_one(const forward_service_t *service, scale_zone_t *zones,
 		       unsigned int count, bool reclaimable)
 {
 	unsigned int best = count;
 
 	for (unsigned int i = 0; i < count; i++) {
-		unsigned int has = zone_has(&zones[i], reclaimable);
+		unsigned int current = zone_count(&zones[i], reclaimable);
 
-		if (!has ||
-		    zones[i].lasting + zones[i].reclaimable <= service->zone_min)
+		if (!current || zones[i].on_demand + zones[i].reclaimable <=
+					service->zone_min)
 			continue;
-		if (best == count || has > zone_has(&zones[best], reclaimable) ||
-		    (has == zone_has(&zones[best], reclaimable) &&
+		if (best == count ||
+		    current > zone_count(&zones[best], reclaimable) ||
+		    (current == zone_count(&zones[best], reclaimable) &&
 		     zone_price(service, i) > zone_price(service, best)))
 			best = i;
 	}
 	if (best == count)
 		return false;
-	zone_change(&zones[best], reclaimable, -1);
+	zone_change_count(&zones[best], reclaimable, -1);
 	return true;
 }
 
-/* Returns how many of a kind all zones have. */
-static unsigned int zones_have(const scale_zone_t *zones, unsigned int count,
-			       bool reclaimable)
+/* Returns how many of a kind all zones have together. */
+static unsigned int zones_total(const scale_zone_t *zones, unsigned int count,
+				bool reclaimable)
 {
 	unsigned int sum = 0;
 
 	for (unsigned int i = 0; i < count; i++)
-		sum += zone_has(&zones[i], reclaimable);
+		sum += zone_count(&zones[i], reclaimable);
 	return sum;
 }
 
-/* Brings the sum of a kind to what is wanted, with as few moves as it takes. */
-static void bring_to(const forward_service_t *service, scale_zone_t *zones,
-		     unsigned int count, bool reclaimable, unsigned int wanted)
+/*
+ * Adds or removes upstreams of a kind until WANTED are left, with as few changes as
+ * possible.
+ */
+static void adjust_total(const forward_service_t *service, scale_zone_t *zones,
+			 unsigned int count, bool reclaimable, unsigned int wanted)
 {
-	unsigned int sum = zones_have(zones, count, reclaimable);
+	unsigned int sum = zones_total(zones, count, reclaimable);
 
 	for (; sum < wanted; sum++) {
 		if (!add_one(service, zones, count, reclaimable))
@@ -327,43 +378,51 @@
 	}
 }
 
-/* How many of each kind there should be in all zones. */
-typedef struct scale_sums {
-	unsigned int lasting;
-	unsigned int lasting_least; /* in place of others, if there is no room */
+/* The totals to plan over all zones. */
+typedef struct scale_totals {
+	unsigned int on_demand;
+	unsigned int on_demand_min; /* in place of refused ones, if a zone is full */
 	unsigned int reclaimable;
-} scale_sums_t;
+} scale_totals_t;
 
-static unsigned int whole(double number)
+/* Returns a number rounded up to an integer, and at least 0. */
+static unsigned int round_up(double number)
 {
 	return (unsigned int)ceil(MAX(number, 0));
 }
 
 /*
- * NEED is the load that the fleet is held for, LOAD what is seen at present; a
- * shortage is answered by that, as it is soon over.
+ * Returns the totals for the load that the fleet is sized for. A shortage is handled by
+ * the current LOAD instead, because it is over soon.
  */
-static scale_sums_t plan_sums(double need, double load, unsigned int lasting_now,
-			      unsigned int reclaimable_now, bool shortage)
+static scale_totals_t plan_totals(double planned_load, double load,
+				  unsigned int on_demand_now,
+				  unsigned int reclaimable_now, bool shortage)
 {
-	unsigned int total = whole(need * FLEET_FACTOR);
-	unsigned int kept = whole(load * KEPT_FACTOR);
+	unsigned int total = round_up(planned_load * FLEET_FACTOR);
+	unsigned int kept = round_up(load * KEPT_ON_DEMAND_FACTOR);
 	unsigned int missing = kept > reclaimable_now ? kept - reclaimable_now : 0;
-	scale_sums_t sums = {
-		.lasting = whole(need * LASTING_FACTOR + LASTING_SPARE),
-		.lasting_least = missing,
+	scale_totals_t totals = {
+		.on_demand = round_up(planned_load * ON_DEMAND_FACTOR +
+				      ON_DEMAND_SPARE),
+		.on_demand_min = missing,
 	};
 
-	sums.reclaimable = total > sums.lasting ? total - sums.lasting : 0;
+	totals.reclaimable = total > totals.on_demand ? total - totals.on_demand
+						      : 0;
 	if (shortage)
-		sums.lasting = MAX(sums.lasting, whole(load * ALARM_FACTOR));
-	/* None is let go before those that take its place serve. */
-	sums.lasting = MAX(sums.lasting, MIN(lasting_now, missing));
-	return sums;
+		totals.on_demand =
+			MAX(totals.on_demand, round_up(load * SHORTAGE_FACTOR));
+	/* On-demand upstreams are kept until their replacements serve. */
+	totals.on_demand = MAX(totals.on_demand, MIN(on_demand_now, missing));
+	return totals;
 }
 
-/* Begins with the numbers last planned, at first with those that are there. */
-static unsigned int plan_zones(scale_plan_t *plan, const forward_service_t *service,
+/*
+ * Sets ZONES to the numbers of the last plan, or to those that serve if there was none.
+ * Returns the number of zones.
+ */
+static unsigned int init_zones(scale_plan_t *plan, const forward_service_t *service,
 			       forward_upstreams_t *upstreams,
 			       scale_zone_t zones[SCALE_ZONES_MAX])
 {
@@ -375,22 +434,23 @@
 					   .zone;
 		zone_state_t *state = plan_zone(plan, zone);
 
-		if (!plan->begun) {
-			state->lasting = scale_plan_serving(upstreams,
-							    service->name, zone,
-							    false);
-			state->reclaimable = scale_plan_serving(upstreams,
-								service->name,
-								zone, true);
+		if (!plan->initialized) {
+			state->on_demand =
+				scale_plan_count_serving(upstreams, service->name,
+							 zone, false);
+			state->reclaimable =
+				scale_plan_count_serving(upstreams, service->name,
+							 zone, true);
 		}
-		zones[i] = (scale_zone_t){ zone, state->lasting,
+		zones[i] = (scale_zone_t){ zone, state->on_demand,
 					   state->reclaimable };
 	}
-	plan->begun = true;
+	plan->initialized = true;
 	return count;
 }
 
-static bool plan_is_short(const scale_plan_t *plan, pd_time_t now)
+/* Returns whether any zone has lately refused an order. */
+static bool plan_has_shortage(const scale_plan_t *plan, pd_time_t now)
 {
 	for (guint i = 0; i < plan->zones->len; i++) {
 		if (now < g_array_index(plan->zones, zone_state_t, i).refused_until)
@@ -399,22 +459,22 @@
 	return false;
 }
 
-/* Returns how many reclaimable upstreams a zone has, with those that boot. */
-static unsigned int zone_present(const zone_state_t *state,
-				 const forward_service_t *service,
-				 forward_upstreams_t *upstreams, pd_time_t now)
+/* Returns how many reclaimable upstreams a zone has, including those that boot. */
+static unsigned int zone_available(const zone_state_t *state,
+				   const forward_service_t *service,
+				   forward_upstreams_t *upstreams, pd_time_t now)
 {
-	unsigned int serving =
-		scale_plan_serving(upstreams, service->name, state->zone, true);
+	unsigned int serving = scale_plan_count_serving(upstreams, service->name,
+							state->zone, true);
 	bool boots = state->granted &&
-		     now - state->granted_at < service->boot_time + BOOT_LATE;
+		     now - state->granted_at < service->boot_time + BOOT_MARGIN;
 
 	return boots ? MAX(serving, state->granted) : serving;
 }
 
 /*
- * Counts for each zone how many of the planned reclaimable upstreams it refuses, but
- * for the few that are asked for still.
+ * Sets REFUSED to the number of planned reclaimable upstreams that each zone refuses,
+ * without the few that are still ordered as a probe.
  */
 static void count_refused(scale_plan_t *plan, const forward_service_t *service,
 			  forward_upstreams_t *upstreams,
@@ -428,77 +488,80 @@
 		refused[i] = 0;
 		if (now >= state->refused_until)
 			continue;
-		stay = zone_present(state, service, upstreams, now) + PROBE;
+		stay = zone_available(state, service, upstreams, now) + PROBE_COUNT;
 		if (zones[i].reclaimable > stay)
 			refused[i] = zones[i].reclaimable - stay;
 	}
 }
 
 /*
- * Puts lasting upstreams in the place of reclaimable ones that are refused, where a
- * zone may have no more otherwise, until there are as many as WANTED. Orders that
- * nothing comes of would keep a fleet small for as long as the shortage is.
+ * Replaces refused reclaimable upstreams with on-demand ones in zones that could
+ * otherwise have no more, until there are WANTED on-demand ones. Otherwise orders that
+ * are never granted would keep a fleet small for as long as the shortage lasts.
  */
 static void replace_refused(scale_zone_t *zones, unsigned int count,
 			    unsigned int *refused, unsigned int wanted)
 {
-	unsigned int sum = zones_have(zones, count, false);
+	unsigned int sum = zones_total(zones, count, false);
 
 	for (; sum < wanted; sum++) {
 		unsigned int best = count;
 
 		for (unsigned int i = 0; i < count; i++) {
-			if (refused[i] && (best == count ||
-					   zones[i].lasting < zones[best].lasting))
+			if (refused[i] &&
+			    (best == count ||
+			     zones[i].on_demand < zones[best].on_demand))
 				best = i;
 		}
 		if (best == count)
 			return;
 		refused[best]--;
 		zones[best].reclaimable--;
-		zones[best].lasting++;
+		zones[best].on_demand++;
 	}
 }
 
 /*
- * Fills in what should be in each zone; returns how many zones, 0 while it is
- * too early to say. The plan says what is wanted, whatever is there, so an
- * order given twice changes nothing.
+ * Sets ZONES to the upstreams wanted in each zone, and returns the number of zones, or
+ * 0 while it is too early for a plan. A plan has absolute numbers, so an order that is
+ * given twice changes nothing.
  */
 unsigned int scale_plan_make(scale_plan_t *plan, const forward_service_t *service,
 			     forward_upstreams_t *upstreams,
 			     const scale_demand_t *demand, pd_time_t now,
 			     scale_zone_t zones[SCALE_ZONES_MAX])
 {
-	unsigned int lasting_now =
-		scale_plan_serving(upstreams, service->name, NULL, false);
+	unsigned int on_demand_now =
+		scale_plan_count_serving(upstreams, service->name, NULL, false);
 	unsigned int reclaimable_now =
-		scale_plan_serving(upstreams, service->name, NULL, true);
+		scale_plan_count_serving(upstreams, service->name, NULL, true);
 	double load = plan_load(plan, service, upstreams, demand);
-	double need = plan_need(plan, load, lasting_now + reclaimable_now, now);
-	bool shortage = plan_is_short(plan, now);
-	scale_sums_t sums = plan_sums(need,
-				      plan_is_measured(plan, now) ? load : need,
-				      lasting_now, reclaimable_now, shortage);
+	double planned_load =
+		plan_hold_load(plan, load, on_demand_now + reclaimable_now, now);
+	bool shortage = plan_has_shortage(plan, now);
+	scale_totals_t totals =
+		plan_totals(planned_load,
+			    plan_is_measured(plan, now) ? load : planned_load,
+			    on_demand_now, reclaimable_now, shortage);
 	unsigned int refused[SCALE_ZONES_MAX];
 	unsigned int count;
 
-	plan->basis = (scale_basis_t){ need, load, demand->rate, shortage };
-	/* The fleet is still listing itself. */
-	if (!plan->load_since && now - plan->found_at < FOUND_SETTLE)
+	plan->basis = (scale_basis_t){ planned_load, load, demand->rate, shortage };
+	/* Upstreams are still registering. */
+	if (!plan->load_seen_at && now - plan->count_grew_at < DISCOVERY_SETTLE_TIME)
 		return 0;
-	count = plan_zones(plan, service, upstreams, zones);
-	bring_to(service, zones, count, false, sums.lasting);
+	count = init_zones(plan, service, upstreams, zones);
+	adjust_total(service, zones, count, false, totals.on_demand);
 	count_refused(plan, service, upstreams, zones, count, now, refused);
 	replace_refused(zones, count, refused,
-			MIN(sums.lasting, sums.lasting_least));
-	bring_to(service, zones, count, true, sums.reclaimable);
+			MIN(totals.on_demand, totals.on_demand_min));
+	adjust_total(service, zones, count, true, totals.reclaimable);
 	for (unsigned int i = 0; i < count; i++) {
 		zone_state_t *state = plan_zone(plan, zones[i].zone);
 
-		while (zones[i].lasting + zones[i].reclaimable < service->zone_min)
+		while (zones[i].on_demand + zones[i].reclaimable < service->zone_min)
 			zones[i].reclaimable++;
-		state->lasting = zones[i].lasting;
+		state->on_demand = zones[i].on_demand;
 		state->reclaimable = zones[i].reclaimable;
 	}
 	return count;
--- a/core/forward/usage_inflight.c
+++ b/core/forward/usage_inflight.c
@@ -1,150 +1,170 @@
-/* Requests in flight by start, and which of them ran after power was lost. */
+/* Requests in flight by incarnation, and which of them ran after a power loss. */
 #include "core/forward/usage_inflight.h"
 
 /*
- * Boots of a VM that differ by less are the same one: clocks are set and corrected by
- * seconds, and a VM that boots anew has been up for longer.
+ * Boot times of a VM that differ by less belong to the same boot: the clock may have been
+ * corrected by seconds in between. A VM that reboots has usually been up for longer.
  */
-#define BOOT_TOLERANCE (10 * PD_SEC)
+#define BOOT_TIME_TOLERANCE (10 * PD_SEC)
 
 struct usage_inflight {
-	GHashTable *by_start; /* of usage_flight_t */
+	GHashTable *by_incarnation; /* of inflight_snapshot_t */
 };
 
+/* Frees the content of an inflight_expected_t. */
 static void expected_clear(void *data)
 {
-	g_free(((usage_expected_t *)data)->account);
+	g_free(((inflight_expected_t *)data)->account);
 }
 
-/* Returns a start's requests in flight, none as yet; the caller owns them. */
-usage_flight_t *usage_flight_create(uint64_t start)
+/* Returns a snapshot without requests of an incarnation; the caller owns it. */
+inflight_snapshot_t *inflight_snapshot_create(uint64_t incarnation_id)
 {
-	usage_flight_t *flight = g_new0(usage_flight_t, 1);
+	inflight_snapshot_t *snapshot = g_new0(inflight_snapshot_t, 1);
 
-	flight->start = start;
-	flight->expected = g_array_new(FALSE, FALSE, sizeof(usage_expected_t));
-	g_array_set_clear_func(flight->expected, expected_clear);
-	return flight;
+	snapshot->incarnation_id = incarnation_id;
+	snapshot->expected =
+		g_array_new(FALSE, FALSE, sizeof(inflight_expected_t));
+	g_array_set_clear_func(snapshot->expected, expected_clear);
+	return snapshot;
 }
 
-/* Frees them; NULL is allowed. */
-void usage_flight_destroy(usage_flight_t *flight)
+/* Frees a snapshot; NULL is allowed. */
+void inflight_snapshot_destroy(inflight_snapshot_t *snapshot)
 {
-	if (!flight)
+	if (!snapshot)
 		return;
-	g_array_unref(flight->expected);
-	g_free(flight);
+	g_array_unref(snapshot->expected);
+	g_free(snapshot);
 }
 
-/* Adds an account, copied, with what its count would be. */
-void usage_flight_add(usage_flight_t *flight, const char *account, uint64_t count)
+/*
+ * Adds an account to a snapshot; the name is copied. COUNT is what the account's count
+ * would be if all its requests in flight were answered.
+ */
+void inflight_snapshot_add(inflight_snapshot_t *snapshot, const char *account,
+			   uint64_t count)
 {
-	const usage_expected_t expected = { g_strdup(account), count };
+	const inflight_expected_t expected = { g_strdup(account), count };
 
-	g_array_append_val(flight->expected, expected);
+	g_array_append_val(snapshot->expected, expected);
 }
 
-/* Returns what no start has told; the caller owns it. */
+/* Returns an empty set of snapshots; the caller owns it. */
 usage_inflight_t *usage_inflight_create(void)
 {
 	usage_inflight_t *inflight = g_new0(usage_inflight_t, 1);
 
-	inflight->by_start =
+	inflight->by_incarnation =
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-				      (GDestroyNotify)usage_flight_destroy);
+				      (GDestroyNotify)inflight_snapshot_destroy);
 	return inflight;
 }
 
-/* Frees it; NULL is allowed. */
+/* Frees the set and its snapshots; NULL is allowed. */
 void usage_inflight_destroy(usage_inflight_t *inflight)
 {
 	if (!inflight)
 		return;
-	g_hash_table_unref(inflight->by_start);
+	g_hash_table_unref(inflight->by_incarnation);
 	g_free(inflight);
 }
 
-/* Takes what a start has in flight, and owns it; what it told before is replaced. */
-void usage_inflight_take(usage_inflight_t *inflight, usage_flight_t *flight)
+/*
+ * Stores a snapshot, of which it takes ownership, in place of the incarnation's previous
+ * one. Frees it instead if the previous one was taken later.
+ */
+void usage_inflight_update(usage_inflight_t *inflight, inflight_snapshot_t *snapshot)
 {
-	const usage_flight_t *known = usage_inflight_find(inflight, flight->start);
+	const inflight_snapshot_t *known =
+		usage_inflight_find(inflight, snapshot->incarnation_id);
 
-	if (known && known->told > flight->told) {
-		usage_flight_destroy(flight);
+	if (known && known->taken_at > snapshot->taken_at) {
+		inflight_snapshot_destroy(snapshot);
 		return;
 	}
-	g_hash_table_replace(inflight->by_start, &flight->start, flight);
+	g_hash_table_replace(inflight->by_incarnation,
+			     &snapshot->incarnation_id, snapshot);
 }
 
-/* Returns what a start has told last, borrowed; NULL: nothing. */
-const usage_flight_t *usage_inflight_find(const usage_inflight_t *inflight,
-					  uint64_t start)
+/* Returns the latest snapshot of an incarnation, borrowed; NULL if there is none. */
+const inflight_snapshot_t *usage_inflight_find(const usage_inflight_t *inflight,
+					       uint64_t incarnation_id)
 {
-	return g_hash_table_lookup(inflight->by_start, &start);
+	return g_hash_table_lookup(inflight->by_incarnation, &incarnation_id);
 }
 
-/* Calls EACH for what starts have told in the windows from FROM on. */
+/* Calls EACH for the snapshots whose windows are FROM or later. */
 void usage_inflight_each(const usage_inflight_t *inflight, int64_t from,
-			 usage_flight_each_t each, void *ctx)
+			 inflight_snapshot_each_t each, void *ctx)
 {
 	GHashTableIter iter;
-	gpointer flight;
+	gpointer snapshot;
 
-	g_hash_table_iter_init(&iter, inflight->by_start);
-	while (g_hash_table_iter_next(&iter, NULL, &flight)) {
-		if (((const usage_flight_t *)flight)->window >= from)
-			each(ctx, flight);
+	g_hash_table_iter_init(&iter, inflight->by_incarnation);
+	while (g_hash_table_iter_next(&iter, NULL, &snapshot)) {
+		if (((const inflight_snapshot_t *)snapshot)->window >= from)
+			each(ctx, snapshot);
 	}
 }
 
-static bool is_same_boot(const usage_flight_t *one, const usage_flight_t *other)
+/* Returns whether two snapshots were taken in the same boot of their VM. */
+static bool is_same_boot(const inflight_snapshot_t *one,
+			 const inflight_snapshot_t *other)
 {
-	return ABS(one->booted - other->booted) < BOOT_TOLERANCE;
+	return ABS(one->boot_time - other->boot_time) < BOOT_TIME_TOLERANCE;
 }
 
-/* Returns the time of day at which this was told. */
-static pd_time_t flight_time(const usage_flight_t *flight)
+/* Returns the time of day at which a snapshot was taken. */
+static pd_time_t snapshot_wall_time(const inflight_snapshot_t *snapshot)
 {
-	return flight->booted + flight->told;
+	return snapshot->boot_time + snapshot->taken_at;
 }
 
 /*
- * Returns whether a VM has lost power under this start: it has booted anew since, and no
- * other start has followed in the same boot.
+ * Returns whether the VM lost power while the snapshot's incarnation ran: it has rebooted
+ * since, and no later incarnation started in the same boot.
  */
-static bool flight_is_lost(const usage_inflight_t *inflight,
-			   const usage_flight_t *flight)
+static bool snapshot_lost_power(const usage_inflight_t *inflight,
+				const inflight_snapshot_t *snapshot)
 {
 	bool rebooted = false;
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, inflight->by_start);
+	g_hash_table_iter_init(&iter, inflight->by_incarnation);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const usage_flight_t *other = value;
+		const inflight_snapshot_t *other = value;
 
-		if (usage_start_vm(other->start) != usage_start_vm(flight->start))
+		if (usage_incarnation_vm(other->incarnation_id) !=
+		    usage_incarnation_vm(snapshot->incarnation_id))
 			continue;
-		if (!is_same_boot(other, flight))
-			rebooted |= flight_time(other) > flight_time(flight);
-		else if (other->begun >= flight->told)
+		if (!is_same_boot(other, snapshot))
+			rebooted |= snapshot_wall_time(other) >
+				    snapshot_wall_time(snapshot);
+		else if (other->started_at >= snapshot->taken_at)
 			return false;
 	}
 	return rebooted;
 }
 
-static void flight_each_uncounted(const usage_flight_t *flight,
-				  const usage_t *usage, usage_each_t each,
-				  void *ctx)
-{
-	for (guint i = 0; i < flight->expected->len; i++) {
-		const usage_expected_t *expected =
-			&g_array_index(flight->expected, usage_expected_t, i);
-		uint64_t counted = usage_count(usage, flight->window,
-					       flight->start, expected->account);
+/*
+ * Calls EACH with the number of an account's requests in flight that USAGE does not
+ * count.
+ */
+static void snapshot_each_uncounted(const inflight_snapshot_t *snapshot,
+				    const usage_t *usage, usage_each_t each,
+				    void *ctx)
+{
+	for (guint i = 0; i < snapshot->expected->len; i++) {
+		const inflight_expected_t *expected =
+			&g_array_index(snapshot->expected, inflight_expected_t, i);
+		uint64_t counted = usage_count(usage, snapshot->window,
+					       snapshot->incarnation_id,
+					       expected->account);
 		const usage_entry_t entry = {
-			.window = flight->window,
-			.start = flight->start,
+			.window = snapshot->window,
+			.incarnation_id = snapshot->incarnation_id,
 			.account = expected->account,
 			.count = expected->count - counted,
 		};
@@ -155,8 +175,8 @@
 }
 
 /*
- * Calls EACH for the requests of a window that were in flight when their VMs lost power,
- * by start and account, less those that were counted since.
+ * Calls EACH with the number of requests of a window that were in flight when their VMs
+ * lost power, by incarnation and account. Requests that are in USAGE are subtracted.
  */
 void usage_inflight_each_lost(const usage_inflight_t *inflight,
 			      const usage_t *usage, int64_t window,
@@ -165,26 +185,29 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, inflight->by_start);
+	g_hash_table_iter_init(&iter, inflight->by_incarnation);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const usage_flight_t *flight = value;
+		const inflight_snapshot_t *snapshot = value;
 
-		if (flight->window == window && flight->expected->len &&
-		    flight_is_lost(inflight, flight))
-			flight_each_uncounted(flight, usage, each, ctx);
+		if (snapshot->window == window && snapshot->expected->len &&
+		    snapshot_lost_power(inflight, snapshot))
+			snapshot_each_uncounted(snapshot, usage, each, ctx);
 	}
 }
 
-static gboolean flight_is_old(gpointer start, gpointer value, gpointer before)
+/* Returns whether a snapshot's window is before *BEFORE. */
+static gboolean snapshot_is_expired(gpointer incarnation_id, gpointer value,
+				    gpointer before)
 {
-	const usage_flight_t *flight = value;
+	const inflight_snapshot_t *snapshot = value;
 
-	(void)start;
-	return flight->window < *(int64_t *)before;
+	(void)incarnation_id;
+	return snapshot->window < *(int64_t *)before;
 }
 
-/* Drops what was told in the windows before one. */
-void usage_inflight_forget(usage_inflight_t *inflight, int64_t before)
+/* Frees the snapshots of the windows before BEFORE. */
+void usage_inflight_discard(usage_inflight_t *inflight, int64_t before)
 {
-	g_hash_table_foreach_remove(inflight->by_start, flight_is_old, &before);
+	g_hash_table_foreach_remove(inflight->by_incarnation,
+				    snapshot_is_expired, &before);
 }
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -127,7 +127,7 @@
 {
 	uint64_t sum = 0;
 
-	usage_sum(gateway->usage, window, add_to_sum, &sum);
+	usage_each_sum(gateway->usage, window, add_to_sum, &sum);
 	return sum;
 }
 
@@ -140,7 +140,7 @@
 {
 	pair_t *pair = *state;
 
-	usage_add(pair->gateways[1]->usage, 3, "mill");
+	usage_increment(pair->gateways[1]->usage, 3, "mill");
 	assert_int_equal(window_sum(pair->gateways[1], 3), 1);
 	WAIT_UNTIL(pair, window_sum(pair->gateways[1], 3) == 0);
 }
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -286,11 +286,11 @@
 	assert_int_equal(calls_reported(rig), CALLS);
 }
 
-static void add_expected(void *ctx, const usage_flight_t *snapshot)
+static void add_expected(void *ctx, const inflight_snapshot_t *snapshot)
 {
 	for (guint i = 0; i < snapshot->expected->len; i++)
 		*(uint64_t *)ctx +=
-			g_array_index(snapshot->expected, usage_expected_t, i).count;
+			g_array_index(snapshot->expected, inflight_expected_t, i).count;
 }
 
 /* Returns the number of calls that the checkpoint has as in flight. */
@@ -308,21 +308,22 @@
 }
 
 /* Adds a snapshot as if its VM had rebooted since. */
-static void add_with_earlier_boot(void *ctx, const usage_flight_t *snapshot)
+static void add_with_earlier_boot(void *ctx, const inflight_snapshot_t *snapshot)
 {
-	usage_flight_t *moved = usage_flight_create(snapshot->start);
+	inflight_snapshot_t *moved =
+		inflight_snapshot_create(snapshot->incarnation_id);
 
-	moved->booted = snapshot->booted - BOOT_TIME_SHIFT;
-	moved->begun = snapshot->begun;
-	moved->told = snapshot->told;
+	moved->boot_time = snapshot->boot_time - BOOT_TIME_SHIFT;
+	moved->started_at = snapshot->started_at;
+	moved->taken_at = snapshot->taken_at;
 	moved->window = snapshot->window;
 	for (guint i = 0; i < snapshot->expected->len; i++) {
-		const usage_expected_t *expected =
-			&g_array_index(snapshot->expected, usage_expected_t, i);
+		const inflight_expected_t *expected =
+			&g_array_index(snapshot->expected, inflight_expected_t, i);
 
-		usage_flight_add(moved, expected->account, expected->count);
+		inflight_snapshot_add(moved, expected->account, expected->count);
 	}
-	usage_inflight_take(ctx, moved);
+	usage_inflight_update(ctx, moved);
 }
 
 /* Changes the checkpoint as if the VMs of all gateways had lost power since. */
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -95,7 +95,7 @@
 		forward_upstreams_find(gateway->upstreams, listing.id)->running = i;
 	}
 	gateway->upstreams_listed = true;
-	usage_add(gateway->usage, 3, "mill");
+	usage_increment(gateway->usage, 3, "mill");
 	work_rate_add(gateway->work, "s", 1000);
 }
 
@@ -121,7 +121,7 @@
 		break;
 	case 3:
 		peers_pack_counts(&buffer, peers);
-		usage_resend(gateway->usage);
+		usage_mark_unsent(gateway->usage);
 		break;
 	default:
 		peers_pack_announcement(&packer, peers);
@@ -262,18 +262,19 @@
 {
 	usage_t *usage = usage_create("g#1");
 	usage_inflight_t *inflight = usage_inflight_create();
-	usage_flight_t *snapshot = usage_flight_create(usage_own_start(usage));
+	inflight_snapshot_t *snapshot =
+		inflight_snapshot_create(usage_own_id(usage));
 	std::pair<std::string, std::string> packed;
 	char *text;
 
-	usage_add(usage, 7, "mill");
-	usage_add(usage, 7, "gin");
-	usage_add(usage, 8, "mill");
-	snapshot->booted = PD_SEC;
-	snapshot->told = PD_SEC;
+	usage_increment(usage, 7, "mill");
+	usage_increment(usage, 7, "gin");
+	usage_increment(usage, 8, "mill");
+	snapshot->boot_time = PD_SEC;
+	snapshot->taken_at = PD_SEC;
 	snapshot->window = 8;
-	usage_flight_add(snapshot, "mill", 3);
-	usage_inflight_take(inflight, snapshot);
+	inflight_snapshot_add(snapshot, "mill", 3);
+	usage_inflight_update(inflight, snapshot);
 	text = usage_table_encode(usage, inflight, 0);
 	packed = { decoded(text, "counts"), decoded(text, "in_flight") };
 	g_free(text);
--- a/tests/unit/test_checkpoint_record.c
+++ b/tests/unit/test_checkpoint_record.c
@@ -86,7 +86,7 @@
 {
 	uint64_t sum = 0;
 
-	usage_sum(usage, window, add_to_sum, &sum);
+	usage_each_sum(usage, window, add_to_sum, &sum);
 	return sum;
 }
 
@@ -107,7 +107,7 @@
 	pd_error_t err;
 
 	(void)state;
-	usage_add(usage, 7, "mill");
+	usage_increment(usage, 7, "mill");
 	merge_count(usage, 7, UINT64_MAX, "mill", 1000);
 	merge_count(usage, 7, 5, "gin \"\\", 20);
 	merge_count(usage, 8, 5, "gin \"\\", 3);
@@ -159,19 +159,19 @@
 
 	(void)state;
 	for (uint64_t id = 0; id < INCARNATIONS; id++) {
-		usage_flight_t *snapshot = usage_flight_create(id << 40);
+		inflight_snapshot_t *snapshot = inflight_snapshot_create(id << 40);
 
-		snapshot->booted = 1772338322000 * PD_MSEC;
-		snapshot->begun = 94107805 * PD_MSEC;
-		snapshot->told = 94107905 * PD_MSEC;
+		snapshot->boot_time = 1772338322000 * PD_MSEC;
+		snapshot->started_at = 94107805 * PD_MSEC;
+		snapshot->taken_at = 94107905 * PD_MSEC;
 		snapshot->window = 353445120;
 		for (int i = 0; i < ACCOUNTS_IN_FLIGHT; i++) {
 			char account[16];
 
 			g_snprintf(account, sizeof(account), "account-%d", i);
-			usage_flight_add(snapshot, account, 200);
+			inflight_snapshot_add(snapshot, account, 200);
 		}
-		usage_inflight_take(inflight, snapshot);
+		usage_inflight_update(inflight, snapshot);
 	}
 	text = usage_table_encode(usage, inflight, 0);
 	assert_true(strlen(text) < FLEET_BYTES_MAX);
--- a/tests/unit/test_flight_pack.c
+++ b/tests/unit/test_flight_pack.c
@@ -15,9 +15,9 @@
  * Returns the unpacked snapshot, owned by the caller, or NULL if it is
  * malformed.
  */
-static usage_flight_t *unpack_snapshot(const msgpack_sbuffer *buffer)
+static inflight_snapshot_t *unpack_snapshot(const msgpack_sbuffer *buffer)
 {
-	usage_flight_t *snapshot;
+	inflight_snapshot_t *snapshot;
 	msgpack_unpacked unpacked;
 	size_t offset = 0;
 
@@ -32,42 +32,44 @@
 
 static void test_round_trip(void **state)
 {
-	usage_flight_t *snapshot = usage_flight_create(usage_start("g0#1"));
-	usage_flight_t *read;
+	inflight_snapshot_t *snapshot =
+		inflight_snapshot_create(usage_incarnation_id("g0#1"));
+	inflight_snapshot_t *read;
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	(void)state;
-	snapshot->booted = 1772338322000 * PD_MSEC;
-	snapshot->begun = 94107805 * PD_MSEC;
-	snapshot->told = 94107905 * PD_MSEC;
+	snapshot->boot_time = 1772338322000 * PD_MSEC;
+	snapshot->started_at = 94107805 * PD_MSEC;
+	snapshot->taken_at = 94107905 * PD_MSEC;
 	snapshot->window = 354467664;
-	usage_flight_add(snapshot, "mill", 7);
-	usage_flight_add(snapshot, "gin \"\\", 1);
+	inflight_snapshot_add(snapshot, "mill", 7);
+	inflight_snapshot_add(snapshot, "gin \"\\", 1);
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	flight_pack(&packer, snapshot);
 	read = unpack_snapshot(&buffer);
 	assert_non_null(read);
-	assert_true(read->start == snapshot->start);
-	assert_int_equal(read->booted, snapshot->booted);
-	assert_int_equal(read->begun, snapshot->begun);
-	assert_int_equal(read->told, snapshot->told);
+	assert_true(read->incarnation_id == snapshot->incarnation_id);
+	assert_int_equal(read->boot_time, snapshot->boot_time);
+	assert_int_equal(read->started_at, snapshot->started_at);
+	assert_int_equal(read->taken_at, snapshot->taken_at);
 	assert_int_equal(read->window, snapshot->window);
 	assert_int_equal(read->expected->len, 2);
-	assert_string_equal(g_array_index(read->expected, usage_expected_t, 1).account,
-			    "gin \"\\");
-	assert_int_equal(g_array_index(read->expected, usage_expected_t, 0).count,
+	assert_string_equal(
+		g_array_index(read->expected, inflight_expected_t, 1).account,
+		"gin \"\\");
+	assert_int_equal(g_array_index(read->expected, inflight_expected_t, 0).count,
 			 7);
-	usage_flight_destroy(read);
-	usage_flight_destroy(snapshot);
+	inflight_snapshot_destroy(read);
+	inflight_snapshot_destroy(snapshot);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
 /* Guards against times that overflow when converted from ms. */
 static void test_out_of_range_times_are_clamped(void **state)
 {
-	usage_flight_t *read;
+	inflight_snapshot_t *read;
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
@@ -79,9 +81,10 @@
 		msgpack_pack_uint64(&packer, UINT64_MAX);
 	read = unpack_snapshot(&buffer);
 	assert_non_null(read);
-	assert_true(read->booted > 0 && read->booted <= (pd_time_t)PD_TIME_MAX);
-	assert_true(read->told > 0 && read->told <= (pd_time_t)PD_TIME_MAX);
-	usage_flight_destroy(read);
+	assert_true(read->boot_time > 0 &&
+		    read->boot_time <= (pd_time_t)PD_TIME_MAX);
+	assert_true(read->taken_at > 0 && read->taken_at <= (pd_time_t)PD_TIME_MAX);
+	inflight_snapshot_destroy(read);
 	msgpack_sbuffer_destroy(&buffer);
 }
 
