--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -589,7 +589,7 @@
 	     !object_writer_is_regular(counts->writer))) {
 		gateway_requests_update_snapshot(gateway);
 		text = usage_table_encode(gateway->usage, gateway->inflight,
-					 gateway_first_due_window(gateway));
+					  gateway_first_due_window(gateway));
 		object_write(counts, text, now);
 		g_free(text);
 	}
--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -143,7 +143,8 @@
 {
 	pd_time_t gap = duties->gateway->settings->lease_gap_ms * PD_MSEC;
 	pd_time_t calls = CLOUD_TIMEOUT_MS * PD_MSEC -
-			  (timing.takeover_timeout - timing.term) + TAKEOVER_MARGIN;
+			  (timing.takeover_timeout - timing.term) +
+			  TAKEOVER_MARGIN;
 
 	return MAX(calls, gap + TAKEOVER_MARGIN - timing.takeover_timeout);
 }
@@ -296,7 +297,7 @@
 	update_leadership(duties, now);
 	gateway_peers_set_leadership(duties->gateway->peers,
 				     lease_is_held(duties->lease, now),
-				  lease_fencing_token(duties->lease));
+				     lease_fencing_token(duties->lease));
 	if (!is_acting(duties, now))
 		return;
 	duties_run_usage(duties, now);
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -116,7 +116,8 @@
 		order->accepted_at = now;
 		if (order->reclaimable)
 			scale_plan_mark_granted(get_plan(duties, order->service),
-						order->zone, order->requested, now);
+						order->zone, order->requested,
+						now);
 	} else if (reply->status == 409) {
 		scale_plan_mark_refused(get_plan(duties, order->service),
 					order->zone, now);
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -100,7 +100,7 @@
 {
 	return gateway_current_window(gateway) -
 	       usage_windows_retained(gateway_window_length(gateway),
-				 gateway_report_delay_max(gateway)) +
+				      gateway_report_delay_max(gateway)) +
 	       1;
 }
 
@@ -316,7 +316,8 @@
 /* Updates the fleet's agreed time of day from the own clock and the peers' votes. */
 static void run_time_vote(gateway_t *gateway, pd_time_t now)
 {
-	clock_steps_t steps = time_vote_update(gateway->vote, gateway_wall_time(), now);
+	clock_steps_t steps =
+		time_vote_update(gateway->vote, gateway_wall_time(), now);
 
 	if (steps.own || steps.fleet)
 		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
@@ -335,8 +336,8 @@
 	pd_time_t now = gateway_now();
 
 	run_time_vote(gateway, now);
-	forward_upstreams_expire(gateway->upstreams, now, on_registration_expired,
-			      gateway);
+	forward_upstreams_expire(gateway->upstreams, now,
+				 on_registration_expired, gateway);
 	/* Before its users, as it gives a new gateway the size of the fleet. */
 	gateway_checkpoint_run(gateway->checkpoint, now);
 	fleet_feed_run(gateway->feed, now);
--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -224,7 +224,8 @@
 		upstream->peers_running -=
 			MIN(upstream->peers_running, load->running);
 		upstream->peers_prefill_tokens =
-			MAX(upstream->peers_prefill_tokens - load->prefill_tokens, 0);
+			MAX(upstream->peers_prefill_tokens - load->prefill_tokens,
+			    0);
 	}
 	g_array_set_size(loads, 0);
 }
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -226,7 +226,7 @@
 	list_writer_init(&uses);
 	usage_each_unsent(peers->gateway->usage, pack_usage, &usage);
 	token_limits_each_changed(peers->gateway->limits, gateway_now(),
-			       pack_new_limit_use, &uses);
+				  pack_new_limit_use, &uses);
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, COUNTS_FIELDS);
 	msgpack_pack_uint8(&packer, MESSAGE_COUNTS);
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -97,7 +97,8 @@
 		token_limits_record_peer_use(limits, use.account, peer->incarnation,
 					     use.granted, recent, now);
 		token_limits_record_peer_demand(limits, use.account,
-						peer->incarnation, use.requested, now);
+						peer->incarnation,
+						use.requested, now);
 		summed_values_set(&granted, use.account, use.granted);
 		summed_values_set(&requested, use.account, use.requested);
 		g_free(use.account);
@@ -122,7 +123,7 @@
 		token_limits_record_peer_use(limits, use.account, ALL_PEERS,
 					     use.granted, false, now);
 		token_limits_record_peer_demand(limits, use.account, ALL_PEERS,
-				   use.requested, now);
+						use.requested, now);
 		if (use.has_level)
 			token_limits_set_level(limits, use.account, use.level, now);
 		g_free(use.account);
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -256,8 +256,8 @@
 /* Returns how long a request may be queued. */
 static pd_time_t queue_time_max(const gateway_request_t *request)
 {
-	pd_time_t part =
-		(pd_time_t)((double)request->route->latency_goal * QUEUE_GOAL_FRACTION);
+	pd_time_t part = (pd_time_t)((double)request->route->latency_goal *
+				     QUEUE_GOAL_FRACTION);
 
 	return MAX(part, QUEUE_TIME_MIN);
 }
@@ -305,7 +305,8 @@
 	    request->possible_runs + 1 >= request->route->upstreams_max)
 		return false;
 	return now - request->sent_at >
-	       (pd_time_t)((double)request->route->latency_goal * RESPONSE_TIMEOUT_GOALS);
+	       (pd_time_t)((double)request->route->latency_goal *
+			   RESPONSE_TIMEOUT_GOALS);
 }
 
 /*
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -127,8 +127,7 @@
 		if (request->prefills_alone)
 			engine_speeds_record_sample(
 				forward_upstreams_speeds(request->gateway->upstreams),
-				request->service,
-					   request->prefill_tokens,
+				request->service, request->prefill_tokens,
 				gateway_now() - request->sent_at);
 		request->upstream->prefill_tokens -= request->prefill_tokens;
 		request->prefill_tokens = 0;
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -214,7 +214,7 @@
 	request->prefills_alone =
 		forward_upstream_prefill_tokens(request->upstream) < 1 &&
 		forward_call_shared_tokens(call) <=
-					  call->prompt_tokens * SHARED_PROMPT_MAX;
+			call->prompt_tokens * SHARED_PROMPT_MAX;
 	work_rate_add(request->gateway->work, request->service,
 		      uncached_tokens + output);
 }
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -105,7 +105,7 @@
 		return;
 	request->usage_counted = true;
 	usage_increment(gateway->usage, gateway_current_window(gateway),
-		  request->account->name);
+			request->account->name);
 }
 
 /*
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -48,8 +48,8 @@
 
 	if (!request->route->has_prompt)
 		return true;
-	if (shed_admit(get_shed(gateway, request->service), request->rank,
-			work, g_rand_double(gateway->random)))
+	if (shed_admit(get_shed(gateway, request->service), request->rank, work,
+		       g_rand_double(gateway->random)))
 		return true;
 	work_rate_add_refused(gateway->work, request->service, work);
 	gateway_request_respond_error(request, 503, retry_after, "engines pressed");
@@ -99,7 +99,8 @@
 	gpointer service;
 	gpointer shed;
 	shed_utilization_t fill = {
-		.includes_peers = gateway_peers_loads_are_current(gateway->peers, now),
+		.includes_peers =
+			gateway_peers_loads_are_current(gateway->peers, now),
 	};
 
 	g_hash_table_iter_init(&iter, gateway->sheds);
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -84,7 +84,8 @@
 	uint64_t index = account_index(writer, entry->account);
 	uint64_t count = entry->count;
 
-	if (entry->window != writer->window || entry->incarnation_id != writer->incarnation_id)
+	if (entry->window != writer->window ||
+	    entry->incarnation_id != writer->incarnation_id)
 		flush_row(writer);
 	writer->window = entry->window;
 	writer->incarnation_id = entry->incarnation_id;
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -137,7 +137,8 @@
 	       forward_upstream_running(upstream) *
 		       engine_time_to_tokens(search->prefill_rate,
 					     ENGINE_RUNNING_REQUEST_TIME) +
-	       (other_zone ? engine_time_to_tokens(search->prefill_rate, CROSS_ZONE_PENALTY)
+	       (other_zone ? engine_time_to_tokens(search->prefill_rate,
+						   CROSS_ZONE_PENALTY)
 			   : 0);
 }
 
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -290,7 +290,8 @@
 {
 	for (guint i = 0; i < snapshot->expected->len; i++)
 		*(uint64_t *)ctx +=
-			g_array_index(snapshot->expected, inflight_expected_t, i).count;
+			g_array_index(snapshot->expected, inflight_expected_t, i)
+				.count;
 }
 
 /* Returns the number of calls that the checkpoint has as in flight. */
