--- a/core/forward/scale_plan.c
+++ b/core/forward/scale_plan.c
@@ -93,7 +93,7 @@
 	double running; /* running requests, smoothed */
 	double held_load; /* load, in busy engines, that the fleet is sized for */
 	double restored_load; /* held_load of an earlier leader; 0: not known */
-	pd_time_t below_since;
+	pd_time_t below_since; /* since when the load is below held_load */
 	scale_basis_t basis;
 };
 
