--- a/bench/bench_decisions.c
+++ b/bench/bench_decisions.c
@@ -97,9 +97,9 @@
 	GArray *first, *urgent, *bound, *urgent_bound, *gap;
 	double answered, in_target, good, work;
 	double small, small_out;
-} counter_set_t;
+} tally_t;
 
-static void count_call(const call_t *call, counter_set_t *tally, double *m)
+static void count_call(const call_t *call, tally_t *tally, double *m)
 {
 	bool urgent = call->priority == PRIORITY_URGENT;
 	double first = ms(call->first_at - call->at);
@@ -144,11 +144,11 @@
 
 static void measure(const sim_t *sim, double *m)
 {
-	counter_set_t tally = { .first = doubles(),
-				.urgent = doubles(),
-				.bound = doubles(),
-				.urgent_bound = doubles(),
-				.gap = doubles() };
+	tally_t tally = { .first = doubles(),
+			  .urgent = doubles(),
+			  .bound = doubles(),
+			  .urgent_bound = doubles(),
+			  .gap = doubles() };
 	double asked_rate;
 	double hits = 0;
 	double admitted = 0;
