--- a/adapters/peer_link.c
+++ b/adapters/peer_link.c
@@ -7,7 +7,7 @@
 #include "adapters/log_glib.h"
 #include "adapters/peer_codec.h"
 
-#define PART "peer-link"
+#define LOG_COMPONENT "peer-link"
 
 struct peer_link {
 	peer_link_config_t config;
@@ -24,7 +24,7 @@
 		msg = peer_msg_decode(data + PEER_SEAL_BYTES,
 				      len - PEER_SEAL_BYTES, &err);
 	if (!msg) {
-		log_error(PART, "dropped a message", &err);
+		log_error(LOG_COMPONENT, "dropped a message", &err);
 		return -1;
 	}
 	link->config.on_msg(link->config.ctx, msg);
--- a/adapters/placer_runner.c
+++ b/adapters/placer_runner.c
@@ -14,7 +14,7 @@
 #include "adapters/vm_watch.h"
 #include "core/placer.h"
 
-#define PART "placer"
+#define LOG_COMPONENT "placer"
 #define TICK_MS 200
 #define LEASE_KEY "placer/lease"
 #define ENGINE_TIMEOUT (2 * PD_SEC)
@@ -89,7 +89,7 @@
 	if (!ask->write && answer->status == STORE_OK) {
 		record = lease_record_decode(answer->body, answer->len, &err);
 		if (!record) {
-			log_error(PART, "dropped the lease", &err);
+			log_error(LOG_COMPONENT, "dropped the lease", &err);
 			event.lease.status = STORE_DOWN;
 		}
 	}
@@ -123,7 +123,7 @@
 	placer_event_t event = { .kind = PLACER_BOUGHT,
 				 .bought = { ask->tag, answer->status } };
 
-	log_line(G_LOG_LEVEL_INFO, PART, "purchase %s: %s", ask->tag,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "purchase %s: %s", ask->tag,
 		 answer->status == STORE_OK	? "taken"
 		 : answer->status == STORE_DOWN ? "refused"
 						: "no clear answer");
@@ -136,7 +136,7 @@
 {
 	(void)ctx;
 	if (answer->status != STORE_OK)
-		log_line(G_LOG_LEVEL_WARNING, PART,
+		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 			 "a release had no clear answer");
 }
 
@@ -225,7 +225,7 @@
 {
 	if (clock_now() < not_after)
 		return false;
-	log_line(G_LOG_LEVEL_WARNING, PART,
+	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 		 "dropped a %s decided under a lease that lapsed", what);
 	return true;
 }
@@ -318,7 +318,8 @@
 	if (acting == runner->acting)
 		return;
 	runner->acting = acting;
-	log_line(G_LOG_LEVEL_INFO, PART, "%s", acting ? "acts" : "stands by");
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "%s",
+		 acting ? "acts" : "stands by");
 	vm_watch_pause(runner->vms, !acting);
 	price_watch_pause(runner->prices, !acting);
 	if (!runner->bundles)
@@ -367,7 +368,7 @@
 	prices.platform = runner->platform;
 	runner->prices = price_watch_create(loop, &prices);
 	runner_timer(runner, &runner->tick, on_tick, TICK_MS);
-	log_line(G_LOG_LEVEL_INFO, PART, "%s started", id);
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "%s started", id);
 	g_free(id);
 	return runner;
 }
--- a/adapters/price_watch.c
+++ b/adapters/price_watch.c
@@ -4,7 +4,7 @@
 #include "adapters/json.h"
 #include "adapters/log_glib.h"
 
-#define PART "prices"
+#define LOG_COMPONENT "prices"
 #define PERIOD_MS 30000
 #define SLOTS_MOST 100000
 
@@ -85,7 +85,7 @@
 		return;
 	offers = offers_decode(answer->body, answer->len, &err);
 	if (!offers) {
-		log_error(PART, "dropped prices", &err);
+		log_error(LOG_COMPONENT, "dropped prices", &err);
 		return;
 	}
 	watch->config.on_prices(watch->config.ctx,
--- a/adapters/upstream_http.c
+++ b/adapters/upstream_http.c
@@ -9,7 +9,7 @@
 #include "adapters/log_glib.h"
 #include "adapters/sse.h"
 
-#define PART "upstream"
+#define LOG_COMPONENT "upstream"
 /* Only a backstop: the core drops silent attempts long before. */
 #define IO_TIMEOUT (120 * PD_SEC)
 #define PROBE_TIMEOUT (1500 * PD_MSEC)
@@ -160,7 +160,7 @@
 		return;
 	}
 	if (!data || json_read_string(data, "token", &event.data, &err) < 0) {
-		log_error(PART, "dropped an event", &err);
+		log_error(LOG_COMPONENT, "dropped an event", &err);
 		json_decref(data);
 		return;
 	}
@@ -179,7 +179,7 @@
 		return;
 	if (attempt->kind == TARGET_MODEL && attempt->status == STATUS_OK) {
 		if (sse_parser_feed(attempt->sse, data, len, &err) < 0)
-			log_error(PART, "dropped a stream", &err);
+			log_error(LOG_COMPONENT, "dropped a stream", &err);
 		return;
 	}
 	if (attempt->answer->len + len <= ANSWER_MAX)
@@ -193,7 +193,7 @@
 				   .written = attempt->written };
 
 	if (err) {
-		log_error(PART, "an attempt failed", err);
+		log_error(LOG_COMPONENT, "an attempt failed", err);
 	} else if (attempt->kind == TARGET_SERVICE) {
 		event.kind = UPSTREAM_ANSWER;
 		event.status = attempt->status;
--- a/adapters/vm_watch.c
+++ b/adapters/vm_watch.c
@@ -4,7 +4,7 @@
 #include "adapters/log_glib.h"
 #include "adapters/platform_json.h"
 
-#define PART "vm-list"
+#define LOG_COMPONENT "vm-list"
 
 struct vm_watch {
 	vm_watch_config_t config;
@@ -25,7 +25,7 @@
 		return;
 	vms = vm_list_decode(answer->body, answer->len, &err);
 	if (!vms) {
-		log_error(PART, "dropped a list", &err);
+		log_error(LOG_COMPONENT, "dropped a list", &err);
 		return;
 	}
 	watch->version = answer->version;
