--- a/adapters/sse.c
+++ b/adapters/sse.c
@@ -40,7 +40,7 @@
 	g_free(parser);
 }
 
-static void parser_emit(sse_parser_t *parser)
+static void parser_dispatch_event(sse_parser_t *parser)
 {
 	const sse_event_t event = {
 		.id = parser->id->str,
@@ -55,13 +55,13 @@
 	g_string_truncate(parser->data, 0);
 }
 
-static void parser_line(sse_parser_t *parser)
+static void parser_process_line(sse_parser_t *parser)
 {
 	char *line = parser->line->str;
 	char *value = strchr(line, ':');
 
 	if (parser->line->len == 0) {
-		parser_emit(parser);
+		parser_dispatch_event(parser);
 		return;
 	}
 	if (value == line) {
@@ -92,7 +92,7 @@
 {
 	for (size_t i = 0; i < len; i++) {
 		if (data[i] == '\n') {
-			parser_line(parser);
+			parser_process_line(parser);
 			g_string_truncate(parser->line, 0);
 		} else if (data[i] != '\r') {
 			g_string_append_c(parser->line, data[i]);
