--- a/adapters/peer_seal.c
+++ b/adapters/peer_seal.c
@@ -14,18 +14,18 @@
 
 G_STATIC_ASSERT(PEER_SEAL_BYTES == crypto_auth_BYTES);
 
-static int keys_add(peer_keys_t *keys, const char *line, const char *path,
-		    pd_error_t *err)
+static int parse_key(peer_keys_t *keys, const char *line, const char *path,
+		     pd_error_t *err)
 {
-	size_t got = 0;
+	size_t decoded_len = 0;
 
 	if (keys->count == KEYS_MAX)
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: expected at most %d keys", path,
 				    KEYS_MAX);
 	if (sodium_hex2bin(keys->keys[keys->count], crypto_auth_KEYBYTES, line,
-			   strlen(line), NULL, &got, NULL) != 0 ||
-	    got != crypto_auth_KEYBYTES)
+			   strlen(line), NULL, &decoded_len, NULL) != 0 ||
+	    decoded_len != crypto_auth_KEYBYTES)
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: expected %u bytes of hex a line", path,
 				    crypto_auth_KEYBYTES);
@@ -49,7 +49,7 @@
 	}
 	lines = g_strsplit(g_strstrip(text), "\n", -1);
 	for (char **line = lines; *line; line++) {
-		if (keys_add(keys, g_strstrip(*line), path, err) < 0)
+		if (parse_key(keys, g_strstrip(*line), path, err) < 0)
 			goto error;
 	}
 	if (keys->count == 0) {
--- a/adapters/signing.c
+++ b/adapters/signing.c
@@ -23,10 +23,11 @@
 
 static int from_hex(const char *hex, unsigned char *bytes, size_t len)
 {
-	size_t got = 0;
+	size_t decoded_len = 0;
 
-	if (sodium_hex2bin(bytes, len, hex, strlen(hex), "\r\n ", &got, NULL) != 0 ||
-	    got != len)
+	if (sodium_hex2bin(bytes, len, hex, strlen(hex), "\r\n ", &decoded_len,
+			   NULL) != 0 ||
+	    decoded_len != len)
 		return -1;
 	return 0;
 }
