--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -783,7 +783,7 @@
 	int rc = -1;
 
 	msgpack_unpacked_init(&unpacked);
-	if (msgpack_sizes_fit(data, len) &&
+	if (msgpack_lengths_fit(data, len) &&
 	    msgpack_unpack_next(&unpacked, data, len, &offset) ==
 		    MSGPACK_UNPACK_SUCCESS)
 		rc = dispatch_message(peers, &unpacked.data);
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -248,7 +248,7 @@
 	list->items = NULL;
 	list->count = 0;
 	msgpack_unpacked_init(&list->unpacked);
-	if (msgpack_sizes_fit((const char *)list->data, len) &&
+	if (msgpack_lengths_fit((const char *)list->data, len) &&
 	    msgpack_unpack_next(&list->unpacked, (const char *)list->data, len,
 				&offset) == MSGPACK_UNPACK_SUCCESS)
 		list->items = msgpack_field_items(&list->unpacked.data,
--- a/adapters/msgpack_check.h
+++ b/adapters/msgpack_check.h
@@ -5,6 +5,6 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-bool msgpack_sizes_fit(const char *data, size_t len);
+bool msgpack_lengths_fit(const char *data, size_t len);
 
 #endif
--- a/adapters/peer_codec.c
+++ b/adapters/peer_codec.c
@@ -387,7 +387,7 @@
 	size_t offset = 0;
 
 	msgpack_unpacked_init(&unpacked);
-	if (!msgpack_sizes_fit(data, len) ||
+	if (!msgpack_lengths_fit(data, len) ||
 	    msgpack_unpack_next(&unpacked, data, len, &offset) !=
 		    MSGPACK_UNPACK_SUCCESS ||
 	    offset != len) {
