--- a/adapters/gateway/flight_pack.c
+++ b/adapters/gateway/flight_pack.c
@@ -28,7 +28,7 @@
 		const inflight_expected_t *cell =
 			&g_array_index(expected, inflight_expected_t, i);
 
-		msgpack_write_text(packer, cell->account);
+		msgpack_write_string(packer, cell->account);
 		msgpack_pack_uint64(packer, cell->count);
 	}
 }
@@ -42,22 +42,22 @@
 {
 	uint32_t count = 0;
 	const msgpack_object *fields =
-		msgpack_field_items(object, HEADER_FIELDS, &count);
+		msgpack_field_array(object, HEADER_FIELDS, &count);
 	inflight_snapshot_t *snapshot;
 
 	if (!fields)
 		return NULL;
-	snapshot = inflight_snapshot_create(msgpack_field_number(&fields[0]));
-	snapshot->boot_time = pd_time_of_ms(msgpack_field_number(&fields[1]));
-	snapshot->started_at = pd_time_of_ms(msgpack_field_number(&fields[2]));
-	snapshot->taken_at = pd_time_of_ms(msgpack_field_number(&fields[3]));
-	snapshot->window = (int64_t)msgpack_field_number(&fields[4]);
+	snapshot = inflight_snapshot_create(msgpack_field_uint64(&fields[0]));
+	snapshot->boot_time = pd_time_of_ms(msgpack_field_uint64(&fields[1]));
+	snapshot->started_at = pd_time_of_ms(msgpack_field_uint64(&fields[2]));
+	snapshot->taken_at = pd_time_of_ms(msgpack_field_uint64(&fields[3]));
+	snapshot->window = (int64_t)msgpack_field_uint64(&fields[4]);
 	for (uint32_t i = HEADER_FIELDS; i + 1 < count; i += CELL_FIELDS) {
-		char *account = msgpack_field_text(&fields[i]);
+		char *account = msgpack_field_string(&fields[i]);
 
 		if (account)
 			inflight_snapshot_add(snapshot, account,
-					      msgpack_field_number(&fields[i + 1]));
+					      msgpack_field_uint64(&fields[i + 1]));
 		g_free(account);
 	}
 	return snapshot;
--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -257,12 +257,12 @@
 			     const msgpack_object *object, const GArray *excluded)
 {
 	uint32_t count = 0;
-	const msgpack_object *items = msgpack_field_items(object, 0, &count);
+	const msgpack_object *items = msgpack_field_array(object, 0, &count);
 
 	for (uint32_t i = 0; i + LOAD_FIELDS <= count; i += LOAD_FIELDS) {
-		load_t load = { (uint32_t)msgpack_field_number(&items[i]),
-				(unsigned int)msgpack_field_number(&items[i + 1]),
-				(double)msgpack_field_number(&items[i + 2]) *
+		load_t load = { (uint32_t)msgpack_field_uint64(&items[i]),
+				(unsigned int)msgpack_field_uint64(&items[i + 1]),
+				(double)msgpack_field_uint64(&items[i + 2]) *
 					PREFILL_UNIT_TOKENS };
 		forward_upstream_t *upstream =
 			forward_upstreams_find_by_short_id(peers->gateway->upstreams,
@@ -292,8 +292,8 @@
 /* Sets the loads of a service's unlisted upstreams to their mean. */
 static void add_mean_loads(gateway_peers_t *peers, const msgpack_object *object)
 {
-	const msgpack_object *fields = msgpack_field_items(object, 3, NULL);
-	char *service = fields ? msgpack_field_text(&fields[0]) : NULL;
+	const msgpack_object *fields = msgpack_field_array(object, 3, NULL);
+	char *service = fields ? msgpack_field_string(&fields[0]) : NULL;
 	const GPtrArray *serving =
 		service ? forward_upstreams_serving(peers->gateway->upstreams,
 						    service)
@@ -302,9 +302,9 @@
 	for (guint i = 0; serving && i < serving->len; i++) {
 		forward_upstream_t *upstream = g_ptr_array_index(serving, i);
 		load_t load = { forward_upstream_short_id(upstream),
-				(unsigned int)(msgpack_field_decimal(&fields[1]) +
+				(unsigned int)(msgpack_field_double(&fields[1]) +
 					       0.5),
-				msgpack_field_decimal(&fields[2]) };
+				msgpack_field_double(&fields[2]) };
 
 		if (!upstream->peers_running && upstream->peers_prefill_tokens <= 0)
 			add_load(peers->aggregator_loads, upstream, &load);
@@ -318,7 +318,7 @@
  */
 void peers_receive_summed_loads(gateway_peers_t *peers, const msgpack_object *object)
 {
-	const msgpack_object *parts = msgpack_field_items(object, 2, NULL);
+	const msgpack_object *parts = msgpack_field_array(object, 2, NULL);
 	uint32_t count = 0;
 	const msgpack_object *means;
 
@@ -327,7 +327,7 @@
 		return;
 	add_listed_loads(peers, peers->aggregator_loads, &parts[0],
 			 peers->last_sent_loads);
-	means = msgpack_field_items(&parts[1], 0, &count);
+	means = msgpack_field_array(&parts[1], 0, &count);
 	for (uint32_t i = 0; i < count; i++)
 		add_mean_loads(peers, &means[i]);
 }
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -72,7 +72,7 @@
 			   const token_use_t *use)
 {
 	msgpack_pack_array(packer, LIMIT_USE_FIELDS);
-	msgpack_write_text(packer, account);
+	msgpack_write_string(packer, account);
 	msgpack_pack_uint64(packer, (uint64_t)MAX(use->total, 0));
 	if (use->has_level)
 		msgpack_pack_float(packer, (float)use->level);
@@ -171,7 +171,7 @@
 	g_hash_table_iter_init(&iter, sums);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		msgpack_pack_array(packer, 2);
-		msgpack_write_text(packer, name);
+		msgpack_write_string(packer, name);
 		msgpack_pack_uint64(packer, (uint64_t)MAX(*(double *)value, 0));
 	}
 	g_hash_table_unref(sums);
@@ -184,7 +184,7 @@
 	writer->count++;
 	msgpack_pack_array(&writer->packer, USAGE_FIELDS);
 	msgpack_pack_uint64(&writer->packer, (uint64_t)entry->window);
-	msgpack_write_text(&writer->packer, entry->account);
+	msgpack_write_string(&writer->packer, entry->account);
 	msgpack_pack_uint64(&writer->packer, entry->count);
 }
 
@@ -230,8 +230,8 @@
 	msgpack_packer_init(&packer, buffer, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, COUNTS_FIELDS);
 	msgpack_pack_uint8(&packer, MESSAGE_COUNTS);
-	msgpack_write_text(&packer, peers->address);
-	msgpack_write_text(&packer, peers->incarnation);
+	msgpack_write_string(&packer, peers->address);
+	msgpack_write_string(&packer, peers->incarnation);
 	list_writer_end(&usage, buffer, &packer);
 	list_writer_end(&uses, buffer, &packer);
 	if (snapshot)
@@ -245,7 +245,7 @@
 static void pack_member(msgpack_packer *packer, const peer_t *peer)
 {
 	msgpack_pack_array(packer, MEMBER_FIELDS);
-	msgpack_write_text(packer, peer->address);
+	msgpack_write_string(packer, peer->address);
 	msgpack_pack_uint8(packer, peer->high_capacity);
 	msgpack_pack_uint16(packer, peer->zone);
 }
@@ -324,17 +324,17 @@
 
 	msgpack_pack_array(packer, STATE_FIELDS);
 	msgpack_pack_uint8(packer, (uint8_t)kind);
-	msgpack_write_text(packer, peers->address);
-	msgpack_write_text(packer, peers->incarnation);
+	msgpack_write_string(packer, peers->address);
+	msgpack_write_string(packer, peers->incarnation);
 	msgpack_pack_uint64(packer, (uint64_t)wall);
 	msgpack_pack_uint64(packer, peers_config_version(peers));
 	msgpack_pack_uint64(packer, peers_digest(peers));
 	msgpack_pack_uint64(packer, (uint64_t)(now - peers->started_at));
 	msgpack_pack_uint8(packer, (uint8_t)state_flags(peers, request_summary));
 	msgpack_pack_uint64(packer, (uint64_t)(now - peers->store_answered_at));
-	msgpack_write_text(packer, peers->is_leader ? peers->address
-				   : peers->leader  ? peers->leader
-						    : "");
+	msgpack_write_string(packer, peers->is_leader ? peers->address
+				     : peers->leader  ? peers->leader
+						      : "");
 	msgpack_pack_uint64(packer, peers->leader_fence);
 	msgpack_pack_uint32(packer, peers_view(peers, now)->fleet_size);
 }
@@ -361,7 +361,7 @@
 	g_hash_table_iter_init(&iter, speeds);
 	while (g_hash_table_iter_next(&iter, &name, &rate)) {
 		msgpack_pack_array(packer, 2);
-		msgpack_write_text(packer, name);
+		msgpack_write_string(packer, name);
 		msgpack_pack_float(packer, (float)*(double *)rate);
 	}
 	g_hash_table_unref(speeds);
@@ -474,7 +474,7 @@
 {
 	msgpack_pack_array(packer, FETCH_FIELDS);
 	msgpack_pack_uint8(packer, MESSAGE_FETCH);
-	msgpack_write_text(packer, peers->address);
+	msgpack_write_string(packer, peers->address);
 	msgpack_pack_uint8(packer, (uint8_t)what);
 }
 
@@ -527,7 +527,7 @@
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, 2);
 	msgpack_pack_uint8(&packer, MESSAGE_CONFIG);
-	msgpack_write_text(&packer, peers->gateway->config_text);
+	msgpack_write_string(&packer, peers->gateway->config_text);
 	peers_send(peers, peer, &buffer);
 	msgpack_sbuffer_destroy(&buffer);
 }
@@ -537,7 +537,7 @@
 {
 	msgpack_pack_array(packer, 3);
 	msgpack_pack_uint8(packer, MESSAGE_ANNOUNCEMENT);
-	msgpack_write_text(packer, peers->address);
+	msgpack_write_string(packer, peers->address);
 	msgpack_pack_uint64(packer, peers_config_version(peers));
 }
 
@@ -545,11 +545,11 @@
 static void pack_upstream(msgpack_packer *packer, const forward_upstream_t *upstream)
 {
 	msgpack_pack_array(packer, UPSTREAM_FIELDS);
-	msgpack_write_text(packer, upstream->id);
-	msgpack_write_text(packer, upstream->service);
-	msgpack_write_text(packer, upstream->address);
+	msgpack_write_string(packer, upstream->id);
+	msgpack_write_string(packer, upstream->service);
+	msgpack_write_string(packer, upstream->address);
 	msgpack_pack_uint16(packer, upstream->port);
-	msgpack_write_text(packer, upstream->zone);
+	msgpack_write_string(packer, upstream->zone);
 	msgpack_pack_uint32(packer, upstream->slots);
 	msgpack_pack_uint8(packer, (uint8_t)upstream->stage);
 	msgpack_pack_uint8(packer, upstream->reclaimable);
@@ -596,7 +596,7 @@
 {
 	msgpack_pack_array(packer, UPDATES_FIELDS);
 	msgpack_pack_uint8(packer, MESSAGE_UPDATES);
-	msgpack_write_text(packer, peers->address);
+	msgpack_write_string(packer, peers->address);
 	msgpack_pack_uint8(packer, all);
 }
 
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -60,15 +60,15 @@
 static bool read_limit_use(const msgpack_object *object, limit_use_t *use)
 {
 	const msgpack_object *fields =
-		msgpack_field_items(object, LIMIT_USE_FIELDS, NULL);
+		msgpack_field_array(object, LIMIT_USE_FIELDS, NULL);
 
 	if (!fields)
 		return false;
-	use->account = msgpack_field_text(&fields[0]);
-	use->granted = msgpack_field_decimal(&fields[1]);
+	use->account = msgpack_field_string(&fields[0]);
+	use->granted = msgpack_field_double(&fields[1]);
 	use->has_level = fields[2].type != MSGPACK_OBJECT_NIL;
-	use->level = msgpack_field_decimal(&fields[2]);
-	use->requested = msgpack_field_decimal(&fields[3]);
+	use->level = msgpack_field_double(&fields[2]);
+	use->requested = msgpack_field_double(&fields[3]);
 	return use->account != NULL;
 }
 
@@ -85,7 +85,7 @@
 	token_limits_t *limits = peers->gateway->limits;
 	pd_time_t now = gateway_now();
 	uint32_t count = 0;
-	const msgpack_object *items = msgpack_field_items(object, 0, &count);
+	const msgpack_object *items = msgpack_field_array(object, 0, &count);
 	limit_use_t use;
 
 	for (uint32_t i = 0; i < count; i++) {
@@ -114,7 +114,7 @@
 	token_limits_t *limits = peers->gateway->limits;
 	pd_time_t now = gateway_now();
 	uint32_t count = 0;
-	const msgpack_object *items = msgpack_field_items(object, 0, &count);
+	const msgpack_object *items = msgpack_field_array(object, 0, &count);
 	limit_use_t use;
 
 	for (uint32_t i = 0; i < count; i++) {
@@ -138,17 +138,17 @@
 		       const msgpack_object *object, const summed_values_t *summed)
 {
 	uint32_t count = 0;
-	const msgpack_object *items = msgpack_field_items(object, 0, &count);
+	const msgpack_object *items = msgpack_field_array(object, 0, &count);
 
 	for (uint32_t i = 0; i < count; i++) {
 		const msgpack_object *pair =
-			msgpack_field_items(&items[i], 2, NULL);
-		char *service = pair ? msgpack_field_text(&pair[0]) : NULL;
+			msgpack_field_array(&items[i], 2, NULL);
+		char *service = pair ? msgpack_field_string(&pair[0]) : NULL;
 		double total;
 
 		if (!service)
 			continue;
-		total = msgpack_field_decimal(&pair[1]);
+		total = msgpack_field_double(&pair[1]);
 		work_rate_record_peer(gateway->work, who, service, total);
 		if (summed)
 			summed_values_set(summed, service, total);
@@ -160,19 +160,20 @@
 static void merge_engine_speeds(gateway_t *gateway, const msgpack_object *object)
 {
 	uint32_t count = 0;
-	const msgpack_object *items = msgpack_field_items(object, 0, &count);
+	const msgpack_object *items = msgpack_field_array(object, 0, &count);
 
 	for (uint32_t i = 0; i < count; i++) {
 		const msgpack_object *pair =
-			msgpack_field_items(&items[i], 2, NULL);
-		char *service = pair ? msgpack_field_text(&pair[0]) : NULL;
+			msgpack_field_array(&items[i], 2, NULL);
+		char *service = pair ? msgpack_field_string(&pair[0]) : NULL;
 
 		/* A peer must not add services unknown to this gateway. */
 		if (service && gateway->config &&
 		    forward_config_service(gateway->config, service))
-			engine_speeds_record_peer(
-				forward_upstreams_speeds(gateway->upstreams),
-				service, msgpack_field_decimal(&pair[1]));
+			engine_speeds_record_peer(forward_upstreams_speeds(
+							  gateway->upstreams),
+						  service,
+						  msgpack_field_double(&pair[1]));
 		g_free(service);
 	}
 }
@@ -182,20 +183,20 @@
 			const msgpack_object *object)
 {
 	uint32_t count = 0;
-	const msgpack_object *items = msgpack_field_items(object, 0, &count);
+	const msgpack_object *items = msgpack_field_array(object, 0, &count);
 	uint64_t incarnation_id = usage_incarnation_id(incarnation);
 
 	for (uint32_t i = 0; i < count; i++) {
 		const msgpack_object *fields =
-			msgpack_field_items(&items[i], USAGE_FIELDS, NULL);
-		char *account = fields ? msgpack_field_text(&fields[1]) : NULL;
+			msgpack_field_array(&items[i], USAGE_FIELDS, NULL);
+		char *account = fields ? msgpack_field_string(&fields[1]) : NULL;
 
 		if (account) {
 			const usage_entry_t entry = {
-				.window = (int64_t)msgpack_field_number(&fields[0]),
+				.window = (int64_t)msgpack_field_uint64(&fields[0]),
 				.incarnation_id = incarnation_id,
 				.account = account,
-				.count = msgpack_field_number(&fields[2]),
+				.count = msgpack_field_uint64(&fields[2]),
 			};
 
 			usage_merge(gateway->usage, &entry);
@@ -214,25 +215,25 @@
 	if (object->type != MSGPACK_OBJECT_NIL)
 		usage_watermarks_advance(gateway->watermarks,
 					 usage_incarnation_id(incarnation),
-					 (int64_t)msgpack_field_number(object));
+					 (int64_t)msgpack_field_uint64(object));
 }
 
 /* Adds the members that a peer lists, and records that it heard from them. */
 static void merge_members(gateway_peers_t *peers, const msgpack_object *object)
 {
 	uint32_t count = 0;
-	const msgpack_object *items = msgpack_field_items(object, 0, &count);
+	const msgpack_object *items = msgpack_field_array(object, 0, &count);
 
 	for (uint32_t i = 0; i < count; i++) {
 		const msgpack_object *fields =
-			msgpack_field_items(&items[i], MEMBER_FIELDS, NULL);
-		char *address = fields ? msgpack_field_text(&fields[0]) : NULL;
+			msgpack_field_array(&items[i], MEMBER_FIELDS, NULL);
+		char *address = fields ? msgpack_field_string(&fields[0]) : NULL;
 		peer_t *peer = address ? peers_add(peers, address) : NULL;
 
 		if (peer) {
 			peer->mentioned_at = gateway_now();
-			peer->high_capacity = msgpack_field_number(&fields[1]) != 0;
-			peer->zone = (uint16_t)msgpack_field_number(&fields[2]);
+			peer->high_capacity = msgpack_field_uint64(&fields[1]) != 0;
+			peer->zone = (uint16_t)msgpack_field_uint64(&fields[2]);
 		}
 		g_free(address);
 	}
@@ -325,7 +326,7 @@
 static void update_leader(gateway_peers_t *peers, const msgpack_object *object,
 			  uint64_t fence)
 {
-	char *leader = msgpack_field_text(object);
+	char *leader = msgpack_field_string(object);
 
 	if (leader && *leader && fence > peers->leader_fence) {
 		g_free(peers->leader);
@@ -352,9 +353,9 @@
 static peer_t *identify_sender(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	unsigned int flags =
-		(unsigned int)msgpack_field_number(&fields[STATE_FLAGS]);
-	char *address = msgpack_field_text(&fields[STATE_ADDRESS]);
-	char *who = msgpack_field_text(&fields[STATE_INCARNATION]);
+		(unsigned int)msgpack_field_uint64(&fields[STATE_FLAGS]);
+	char *address = msgpack_field_string(&fields[STATE_ADDRESS]);
+	char *who = msgpack_field_string(&fields[STATE_INCARNATION]);
 	peer_t *peer = address && who ? peers_add(peers, address) : NULL;
 
 	if (!peer)
@@ -373,11 +374,11 @@
 	peer->vm_id = incarnation_vm(who);
 	peer->high_capacity = flags & STATE_FLAG_HIGH_CAPACITY;
 	peer->has_store = flags & STATE_FLAG_HAS_STORE;
-	peer->zone = (uint16_t)msgpack_field_number(&fields[STATE_ZONE]);
-	update_store_answered_at(peers, msgpack_field_number(
+	peer->zone = (uint16_t)msgpack_field_uint64(&fields[STATE_ZONE]);
+	update_store_answered_at(peers, msgpack_field_uint64(
 						&fields[STATE_STORE_ANSWER_AGE]));
 	update_leader(peers, &fields[STATE_LEADER],
-		      msgpack_field_number(&fields[STATE_LEADER_FENCE]));
+		      msgpack_field_uint64(&fields[STATE_LEADER_FENCE]));
 done:
 	g_free(address);
 	g_free(who);
@@ -388,8 +389,8 @@
 static void vote_clock(gateway_t *gateway, const peer_t *peer,
 		       const msgpack_object *fields, pd_time_t now)
 {
-	uint64_t wall = msgpack_field_number(&fields[STATE_WALL_TIME]);
-	uint64_t age = msgpack_field_number(&fields[STATE_CLOCK_STEP_AGE]);
+	uint64_t wall = msgpack_field_uint64(&fields[STATE_WALL_TIME]);
+	uint64_t age = msgpack_field_uint64(&fields[STATE_CLOCK_STEP_AGE]);
 
 	if (wall <= PD_TIME_MAX && age <= PD_TIME_MAX)
 		time_vote_receive_reading(gateway->vote, peer->vm_id,
@@ -413,10 +414,10 @@
 {
 	gateway_t *gateway = peers->gateway;
 	unsigned int flags =
-		(unsigned int)msgpack_field_number(&fields[STATE_FLAGS]);
+		(unsigned int)msgpack_field_uint64(&fields[STATE_FLAGS]);
 	peer_t *peer = identify_sender(peers, fields);
 	pd_time_t now = gateway_now();
-	uint64_t age = msgpack_field_number(&fields[STATE_UPTIME]);
+	uint64_t age = msgpack_field_uint64(&fields[STATE_UPTIME]);
 	bool first;
 
 	if (!peer)
@@ -446,8 +447,8 @@
 						    PEERS_FULL_PERIOD);
 	else if (first)
 		peers_send_state(peers, peer, false, true);
-	fetch_newer(peers, peer, msgpack_field_number(&fields[STATE_CONFIG]),
-		    msgpack_field_number(&fields[STATE_DIGEST]));
+	fetch_newer(peers, peer, msgpack_field_uint64(&fields[STATE_CONFIG]),
+		    msgpack_field_uint64(&fields[STATE_DIGEST]));
 	return 0;
 }
 
@@ -467,14 +468,14 @@
 	peer->heard_at = now;
 	note_peer_store_health(gateway, peer, now);
 	merge_members(peers, &fields[STATE_MEMBERS]);
-	fetch_newer(peers, peer, msgpack_field_number(&fields[STATE_CONFIG]),
-		    msgpack_field_number(&fields[STATE_DIGEST]));
+	fetch_newer(peers, peer, msgpack_field_uint64(&fields[STATE_CONFIG]),
+		    msgpack_field_uint64(&fields[STATE_DIGEST]));
 	if (!peers->aggregator || strcmp(peers->aggregator, peer->address))
 		return 0;
 	peers->summary_received_at = now;
 	peers->summary_fleet_size =
-		(unsigned int)msgpack_field_number(&fields[STATE_FLEET_SIZE]);
-	wall = msgpack_field_number(&fields[STATE_WALL_TIME]);
+		(unsigned int)msgpack_field_uint64(&fields[STATE_FLEET_SIZE]);
+	wall = msgpack_field_uint64(&fields[STATE_WALL_TIME]);
 	if (wall <= PD_TIME_MAX)
 		time_vote_receive_result(gateway->vote, (pd_time_t)wall, now);
 	apply_limit_use_sums(peers, &fields[STATE_LIMIT_USES]);
@@ -490,13 +491,13 @@
  */
 static int handle_announcement(gateway_peers_t *peers, const msgpack_object *fields)
 {
-	char *address = msgpack_field_text(&fields[1]);
+	char *address = msgpack_field_string(&fields[1]);
 	peer_t *peer = address ? peers_add(peers, address) : NULL;
 
 	g_free(address);
 	if (!peer)
 		return -1;
-	fetch_newer(peers, peer, msgpack_field_number(&fields[2]), 0);
+	fetch_newer(peers, peer, msgpack_field_uint64(&fields[2]), 0);
 	return 0;
 }
 
@@ -505,7 +506,7 @@
  */
 static int handle_config(gateway_peers_t *peers, const msgpack_object *fields)
 {
-	char *text = msgpack_field_text(&fields[1]);
+	char *text = msgpack_field_string(&fields[1]);
 
 	if (!text)
 		return -1;
@@ -549,11 +550,11 @@
 			GArray *unknown)
 {
 	gateway_t *gateway = peers->gateway;
-	uint64_t id_hash = msgpack_field_number(&fields[0]);
+	uint64_t id_hash = msgpack_field_uint64(&fields[0]);
 	const forward_stage_update_t change = {
-		.stage = (forward_stage_t)msgpack_field_number(&fields[1]),
-		.revision = msgpack_field_number(&fields[2]),
-		.start_time_ms = (int64_t)msgpack_field_number(&fields[3]),
+		.stage = (forward_stage_t)msgpack_field_uint64(&fields[1]),
+		.revision = msgpack_field_uint64(&fields[2]),
+		.start_time_ms = (int64_t)msgpack_field_uint64(&fields[3]),
 	};
 	forward_upstream_t *upstream =
 		forward_upstreams_find_by_short_id(gateway->upstreams,
@@ -578,31 +579,31 @@
 {
 	gateway_t *gateway = peers->gateway;
 	const msgpack_object *fields =
-		msgpack_field_items(object, UPSTREAM_FIELDS, NULL);
+		msgpack_field_array(object, UPSTREAM_FIELDS, NULL);
 	char *texts[4] = { NULL };
 	forward_registration_t listing = { 0 };
 	bool changed = false;
 
 	if (!fields) {
-		fields = msgpack_field_items(object, STAGE_FIELDS, NULL);
+		fields = msgpack_field_array(object, STAGE_FIELDS, NULL);
 		if (fields)
 			apply_stage(peers, fields, unknown);
 		return;
 	}
-	texts[0] = msgpack_field_text(&fields[0]);
-	texts[1] = msgpack_field_text(&fields[1]);
-	texts[2] = msgpack_field_text(&fields[2]);
-	texts[3] = msgpack_field_text(&fields[4]);
+	texts[0] = msgpack_field_string(&fields[0]);
+	texts[1] = msgpack_field_string(&fields[1]);
+	texts[2] = msgpack_field_string(&fields[2]);
+	texts[3] = msgpack_field_string(&fields[4]);
 	listing.id = texts[0];
 	listing.service = texts[1];
 	listing.address = texts[2];
-	listing.port = (uint16_t)msgpack_field_number(&fields[3]);
+	listing.port = (uint16_t)msgpack_field_uint64(&fields[3]);
 	listing.zone = texts[3];
-	listing.slots = (unsigned int)msgpack_field_number(&fields[5]);
-	listing.stage = (forward_stage_t)msgpack_field_number(&fields[6]);
-	listing.reclaimable = msgpack_field_number(&fields[7]) != 0;
-	listing.revision = msgpack_field_number(&fields[8]);
-	listing.start_time_ms = (int64_t)msgpack_field_number(&fields[9]);
+	listing.slots = (unsigned int)msgpack_field_uint64(&fields[5]);
+	listing.stage = (forward_stage_t)msgpack_field_uint64(&fields[6]);
+	listing.reclaimable = msgpack_field_uint64(&fields[7]) != 0;
+	listing.revision = msgpack_field_uint64(&fields[8]);
+	listing.start_time_ms = (int64_t)msgpack_field_uint64(&fields[9]);
 	if (!texts[0] || !texts[1] || !texts[2] || !texts[3] ||
 	    listing.stage > FORWARD_GONE)
 		goto done;
@@ -627,8 +628,8 @@
 static int handle_updates(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	uint32_t count = 0;
-	const msgpack_object *items = msgpack_field_items(&fields[3], 0, &count);
-	char *address = msgpack_field_text(&fields[1]);
+	const msgpack_object *items = msgpack_field_array(&fields[3], 0, &count);
+	char *address = msgpack_field_string(&fields[1]);
 	peer_t *peer = address ? peers_add(peers, address) : NULL;
 	GArray *unknown;
 
@@ -638,7 +639,7 @@
 	unknown = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	for (uint32_t i = 0; i < count; i++)
 		apply_upstream(peers, &items[i], unknown);
-	if (msgpack_field_number(&fields[2]))
+	if (msgpack_field_uint64(&fields[2]))
 		peers->gateway->upstreams_listed = true;
 	if (unknown->len)
 		peers_send_fetch_by_id_hash(peers, peer, unknown);
@@ -651,11 +652,11 @@
 				     const msgpack_object *object)
 {
 	uint32_t count = 0;
-	const msgpack_object *items = msgpack_field_items(object, 0, &count);
+	const msgpack_object *items = msgpack_field_array(object, 0, &count);
 	GArray *id_hashes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 
 	for (uint32_t i = 0; i < count; i++) {
-		uint64_t id_hash = msgpack_field_number(&items[i]);
+		uint64_t id_hash = msgpack_field_uint64(&items[i]);
 
 		g_array_append_val(id_hashes, id_hash);
 	}
@@ -668,12 +669,12 @@
 			 uint64_t digests[FORWARD_DIGEST_BUCKETS])
 {
 	const msgpack_object *items =
-		msgpack_field_items(object, FORWARD_DIGEST_BUCKETS, NULL);
+		msgpack_field_array(object, FORWARD_DIGEST_BUCKETS, NULL);
 
 	if (!items)
 		return false;
 	for (unsigned int i = 0; i < FORWARD_DIGEST_BUCKETS; i++)
-		digests[i] = msgpack_field_number(&items[i]);
+		digests[i] = msgpack_field_uint64(&items[i]);
 	return true;
 }
 
@@ -681,8 +682,8 @@
 static int handle_fetch(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	uint64_t digests[FORWARD_DIGEST_BUCKETS];
-	uint64_t what = msgpack_field_number(&fields[2]);
-	char *address = msgpack_field_text(&fields[1]);
+	uint64_t what = msgpack_field_uint64(&fields[2]);
+	char *address = msgpack_field_string(&fields[1]);
 	peer_t *peer = address ? peers_add(peers, address) : NULL;
 
 	g_free(address);
@@ -714,8 +715,8 @@
  */
 static int handle_counts(gateway_peers_t *peers, const msgpack_object *fields)
 {
-	char *address = msgpack_field_text(&fields[1]);
-	char *who = msgpack_field_text(&fields[2]);
+	char *address = msgpack_field_string(&fields[1]);
+	char *who = msgpack_field_string(&fields[2]);
 	peer_t *peer = address ? peers_find(peers, address) : NULL;
 	int rc;
 
@@ -751,8 +752,8 @@
 		[MESSAGE_COUNTS] = COUNTS_FIELDS,
 	};
 	uint32_t count = 0;
-	const msgpack_object *fields = msgpack_field_items(object, 1, &count);
-	uint64_t kind = fields ? msgpack_field_number(&fields[0]) : UINT64_MAX;
+	const msgpack_object *fields = msgpack_field_array(object, 1, &count);
+	uint64_t kind = fields ? msgpack_field_uint64(&fields[0]) : UINT64_MAX;
 
 	if (kind > MESSAGE_COUNTS || count < lengths[kind])
 		return -1;
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -97,7 +97,7 @@
 {
 	msgpack_pack_array(packer, accounts->len);
 	for (guint i = 0; i < accounts->len; i++)
-		msgpack_write_text(packer, g_ptr_array_index(accounts, i));
+		msgpack_write_string(packer, g_ptr_array_index(accounts, i));
 }
 
 /*
@@ -190,15 +190,15 @@
 {
 	uint32_t count = 0;
 	const msgpack_object *fields =
-		msgpack_field_items(object, ROW_HEADER_FIELDS, &count);
+		msgpack_field_array(object, ROW_HEADER_FIELDS, &count);
 
 	for (uint32_t i = ROW_HEADER_FIELDS; fields && i + 1 < count;
 	     i += CELL_FIELDS) {
-		uint64_t index = msgpack_field_number(&fields[i]);
+		uint64_t index = msgpack_field_uint64(&fields[i]);
 		usage_entry_t entry = {
-			.window = (int64_t)msgpack_field_number(&fields[0]),
-			.incarnation_id = msgpack_field_number(&fields[1]),
-			.count = msgpack_field_number(&fields[i + 1]),
+			.window = (int64_t)msgpack_field_uint64(&fields[0]),
+			.incarnation_id = msgpack_field_uint64(&fields[1]),
+			.count = msgpack_field_uint64(&fields[i + 1]),
 		};
 
 		if (index >= accounts->len)
@@ -216,10 +216,10 @@
 {
 	GPtrArray *accounts = g_ptr_array_new_with_free_func(g_free);
 	uint32_t count = 0;
-	const msgpack_object *items = msgpack_field_items(object, 0, &count);
+	const msgpack_object *items = msgpack_field_array(object, 0, &count);
 
 	for (uint32_t i = 0; i < count; i++) {
-		char *account = msgpack_field_text(&items[i]);
+		char *account = msgpack_field_string(&items[i]);
 
 		g_ptr_array_add(accounts, account ? account : g_strdup(""));
 	}
@@ -251,7 +251,7 @@
 	if (msgpack_lengths_fit((const char *)list->data, len) &&
 	    msgpack_unpack_next(&list->unpacked, (const char *)list->data, len,
 				&offset) == MSGPACK_UNPACK_SUCCESS)
-		list->items = msgpack_field_items(&list->unpacked.data,
+		list->items = msgpack_field_array(&list->unpacked.data,
 						  count_min, &list->count);
 }
 
--- a/adapters/msgpack_fields.c
+++ b/adapters/msgpack_fields.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 
 /* Returns a copy of a text, which the caller frees; NULL: it is none. */
-char *msgpack_field_text(const msgpack_object *object)
+char *msgpack_field_string(const msgpack_object *object)
 {
 	if (object->type != MSGPACK_OBJECT_STR)
 		return NULL;
@@ -12,26 +12,27 @@
 }
 
 /* Returns a number, 0 if it is none. */
-uint64_t msgpack_field_number(const msgpack_object *object)
+uint64_t msgpack_field_uint64(const msgpack_object *object)
 {
 	return object->type == MSGPACK_OBJECT_POSITIVE_INTEGER ? object->via.u64
 							       : 0;
 }
 
 /* Returns a decimal or whole number, 0 if it is none. */
-double msgpack_field_decimal(const msgpack_object *object)
+double msgpack_field_double(const msgpack_object *object)
 {
 	if (object->type == MSGPACK_OBJECT_FLOAT32 ||
 	    object->type == MSGPACK_OBJECT_FLOAT64)
 		return object->via.f64;
-	return (double)msgpack_field_number(object);
+	return (double)msgpack_field_uint64(object);
 }
 
-/* Returns the items of an array of at least LEAST, or NULL. */
-const msgpack_object *msgpack_field_items(const msgpack_object *object,
-					  uint32_t least, uint32_t *count)
+/* Returns the items of an array of at least MIN_COUNT, or NULL. */
+const msgpack_object *msgpack_field_array(const msgpack_object *object,
+					  uint32_t min_count, uint32_t *count)
 {
-	if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size < least)
+	if (object->type != MSGPACK_OBJECT_ARRAY ||
+	    object->via.array.size < min_count)
 		return NULL;
 	if (count)
 		*count = object->via.array.size;
--- a/adapters/msgpack_fields.h
+++ b/adapters/msgpack_fields.h
@@ -5,10 +5,10 @@
 #include <msgpack.h>
 #include <stdint.h>
 
-const msgpack_object *msgpack_field_items(const msgpack_object *object,
-					  uint32_t least, uint32_t *count);
-uint64_t msgpack_field_number(const msgpack_object *object);
-double msgpack_field_decimal(const msgpack_object *object);
-char *msgpack_field_text(const msgpack_object *object);
+const msgpack_object *msgpack_field_array(const msgpack_object *object,
+					  uint32_t min_count, uint32_t *count);
+uint64_t msgpack_field_uint64(const msgpack_object *object);
+double msgpack_field_double(const msgpack_object *object);
+char *msgpack_field_string(const msgpack_object *object);
 
 #endif
--- a/adapters/msgpack_write.c
+++ b/adapters/msgpack_write.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* Packs a text, which may not be NULL. */
-void msgpack_write_text(msgpack_packer *packer, const char *text)
+void msgpack_write_string(msgpack_packer *packer, const char *text)
 {
 	size_t len = strlen(text);
 
--- a/adapters/msgpack_write.h
+++ b/adapters/msgpack_write.h
@@ -12,7 +12,7 @@
 	uint32_t count; /* which the caller raises with each item */
 } list_writer_t;
 
-void msgpack_write_text(msgpack_packer *packer, const char *text);
+void msgpack_write_string(msgpack_packer *packer, const char *text);
 void list_writer_init(list_writer_t *writer);
 void list_writer_end(list_writer_t *writer, msgpack_sbuffer *out,
 		     msgpack_packer *packer);
--- a/tests/unit/test_msgpack_write.c
+++ b/tests/unit/test_msgpack_write.c
@@ -11,7 +11,7 @@
 #include "adapters/msgpack_fields.h"
 #include "adapters/msgpack_write.h"
 
-static void test_a_list_is_packed_behind_its_length(void **state)
+static void test_list_is_packed_after_its_length(void **state)
 {
 	static const char *const texts[] = { "", "mill", "gin \"\\" };
 	list_writer_t writer;
@@ -28,14 +28,14 @@
 	list_writer_init(&writer);
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
 		writer.count++;
-		msgpack_write_text(&writer.packer, texts[i]);
+		msgpack_write_string(&writer.packer, texts[i]);
 	}
 	list_writer_end(&writer, &out, &packer);
 	msgpack_unpacked_init(&unpacked);
 	assert_int_equal(msgpack_unpack_next(&unpacked, out.data, out.size, &offset),
 			 MSGPACK_UNPACK_SUCCESS);
 	assert_int_equal(offset, out.size);
-	items = msgpack_field_items(&unpacked.data, 0, &count);
+	items = msgpack_field_array(&unpacked.data, 0, &count);
 	assert_int_equal(count, G_N_ELEMENTS(texts));
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
 		assert_int_equal(items[i].type, MSGPACK_OBJECT_STR);
@@ -51,7 +51,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_list_is_packed_behind_its_length),
+		cmocka_unit_test(test_list_is_packed_after_its_length),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
