--- a/adapters/placer_runner.c
+++ b/adapters/placer_runner.c
@@ -320,8 +320,8 @@
 	runner->acting = acting;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "%s",
 		 acting ? "acts" : "stands by");
-	vm_watch_pause(runner->vms, !acting);
-	price_watch_pause(runner->prices, !acting);
+	vm_watch_set_paused(runner->vms, !acting);
+	price_watch_set_paused(runner->prices, !acting);
 	if (!runner->bundles)
 		runner->bundles = bundle_watch_create(runner->loop, &config);
 }
@@ -364,7 +364,7 @@
 	runner->engines = http_client_create(loop, ENGINE_TIMEOUT);
 	vms.platform = runner->platform;
 	runner->vms = vm_watch_create(runner->loop, &vms);
-	vm_watch_pause(runner->vms, true);
+	vm_watch_set_paused(runner->vms, true);
 	prices.platform = runner->platform;
 	runner->prices = price_watch_create(loop, &prices);
 	runner_timer(runner, &runner->tick, on_tick, TICK_MS);
--- a/adapters/price_watch.c
+++ b/adapters/price_watch.c
@@ -5,13 +5,13 @@
 #include "adapters/log_glib.h"
 
 #define LOG_COMPONENT "prices"
-#define PERIOD_MS 30000
-#define SLOTS_MOST 100000
+#define PRICE_PERIOD_MS 30000
+#define SLOTS_MAX 100000
 
 struct price_watch {
 	price_watch_config_t config;
 	uv_timer_t timer;
-	bool asking;
+	bool request_in_flight;
 };
 
 static int offer_decode(const json_t *object, offer_t *offer, pd_error_t *err)
@@ -25,7 +25,7 @@
 	    json_read_integer(object, "price", &offer->price, err) < 0 ||
 	    json_read_integer(object, "slots", &slots, err) < 0)
 		return -1;
-	if (slots < 1 || slots > SLOTS_MOST || offer->price < 0)
+	if (slots < 1 || slots > SLOTS_MAX || offer->price < 0)
 		return pd_error_set(err, PD_ERROR_INPUT,
 				    "an offer's slots or price is out of "
 				    "range");
@@ -50,18 +50,18 @@
 {
 	GArray *offers = g_array_new(FALSE, TRUE, sizeof(offer_t));
 	json_t *object = json_parse(data, len, err);
-	json_t *rows;
-	json_t *row;
+	json_t *items;
+	json_t *item;
 	size_t i;
 
 	g_array_set_clear_func(offers, offer_clear);
-	if (!object || json_read_array(object, "offers", &rows, err) < 0)
+	if (!object || json_read_array(object, "offers", &items, err) < 0)
 		goto error;
-	json_array_foreach(rows, i, row)
+	json_array_foreach(items, i, item)
 	{
 		offer_t offer = { 0 };
 
-		if (offer_decode(row, &offer, err) < 0)
+		if (offer_decode(item, &offer, err) < 0)
 			goto error;
 		g_array_append_val(offers, offer);
 	}
@@ -80,7 +80,7 @@
 	pd_error_t err;
 	GArray *offers;
 
-	watch->asking = false;
+	watch->request_in_flight = false;
 	if (answer->status != STORE_OK)
 		return;
 	offers = offers_decode(answer->body, answer->len, &err);
@@ -93,13 +93,13 @@
 	g_array_unref(offers);
 }
 
-static void watch_due(uv_timer_t *timer)
+static void watch_on_timer(uv_timer_t *timer)
 {
 	price_watch_t *watch = timer->data;
 
-	if (watch->asking)
+	if (watch->request_in_flight)
 		return;
-	watch->asking = true;
+	watch->request_in_flight = true;
 	platform_prices(watch->config.platform, watch_on_answer, watch);
 }
 
@@ -115,10 +115,10 @@
 }
 
 /* Stops asking, or asks now and every so often. */
-void price_watch_pause(price_watch_t *watch, bool paused)
+void price_watch_set_paused(price_watch_t *watch, bool paused)
 {
 	if (paused)
 		uv_timer_stop(&watch->timer);
 	else
-		uv_timer_start(&watch->timer, watch_due, 0, PERIOD_MS);
+		uv_timer_start(&watch->timer, watch_on_timer, 0, PRICE_PERIOD_MS);
 }
--- a/adapters/price_watch.h
+++ b/adapters/price_watch.h
@@ -17,7 +17,7 @@
 
 price_watch_t *price_watch_create(uv_loop_t *loop,
 				  const price_watch_config_t *config);
-void price_watch_pause(price_watch_t *watch, bool paused);
+void price_watch_set_paused(price_watch_t *watch, bool paused);
 GArray *offers_decode(const char *data, size_t len, pd_error_t *err);
 
 #endif
--- a/adapters/vm_watch.c
+++ b/adapters/vm_watch.c
@@ -10,7 +10,7 @@
 	vm_watch_config_t config;
 	uv_timer_t timer;
 	uint64_t version; /* of the list handed on last */
-	bool asking;
+	bool request_in_flight;
 	bool paused;
 };
 
@@ -20,7 +20,7 @@
 	pd_error_t err;
 	GArray *vms;
 
-	watch->asking = false;
+	watch->request_in_flight = false;
 	if (answer->status != STORE_OK || watch->paused)
 		return;
 	vms = vm_list_decode(answer->body, answer->len, &err);
@@ -34,13 +34,13 @@
 }
 
 /* A slow platform must not be asked again before it has answered. */
-static void watch_due(uv_timer_t *timer)
+static void watch_on_timer(uv_timer_t *timer)
 {
 	vm_watch_t *watch = timer->data;
 
-	if (watch->asking || watch->paused)
+	if (watch->request_in_flight || watch->paused)
 		return;
-	watch->asking = true;
+	watch->request_in_flight = true;
 	platform_vms(watch->config.platform, watch->version, watch_on_answer,
 		     watch);
 }
@@ -53,12 +53,12 @@
 	watch->config = *config;
 	uv_timer_init(loop, &watch->timer);
 	watch->timer.data = watch;
-	uv_timer_start(&watch->timer, watch_due, 0, config->period_ms);
+	uv_timer_start(&watch->timer, watch_on_timer, 0, config->period_ms);
 	return watch;
 }
 
 /* Stops asking, or asks again and then hands on the whole list once. */
-void vm_watch_pause(vm_watch_t *watch, bool paused)
+void vm_watch_set_paused(vm_watch_t *watch, bool paused)
 {
 	watch->paused = paused;
 	if (paused)
--- a/adapters/vm_watch.h
+++ b/adapters/vm_watch.h
@@ -17,6 +17,6 @@
 } vm_watch_config_t;
 
 vm_watch_t *vm_watch_create(uv_loop_t *loop, const vm_watch_config_t *config);
-void vm_watch_pause(vm_watch_t *watch, bool paused);
+void vm_watch_set_paused(vm_watch_t *watch, bool paused);
 
 #endif
