--- a/adapters/peer_codec.c
+++ b/adapters/peer_codec.c
@@ -6,14 +6,14 @@
 
 #include "adapters/msgpack_check.h"
 
-#define FIELDS 12
+#define MSG_FIELDS 12
 #define MEMBER_FIELDS 7
 #define LEAVING_FIELDS 2
 #define DEMAND_FIELDS 2
 #define CLAIM_FIELDS 8
 #define HANDOVER_FIELDS 16
 
-static void pack_text(msgpack_packer *packer, const char *text)
+static void pack_string(msgpack_packer *packer, const char *text)
 {
 	size_t len = text ? strlen(text) : 0;
 
@@ -24,9 +24,9 @@
 static void pack_member(msgpack_packer *packer, const member_info_t *info)
 {
 	msgpack_pack_array(packer, MEMBER_FIELDS);
-	pack_text(packer, info->id);
-	pack_text(packer, info->zone);
-	pack_text(packer, info->address);
+	pack_string(packer, info->id);
+	pack_string(packer, info->zone);
+	pack_string(packer, info->address);
 	msgpack_pack_uint16(packer, info->peer_port);
 	msgpack_pack_uint16(packer, info->http_port);
 	msgpack_pack_uint64(packer, info->incarnation);
@@ -46,7 +46,7 @@
 static void pack_optional(msgpack_packer *packer, const char *text)
 {
 	if (text)
-		pack_text(packer, text);
+		pack_string(packer, text);
 	else
 		msgpack_pack_nil(packer);
 }
@@ -61,9 +61,9 @@
 	msgpack_pack_uint64(packer, note->ticket);
 	msgpack_pack_uint8(packer, note->operation);
 	msgpack_pack_uint8(packer, note->outcome);
-	pack_text(packer, note->key);
-	pack_text(packer, note->nonce);
-	pack_text(packer, note->digest);
+	pack_string(packer, note->key);
+	pack_string(packer, note->nonce);
+	pack_string(packer, note->digest);
 	msgpack_pack_uint32(packer, (uint32_t)note->status);
 	pack_optional(packer, note->answer);
 }
@@ -75,15 +75,15 @@
 		return;
 	}
 	msgpack_pack_array(packer, HANDOVER_FIELDS);
-	pack_text(packer, handover->request_id);
-	pack_text(packer, handover->account);
-	pack_text(packer, handover->target);
-	pack_text(packer, handover->path);
+	pack_string(packer, handover->request_id);
+	pack_string(packer, handover->account);
+	pack_string(packer, handover->target);
+	pack_string(packer, handover->path);
 	pack_optional(packer, handover->idempotency_key);
 	pack_optional(packer, handover->claim_key);
 	pack_optional(packer, handover->nonce);
 	pack_optional(packer, handover->vm_id);
-	pack_text(packer, handover->emitted);
+	pack_string(packer, handover->emitted);
 	msgpack_pack_uint64(packer, handover->offset);
 	msgpack_pack_uint32(packer, handover->max_tokens);
 	msgpack_pack_uint8(packer, handover->written);
@@ -98,7 +98,7 @@
 	msgpack_pack_array(packer, msg->demand_count);
 	for (unsigned int i = 0; i < msg->demand_count; i++) {
 		msgpack_pack_array(packer, DEMAND_FIELDS);
-		pack_text(packer, msg->demand[i].account);
+		pack_string(packer, msg->demand[i].account);
 		msgpack_pack_uint32(packer, msg->demand[i].per_second);
 	}
 }
@@ -112,7 +112,7 @@
 
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	msgpack_pack_array(&packer, FIELDS);
+	msgpack_pack_array(&packer, MSG_FIELDS);
 	msgpack_pack_uint8(&packer, PEER_PROTOCOL_VERSION);
 	msgpack_pack_uint8(&packer, (uint8_t)msg->kind);
 	msgpack_pack_uint64(&packer, msg->sequence);
@@ -124,11 +124,11 @@
 	msgpack_pack_array(&packer, msg->leaving_count);
 	for (unsigned int i = 0; i < msg->leaving_count; i++) {
 		msgpack_pack_array(&packer, LEAVING_FIELDS);
-		pack_text(&packer, msg->leaving[i].vm_id);
+		pack_string(&packer, msg->leaving[i].vm_id);
 		msgpack_pack_int64(&packer, msg->leaving[i].leaves_in);
 	}
 	pack_demand(&packer, msg);
-	pack_text(&packer, msg->about);
+	pack_string(&packer, msg->about);
 	pack_claim(&packer, &msg->claim);
 	pack_handover(&packer, &msg->handover);
 	pack_bytes(&packer, msg->body);
@@ -137,19 +137,19 @@
 	return bytes;
 }
 
-static int unpack_uint(const msgpack_object *object, uint64_t most,
+static int unpack_uint(const msgpack_object *object, uint64_t max,
 		       uint64_t *value, pd_error_t *err)
 {
-	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER || object->via.u64 > most)
+	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER || object->via.u64 > max)
 		return pd_error_set(err, PD_ERROR_INPUT,
 				    "peer message: expected an integer up to "
 				    "%" G_GUINT64_FORMAT,
-				    most);
+				    max);
 	*value = object->via.u64;
 	return 0;
 }
 
-static int unpack_text(const msgpack_object *object, char **text, pd_error_t *err)
+static int unpack_string(const msgpack_object *object, char **text, pd_error_t *err)
 {
 	const msgpack_object_str *str = &object->via.str;
 
@@ -160,15 +160,15 @@
 	return 0;
 }
 
-static int unpack_array(const msgpack_object *object, uint32_t least,
-			uint32_t most, pd_error_t *err)
+static int unpack_array(const msgpack_object *object, uint32_t min_count,
+			uint32_t max, pd_error_t *err)
 {
 	if (object->type != MSGPACK_OBJECT_ARRAY ||
-	    object->via.array.size < least || object->via.array.size > most)
+	    object->via.array.size < min_count || object->via.array.size > max)
 		return pd_error_set(err, PD_ERROR_INPUT,
 				    "peer message: expected an array of %u to "
 				    "%u items",
-				    least, most);
+				    min_count, max);
 	return 0;
 }
 
@@ -184,9 +184,9 @@
 	if (unpack_array(object, MEMBER_FIELDS, MEMBER_FIELDS, err) < 0)
 		return -1;
 	fields = object->via.array.ptr;
-	if (unpack_text(&fields[0], &info->id, err) < 0 ||
-	    unpack_text(&fields[1], &info->zone, err) < 0 ||
-	    unpack_text(&fields[2], &info->address, err) < 0 ||
+	if (unpack_string(&fields[0], &info->id, err) < 0 ||
+	    unpack_string(&fields[1], &info->zone, err) < 0 ||
+	    unpack_string(&fields[2], &info->address, err) < 0 ||
 	    unpack_uint(&fields[3], UINT16_MAX, &peer_port, err) < 0 ||
 	    unpack_uint(&fields[4], UINT16_MAX, &http_port, err) < 0 ||
 	    unpack_uint(&fields[5], UINT64_MAX, &info->incarnation, err) < 0 ||
@@ -218,14 +218,14 @@
 	if (unpack_array(object, 0, PEER_NEWS_MAX, err) < 0)
 		return -1;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
-		const msgpack_object *pair = &object->via.array.ptr[i];
+		const msgpack_object *item = &object->via.array.ptr[i];
 		uint64_t leaves_in = 0;
 
 		msg->leaving_count++;
-		if (unpack_array(pair, LEAVING_FIELDS, LEAVING_FIELDS, err) < 0 ||
-		    unpack_text(&pair->via.array.ptr[0], &msg->leaving[i].vm_id,
-				err) < 0 ||
-		    unpack_uint(&pair->via.array.ptr[1], INT64_MAX, &leaves_in,
+		if (unpack_array(item, LEAVING_FIELDS, LEAVING_FIELDS, err) < 0 ||
+		    unpack_string(&item->via.array.ptr[0],
+				  &msg->leaving[i].vm_id, err) < 0 ||
+		    unpack_uint(&item->via.array.ptr[1], INT64_MAX, &leaves_in,
 				err) < 0)
 			return -1;
 		msg->leaving[i].leaves_in = (pd_time_t)leaves_in;
@@ -239,14 +239,14 @@
 	if (unpack_array(object, 0, PEER_NEWS_MAX, err) < 0)
 		return -1;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
-		const msgpack_object *pair = &object->via.array.ptr[i];
+		const msgpack_object *item = &object->via.array.ptr[i];
 		uint64_t rate = 0;
 
 		msg->demand_count++;
-		if (unpack_array(pair, DEMAND_FIELDS, DEMAND_FIELDS, err) < 0 ||
-		    unpack_text(&pair->via.array.ptr[0],
-				&msg->demand[i].account, err) < 0 ||
-		    unpack_uint(&pair->via.array.ptr[1], UINT32_MAX, &rate, err) < 0)
+		if (unpack_array(item, DEMAND_FIELDS, DEMAND_FIELDS, err) < 0 ||
+		    unpack_string(&item->via.array.ptr[0],
+				  &msg->demand[i].account, err) < 0 ||
+		    unpack_uint(&item->via.array.ptr[1], UINT32_MAX, &rate, err) < 0)
 			return -1;
 		msg->demand[i].per_second = (uint32_t)rate;
 	}
@@ -258,7 +258,7 @@
 {
 	if (object->type == MSGPACK_OBJECT_NIL)
 		return 0;
-	return unpack_text(object, text, err);
+	return unpack_string(object, text, err);
 }
 
 static int unpack_bytes(const msgpack_object *object, GBytes **bytes,
@@ -288,9 +288,9 @@
 	if (unpack_uint(&fields[0], UINT64_MAX, &note->ticket, err) < 0 ||
 	    unpack_uint(&fields[1], UINT8_MAX, &operation, err) < 0 ||
 	    unpack_uint(&fields[2], UINT8_MAX, &outcome, err) < 0 ||
-	    unpack_text(&fields[3], &note->key, err) < 0 ||
-	    unpack_text(&fields[4], &note->nonce, err) < 0 ||
-	    unpack_text(&fields[5], &note->digest, err) < 0 ||
+	    unpack_string(&fields[3], &note->key, err) < 0 ||
+	    unpack_string(&fields[4], &note->nonce, err) < 0 ||
+	    unpack_string(&fields[5], &note->digest, err) < 0 ||
 	    unpack_uint(&fields[6], INT32_MAX, &status, err) < 0 ||
 	    unpack_optional(&fields[7], &note->answer, err) < 0)
 		return -1;
@@ -300,18 +300,18 @@
 	return 0;
 }
 
-static int unpack_handover_text(const msgpack_object *fields,
-				handover_t *handover, pd_error_t *err)
+static int unpack_handover_strings(const msgpack_object *fields,
+				   handover_t *handover, pd_error_t *err)
 {
-	if (unpack_text(&fields[0], &handover->request_id, err) < 0 ||
-	    unpack_text(&fields[1], &handover->account, err) < 0 ||
-	    unpack_text(&fields[2], &handover->target, err) < 0 ||
-	    unpack_text(&fields[3], &handover->path, err) < 0 ||
+	if (unpack_string(&fields[0], &handover->request_id, err) < 0 ||
+	    unpack_string(&fields[1], &handover->account, err) < 0 ||
+	    unpack_string(&fields[2], &handover->target, err) < 0 ||
+	    unpack_string(&fields[3], &handover->path, err) < 0 ||
 	    unpack_optional(&fields[4], &handover->idempotency_key, err) < 0 ||
 	    unpack_optional(&fields[5], &handover->claim_key, err) < 0 ||
 	    unpack_optional(&fields[6], &handover->nonce, err) < 0 ||
 	    unpack_optional(&fields[7], &handover->vm_id, err) < 0 ||
-	    unpack_text(&fields[8], &handover->emitted, err) < 0)
+	    unpack_string(&fields[8], &handover->emitted, err) < 0)
 		return -1;
 	return 0;
 }
@@ -331,7 +331,7 @@
 	if (unpack_array(object, HANDOVER_FIELDS, HANDOVER_FIELDS, err) < 0)
 		return -1;
 	fields = object->via.array.ptr;
-	if (unpack_handover_text(fields, handover, err) < 0 ||
+	if (unpack_handover_strings(fields, handover, err) < 0 ||
 	    unpack_uint(&fields[9], UINT64_MAX, &handover->offset, err) < 0 ||
 	    unpack_uint(&fields[10], UINT32_MAX, &max_tokens, err) < 0 ||
 	    unpack_uint(&fields[11], 1, &written, err) < 0 ||
@@ -354,7 +354,7 @@
 	uint64_t version = 0;
 	uint64_t kind = 0;
 
-	if (unpack_array(root, FIELDS, FIELDS, err) < 0)
+	if (unpack_array(root, MSG_FIELDS, MSG_FIELDS, err) < 0)
 		return -1;
 	fields = root->via.array.ptr;
 	if (unpack_uint(&fields[0], UINT8_MAX, &version, err) < 0)
@@ -370,7 +370,7 @@
 	    unpack_news(&fields[5], msg, err) < 0 ||
 	    unpack_leaving(&fields[6], msg, err) < 0 ||
 	    unpack_demand(&fields[7], msg, err) < 0 ||
-	    unpack_text(&fields[8], &msg->about, err) < 0 ||
+	    unpack_string(&fields[8], &msg->about, err) < 0 ||
 	    unpack_claim(&fields[9], &msg->claim, err) < 0 ||
 	    unpack_handover(&fields[10], &msg->handover, err) < 0 ||
 	    unpack_bytes(&fields[11], &msg->body, err) < 0)
--- a/adapters/peer_link.c
+++ b/adapters/peer_link.c
@@ -14,7 +14,7 @@
 	frame_link_t *frames;
 };
 
-static int link_frame(void *ctx, const char *data, size_t len)
+static int link_on_frame(void *ctx, const char *data, size_t len)
 {
 	peer_link_t *link = ctx;
 	peer_msg_t *msg = NULL;
@@ -40,8 +40,8 @@
 	const frame_link_config_t frames = {
 		.address = config->address,
 		.port = config->port,
-		.frame_max = PEER_MSG_MAX,
-		.on_frame = link_frame,
+		.frame_max = PEER_MSG_BYTES_MAX,
+		.on_frame = link_on_frame,
 		.ctx = link,
 	};
 
