--- a/adapters/peer_codec.c
+++ b/adapters/peer_codec.c
@@ -161,14 +161,15 @@
 }
 
 static int unpack_array(const msgpack_object *object, uint32_t min_count,
-			uint32_t max, pd_error_t *err)
+			uint32_t max_count, pd_error_t *err)
 {
 	if (object->type != MSGPACK_OBJECT_ARRAY ||
-	    object->via.array.size < min_count || object->via.array.size > max)
+	    object->via.array.size < min_count ||
+	    object->via.array.size > max_count)
 		return pd_error_set(err, PD_ERROR_INPUT,
 				    "peer message: expected an array of %u to "
 				    "%u items",
-				    min_count, max);
+				    min_count, max_count);
 	return 0;
 }
 
