--- a/adapters/platform_http.c
+++ b/adapters/platform_http.c
@@ -6,11 +6,11 @@
 #include "adapters/http_client.h"
 #include "adapters/json.h"
 
-#define CALL_TIMEOUT (2 * PD_SEC)
-#define WATCH_TIME (20 * PD_SEC)
+#define REQUEST_TIMEOUT (2 * PD_SEC)
+#define WATCH_DURATION (20 * PD_SEC)
 /* A watch that outlasts its time by this much has gone silent. */
-#define WATCH_SLACK (3 * PD_SEC)
-#define ANSWER_MAX (4 * 1024 * 1024)
+#define WATCH_TIMEOUT_MARGIN (3 * PD_SEC)
+#define RESPONSE_BYTES_MAX (4 * 1024 * 1024)
 
 struct platform {
 	char *address;
@@ -36,8 +36,9 @@
 
 	platform->address = g_strdup(address);
 	platform->port = port;
-	platform->calls = http_client_create(loop, CALL_TIMEOUT);
-	platform->watches = http_client_create(loop, WATCH_TIME + WATCH_SLACK);
+	platform->calls = http_client_create(loop, REQUEST_TIMEOUT);
+	platform->watches =
+		http_client_create(loop, WATCH_DURATION + WATCH_TIMEOUT_MARGIN);
 	return platform;
 }
 
@@ -62,7 +63,7 @@
 {
 	platform_call_t *call = ctx;
 
-	if (call->body->len + len <= ANSWER_MAX)
+	if (call->body->len + len <= RESPONSE_BYTES_MAX)
 		g_string_append_len(call->body, data, (gssize)len);
 }
 
@@ -70,7 +71,8 @@
  * A write that was sent and got no clear answer may have taken effect: a lost
  * answer must not pass for a refused one.
  */
-static store_status_t call_status(const platform_call_t *call, const pd_error_t *err)
+static store_status_t store_status_of(const platform_call_t *call,
+				      const pd_error_t *err)
 {
 	if (err)
 		return call->is_write && call->written ? STORE_UNKNOWN : STORE_DOWN;
@@ -96,7 +98,7 @@
 {
 	platform_call_t *call = ctx;
 	const platform_answer_t answer = {
-		.status = call_status(call, err),
+		.status = store_status_of(call, err),
 		.version = call->version,
 		.body = call->body->str,
 		.len = call->body->len,
@@ -121,8 +123,9 @@
 	.on_free = call_on_free,
 };
 
-static void platform_call(platform_t *platform, http_client_t *client,
-			  http_request_t *request, platform_done_t done, void *ctx)
+static void platform_send_request(platform_t *platform, http_client_t *client,
+				  http_request_t *request, platform_done_t done,
+				  void *ctx)
 {
 	platform_call_t *call = g_new0(platform_call_t, 1);
 
@@ -140,7 +143,7 @@
 {
 	http_request_t request = { .method = "GET", .path = path };
 
-	platform_call(platform, client, &request, done, ctx);
+	platform_send_request(platform, client, &request, done, ctx);
 	g_free(path);
 }
 
@@ -162,7 +165,7 @@
 	platform_get(platform, platform->watches,
 		     g_strdup_printf("/objects/%s?after=%" G_GUINT64_FORMAT
 				     "&wait_ms=%" G_GINT64_FORMAT,
-				     key, after, WATCH_TIME / PD_MSEC),
+				     key, after, WATCH_DURATION / PD_MSEC),
 		     done, ctx);
 }
 
@@ -194,7 +197,7 @@
 		.body_len = len,
 	};
 
-	platform_call(platform, platform->calls, &request, done, ctx);
+	platform_send_request(platform, platform->calls, &request, done, ctx);
 	g_free(path);
 	g_free(tag);
 }
@@ -206,7 +209,7 @@
 	char *path = g_strdup_printf("/objects/%s", key);
 	http_request_t request = { .method = "DELETE", .path = path };
 
-	platform_call(platform, platform->calls, &request, done, ctx);
+	platform_send_request(platform, platform->calls, &request, done, ctx);
 	g_free(path);
 }
 
@@ -215,8 +218,8 @@
  * STORE_CONFLICT. At the planned size the list is some 150 KB, far too much to
  * read whole each time.
  */
-void platform_vms(platform_t *platform, uint64_t after, platform_done_t done,
-		  void *ctx)
+void platform_read_vms(platform_t *platform, uint64_t after,
+		       platform_done_t done, void *ctx)
 {
 	platform_get(platform, platform->calls,
 		     g_strdup_printf("/vms?after=%" G_GUINT64_FORMAT, after),
@@ -224,7 +227,7 @@
 }
 
 /* Reads the cloud's offers and their prices. */
-void platform_prices(platform_t *platform, platform_done_t done, void *ctx)
+void platform_read_prices(platform_t *platform, platform_done_t done, void *ctx)
 {
 	platform_get(platform, platform->calls, g_strdup("/prices"), done, ctx);
 }
@@ -248,7 +251,7 @@
 	body = json_dumps(order, JSON_COMPACT);
 	request.body = body;
 	request.body_len = strlen(body);
-	platform_call(platform, platform->calls, &request, done, ctx);
+	platform_send_request(platform, platform->calls, &request, done, ctx);
 	free(body);
 	json_decref(order);
 }
@@ -261,6 +264,6 @@
 				     fence);
 	http_request_t request = { .method = "DELETE", .path = path };
 
-	platform_call(platform, platform->calls, &request, done, ctx);
+	platform_send_request(platform, platform->calls, &request, done, ctx);
 	g_free(path);
 }
--- a/adapters/platform_http.h
+++ b/adapters/platform_http.h
@@ -38,9 +38,9 @@
 		    const char *body, size_t len, platform_done_t done, void *ctx);
 void platform_delete(platform_t *platform, const char *key,
 		     platform_done_t done, void *ctx);
-void platform_vms(platform_t *platform, uint64_t after, platform_done_t done,
-		  void *ctx);
-void platform_prices(platform_t *platform, platform_done_t done, void *ctx);
+void platform_read_vms(platform_t *platform, uint64_t after,
+		       platform_done_t done, void *ctx);
+void platform_read_prices(platform_t *platform, platform_done_t done, void *ctx);
 void platform_buy(platform_t *platform, const intent_t *intent, uint64_t fence,
 		  platform_done_t done, void *ctx);
 void platform_release(platform_t *platform, const char *vm_id, uint64_t fence,
--- a/adapters/platform_json.c
+++ b/adapters/platform_json.c
@@ -34,7 +34,7 @@
 			    name);
 }
 
-static char *json_finish(json_t *object)
+static char *dump_and_release(json_t *object)
 {
 	char *text = json_dumps(object, JSON_COMPACT | JSON_SORT_KEYS);
 	char *copy = g_strdup(text);
@@ -75,7 +75,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		json_array_append_new(claims, claim_encode(value));
 	json_object_set_new(object, "claims", claims);
-	return json_finish(object);
+	return dump_and_release(object);
 }
 
 static int claim_decode(const json_t *object, claim_table_t *table, pd_error_t *err)
@@ -163,7 +163,7 @@
 	for (unsigned int i = 0; i < record->intent_count; i++)
 		json_array_append_new(intents, intent_encode(&record->intents[i]));
 	json_object_set_new(object, "intents", intents);
-	return json_finish(object);
+	return dump_and_release(object);
 }
 
 static int intent_decode(const json_t *object, intent_t *intent, pd_error_t *err)
@@ -268,16 +268,16 @@
 	return 0;
 }
 
-/* Frees a list and its rows; NULL is allowed. */
+/* Frees a list and its items; NULL is allowed. */
 void vm_list_free(GArray *vms)
 {
 	if (vms)
 		g_array_unref(vms);
 }
 
-static void vm_row_clear(void *row)
+static void vm_item_clear(void *item)
 {
-	vm_clear(row);
+	vm_clear(item);
 }
 
 /* Reads a VM list as an array of vm_t; NULL with ERR set if it is bad. */
@@ -285,18 +285,18 @@
 {
 	GArray *vms = g_array_new(FALSE, TRUE, sizeof(vm_t));
 	json_t *object = json_parse(data, len, err);
-	json_t *rows;
-	json_t *row;
+	json_t *items;
+	json_t *item;
 	size_t i;
 
-	g_array_set_clear_func(vms, vm_row_clear);
-	if (!object || json_read_array(object, "vms", &rows, err) < 0)
+	g_array_set_clear_func(vms, vm_item_clear);
+	if (!object || json_read_array(object, "vms", &items, err) < 0)
 		goto error;
-	json_array_foreach(rows, i, row)
+	json_array_foreach(items, i, item)
 	{
 		vm_t vm = { 0 };
 
-		if (vm_decode(row, &vm, err) < 0)
+		if (vm_decode(item, &vm, err) < 0)
 			goto error;
 		g_array_append_val(vms, vm);
 	}
@@ -320,7 +320,7 @@
 	json_object_set_new(object, "http_port", json_integer(info->http_port));
 	json_object_set_new(object, "incarnation",
 			    json_integer((json_int_t)info->incarnation));
-	return json_finish(object);
+	return dump_and_release(object);
 }
 
 /* Reads an entry's record into INFO, which then owns its strings. */
--- a/adapters/price_watch.c
+++ b/adapters/price_watch.c
@@ -100,7 +100,7 @@
 	if (watch->request_in_flight)
 		return;
 	watch->request_in_flight = true;
-	platform_prices(watch->config.platform, watch_on_answer, watch);
+	platform_read_prices(watch->config.platform, watch_on_answer, watch);
 }
 
 /* Returns a watch that is paused; it lives as long as the loop. */
--- a/adapters/vm_watch.c
+++ b/adapters/vm_watch.c
@@ -41,8 +41,8 @@
 	if (watch->request_in_flight || watch->paused)
 		return;
 	watch->request_in_flight = true;
-	platform_vms(watch->config.platform, watch->version, watch_on_answer,
-		     watch);
+	platform_read_vms(watch->config.platform, watch->version,
+			  watch_on_answer, watch);
 }
 
 /* Starts following; the watch lives as long as the loop. */
