--- a/adapters/placer_runner.c
+++ b/adapters/placer_runner.c
@@ -15,10 +15,10 @@
 #include "core/placer.h"
 
 #define LOG_COMPONENT "placer"
-#define TICK_MS 200
+#define TICK_PERIOD_MS 200
 #define LEASE_KEY "placer/lease"
 #define ENGINE_TIMEOUT (2 * PD_SEC)
-#define ENGINE_ANSWER_MAX (64 * 1024)
+#define ENGINE_RESPONSE_BYTES_MAX (64 * 1024)
 
 struct placer_runner {
 	uv_loop_t *loop;
@@ -30,32 +30,32 @@
 	price_watch_t *prices;
 	bundle_watch_t *bundles; /* NULL until it first acts */
 	uv_timer_t tick;
-	bool acting;
+	bool active;
 	bool handling;
 	list_node_t actions;
 };
 
-typedef struct lease_ask {
+typedef struct lease_call {
 	placer_runner_t *runner;
 	store_op_t op;
 	bool write;
-} lease_ask_t;
+} lease_call_t;
 
-typedef struct buy_ask {
+typedef struct purchase_call {
 	placer_runner_t *runner;
 	char *tag;
-} buy_ask_t;
+} purchase_call_t;
 
-typedef struct engine_ask {
+typedef struct engine_call {
 	placer_runner_t *runner;
 	char *vm_id;
 	int status;
 	GString *body;
-} engine_ask_t;
+} engine_call_t;
 
 static void runner_perform(placer_runner_t *runner, placer_action_t *action);
 
-static void runner_follow(placer_runner_t *runner);
+static void runner_update_watches(placer_runner_t *runner);
 
 static void runner_handle(placer_runner_t *runner, placer_event_t *event)
 {
@@ -73,20 +73,20 @@
 		placer_action_destroy(action);
 	}
 	runner->handling = false;
-	runner_follow(runner);
+	runner_update_watches(runner);
 }
 
 static void on_lease_answer(void *ctx, const platform_answer_t *answer)
 {
-	lease_ask_t *ask = ctx;
+	lease_call_t *call = ctx;
 	lease_record_t *record = NULL;
 	pd_error_t err;
 	placer_event_t event = { .kind = PLACER_LEASE_REPLY,
-				 .lease = { .op = ask->op,
+				 .lease = { .op = call->op,
 					    .status = answer->status,
 					    .version = answer->version } };
 
-	if (!ask->write && answer->status == STORE_OK) {
+	if (!call->write && answer->status == STORE_OK) {
 		record = lease_record_decode(answer->body, answer->len, &err);
 		if (!record) {
 			log_error(LOG_COMPONENT, "dropped the lease", &err);
@@ -94,45 +94,45 @@
 		}
 	}
 	event.lease.record = record;
-	runner_handle(ask->runner, &event);
+	runner_handle(call->runner, &event);
 	lease_record_destroy(record);
-	g_free(ask);
+	g_free(call);
 }
 
-static void perform_lease(placer_runner_t *runner, const placer_action_t *action)
+static void runner_call_lease(placer_runner_t *runner, const placer_action_t *action)
 {
-	lease_ask_t *ask = g_new0(lease_ask_t, 1);
+	lease_call_t *call = g_new0(lease_call_t, 1);
 	char *body;
 
-	ask->runner = runner;
-	ask->op = action->lease.op;
-	ask->write = action->kind == PLACER_LEASE_WRITE;
-	if (!ask->write) {
-		platform_read(runner->platform, LEASE_KEY, on_lease_answer, ask);
+	call->runner = runner;
+	call->op = action->lease.op;
+	call->write = action->kind == PLACER_LEASE_WRITE;
+	if (!call->write) {
+		platform_read(runner->platform, LEASE_KEY, on_lease_answer, call);
 		return;
 	}
 	body = lease_record_encode(action->lease.record);
 	platform_write(runner->platform, LEASE_KEY, action->lease.version, body,
-		       strlen(body), on_lease_answer, ask);
+		       strlen(body), on_lease_answer, call);
 	g_free(body);
 }
 
-static void on_bought(void *ctx, const platform_answer_t *answer)
+static void on_purchase_answer(void *ctx, const platform_answer_t *answer)
 {
-	buy_ask_t *ask = ctx;
+	purchase_call_t *call = ctx;
 	placer_event_t event = { .kind = PLACER_BOUGHT,
-				 .bought = { ask->tag, answer->status } };
+				 .bought = { call->tag, answer->status } };
 
-	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "purchase %s: %s", ask->tag,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "purchase %s: %s", call->tag,
 		 answer->status == STORE_OK	? "taken"
 		 : answer->status == STORE_DOWN ? "refused"
 						: "no clear answer");
-	runner_handle(ask->runner, &event);
-	g_free(ask->tag);
-	g_free(ask);
+	runner_handle(call->runner, &event);
+	g_free(call->tag);
+	g_free(call);
 }
 
-static void on_released(void *ctx, const platform_answer_t *answer)
+static void on_release_answer(void *ctx, const platform_answer_t *answer)
 {
 	(void)ctx;
 	if (answer->status != STORE_OK)
@@ -143,46 +143,46 @@
 static void engine_on_head(void *ctx, http_call_t *http, int status)
 {
 	(void)http;
-	((engine_ask_t *)ctx)->status = status;
+	((engine_call_t *)ctx)->status = status;
 }
 
 static void engine_on_body(void *ctx, const char *data, size_t len)
 {
-	GString *body = ((engine_ask_t *)ctx)->body;
+	GString *body = ((engine_call_t *)ctx)->body;
 
-	if (body->len + len <= ENGINE_ANSWER_MAX)
+	if (body->len + len <= ENGINE_RESPONSE_BYTES_MAX)
 		g_string_append_len(body, data, (gssize)len);
 }
 
 static void engine_on_done(void *ctx, const pd_error_t *err)
 {
-	engine_ask_t *ask = ctx;
+	engine_call_t *call = ctx;
 	pd_error_t ignored;
-	json_t *answer = json_parse(ask->body->str, ask->body->len, &ignored);
+	json_t *answer = json_parse(call->body->str, call->body->len, &ignored);
 	int64_t running = json_integer_or(answer, "running", -1);
-	bool good = !err && ask->status == 200 && running >= 0;
+	bool valid = !err && call->status == 200 && running >= 0;
 	placer_event_t event = {
 		.kind = PLACER_ENGINE,
-		.engine = { .vm_id = ask->vm_id,
-			    .status = good ? STORE_OK : STORE_UNKNOWN,
-			    .running = good ? (unsigned int)running : 0 },
+		.engine = { .vm_id = call->vm_id,
+			    .status = valid ? STORE_OK : STORE_UNKNOWN,
+			    .running = valid ? (unsigned int)running : 0 },
 	};
 
 	json_decref(answer);
-	runner_handle(ask->runner, &event);
+	runner_handle(call->runner, &event);
 }
 
 static void engine_on_free(void *ctx)
 {
-	engine_ask_t *ask = ctx;
+	engine_call_t *call = ctx;
 
-	g_string_free(ask->body, TRUE);
-	g_free(ask->vm_id);
-	g_free(ask);
+	g_string_free(call->body, TRUE);
+	g_free(call->vm_id);
+	g_free(call);
 }
 
-static void perform_engine_order(placer_runner_t *runner,
-				 const placer_action_t *action)
+static void runner_send_engine_order(placer_runner_t *runner,
+				     const placer_action_t *action)
 {
 	static const http_call_handlers_t handlers = {
 		.on_head = engine_on_head,
@@ -204,12 +204,12 @@
 				   .header_count = 1,
 				   .body = body,
 				   .body_len = strlen(body) };
-	engine_ask_t *ask = g_new0(engine_ask_t, 1);
+	engine_call_t *call = g_new0(engine_call_t, 1);
 
-	ask->runner = runner;
-	ask->vm_id = g_strdup(action->engine.vm_id);
-	ask->body = g_string_new(NULL);
-	http_call_start(runner->engines, &request, &handlers, ask);
+	call->runner = runner;
+	call->vm_id = g_strdup(action->engine.vm_id);
+	call->body = g_string_new(NULL);
+	http_call_start(runner->engines, &request, &handlers, call);
 	g_free(fence);
 	free(body);
 	json_decref(order);
@@ -221,7 +221,7 @@
  * right before the order leaves, which leaves only a pause in the send itself;
  * tags and fencing numbers are for that one.
  */
-static bool is_too_late(pd_time_t not_after, const char *what)
+static bool has_lease_expired(pd_time_t not_after, const char *what)
 {
 	if (clock_now() < not_after)
 		return false;
@@ -232,31 +232,32 @@
 
 static void runner_perform(placer_runner_t *runner, placer_action_t *action)
 {
-	buy_ask_t *ask;
+	purchase_call_t *call;
 
 	switch (action->kind) {
 	case PLACER_LEASE_READ:
 	case PLACER_LEASE_WRITE:
-		perform_lease(runner, action);
+		runner_call_lease(runner, action);
 		break;
 	case PLACER_BUY:
-		if (is_too_late(action->buy.not_after, "purchase"))
+		if (has_lease_expired(action->buy.not_after, "purchase"))
 			break;
-		ask = g_new0(buy_ask_t, 1);
-		ask->runner = runner;
-		ask->tag = g_strdup(action->buy.intent.tag);
+		call = g_new0(purchase_call_t, 1);
+		call->runner = runner;
+		call->tag = g_strdup(action->buy.intent.tag);
 		platform_buy(runner->platform, &action->buy.intent,
-			     action->buy.fence, on_bought, ask);
+			     action->buy.fence, on_purchase_answer, call);
 		break;
 	case PLACER_RELEASE:
-		if (is_too_late(action->release.not_after, "release"))
+		if (has_lease_expired(action->release.not_after, "release"))
 			break;
 		platform_release(runner->platform, action->release.vm_id,
-				 action->release.fence, on_released, runner);
+				 action->release.fence, on_release_answer, runner);
 		break;
 	case PLACER_ENGINE_ORDER:
-		if (!is_too_late(action->engine.not_after, "engine order"))
-			perform_engine_order(runner, action);
+		if (!has_lease_expired(action->engine.not_after,
+				       "engine order"))
+			runner_send_engine_order(runner, action);
 		break;
 	case PLACER_DECISION:
 		log_decision(&action->decision);
@@ -295,8 +296,8 @@
 	runner_handle(timer->data, &event);
 }
 
-static void runner_timer(placer_runner_t *runner, uv_timer_t *timer,
-			 uv_timer_cb callback, uint64_t period_ms)
+static void runner_start_timer(placer_runner_t *runner, uv_timer_t *timer,
+			       uv_timer_cb callback, uint64_t period_ms)
 {
 	uv_timer_init(runner->loop, timer);
 	timer->data = runner;
@@ -307,21 +308,21 @@
  * Reads the VM list and the bundle only while acting: at the planned size
  * hundreds of placers stand by, and their reads would fill the platform's rate.
  */
-static void runner_follow(placer_runner_t *runner)
+static void runner_update_watches(placer_runner_t *runner)
 {
 	bundle_watch_config_t config = { .platform = runner->platform,
 					 .public_key = runner->public_key,
 					 .on_bundle = on_bundle,
 					 .ctx = runner };
-	bool acting = placer_is_active(runner->placer);
+	bool active = placer_is_active(runner->placer);
 
-	if (acting == runner->acting)
+	if (active == runner->active)
 		return;
-	runner->acting = acting;
+	runner->active = active;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "%s",
-		 acting ? "acts" : "stands by");
-	vm_watch_set_paused(runner->vms, !acting);
-	price_watch_set_paused(runner->prices, !acting);
+		 active ? "acts" : "stands by");
+	vm_watch_set_paused(runner->vms, !active);
+	price_watch_set_paused(runner->prices, !active);
 	if (!runner->bundles)
 		runner->bundles = bundle_watch_create(runner->loop, &config);
 }
@@ -367,7 +368,7 @@
 	vm_watch_set_paused(runner->vms, true);
 	prices.platform = runner->platform;
 	runner->prices = price_watch_create(loop, &prices);
-	runner_timer(runner, &runner->tick, on_tick, TICK_MS);
+	runner_start_timer(runner, &runner->tick, on_tick, TICK_PERIOD_MS);
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "%s started", id);
 	g_free(id);
 	return runner;
