--- a/adapters/setting_table.c
+++ b/adapters/setting_table.c
@@ -41,10 +41,11 @@
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: %s: expected a readable file, got %s",
 				    where, setting->key, text);
-	if (setting->kind == SETTING_CHOICE && !choice_has(setting->meaning, text))
+	if (setting->kind == SETTING_CHOICE &&
+	    !choice_has(setting->description, text))
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: %s: expected one of %s, got %s", where,
-				    setting->key, setting->meaning, text);
+				    setting->key, setting->description, text);
 	if (!*text)
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: %s: expected a non-empty string",
@@ -57,13 +58,13 @@
 static int setting_set_number(void *settings, const setting_t *setting,
 			      int64_t number, const char *where, pd_error_t *err)
 {
-	if (number < setting->least || number > setting->most)
+	if (number < setting->min || number > setting->max)
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: %s: expected an integer from "
 				    "%" G_GINT64_FORMAT " to %" G_GINT64_FORMAT
 				    ", got %" G_GINT64_FORMAT,
-				    where, setting->key, setting->least,
-				    setting->most, number);
+				    where, setting->key, setting->min,
+				    setting->max, number);
 	*(int64_t *)setting_at(settings, setting) = number;
 	return 0;
 }
@@ -73,7 +74,7 @@
 {
 	char **slots = setting_at(settings, setting);
 
-	for (int64_t i = 0; i < setting->most; i++) {
+	for (int64_t i = 0; i < setting->max; i++) {
 		if (slots[i])
 			continue;
 		slots[i] = g_strdup(text);
@@ -82,7 +83,7 @@
 	return pd_error_set(err, PD_ERROR_SETTINGS,
 			    "%s: %s: expected at most %" G_GINT64_FORMAT
 			    " items",
-			    where, setting->key, setting->most);
+			    where, setting->key, setting->max);
 }
 
 static int setting_mismatch(const setting_t *setting, const char *where,
@@ -110,12 +111,12 @@
 
 	if (leaf->kind != TOML_FLOAT && leaf->kind != TOML_INTEGER)
 		return setting_mismatch(setting, where, err);
-	if (number < (double)setting->least || number > (double)setting->most)
+	if (number < (double)setting->min || number > (double)setting->max)
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: %s: expected a number from "
 				    "%" G_GINT64_FORMAT " to %" G_GINT64_FORMAT,
-				    where, setting->key, setting->least,
-				    setting->most);
+				    where, setting->key, setting->min,
+				    setting->max);
 	*(double *)setting_at(settings, setting) = number;
 	return 0;
 }
@@ -165,19 +166,19 @@
 						  setting->key);
 		if (given || setting->kind == SETTING_STRINGS)
 			continue;
-		if (!setting->fallback)
+		if (!setting->default_value)
 			return pd_error_set(err, PD_ERROR_SETTINGS,
 					    "%s:1: %s: expected, but missing",
 					    path, setting->key);
 		if (setting->kind == SETTING_INTEGER)
 			*(int64_t *)setting_at(settings, setting) =
-				g_ascii_strtoll(setting->fallback, NULL, 10);
+				g_ascii_strtoll(setting->default_value, NULL, 10);
 		else if (setting->kind == SETTING_DECIMAL)
 			*(double *)setting_at(settings, setting) =
-				g_ascii_strtod(setting->fallback, NULL);
+				g_ascii_strtod(setting->default_value, NULL);
 		else
 			*(char **)setting_at(settings, setting) =
-				g_strdup(setting->fallback);
+				g_strdup(setting->default_value);
 	}
 	return 0;
 }
@@ -225,7 +226,7 @@
 	case SETTING_DECIMAL:
 		return sizeof(double);
 	case SETTING_STRINGS:
-		return sizeof(char *) * (size_t)setting->most;
+		return sizeof(char *) * (size_t)setting->max;
 	case SETTING_STRING:
 	case SETTING_FILE:
 	case SETTING_CHOICE:
@@ -273,7 +274,7 @@
 			continue;
 		g_free(slots[0]);
 		for (int64_t k = 1;
-		     row->kind == SETTING_STRINGS && k < row->most; k++)
+		     row->kind == SETTING_STRINGS && k < row->max; k++)
 			g_free(slots[k]);
 	}
 }
--- a/adapters/setting_table.h
+++ b/adapters/setting_table.h
@@ -25,10 +25,10 @@
 	const char *key;
 	setting_kind_t kind;
 	size_t offset; /* in the struct that is filled in */
-	int64_t least; /* of an integer; most items of an array in MOST */
-	int64_t most;
-	const char *fallback; /* NULL: the key is required */
-	const char *meaning; /* with the unit; for choices, the choices */
+	int64_t min; /* of an integer; most items of an array in MOST */
+	int64_t max;
+	const char *default_value; /* NULL: the key is required */
+	const char *description; /* with the unit; for choices, the choices */
 } setting_t;
 
 typedef struct setting_table {
--- a/tests/unit/test_docs.c
+++ b/tests/unit/test_docs.c
@@ -55,11 +55,11 @@
 		char range[64];
 		char row[512];
 
-		bounds(range, sizeof(range), numeric, rows[i].least, rows[i].most);
+		bounds(range, sizeof(range), numeric, rows[i].min, rows[i].max);
 		snprintf(row, sizeof(row), "| `%s` | %s | %s | %s | %s |",
 			 rows[i].key, kinds[rows[i].kind],
-			 rows[i].fallback ? rows[i].fallback : "required",
-			 range, rows[i].meaning);
+			 rows[i].default_value ? rows[i].default_value : "required",
+			 range, rows[i].description);
 		assert_has_row(page, row);
 	}
 }
