--- a/adapters/gateway/reload.c
+++ b/adapters/gateway/reload.c
@@ -86,7 +86,7 @@
 	for (size_t i = 0; i < table->count; i++) {
 		const setting_t *row = &table->rows[i];
 
-		if (setting_same(row, gateway->settings, loaded))
+		if (setting_equal(row, gateway->settings, loaded))
 			continue;
 		if (is_read_at_start_only(row->key)) {
 			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
--- a/adapters/setting_table.c
+++ b/adapters/setting_table.c
@@ -18,12 +18,12 @@
 	return NULL;
 }
 
-static void *setting_at(void *settings, const setting_t *setting)
+static void *setting_field(void *settings, const setting_t *setting)
 {
 	return (char *)settings + setting->offset;
 }
 
-static bool choice_has(const char *choices, const char *value)
+static bool choices_contain(const char *choices, const char *value)
 {
 	char **names = g_strsplit(choices, "|", -1);
 	bool found = g_strv_contains((const char *const *)names, value);
@@ -32,47 +32,50 @@
 	return found;
 }
 
-static int setting_set_text(void *settings, const setting_t *setting,
-			    const char *text, const char *where, pd_error_t *err)
+static int setting_set_string(void *settings, const setting_t *setting,
+			      const char *text, const char *location,
+			      pd_error_t *err)
 {
-	char **slot = setting_at(settings, setting);
+	char **slot = setting_field(settings, setting);
 
 	if (setting->kind == SETTING_FILE && access(text, R_OK) != 0)
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: %s: expected a readable file, got %s",
-				    where, setting->key, text);
+				    location, setting->key, text);
 	if (setting->kind == SETTING_CHOICE &&
-	    !choice_has(setting->description, text))
+	    !choices_contain(setting->description, text))
 		return pd_error_set(err, PD_ERROR_SETTINGS,
-				    "%s: %s: expected one of %s, got %s", where,
+				    "%s: %s: expected one of %s, got %s", location,
 				    setting->key, setting->description, text);
 	if (!*text)
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: %s: expected a non-empty string",
-				    where, setting->key);
+				    location, setting->key);
 	g_free(*slot);
 	*slot = g_strdup(text);
 	return 0;
 }
 
-static int setting_set_number(void *settings, const setting_t *setting,
-			      int64_t number, const char *where, pd_error_t *err)
+static int setting_set_integer(void *settings, const setting_t *setting,
+			       int64_t number, const char *location,
+			       pd_error_t *err)
 {
 	if (number < setting->min || number > setting->max)
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: %s: expected an integer from "
 				    "%" G_GINT64_FORMAT " to %" G_GINT64_FORMAT
 				    ", got %" G_GINT64_FORMAT,
-				    where, setting->key, setting->min,
+				    location, setting->key, setting->min,
 				    setting->max, number);
-	*(int64_t *)setting_at(settings, setting) = number;
+	*(int64_t *)setting_field(settings, setting) = number;
 	return 0;
 }
 
-static int setting_append(void *settings, const setting_t *setting,
-			  const char *text, const char *where, pd_error_t *err)
+static int setting_append_string(void *settings, const setting_t *setting,
+				 const char *text, const char *location,
+				 pd_error_t *err)
 {
-	char **slots = setting_at(settings, setting);
+	char **slots = setting_field(settings, setting);
 
 	for (int64_t i = 0; i < setting->max; i++) {
 		if (slots[i])
@@ -83,11 +86,11 @@
 	return pd_error_set(err, PD_ERROR_SETTINGS,
 			    "%s: %s: expected at most %" G_GINT64_FORMAT
 			    " items",
-			    where, setting->key, setting->max);
+			    location, setting->key, setting->max);
 }
 
-static int setting_mismatch(const setting_t *setting, const char *where,
-			    pd_error_t *err)
+static int setting_set_type_error(const setting_t *setting,
+				  const char *location, pd_error_t *err)
 {
 	static const char *const expected[] = {
 		[SETTING_STRING] = "a string",
@@ -99,31 +102,31 @@
 	};
 
 	return pd_error_set(err, PD_ERROR_SETTINGS, "%s: %s: expected %s",
-			    where, setting->key, expected[setting->kind]);
+			    location, setting->key, expected[setting->kind]);
 }
 
-static int setting_set_decimal(void *settings, const setting_t *setting,
-			       const toml_leaf_t *leaf, const char *where,
-			       pd_error_t *err)
+static int setting_set_double(void *settings, const setting_t *setting,
+			      const toml_leaf_t *leaf, const char *location,
+			      pd_error_t *err)
 {
 	double number = leaf->kind == TOML_FLOAT ? leaf->decimal
 						 : (double)leaf->number;
 
 	if (leaf->kind != TOML_FLOAT && leaf->kind != TOML_INTEGER)
-		return setting_mismatch(setting, where, err);
+		return setting_set_type_error(setting, location, err);
 	if (number < (double)setting->min || number > (double)setting->max)
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: %s: expected a number from "
 				    "%" G_GINT64_FORMAT " to %" G_GINT64_FORMAT,
-				    where, setting->key, setting->min,
+				    location, setting->key, setting->min,
 				    setting->max);
-	*(double *)setting_at(settings, setting) = number;
+	*(double *)setting_field(settings, setting) = number;
 	return 0;
 }
 
-static int settings_take(const setting_table_t *table, void *settings,
-			 const toml_leaf_t *leaf, const char *where,
-			 pd_error_t *err)
+static int apply_leaf(const setting_table_t *table, void *settings,
+		      const toml_leaf_t *leaf, const char *location,
+		      pd_error_t *err)
 {
 	char *key = g_strdup(leaf->key);
 	char *bracket = strchr(key, '[');
@@ -135,49 +138,51 @@
 	setting = setting_find(table, key);
 	if (!setting)
 		rc = pd_error_set(err, PD_ERROR_SETTINGS, "%s: %s: unknown key",
-				  where, leaf->key);
+				  location, leaf->key);
 	else if ((setting->kind == SETTING_STRINGS) != (bracket != NULL))
-		rc = setting_mismatch(setting, where, err);
+		rc = setting_set_type_error(setting, location, err);
 	else if (setting->kind == SETTING_INTEGER && leaf->kind == TOML_INTEGER)
-		rc = setting_set_number(settings, setting, leaf->number, where,
-					err);
+		rc = setting_set_integer(settings, setting, leaf->number,
+					 location, err);
 	else if (setting->kind == SETTING_DECIMAL)
-		rc = setting_set_decimal(settings, setting, leaf, where, err);
+		rc = setting_set_double(settings, setting, leaf, location, err);
 	else if (setting->kind == SETTING_INTEGER || leaf->kind != TOML_STRING)
-		rc = setting_mismatch(setting, where, err);
+		rc = setting_set_type_error(setting, location, err);
 	else if (setting->kind == SETTING_STRINGS)
-		rc = setting_append(settings, setting, leaf->text, where, err);
+		rc = setting_append_string(settings, setting, leaf->text,
+					   location, err);
 	else
-		rc = setting_set_text(settings, setting, leaf->text, where, err);
+		rc = setting_set_string(settings, setting, leaf->text, location,
+					err);
 	g_free(key);
 	return rc;
 }
 
-static int settings_defaults(const setting_table_t *table, void *settings,
-			     const char *path, const toml_document_t *document,
-			     pd_error_t *err)
+static int apply_defaults(const setting_table_t *table, void *settings,
+			  const char *path, const toml_document_t *document,
+			  pd_error_t *err)
 {
 	for (size_t i = 0; i < table->count; i++) {
 		const setting_t *setting = &table->rows[i];
-		bool given = false;
+		bool is_set = false;
 
 		for (size_t k = 0; k < document->count; k++)
-			given |= g_str_has_prefix(document->leaves[k].key,
-						  setting->key);
-		if (given || setting->kind == SETTING_STRINGS)
+			is_set |= g_str_has_prefix(document->leaves[k].key,
+						   setting->key);
+		if (is_set || setting->kind == SETTING_STRINGS)
 			continue;
 		if (!setting->default_value)
 			return pd_error_set(err, PD_ERROR_SETTINGS,
 					    "%s:1: %s: expected, but missing",
 					    path, setting->key);
 		if (setting->kind == SETTING_INTEGER)
-			*(int64_t *)setting_at(settings, setting) =
+			*(int64_t *)setting_field(settings, setting) =
 				g_ascii_strtoll(setting->default_value, NULL, 10);
 		else if (setting->kind == SETTING_DECIMAL)
-			*(double *)setting_at(settings, setting) =
+			*(double *)setting_field(settings, setting) =
 				g_ascii_strtod(setting->default_value, NULL);
 		else
-			*(char **)setting_at(settings, setting) =
+			*(char **)setting_field(settings, setting) =
 				g_strdup(setting->default_value);
 	}
 	return 0;
@@ -199,16 +204,16 @@
 		goto error;
 	}
 	for (size_t i = 0; i < document->count; i++) {
-		char *where =
+		char *location =
 			g_strdup_printf("%s:%u", path, document->leaves[i].line);
-		int rc = settings_take(table, settings, &document->leaves[i],
-				       where, err);
+		int rc = apply_leaf(table, settings, &document->leaves[i],
+				    location, err);
 
-		g_free(where);
+		g_free(location);
 		if (rc < 0)
 			goto error;
 	}
-	if (settings_defaults(table, settings, path, document, err) < 0)
+	if (apply_defaults(table, settings, path, document, err) < 0)
 		goto error;
 	toml_document_free(document);
 	return 0;
@@ -236,7 +241,7 @@
 }
 
 /* Says whether a setting has the same value in two structs. */
-bool setting_same(const setting_t *setting, const void *one, const void *other)
+bool setting_equal(const setting_t *setting, const void *one, const void *other)
 {
 	const char *left = (const char *)one + setting->offset;
 	const char *right = (const char *)other + setting->offset;
@@ -255,12 +260,12 @@
 void setting_swap(const setting_t *setting, void *one, void *other)
 {
 	size_t size = setting_size(setting);
-	char *kept = g_memdup2((char *)one + setting->offset, size);
+	char *saved = g_memdup2((char *)one + setting->offset, size);
 
 	memcpy((char *)one + setting->offset, (char *)other + setting->offset,
 	       size);
-	memcpy((char *)other + setting->offset, kept, size);
-	g_free(kept);
+	memcpy((char *)other + setting->offset, saved, size);
+	g_free(saved);
 }
 
 /* Frees what was read into SETTINGS, but not the struct. */
@@ -268,7 +273,7 @@
 {
 	for (size_t i = 0; i < table->count; i++) {
 		const setting_t *row = &table->rows[i];
-		char **slots = setting_at(settings, row);
+		char **slots = setting_field(settings, row);
 
 		if (row->kind == SETTING_INTEGER || row->kind == SETTING_DECIMAL)
 			continue;
--- a/adapters/setting_table.h
+++ b/adapters/setting_table.h
@@ -38,7 +38,7 @@
 
 int setting_table_read(const setting_table_t *table, const char *path,
 		       void *settings, pd_error_t *err);
-bool setting_same(const setting_t *setting, const void *one, const void *other);
+bool setting_equal(const setting_t *setting, const void *one, const void *other);
 void setting_swap(const setting_t *setting, void *one, void *other);
 void setting_table_clear(const setting_table_t *table, void *settings);
 
