--- a/adapters/upstream_http.c
+++ b/adapters/upstream_http.c
@@ -11,24 +11,24 @@
 
 #define LOG_COMPONENT "upstream"
 /* Only a backstop: the core drops silent attempts long before. */
-#define IO_TIMEOUT (120 * PD_SEC)
+#define ATTEMPT_IO_TIMEOUT (120 * PD_SEC)
 #define PROBE_TIMEOUT (1500 * PD_MSEC)
-#define ANSWER_MAX (4 * 1024 * 1024)
-#define LOAD_MAX (1024 * 1024)
+#define RESPONSE_BYTES_MAX (4 * 1024 * 1024)
+#define LOAD_REPORT_BYTES_MAX (1024 * 1024)
 #define STATUS_OK 200
-#define STATUS_BUSY 503
+#define STATUS_UNAVAILABLE 503
 #define HEADERS_MAX 6
 /* Cache events taken from one report; of more the rest comes with the next. */
-#define CACHE_NEWS_MAX 8192
+#define CACHE_EVENTS_MAX 8192
 /* VMs come and go; beyond this many, cache events are asked for anew. */
-#define CACHE_VMS_MAX 1024
+#define CACHE_CURSORS_MAX 1024
 
 struct upstream_http {
 	upstream_http_config_t config;
 	http_client_t *client;
-	http_client_t *prober;
+	http_client_t *probe_client;
 	GHashTable *attempts; /* attempt id -> attempt_t */
-	GHashTable *cache_last; /* vm id -> number of its last cache event */
+	GHashTable *cache_cursors; /* vm id -> number of its last cache event */
 };
 
 typedef struct attempt {
@@ -58,10 +58,10 @@
 	upstream_http_t *http = g_new0(upstream_http_t, 1);
 
 	http->config = *config;
-	http->client = http_client_create(loop, IO_TIMEOUT);
-	http->prober = http_client_create(loop, PROBE_TIMEOUT);
+	http->client = http_client_create(loop, ATTEMPT_IO_TIMEOUT);
+	http->probe_client = http_client_create(loop, PROBE_TIMEOUT);
 	http->attempts = g_hash_table_new(g_int64_hash, g_int64_equal);
-	http->cache_last =
+	http->cache_cursors =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return http;
 }
@@ -77,19 +77,19 @@
 	g_free(attempt);
 }
 
-static void attempt_emit(attempt_t *attempt, upstream_event_t *event)
+static void attempt_report_event(attempt_t *attempt, upstream_event_t *event)
 {
 	event->attempt = attempt->id;
 	attempt->http->config.on_event(attempt->http->config.ctx, event);
 }
 
 /* Reports the last event of an attempt, once. */
-static void attempt_end(attempt_t *attempt, upstream_event_t *event)
+static void attempt_report_last_event(attempt_t *attempt, upstream_event_t *event)
 {
 	if (attempt->ended)
 		return;
 	attempt->ended = true;
-	attempt_emit(attempt, event);
+	attempt_report_event(attempt, event);
 }
 
 static void attempt_on_written(void *ctx)
@@ -98,7 +98,7 @@
 	upstream_event_t event = { .kind = UPSTREAM_WRITTEN };
 
 	attempt->written = true;
-	attempt_emit(attempt, &event);
+	attempt_report_event(attempt, &event);
 }
 
 static void attempt_on_head(void *ctx, http_call_t *call, int status)
@@ -129,7 +129,7 @@
 	upstream_event_t event = { .kind = UPSTREAM_STARTED };
 
 	event.recomputed = (unsigned int)json_integer_or(data, "recomputed", 0);
-	attempt_emit(attempt, &event);
+	attempt_report_event(attempt, &event);
 	attempt_report_load(attempt, data);
 }
 
@@ -145,12 +145,12 @@
 		return;
 	if (!strcmp(sse->name, SSE_COMMENT)) {
 		event.kind = UPSTREAM_ALIVE;
-		attempt_emit(attempt, &event);
+		attempt_report_event(attempt, &event);
 		return;
 	}
 	if (!strcmp(sse->name, "end")) {
 		event.kind = UPSTREAM_END;
-		attempt_end(attempt, &event);
+		attempt_report_last_event(attempt, &event);
 		return;
 	}
 	data = json_parse(sse->data, strlen(sse->data), &err);
@@ -166,7 +166,7 @@
 	}
 	event.offset = g_ascii_strtoull(sse->id, NULL, 10);
 	event.len = strlen(event.data);
-	attempt_emit(attempt, &event);
+	attempt_report_event(attempt, &event);
 	json_decref(data);
 }
 
@@ -182,7 +182,7 @@
 			log_error(LOG_COMPONENT, "dropped a stream", &err);
 		return;
 	}
-	if (attempt->answer->len + len <= ANSWER_MAX)
+	if (attempt->answer->len + len <= RESPONSE_BYTES_MAX)
 		g_string_append_len(attempt->answer, data, (gssize)len);
 }
 
@@ -199,10 +199,10 @@
 		event.status = attempt->status;
 		event.data = attempt->answer->str;
 		event.len = attempt->answer->len;
-	} else if (attempt->status == STATUS_BUSY) {
+	} else if (attempt->status == STATUS_UNAVAILABLE) {
 		event.kind = UPSTREAM_BUSY;
 	}
-	attempt_end(attempt, &event);
+	attempt_report_last_event(attempt, &event);
 }
 
 static const http_call_handlers_t attempt_handlers = {
@@ -213,7 +213,7 @@
 	.on_free = attempt_free,
 };
 
-static char *compose_prompt(const dispatch_t *dispatch)
+static char *format_generate_request(const dispatch_t *dispatch)
 {
 	json_t *body = json_object();
 	gsize len;
@@ -247,7 +247,7 @@
 	attempt_t *attempt = g_new0(attempt_t, 1);
 	http_header_t headers[HEADERS_MAX];
 	char *fence = g_strdup_printf("%" G_GUINT64_FORMAT, dispatch->fence);
-	char *prompt = NULL;
+	char *generate_body = NULL;
 	http_request_t request = { .address = dispatch->address,
 				   .port = dispatch->port,
 				   .method = "POST",
@@ -272,10 +272,10 @@
 		headers[request.header_count++] =
 			(http_header_t){ "x-fencing-number", fence };
 	if (dispatch->kind == TARGET_MODEL) {
-		prompt = compose_prompt(dispatch);
+		generate_body = format_generate_request(dispatch);
 		request.path = "/generate";
-		request.body = prompt;
-		request.body_len = strlen(prompt);
+		request.body = generate_body;
+		request.body_len = strlen(generate_body);
 	} else {
 		request.path = dispatch->path;
 		request.body = g_bytes_get_data(dispatch->body, &body_len);
@@ -284,7 +284,7 @@
 	g_hash_table_insert(http->attempts, &attempt->id, attempt);
 	attempt->call = http_call_start(http->client, &request,
 					&attempt_handlers, attempt);
-	free(prompt);
+	free(generate_body);
 	g_free(fence);
 }
 
@@ -311,56 +311,56 @@
 {
 	probe_t *probe = ctx;
 
-	if (probe->body->len + len <= LOAD_MAX)
+	if (probe->body->len + len <= LOAD_REPORT_BYTES_MAX)
 		g_string_append_len(probe->body, data, (gssize)len);
 }
 
 /* Remembers up to where the VM's cache events have been taken. */
-static void probe_note_last(probe_t *probe, uint64_t last)
+static void probe_save_cursor(probe_t *probe, uint64_t cursor)
 {
-	GHashTable *cache_last = probe->http->cache_last;
+	GHashTable *cache_cursors = probe->http->cache_cursors;
 
-	if (g_hash_table_size(cache_last) >= CACHE_VMS_MAX)
-		g_hash_table_remove_all(cache_last);
-	g_hash_table_replace(cache_last, g_strdup(probe->vm_id),
-			     g_memdup2(&last, sizeof(last)));
+	if (g_hash_table_size(cache_cursors) >= CACHE_CURSORS_MAX)
+		g_hash_table_remove_all(cache_cursors);
+	g_hash_table_replace(cache_cursors, g_strdup(probe->vm_id),
+			     g_memdup2(&cursor, sizeof(cursor)));
 }
 
 /* Reads the news of an engine's cache; the caller frees what it returns. */
-static cache_event_t *probe_read_cache(probe_t *probe, const json_t *body,
-				       load_report_t *report)
+static cache_event_t *probe_parse_cache_events(probe_t *probe, const json_t *body,
+					       load_report_t *report)
 {
 	const json_t *list = json_object_get(body, "cache");
-	size_t count = MIN(json_array_size(list), CACHE_NEWS_MAX);
-	cache_event_t *news = g_new0(cache_event_t, count);
+	size_t count = MIN(json_array_size(list), CACHE_EVENTS_MAX);
+	cache_event_t *events = g_new0(cache_event_t, count);
 
 	for (size_t i = 0; i < count; i++) {
 		const json_t *item = json_array_get(list, i);
 
-		news[i].prefix =
+		events[i].prefix =
 			g_ascii_strtoull(json_string_or(item, "prefix", "0"),
 					 NULL, 16);
-		news[i].held = json_is_true(json_object_get(item, "held"));
+		events[i].held = json_is_true(json_object_get(item, "held"));
 	}
-	report->cache = news;
+	report->cache = events;
 	report->cache_count = count;
 	report->cache_gap = json_is_true(json_object_get(body, "cache_gap"));
 	if (count > 0)
-		probe_note_last(probe,
-				(uint64_t)json_integer_or(body, "cache_last", 0));
-	return news;
+		probe_save_cursor(probe,
+				  (uint64_t)json_integer_or(body, "cache_last", 0));
+	return events;
 }
 
 static void probe_on_done(void *ctx, const pd_error_t *err)
 {
 	probe_t *probe = ctx;
 	load_report_t report = { .vm_id = probe->vm_id };
-	cache_event_t *news = NULL;
-	pd_error_t bad;
+	cache_event_t *events = NULL;
+	pd_error_t parse_err;
 	json_t *body = NULL;
 
 	if (!err && probe->status == STATUS_OK)
-		body = json_parse(probe->body->str, probe->body->len, &bad);
+		body = json_parse(probe->body->str, probe->body->len, &parse_err);
 	if (body) {
 		report.answered = true;
 		report.running = (unsigned int)json_integer_or(body, "running", 0);
@@ -368,11 +368,11 @@
 		report.leaving = json_is_true(json_object_get(body, "leaving"));
 		report.leaves_in =
 			json_integer_or(body, "leaves_in_ms", 0) * PD_MSEC;
-		news = probe_read_cache(probe, body, &report);
+		events = probe_parse_cache_events(probe, body, &report);
 		json_decref(body);
 	}
 	probe->http->config.on_load(probe->http->config.ctx, &report);
-	g_free(news);
+	g_free(events);
 }
 
 static void probe_free(void *ctx)
@@ -396,9 +396,9 @@
 			 const char *address, uint16_t port)
 {
 	probe_t *probe = g_new0(probe_t, 1);
-	const uint64_t *last = g_hash_table_lookup(http->cache_last, vm_id);
+	const uint64_t *cursor = g_hash_table_lookup(http->cache_cursors, vm_id);
 	char *path = g_strdup_printf("/load?cache_after=%" G_GUINT64_FORMAT,
-				     last ? *last : 0);
+				     cursor ? *cursor : 0);
 	const http_request_t request = {
 		.address = address, .port = port, .method = "GET", .path = path
 	};
@@ -406,6 +406,6 @@
 	probe->http = http;
 	probe->vm_id = g_strdup(vm_id);
 	probe->body = g_string_new(NULL);
-	http_call_start(http->prober, &request, &probe_handlers, probe);
+	http_call_start(http->probe_client, &request, &probe_handlers, probe);
 	g_free(path);
 }
