--- a/tests/process/test_peer_input.c
+++ b/tests/process/test_peer_input.c
@@ -84,7 +84,7 @@
 	call_destroy(call);
 }
 
-static void test_an_oversized_frame(void **state)
+static void test_oversized_frame_is_dropped(void **state)
 {
 	send_bytes(*state, "\xff\xff\xff\xff", 4, false);
 	assert_serves(*state);
@@ -98,13 +98,13 @@
 	g_byte_array_unref(frame);
 }
 
-static void test_bytes_that_are_no_message(void **state)
+static void test_invalid_message_is_dropped(void **state)
 {
 	send_sealed(*state, "junk", 4);
 	assert_serves(*state);
 }
 
-static void test_an_unknown_version(void **state)
+static void test_unknown_version_is_dropped(void **state)
 {
 	/* An array of twelve, the first of them 9, the rest nil. */
 	send_sealed(*state,
@@ -116,7 +116,7 @@
  * A host that holds no key reaches the peers' port and sends what looks like a
  * message. Taken at its word, it could call every VM leaving.
  */
-static void test_a_frame_without_our_seal(void **state)
+static void test_frame_without_valid_seal_is_dropped(void **state)
 {
 	char frame[4 + PEER_SEAL_BYTES + 1] = { 0, 0, 0, PEER_SEAL_BYTES + 1 };
 	fleet_t *fleet = *state;
@@ -129,7 +129,7 @@
 	assert_serves(fleet);
 }
 
-static void test_a_truncated_frame(void **state)
+static void test_truncated_frame_is_dropped(void **state)
 {
 	send_bytes(*state, "\0\0\0\x40\x9c", 5, true);
 	assert_serves(*state);
@@ -138,11 +138,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_an_oversized_frame),
-		cmocka_unit_test(test_bytes_that_are_no_message),
-		cmocka_unit_test(test_an_unknown_version),
-		cmocka_unit_test(test_a_frame_without_our_seal),
-		cmocka_unit_test(test_a_truncated_frame),
+		cmocka_unit_test(test_oversized_frame_is_dropped),
+		cmocka_unit_test(test_invalid_message_is_dropped),
+		cmocka_unit_test(test_unknown_version_is_dropped),
+		cmocka_unit_test(test_frame_without_valid_seal_is_dropped),
+		cmocka_unit_test(test_truncated_frame_is_dropped),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
