--- a/tests/unit/test_docs.c
+++ b/tests/unit/test_docs.c
@@ -13,7 +13,7 @@
 #include "adapters/gateway/settings.h"
 #include "adapters/settings.h"
 
-static char *read_page(const char *path)
+static char *read_document(const char *path)
 {
 	char *text = NULL;
 
@@ -22,13 +22,14 @@
 	return text;
 }
 
-static void assert_has_row(const char *page, const char *row)
+static void assert_has_row(const char *document, const char *row)
 {
-	if (!strstr(page, row))
+	if (!strstr(document, row))
 		fail_msg("the page lacks this row:\n%s", row);
 }
 
-static void bounds(char *text, size_t size, bool integer, int64_t least, int64_t most)
+static void format_range(char *text, size_t size, bool integer, int64_t least,
+			 int64_t most)
 {
 	if (!integer)
 		g_strlcpy(text, "", size);
@@ -38,7 +39,7 @@
 		snprintf(text, size, "%" PRId64 " to %" PRId64, least, most);
 }
 
-static void assert_settings(const char *page, const setting_t *rows, size_t count)
+static void assert_settings(const char *document, const setting_t *rows, size_t count)
 {
 	static const char *const kinds[] = {
 		[SETTING_STRING] = "string",
@@ -55,36 +56,37 @@
 		char range[64];
 		char row[512];
 
-		bounds(range, sizeof(range), numeric, rows[i].min, rows[i].max);
+		format_range(range, sizeof(range), numeric, rows[i].min,
+			     rows[i].max);
 		snprintf(row, sizeof(row), "| `%s` | %s | %s | %s | %s |",
 			 rows[i].key, kinds[rows[i].kind],
 			 rows[i].default_value ? rows[i].default_value : "required",
 			 range, rows[i].description);
-		assert_has_row(page, row);
+		assert_has_row(document, row);
 	}
 }
 
-static void test_settings_page(void **state)
+static void test_settings_document_lists_all_keys(void **state)
 {
-	char *page = read_page("docs/SETTINGS.md");
+	char *document = read_document("docs/SETTINGS.md");
 	size_t count;
 	const setting_t *rows = settings_table(&count);
 
 	(void)state;
-	assert_settings(page, rows, count);
-	assert_settings(page, gateway_settings_table()->rows,
+	assert_settings(document, rows, count);
+	assert_settings(document, gateway_settings_table()->rows,
 			gateway_settings_table()->count);
-	g_free(page);
+	g_free(document);
 }
 
-static void test_bundle_page(void **state)
+static void test_bundle_document_lists_all_keys(void **state)
 {
 	static const char *const kinds[] = {
 		[RULE_STRING] = "string",   [RULE_INTEGER] = "integer",
 		[RULE_BOOLEAN] = "boolean", [RULE_PRIORITY] = "priority",
 		[RULE_NAMES] = "names",
 	};
-	char *page = read_page("docs/BUNDLE.md");
+	char *document = read_document("docs/BUNDLE.md");
 	size_t count;
 	const bundle_rule_t *table = bundle_rules(&count);
 
@@ -93,22 +95,22 @@
 		char range[64];
 		char row[512];
 
-		bounds(range, sizeof(range), table[i].kind == RULE_INTEGER,
-		       table[i].least, table[i].most);
+		format_range(range, sizeof(range), table[i].kind == RULE_INTEGER,
+			     table[i].least, table[i].most);
 		snprintf(row, sizeof(row), "| `%s` | `%s` | %s | %s | %s | %s |",
 			 table[i].section, table[i].key, kinds[table[i].kind],
 			 table[i].fallback ? table[i].fallback : "required",
 			 range, table[i].meaning);
-		assert_has_row(page, row);
+		assert_has_row(document, row);
 	}
-	g_free(page);
+	g_free(document);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_settings_page),
-		cmocka_unit_test(test_bundle_page),
+		cmocka_unit_test(test_settings_document_lists_all_keys),
+		cmocka_unit_test(test_bundle_document_lists_all_keys),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -12,7 +12,7 @@
 
 #include "adapters/settings.h"
 
-#define GOOD                                                 \
+#define VALID_SETTINGS                                       \
 	"[node]\nid = \"entry-1\"\nzone = \"zone-a\"\n"      \
 	"[platform]\naddress = \"127.0.0.1\"\nport = 1234\n" \
 	"[bundle]\npublic_key_file = \"/dev/null\"\n"        \
@@ -33,7 +33,7 @@
 	return settings;
 }
 
-static void assert_fault(const char *text, const char *expected)
+static void assert_error(const char *text, const char *expected)
 {
 	pd_error_t err;
 	settings_t *settings = read_text(text, &err);
@@ -45,10 +45,10 @@
 	assert_null(strchr(err.context, '\n'));
 }
 
-static void test_good_settings_get_defaults(void **state)
+static void test_valid_settings_get_defaults(void **state)
 {
 	pd_error_t err;
-	settings_t *settings = read_text(GOOD, &err);
+	settings_t *settings = read_text(VALID_SETTINGS, &err);
 
 	(void)state;
 	assert_non_null(settings);
@@ -60,23 +60,23 @@
 	settings_destroy(settings);
 }
 
-static void test_faults_name_line_and_key(void **state)
+static void test_errors_name_line_and_key(void **state)
 {
 	(void)state;
-	assert_fault(GOOD "[callers]\nprot = 1\n",
+	assert_error(VALID_SETTINGS "[callers]\nprot = 1\n",
 		     "s.toml:12: callers.prot: unknown key");
-	assert_fault(GOOD "[callers]\nport = \"x\"\n",
+	assert_error(VALID_SETTINGS "[callers]\nport = \"x\"\n",
 		     "s.toml:12: callers.port: expected an integer");
-	assert_fault(GOOD "[callers]\nport = 70000\n",
+	assert_error(VALID_SETTINGS "[callers]\nport = 70000\n",
 		     "s.toml:12: callers.port: expected an integer from 0 to "
 		     "65535, got 70000");
-	assert_fault(GOOD "[log]\nlevel = \"loud\"\n",
+	assert_error(VALID_SETTINGS "[log]\nlevel = \"loud\"\n",
 		     "s.toml:12: log.level: expected one of "
 		     "debug|info|warning|error, got loud");
-	assert_fault("[node]\nid = \"a\"\n",
+	assert_error("[node]\nid = \"a\"\n",
 		     "node.zone: expected, but missing");
-	assert_fault("[node\n", "s.toml:1: ");
-	assert_fault("[node]\nid = \"a\"\nzone = \"z\"\n[platform]\n"
+	assert_error("[node\n", "s.toml:1: ");
+	assert_error("[node]\nid = \"a\"\nzone = \"z\"\n[platform]\n"
 		     "address = \"a\"\nport = 1\n[bundle]\n"
 		     "public_key_file = \"/no/such/file\"\n",
 		     "expected a readable file");
@@ -85,24 +85,26 @@
 static void test_arrays_are_bounded(void **state)
 {
 	pd_error_t err;
-	settings_t *settings =
-		read_text(GOOD "[placer]\nzones = [\"a\", \"b\"]\n", &err);
+	settings_t *settings = read_text(VALID_SETTINGS
+					 "[placer]\nzones = [\"a\", \"b\"]\n",
+					 &err);
 
 	(void)state;
 	assert_non_null(settings);
 	assert_string_equal(settings->placer_zones[1], "b");
 	settings_destroy(settings);
-	assert_fault(GOOD "[placer]\nzones = \"a\"\n", "an array of strings");
-	assert_fault(GOOD "seeds = [\"1\",\"2\",\"3\",\"4\",\"5\","
-			  "\"6\",\"7\",\"8\",\"9\"]\n",
+	assert_error(VALID_SETTINGS "[placer]\nzones = \"a\"\n",
+		     "an array of strings");
+	assert_error(VALID_SETTINGS "seeds = [\"1\",\"2\",\"3\",\"4\",\"5\","
+				    "\"6\",\"7\",\"8\",\"9\"]\n",
 		     "at most 8 items");
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_good_settings_get_defaults),
-		cmocka_unit_test(test_faults_name_line_and_key),
+		cmocka_unit_test(test_valid_settings_get_defaults),
+		cmocka_unit_test(test_errors_name_line_and_key),
 		cmocka_unit_test(test_arrays_are_bounded),
 	};
 
