--- a/adapters/sse.c
+++ b/adapters/sse.c
@@ -1,4 +1,4 @@
-/* Parses server-sent events line by line. */
+/* Line-based parser for server-sent events. */
 #include "adapters/sse.h"
 
 #include <glib.h>
@@ -13,7 +13,10 @@
 	GString *data;
 };
 
-/* Returns a parser that calls ON_EVENT for each whole event. */
+/*
+ * Returns a parser that calls ON_EVENT with CTX for each complete event and
+ * each comment line. The caller destroys it.
+ */
 sse_parser_t *sse_parser_create(void (*on_event)(void *ctx, const sse_event_t *event),
 				void *ctx)
 {
@@ -28,7 +31,7 @@
 	return parser;
 }
 
-/* Frees a parser and what it holds of an unfinished event. */
+/* Frees a parser, discarding an incomplete event; NULL is allowed. */
 void sse_parser_destroy(sse_parser_t *parser)
 {
 	if (!parser)
@@ -40,6 +43,10 @@
 	g_free(parser);
 }
 
+/*
+ * Reports the buffered event, unless it has neither data nor name, and clears
+ * it.
+ */
 static void parser_dispatch_event(sse_parser_t *parser)
 {
 	const sse_event_t event = {
@@ -55,6 +62,9 @@
 	g_string_truncate(parser->data, 0);
 }
 
+/*
+ * Adds one complete line to the buffered event; an empty line ends the event.
+ */
 static void parser_process_line(sse_parser_t *parser)
 {
 	char *line = parser->line->str;
@@ -84,8 +94,8 @@
 }
 
 /*
- * Takes the next bytes. Returns -1 with ERR set if an event grows beyond
- * SSE_EVENT_MAX; the parser is then of no further use.
+ * Parses the next LEN bytes of the stream. Returns 0, or -1 with ERR set if an
+ * event exceeds SSE_EVENT_MAX; the rest of the stream can't be parsed then.
  */
 int sse_parser_feed(sse_parser_t *parser, const char *data, size_t len,
 		    pd_error_t *err)
--- a/adapters/sse.h
+++ b/adapters/sse.h
@@ -1,4 +1,4 @@
-/* Server-sent events: a parser that takes bytes as they come. */
+/* Incremental parser for server-sent events. */
 #ifndef PISTACHIO_SSE_H
 #define PISTACHIO_SSE_H
 
@@ -8,12 +8,15 @@
 
 #define SSE_EVENT_MAX (64 * 1024) /* bytes of one event */
 
-/* Name of what stands for a line that begins with a colon: a sign of life. */
+/*
+ * Event name under which comment lines are reported: senders use them as
+ * keep-alives.
+ */
 #define SSE_COMMENT ":"
 
 typedef struct sse_event {
-	const char *id; /* borrowed; "" if there is none */
-	const char *name; /* "message" if there is none; SSE_COMMENT */
+	const char *id; /* borrowed, as are the others; "" if the event has none */
+	const char *name; /* "message" if the event has none; SSE_COMMENT */
 	const char *data;
 } sse_event_t;
 
