--- a/adapters/signing.c
+++ b/adapters/signing.c
@@ -1,18 +1,22 @@
-/* Ed25519 and BLAKE2b by libsodium. */
+/* Ed25519 signatures and BLAKE2b hashes with libsodium. */
 #include "adapters/signing.h"
 
 #include <sodium.h>
 #include <string.h>
 
-/* Readies the library; the first thing a program does with it. */
+/*
+ * Initializes libsodium; must be called before any other function here. Returns
+ * 0, or -1 with ERR set.
+ */
 int signing_init(pd_error_t *err)
 {
 	if (sodium_init() < 0)
 		return pd_error_set(err, PD_ERROR_UNAVAILABLE,
-				    "libsodium can't start");
+				    "can't initialize libsodium");
 	return 0;
 }
 
+/* Returns LEN bytes as a hex string, owned by the caller. */
 static char *to_hex(const unsigned char *bytes, size_t len)
 {
 	char *hex = g_malloc(len * 2 + 1);
@@ -21,6 +25,10 @@
 	return hex;
 }
 
+/*
+ * Decodes exactly LEN bytes from a hex string; spaces and line ends are
+ * ignored. Returns 0, or -1 if the string holds anything else.
+ */
 static int from_hex(const char *hex, unsigned char *bytes, size_t len)
 {
 	size_t decoded_len = 0;
@@ -32,7 +40,7 @@
 	return 0;
 }
 
-/* Makes a pair of keys in hex; the caller owns both strings. */
+/* Generates an Ed25519 key pair in hex; the caller owns both strings. */
 void signing_keygen(char **public_key, char **secret_key)
 {
 	unsigned char public_bytes[crypto_sign_PUBLICKEYBYTES];
@@ -44,7 +52,10 @@
 	sodium_memzero(secret_bytes, sizeof(secret_bytes));
 }
 
-/* Returns the signature of DATA in hex, owned by the caller. */
+/*
+ * Returns the signature of DATA in hex, owned by the caller, or NULL with ERR
+ * set if the secret key is malformed.
+ */
 char *signing_sign(const char *secret_key, const char *data, size_t len,
 		   pd_error_t *err)
 {
@@ -53,7 +64,7 @@
 
 	if (from_hex(secret_key, secret, sizeof(secret)) < 0) {
 		pd_error_set(err, PD_ERROR_SIGNATURE,
-			     "the secret key is not %zu bytes of hex",
+			     "secret key: expected %zu bytes of hex",
 			     sizeof(secret));
 		return NULL;
 	}
@@ -63,7 +74,10 @@
 	return to_hex(signature, sizeof(signature));
 }
 
-/* Checks a signature in hex against a public key in hex. */
+/*
+ * Verifies a signature in hex with a public key in hex. Returns 0, or -1 with
+ * ERR set if the key is malformed or the signature is invalid.
+ */
 int signing_verify(const char *public_key, const char *signature,
 		   const char *data, size_t len, pd_error_t *err)
 {
@@ -72,17 +86,18 @@
 
 	if (from_hex(public_key, key, sizeof(key)) < 0)
 		return pd_error_set(err, PD_ERROR_SIGNATURE,
-				    "the public key is not %zu bytes of hex",
+				    "public key: expected %zu bytes of hex",
 				    sizeof(key));
 	if (from_hex(signature, bytes, sizeof(bytes)) < 0 ||
 	    crypto_sign_verify_detached(bytes, (const unsigned char *)data, len,
 					key) != 0)
 		return pd_error_set(err, PD_ERROR_SIGNATURE,
-				    "the signature is not the operators'");
+				    "signature does not match the operators' "
+				    "public key");
 	return 0;
 }
 
-/* Returns the BLAKE2b-256 of DATA in hex, owned by the caller. */
+/* Returns the BLAKE2b-256 hash of DATA in hex, owned by the caller. */
 char *signing_hash(const char *data, size_t len)
 {
 	unsigned char hash[crypto_generichash_BYTES];
@@ -92,7 +107,10 @@
 	return to_hex(hash, sizeof(hash));
 }
 
-/* Returns a fresh random key in hex, for an account or for peers, owned by the caller. */
+/*
+ * Returns a new random 256-bit key in hex, for an account or for peers, owned
+ * by the caller.
+ */
 char *signing_random_key(void)
 {
 	unsigned char bytes[32];
--- a/adapters/signing.h
+++ b/adapters/signing.h
@@ -1,4 +1,6 @@
-/* Keys, signatures and hashes by libsodium; everything is passed as hex. */
+/*
+ * Keys, signatures and hashes, computed by libsodium and passed as hex strings.
+ */
 #ifndef PISTACHIO_SIGNING_H
 #define PISTACHIO_SIGNING_H
 
