--- a/adapters/peer_seal.c
+++ b/adapters/peer_seal.c
@@ -1,10 +1,10 @@
-/* Seals and opens frames with HMAC-SHA-512-256 by libsodium. */
+/* Authenticates frames with HMAC-SHA-512-256 (libsodium's crypto_auth). */
 #include "adapters/peer_seal.h"
 
 #include <sodium.h>
 #include <string.h>
 
-/* A key is replaced by putting the new one first and the old one second. */
+/* For rotation a key file lists the new key first and the old key second. */
 #define KEYS_MAX 2
 
 struct peer_keys {
@@ -14,6 +14,10 @@
 
 G_STATIC_ASSERT(PEER_SEAL_BYTES == crypto_auth_BYTES);
 
+/*
+ * Parses one line of the key file at PATH into KEYS; returns 0, or -1 with ERR
+ * set.
+ */
 static int parse_key(peer_keys_t *keys, const char *line, const char *path,
 		     pd_error_t *err)
 {
@@ -34,8 +38,9 @@
 }
 
 /*
- * Reads the keys in a file, one a line in hex: frames are sealed with the first
- * and opened with any. The caller owns them; NULL with ERR set if it is bad.
+ * Reads a file of keys, one per line in hex. Frames are sealed with the first
+ * key and accepted with any. Returns the keys, owned by the caller, or NULL
+ * with ERR set if the file is unreadable or malformed.
  */
 peer_keys_t *peer_keys_read(const char *path, pd_error_t *err)
 {
@@ -66,7 +71,7 @@
 	return NULL;
 }
 
-/* Wipes and frees the keys; NULL is allowed. */
+/* Overwrites and frees the keys; NULL is allowed. */
 void peer_keys_destroy(peer_keys_t *keys)
 {
 	if (!keys)
@@ -75,7 +80,7 @@
 	g_free(keys);
 }
 
-/* Returns the seal followed by the message, owned by the caller. */
+/* Returns the MAC followed by the message, owned by the caller. */
 GBytes *peer_seal(const peer_keys_t *keys, GBytes *message)
 {
 	gsize len;
@@ -88,8 +93,9 @@
 }
 
 /*
- * Checks the seal in front of a message; the message follows it in DATA.
- * Returns -1 with ERR set if no key fits.
+ * Verifies a sealed message: DATA holds the MAC, PEER_SEAL_BYTES long, and then
+ * the message. Returns 0, or -1 with ERR set if the MAC matches none of the
+ * keys.
  */
 int peer_unseal(const peer_keys_t *keys, const char *data, size_t len,
 		pd_error_t *err)
--- a/adapters/peer_seal.h
+++ b/adapters/peer_seal.h
@@ -1,7 +1,7 @@
 /*
- * The seal on frames between entries: a keyed hash over the message, by a key
- * that only the operators' VMs hold. Without it any host that reaches the
- * peers' port could call VMs leaving or take members' names.
+ * The seal of frames between entries: a MAC of the message with a key that only
+ * the operators' VMs have. Without it, any host that can reach the peers' port
+ * could announce that VMs are leaving or impersonate members.
  */
 #ifndef PISTACHIO_PEER_SEAL_H
 #define PISTACHIO_PEER_SEAL_H
