--- a/adapters/msgpack_check.c
+++ b/adapters/msgpack_check.c
@@ -1,24 +1,27 @@
 /*
- * msgpack-c allocates room for as many items as an array's head claims before
- * it has seen one of them, so five bytes from a faulty peer can ask for 128 GB:
- * the process would be killed for lack of memory. Walking the heads first, and
- * asking that every claimed item have at least one byte left to it, bounds what
- * the library allocates by the size of the message.
+ * msgpack-c allocates space for as many items as an array's header declares
+ * before it has read any of them, so five bytes from a faulty peer can request
+ * 128 GB, and the process is killed for lack of memory. Checking the headers
+ * first, and requiring at least one remaining byte for each declared item,
+ * bounds what the library allocates by the size of the message.
  */
 #include "adapters/msgpack_check.h"
 
 #include <stdint.h>
 
-/* What follows a head byte. */
+/* What follows the first byte of a value. */
 typedef struct header {
-	uint64_t payload_bytes; /* bytes of content that hold no further value */
-	uint64_t nested_values; /* values inside */
-	unsigned int length_width; /* bytes of the length that follows, if any */
-	unsigned int type_bytes; /* bytes after that length, before the content */
-	bool is_container; /* the length counts values, not bytes */
-	unsigned int values_per_item; /* values for each counted item */
+	uint64_t payload_bytes; /* content without nested values */
+	uint64_t nested_values; /* in an array or map */
+	unsigned int length_width; /* bytes of the length field; 0: none */
+	unsigned int type_bytes; /* of an extension, after its length */
+	bool is_container; /* the length counts items, not bytes */
+	unsigned int values_per_item; /* 2 in a map: key and value */
 } header_t;
 
+/*
+ * Returns the header of a value whose first byte holds no part of its length.
+ */
 static header_t header_of_code(uint8_t code)
 {
 	switch (code) {
@@ -75,6 +78,7 @@
 	return (header_t){ 0 };
 }
 
+/* Returns the header of a value with this first byte. */
 static header_t header_of(uint8_t byte)
 {
 	if (byte >= 0x80 && byte <= 0x8f)
@@ -86,6 +90,7 @@
 	return header_of_code(byte);
 }
 
+/* Reads a big-endian integer of WIDTH bytes. */
 static uint64_t read_length(const uint8_t *bytes, unsigned int width)
 {
 	uint64_t value = 0;
@@ -95,11 +100,14 @@
 	return value;
 }
 
-/* Says whether no head in DATA claims more than DATA has room for. */
+/*
+ * Returns whether DATA begins with one complete value in which no header
+ * declares more bytes or items than the bytes that follow it can hold.
+ */
 bool msgpack_lengths_fit(const char *data, size_t len)
 {
 	const uint8_t *bytes = (const uint8_t *)data;
-	uint64_t values_left = 1; /* still to come */
+	uint64_t values_left = 1; /* still to be read */
 	size_t offset = 0;
 
 	while (values_left > 0) {
--- a/adapters/msgpack_check.h
+++ b/adapters/msgpack_check.h
@@ -1,4 +1,4 @@
-/* A look at msgpack bytes before msgpack-c is let loose on them. */
+/* Validation of msgpack data from untrusted senders, before it is unpacked. */
 #ifndef PISTACHIO_MSGPACK_CHECK_H
 #define PISTACHIO_MSGPACK_CHECK_H
 
--- a/adapters/msgpack_fields.c
+++ b/adapters/msgpack_fields.c
@@ -1,9 +1,11 @@
-/* Fields of unpacked msgpack, whatever the sender put there. */
+/* Typed access to unpacked msgpack objects from untrusted senders. */
 #include "adapters/msgpack_fields.h"
 
 #include <glib.h>
 
-/* Returns a copy of a text, which the caller frees; NULL: it is none. */
+/*
+ * Returns a copy of a string, owned by the caller; NULL if OBJECT is no string.
+ */
 char *msgpack_field_string(const msgpack_object *object)
 {
 	if (object->type != MSGPACK_OBJECT_STR)
@@ -11,14 +13,14 @@
 	return g_strndup(object->via.str.ptr, object->via.str.size);
 }
 
-/* Returns a number, 0 if it is none. */
+/* Returns a non-negative integer; 0 if OBJECT is anything else. */
 uint64_t msgpack_field_uint64(const msgpack_object *object)
 {
 	return object->type == MSGPACK_OBJECT_POSITIVE_INTEGER ? object->via.u64
 							       : 0;
 }
 
-/* Returns a decimal or whole number, 0 if it is none. */
+/* Returns a float or a non-negative integer; 0 if OBJECT is anything else. */
 double msgpack_field_double(const msgpack_object *object)
 {
 	if (object->type == MSGPACK_OBJECT_FLOAT32 ||
@@ -27,7 +29,11 @@
 	return (double)msgpack_field_uint64(object);
 }
 
-/* Returns the items of an array of at least MIN_COUNT, or NULL. */
+/*
+ * Returns the items of an array and, unless COUNT is NULL, sets COUNT to their
+ * number. Returns NULL if OBJECT is no array or has fewer than MIN_COUNT items.
+ * The items are borrowed from OBJECT.
+ */
 const msgpack_object *msgpack_field_array(const msgpack_object *object,
 					  uint32_t min_count, uint32_t *count)
 {
--- a/adapters/msgpack_fields.h
+++ b/adapters/msgpack_fields.h
@@ -1,4 +1,6 @@
-/* Typed reading of unpacked msgpack; what has another type reads as nothing. */
+/*
+ * Typed access to unpacked msgpack objects; a mismatched type gives NULL or 0.
+ */
 #ifndef PISTACHIO_MSGPACK_FIELDS_H
 #define PISTACHIO_MSGPACK_FIELDS_H
 
--- a/adapters/msgpack_write.c
+++ b/adapters/msgpack_write.c
@@ -1,9 +1,9 @@
-/* Texts and lists as msgpack. */
+/* Packs C strings and lists of unknown length as msgpack. */
 #include "adapters/msgpack_write.h"
 
 #include <string.h>
 
-/* Packs a text, which may not be NULL. */
+/* Packs a string; TEXT must not be NULL. */
 void msgpack_write_string(msgpack_packer *packer, const char *text)
 {
 	size_t len = strlen(text);
@@ -12,7 +12,7 @@
 	msgpack_pack_str_body(packer, text, len);
 }
 
-/* Begins a list without items; list_writer_end() frees what it holds. */
+/* Begins an empty list; list_writer_end() frees its buffer. */
 void list_writer_init(list_writer_t *writer)
 {
 	writer->count = 0;
@@ -21,7 +21,7 @@
 			    msgpack_sbuffer_write);
 }
 
-/* Appends the list to OUT, which PACKER packs into, and frees it. */
+/* Packs the list with PACKER, whose buffer is OUT, and frees its own buffer. */
 void list_writer_end(list_writer_t *writer, msgpack_sbuffer *out,
 		     msgpack_packer *packer)
 {
--- a/adapters/msgpack_write.h
+++ b/adapters/msgpack_write.h
@@ -1,15 +1,18 @@
-/* Packing of what msgpack-c has no call for: texts, and lists of unknown length. */
+/* Packing of C strings, and of arrays whose length isn't known in advance. */
 #ifndef PISTACHIO_MSGPACK_WRITE_H
 #define PISTACHIO_MSGPACK_WRITE_H
 
 #include <msgpack.h>
 #include <stdint.h>
 
-/* Items of a list, packed before their number is known, which goes first. */
+/*
+ * Buffers the packed items of an array, since msgpack has their number precede
+ * them.
+ */
 typedef struct list_writer {
 	msgpack_sbuffer buffer;
-	msgpack_packer packer; /* of the items */
-	uint32_t count; /* which the caller raises with each item */
+	msgpack_packer packer; /* packs items into BUFFER */
+	uint32_t count; /* of items; the caller increments it for each */
 } list_writer_t;
 
 void msgpack_write_string(msgpack_packer *packer, const char *text);
--- a/tests/unit/test_msgpack_write.c
+++ b/tests/unit/test_msgpack_write.c
@@ -1,4 +1,4 @@
-/* Texts and lists of unknown length as msgpack. */
+/* Tests the packing of strings and of lists of unknown length. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
