--- a/adapters/price_watch.c
+++ b/adapters/price_watch.c
@@ -1,4 +1,4 @@
-/* Reads and decodes the cloud's prices. */
+/* Polls and decodes the cloud's prices. */
 #include "adapters/price_watch.h"
 
 #include "adapters/json.h"
@@ -14,6 +14,10 @@
 	bool request_in_flight;
 };
 
+/*
+ * Decodes one offer; OFFER then owns its strings. Returns 0, or -1 with ERR set
+ * and OFFER without strings.
+ */
 static int offer_decode(const json_t *object, offer_t *offer, pd_error_t *err)
 {
 	const char *zone;
@@ -27,8 +31,7 @@
 		return -1;
 	if (slots < 1 || slots > SLOTS_MAX || offer->price < 0)
 		return pd_error_set(err, PD_ERROR_INPUT,
-				    "an offer's slots or price is out of "
-				    "range");
+				    "offer: slots or price out of range");
 	offer->zone = g_strdup(zone);
 	offer->machine_class = g_strdup(machine_class);
 	offer->slots = (unsigned int)slots;
@@ -37,6 +40,7 @@
 	return 0;
 }
 
+/* Frees the strings of an offer_t. */
 static void offer_clear(void *data)
 {
 	offer_t *offer = data;
@@ -45,7 +49,10 @@
 	g_free(offer->machine_class);
 }
 
-/* Reads offers as an array of offer_t; NULL with ERR set if they are bad. */
+/*
+ * Decodes a JSON object with offers. Returns an array of offer_t, which the
+ * caller unreferences, or NULL with ERR set if it is malformed.
+ */
 GArray *offers_decode(const char *data, size_t len, pd_error_t *err)
 {
 	GArray *offers = g_array_new(FALSE, TRUE, sizeof(offer_t));
@@ -73,7 +80,10 @@
 	return NULL;
 }
 
-/* Without prices the last ones stand: stale ones cost a little, none much. */
+/*
+ * Delivers the offers of an answer. Without a valid answer the previous prices
+ * remain in use: stale prices cost a little, no prices a lot.
+ */
 static void watch_on_answer(void *ctx, const platform_answer_t *answer)
 {
 	price_watch_t *watch = ctx;
@@ -85,7 +95,7 @@
 		return;
 	offers = offers_decode(answer->body, answer->len, &err);
 	if (!offers) {
-		log_error(LOG_COMPONENT, "dropped prices", &err);
+		log_error(LOG_COMPONENT, "ignored invalid prices", &err);
 		return;
 	}
 	watch->config.on_prices(watch->config.ctx,
@@ -93,6 +103,7 @@
 	g_array_unref(offers);
 }
 
+/* Requests the prices, unless a request is still in flight. */
 static void watch_on_timer(uv_timer_t *timer)
 {
 	price_watch_t *watch = timer->data;
@@ -103,7 +114,7 @@
 	platform_read_prices(watch->config.platform, watch_on_answer, watch);
 }
 
-/* Returns a watch that is paused; it lives as long as the loop. */
+/* Returns a paused watch, which lives as long as the loop. */
 price_watch_t *price_watch_create(uv_loop_t *loop, const price_watch_config_t *config)
 {
 	price_watch_t *watch = g_new0(price_watch_t, 1);
@@ -114,7 +125,7 @@
 	return watch;
 }
 
-/* Stops asking, or asks now and every so often. */
+/* Stops polling, or polls at once and then every PRICE_PERIOD_MS. */
 void price_watch_set_paused(price_watch_t *watch, bool paused)
 {
 	if (paused)
--- a/adapters/price_watch.h
+++ b/adapters/price_watch.h
@@ -1,4 +1,4 @@
-/* Reads the cloud's prices every so often, while it is asked to. */
+/* Polls the cloud's prices unless paused. */
 #ifndef PISTACHIO_PRICE_WATCH_H
 #define PISTACHIO_PRICE_WATCH_H
 
@@ -11,6 +11,7 @@
 
 typedef struct price_watch_config {
 	platform_t *platform; /* borrowed */
+	/* OFFERS is borrowed for the call. */
 	void (*on_prices)(void *ctx, const offer_t *offers, size_t count);
 	void *ctx;
 } price_watch_config_t;
--- a/adapters/vm_watch.c
+++ b/adapters/vm_watch.c
@@ -1,4 +1,4 @@
-/* Reads the VM list while it changes, and only says "unchanged?" else. */
+/* Polls the VM list with conditional requests. */
 #include "adapters/vm_watch.h"
 
 #include "adapters/log_glib.h"
@@ -9,11 +9,14 @@
 struct vm_watch {
 	vm_watch_config_t config;
 	uv_timer_t timer;
-	uint64_t version; /* of the list handed on last */
+	uint64_t version; /* of the last list delivered; 0: none */
 	bool request_in_flight;
 	bool paused;
 };
 
+/*
+ * Delivers the list of an answer unless it is unchanged, invalid or unwanted.
+ */
 static void watch_on_answer(void *ctx, const platform_answer_t *answer)
 {
 	vm_watch_t *watch = ctx;
@@ -25,7 +28,7 @@
 		return;
 	vms = vm_list_decode(answer->body, answer->len, &err);
 	if (!vms) {
-		log_error(LOG_COMPONENT, "dropped a list", &err);
+		log_error(LOG_COMPONENT, "ignored an invalid VM list", &err);
 		return;
 	}
 	watch->version = answer->version;
@@ -33,7 +36,10 @@
 	vm_list_free(vms);
 }
 
-/* A slow platform must not be asked again before it has answered. */
+/*
+ * Requests the list, unless a request is in flight: a slow platform must not
+ * get requests faster than it answers them.
+ */
 static void watch_on_timer(uv_timer_t *timer)
 {
 	vm_watch_t *watch = timer->data;
@@ -45,7 +51,7 @@
 			  watch_on_answer, watch);
 }
 
-/* Starts following; the watch lives as long as the loop. */
+/* Returns a watch that polls at once; it lives as long as the loop. */
 vm_watch_t *vm_watch_create(uv_loop_t *loop, const vm_watch_config_t *config)
 {
 	vm_watch_t *watch = g_new0(vm_watch_t, 1);
@@ -57,7 +63,10 @@
 	return watch;
 }
 
-/* Stops asking, or asks again and then hands on the whole list once. */
+/*
+ * Stops polling, or resumes it; after a pause the next list is delivered even
+ * if it is unchanged.
+ */
 void vm_watch_set_paused(vm_watch_t *watch, bool paused)
 {
 	watch->paused = paused;
--- a/adapters/vm_watch.h
+++ b/adapters/vm_watch.h
@@ -1,4 +1,4 @@
-/* Follows the platform's VM list: reads it every so often, whole when changed. */
+/* Polls the platform's VM list, which is sent only when it has changed. */
 #ifndef PISTACHIO_VM_WATCH_H
 #define PISTACHIO_VM_WATCH_H
 
@@ -12,6 +12,7 @@
 typedef struct vm_watch_config {
 	platform_t *platform; /* borrowed */
 	uint64_t period_ms;
+	/* VMS is borrowed for the call. */
 	void (*on_list)(void *ctx, const vm_t *vms, size_t count);
 	void *ctx;
 } vm_watch_config_t;
