--- a/adapters/setting_table.c
+++ b/adapters/setting_table.c
@@ -89,8 +89,8 @@
 			    location, setting->key, setting->max);
 }
 
-static int setting_set_type_error(const setting_t *setting,
-				  const char *location, pd_error_t *err)
+static int set_type_error(const setting_t *setting, const char *location,
+			  pd_error_t *err)
 {
 	static const char *const expected[] = {
 		[SETTING_STRING] = "a string",
@@ -113,7 +113,7 @@
 						 : (double)leaf->number;
 
 	if (leaf->kind != TOML_FLOAT && leaf->kind != TOML_INTEGER)
-		return setting_set_type_error(setting, location, err);
+		return set_type_error(setting, location, err);
 	if (number < (double)setting->min || number > (double)setting->max)
 		return pd_error_set(err, PD_ERROR_SETTINGS,
 				    "%s: %s: expected a number from "
@@ -140,14 +140,14 @@
 		rc = pd_error_set(err, PD_ERROR_SETTINGS, "%s: %s: unknown key",
 				  location, leaf->key);
 	else if ((setting->kind == SETTING_STRINGS) != (bracket != NULL))
-		rc = setting_set_type_error(setting, location, err);
+		rc = set_type_error(setting, location, err);
 	else if (setting->kind == SETTING_INTEGER && leaf->kind == TOML_INTEGER)
 		rc = setting_set_integer(settings, setting, leaf->number,
 					 location, err);
 	else if (setting->kind == SETTING_DECIMAL)
 		rc = setting_set_double(settings, setting, leaf, location, err);
 	else if (setting->kind == SETTING_INTEGER || leaf->kind != TOML_STRING)
-		rc = setting_set_type_error(setting, location, err);
+		rc = set_type_error(setting, location, err);
 	else if (setting->kind == SETTING_STRINGS)
 		rc = setting_append_string(settings, setting, leaf->text,
 					   location, err);
