--- a/adapters/peer_codec.c
+++ b/adapters/peer_codec.c
@@ -1,4 +1,7 @@
-/* Encodes and decodes peer messages. Each is one array, the version first. */
+/*
+ * Encodes and decodes peer messages. A message is one msgpack array, whose
+ * first item is the protocol version.
+ */
 #include "adapters/peer_codec.h"
 
 #include <msgpack.h>
@@ -6,6 +9,7 @@
 
 #include "adapters/msgpack_check.h"
 
+/* Items of the arrays that messages and their parts are encoded as. */
 #define MSG_FIELDS 12
 #define MEMBER_FIELDS 7
 #define LEAVING_FIELDS 2
@@ -13,6 +17,7 @@
 #define CLAIM_FIELDS 8
 #define HANDOVER_FIELDS 16
 
+/* Packs a string; NULL becomes an empty one. */
 static void pack_string(msgpack_packer *packer, const char *text)
 {
 	size_t len = text ? strlen(text) : 0;
@@ -21,6 +26,7 @@
 	msgpack_pack_str_body(packer, text ? text : "", len);
 }
 
+/* Packs a member as an array of MEMBER_FIELDS. */
 static void pack_member(msgpack_packer *packer, const member_info_t *info)
 {
 	msgpack_pack_array(packer, MEMBER_FIELDS);
@@ -33,6 +39,7 @@
 	msgpack_pack_uint8(packer, (uint8_t)info->state);
 }
 
+/* Packs binary data; NULL becomes empty data. */
 static void pack_bytes(msgpack_packer *packer, GBytes *bytes)
 {
 	gsize len = bytes ? g_bytes_get_size(bytes) : 0;
@@ -42,7 +49,7 @@
 		msgpack_pack_bin_body(packer, g_bytes_get_data(bytes, NULL), len);
 }
 
-/* A string that may be missing: an empty one means something else. */
+/* Packs a string, or nil for NULL, which differs from an empty string. */
 static void pack_optional(msgpack_packer *packer, const char *text)
 {
 	if (text)
@@ -51,6 +58,7 @@
 		msgpack_pack_nil(packer);
 }
 
+/* Packs a claim, or nil if there is none. */
 static void pack_claim(msgpack_packer *packer, const claim_note_t *note)
 {
 	if (!note->key) {
@@ -68,6 +76,7 @@
 	pack_optional(packer, note->answer);
 }
 
+/* Packs a handover, or nil if there is none. */
 static void pack_handover(msgpack_packer *packer, const handover_t *handover)
 {
 	if (!handover->request_id) {
@@ -93,6 +102,7 @@
 	pack_bytes(packer, handover->body);
 }
 
+/* Packs the request rates of accounts as an array of pairs. */
 static void pack_demand(msgpack_packer *packer, const peer_msg_t *msg)
 {
 	msgpack_pack_array(packer, msg->demand_count);
@@ -103,7 +113,7 @@
 	}
 }
 
-/* Returns the message as bytes, owned by the caller. */
+/* Returns the encoded message, owned by the caller. */
 GBytes *peer_msg_encode(const peer_msg_t *msg)
 {
 	msgpack_sbuffer buffer;
@@ -137,6 +147,13 @@
 	return bytes;
 }
 
+/*
+ * The unpack_ functions return 0, or -1 with ERR set if OBJECT has another type
+ * or is out of range. What they write to is freed with the message, also after
+ * a failure.
+ */
+
+/* Unpacks an integer from 0 to MAX. */
 static int unpack_uint(const msgpack_object *object, uint64_t max,
 		       uint64_t *value, pd_error_t *err)
 {
@@ -149,6 +166,7 @@
 	return 0;
 }
 
+/* Unpacks a string without NULs. */
 static int unpack_string(const msgpack_object *object, char **text, pd_error_t *err)
 {
 	const msgpack_object_str *str = &object->via.str;
@@ -160,6 +178,7 @@
 	return 0;
 }
 
+/* Checks that OBJECT is an array of MIN_COUNT to MAX_COUNT items. */
 static int unpack_array(const msgpack_object *object, uint32_t min_count,
 			uint32_t max_count, pd_error_t *err)
 {
@@ -173,7 +192,7 @@
 	return 0;
 }
 
-/* Reads a member; INFO then owns strings even if this fails half-way. */
+/* Unpacks a member; INFO may own strings even after a failure. */
 static int unpack_member(const msgpack_object *object, member_info_t *info,
 			 pd_error_t *err)
 {
@@ -199,13 +218,14 @@
 	return 0;
 }
 
+/* Unpacks the updates about members that a heartbeat carries. */
 static int unpack_news(const msgpack_object *object, peer_msg_t *msg,
 		       pd_error_t *err)
 {
 	if (unpack_array(object, 0, PEER_NEWS_MAX, err) < 0)
 		return -1;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
-		/* Counted first, so that a half-read one is freed too. */
+		/* Counted first, so that it is freed if unpacking it fails. */
 		msg->news_count++;
 		if (unpack_member(&object->via.array.ptr[i], &msg->news[i], err) < 0)
 			return -1;
@@ -213,6 +233,7 @@
 	return 0;
 }
 
+/* Unpacks the notices of leaving VMs, as pairs of id and time left. */
 static int unpack_leaving(const msgpack_object *object, peer_msg_t *msg,
 			  pd_error_t *err)
 {
@@ -234,6 +255,7 @@
 	return 0;
 }
 
+/* Unpacks the request rates of accounts, as pairs of name and rate. */
 static int unpack_demand(const msgpack_object *object, peer_msg_t *msg,
 			 pd_error_t *err)
 {
@@ -254,6 +276,7 @@
 	return 0;
 }
 
+/* Unpacks a string; nil leaves TEXT as it is. */
 static int unpack_optional(const msgpack_object *object, char **text,
 			   pd_error_t *err)
 {
@@ -262,6 +285,7 @@
 	return unpack_string(object, text, err);
 }
 
+/* Unpacks binary data; empty data leaves BYTES as it is. */
 static int unpack_bytes(const msgpack_object *object, GBytes **bytes,
 			pd_error_t *err)
 {
@@ -273,6 +297,7 @@
 	return 0;
 }
 
+/* Unpacks a claim; nil leaves NOTE as it is. */
 static int unpack_claim(const msgpack_object *object, claim_note_t *note,
 			pd_error_t *err)
 {
@@ -301,6 +326,7 @@
 	return 0;
 }
 
+/* Unpacks the leading fields of a handover, which are strings. */
 static int unpack_handover_strings(const msgpack_object *fields,
 				   handover_t *handover, pd_error_t *err)
 {
@@ -317,6 +343,7 @@
 	return 0;
 }
 
+/* Unpacks a handover; nil leaves HANDOVER as it is. */
 static int unpack_handover(const msgpack_object *object, handover_t *handover,
 			   pd_error_t *err)
 {
@@ -349,6 +376,7 @@
 	return 0;
 }
 
+/* Unpacks a whole message, of the current protocol version only. */
 static int unpack_msg(const msgpack_object *root, peer_msg_t *msg, pd_error_t *err)
 {
 	const msgpack_object *fields;
@@ -380,7 +408,10 @@
 	return 0;
 }
 
-/* Reads a message that the caller then owns; NULL with ERR set if bad. */
+/*
+ * Decodes a message. Returns it, owned by the caller, or NULL with ERR set if
+ * it is malformed (PD_ERROR_INPUT) or of another version (PD_ERROR_VERSION).
+ */
 peer_msg_t *peer_msg_decode(const char *data, size_t len, pd_error_t *err)
 {
 	peer_msg_t *msg = peer_msg_create(PEER_PING);
--- a/adapters/peer_link.c
+++ b/adapters/peer_link.c
@@ -1,4 +1,4 @@
-/* Peer messages, encoded and sealed, in frames between entries. */
+/* Sends and receives encoded and sealed peer messages in frames. */
 #include "adapters/peer_link.h"
 
 #include <glib.h>
@@ -14,6 +14,10 @@
 	frame_link_t *frames;
 };
 
+/*
+ * Delivers the message of a frame. Returns -1, which closes the connection, if
+ * its seal or encoding is invalid.
+ */
 static int link_on_frame(void *ctx, const char *data, size_t len)
 {
 	peer_link_t *link = ctx;
@@ -24,7 +28,7 @@
 		msg = peer_msg_decode(data + PEER_SEAL_BYTES,
 				      len - PEER_SEAL_BYTES, &err);
 	if (!msg) {
-		log_error(LOG_COMPONENT, "dropped a message", &err);
+		log_error(LOG_COMPONENT, "dropped an invalid message", &err);
 		return -1;
 	}
 	link->config.on_msg(link->config.ctx, msg);
@@ -32,7 +36,10 @@
 	return 0;
 }
 
-/* Starts listening for peers. NULL with ERR set if that fails. */
+/*
+ * Returns a link that listens for peers, or NULL with ERR set if it can't
+ * listen. The caller destroys it.
+ */
 peer_link_t *peer_link_create(uv_loop_t *loop, const peer_link_config_t *config,
 			      pd_error_t *err)
 {
@@ -56,8 +63,8 @@
 }
 
 /*
- * Closes every connection. The memory goes when the loop has run the closing
- * callbacks, or with the process.
+ * Closes all connections; NULL is allowed. The memory is freed once the loop
+ * has run the close callbacks, or at the exit of the process.
  */
 void peer_link_destroy(peer_link_t *link)
 {
@@ -65,21 +72,21 @@
 		frame_link_destroy(link->frames);
 }
 
-/* Returns the port that peers connect to. */
+/* Returns the TCP port that peers connect to. */
 uint16_t peer_link_port(const peer_link_t *link)
 {
 	return frame_link_port(link->frames);
 }
 
-/* Returns the bytes sent and received so far. */
+/* Returns the total number of bytes sent and received. */
 uint64_t peer_link_bytes(const peer_link_t *link)
 {
 	return frame_link_bytes(link->frames);
 }
 
 /*
- * Sends a message to a peer, opening a connection if there is none. Whether it
- * arrives is not known; the protocol above repeats what matters.
+ * Sends a message to a peer, connecting to it if necessary. Delivery is not
+ * guaranteed; the protocol above resends what matters.
  */
 void peer_link_send(peer_link_t *link, const char *address, uint16_t port,
 		    const peer_msg_t *msg)
--- a/adapters/peer_link.h
+++ b/adapters/peer_link.h
@@ -1,7 +1,8 @@
 /*
- * Frames between entries over TCP: a length of four bytes, big end first, and
- * a msgpack message. The receiver answers each frame with an empty one, so the
- * sender notices a connection that swallows bytes and opens a new one.
+ * Transport of peer messages over TCP. A frame is a big-endian length of four
+ * bytes and a sealed msgpack message. The receiver acknowledges each frame with
+ * an empty one, so that the sender detects a connection that loses data and
+ * opens a new one.
  */
 #ifndef PISTACHIO_PEER_LINK_H
 #define PISTACHIO_PEER_LINK_H
@@ -19,6 +20,7 @@
 	const char *address;
 	uint16_t port; /* 0: the kernel chooses */
 	const peer_keys_t *keys; /* borrowed */
+	/* MSG is borrowed for the call. */
 	void (*on_msg)(void *ctx, const peer_msg_t *msg);
 	void *ctx;
 } peer_link_config_t;
