--- a/adapters/platform_http.c
+++ b/adapters/platform_http.c
@@ -1,4 +1,4 @@
-/* Calls the platform and sorts its answers into store statuses. */
+/* Calls the platform and maps its responses to store statuses. */
 #include "adapters/platform_http.h"
 
 #include <string.h>
@@ -7,8 +7,8 @@
 #include "adapters/json.h"
 
 #define REQUEST_TIMEOUT (2 * PD_SEC)
-#define WATCH_DURATION (20 * PD_SEC)
-/* A watch that outlasts its time by this much has gone silent. */
+#define WATCH_DURATION (20 * PD_SEC) /* the platform answers by then */
+/* A watch still unanswered this long after its duration is considered dead. */
 #define WATCH_TIMEOUT_MARGIN (3 * PD_SEC)
 #define RESPONSE_BYTES_MAX (4 * 1024 * 1024)
 
@@ -29,7 +29,10 @@
 	GString *body;
 } platform_call_t;
 
-/* Returns the platform at that address; nothing is sent yet. */
+/*
+ * Returns a client of the platform at ADDRESS, which lives as long as the loop.
+ * Sends nothing yet.
+ */
 platform_t *platform_create(uv_loop_t *loop, const char *address, uint16_t port)
 {
 	platform_t *platform = g_new0(platform_t, 1);
@@ -49,6 +52,7 @@
 	call->written = true;
 }
 
+/* Records the status and the version, which is the entity tag. */
 static void call_on_head(void *ctx, http_call_t *http, int status)
 {
 	platform_call_t *call = ctx;
@@ -59,6 +63,7 @@
 		call->version = g_ascii_strtoull(etag + 1, NULL, 10);
 }
 
+/* Appends to the body; data beyond RESPONSE_BYTES_MAX is dropped. */
 static void call_on_body(void *ctx, const char *data, size_t len)
 {
 	platform_call_t *call = ctx;
@@ -68,8 +73,9 @@
 }
 
 /*
- * A write that was sent and got no clear answer may have taken effect: a lost
- * answer must not pass for a refused one.
+ * Returns the status of a call that ended, with ERR if it failed. A write that
+ * was sent but got no definite response may have taken effect, so it is
+ * STORE_UNKNOWN, not STORE_DOWN.
  */
 static store_status_t store_status_of(const platform_call_t *call,
 				      const pd_error_t *err)
@@ -123,6 +129,10 @@
 	.on_free = call_on_free,
 };
 
+/*
+ * Sends REQUEST to the platform; DONE gets the outcome. Any method but GET
+ * counts as a write.
+ */
 static void platform_send_request(platform_t *platform, http_client_t *client,
 				  http_request_t *request, platform_done_t done,
 				  void *ctx)
@@ -138,6 +148,7 @@
 	http_call_start(client, request, &platform_handlers, call);
 }
 
+/* Sends a GET request for PATH, which it frees. */
 static void platform_get(platform_t *platform, http_client_t *client,
 			 char *path, platform_done_t done, void *ctx)
 {
@@ -147,7 +158,7 @@
 	g_free(path);
 }
 
-/* Reads an object; DONE gets STORE_OK, STORE_MISSING or STORE_DOWN. */
+/* Reads an object. DONE gets STORE_OK, STORE_MISSING or STORE_DOWN. */
 void platform_read(platform_t *platform, const char *key, platform_done_t done,
 		   void *ctx)
 {
@@ -156,8 +167,8 @@
 }
 
 /*
- * Waits until the object's version is above AFTER. DONE gets STORE_CONFLICT if
- * nothing changed in the time that one watch lasts.
+ * Waits for a version of the object above AFTER (long polling). DONE gets
+ * STORE_CONFLICT if there is none within WATCH_DURATION.
  */
 void platform_watch(platform_t *platform, const char *key, uint64_t after,
 		    platform_done_t done, void *ctx)
@@ -169,7 +180,7 @@
 		     done, ctx);
 }
 
-/* Lists the objects whose keys begin with PREFIX, bodies included. */
+/* Lists the objects whose keys begin with PREFIX, with their bodies. */
 void platform_list(platform_t *platform, const char *prefix,
 		   platform_done_t done, void *ctx)
 {
@@ -178,8 +189,9 @@
 }
 
 /*
- * Writes an object if its version is VERSION still: 0 if there must be none,
- * PLATFORM_ANY_VERSION for any. BODY is copied.
+ * Writes an object if its current version is VERSION: 0 requires that it
+ * doesn't exist, PLATFORM_ANY_VERSION writes unconditionally. BODY is copied.
+ * DONE gets STORE_CONFLICT if the version differs.
  */
 void platform_write(platform_t *platform, const char *key, uint64_t version,
 		    const char *body, size_t len, platform_done_t done, void *ctx)
@@ -202,7 +214,7 @@
 	g_free(tag);
 }
 
-/* Deletes an object; one that is gone already counts as deleted. */
+/* Deletes an object of any version; a missing one counts as deleted. */
 void platform_delete(platform_t *platform, const char *key,
 		     platform_done_t done, void *ctx)
 {
@@ -214,9 +226,9 @@
 }
 
 /*
- * Reads the VM list if it is newer than version AFTER; else DONE gets
- * STORE_CONFLICT. At the planned size the list is some 150 KB, far too much to
- * read whole each time.
+ * Reads the VM list if its version is above AFTER; otherwise DONE gets
+ * STORE_CONFLICT. The condition avoids transferring an unchanged list, which
+ * has about 150 KB at the planned fleet size.
  */
 void platform_read_vms(platform_t *platform, uint64_t after,
 		       platform_done_t done, void *ctx)
@@ -226,13 +238,16 @@
 		     done, ctx);
 }
 
-/* Reads the cloud's offers and their prices. */
+/* Reads the cloud's current offers and their prices. */
 void platform_read_prices(platform_t *platform, platform_done_t done, void *ctx)
 {
 	platform_get(platform, platform->calls, g_strdup("/prices"), done, ctx);
 }
 
-/* Buys a VM; the tag makes a second order for it harmless. */
+/*
+ * Orders a VM. The intent's tag makes the order idempotent; FENCE is the
+ * fencing token of the lease.
+ */
 void platform_buy(platform_t *platform, const intent_t *intent, uint64_t fence,
 		  platform_done_t done, void *ctx)
 {
@@ -256,7 +271,7 @@
 	json_decref(order);
 }
 
-/* Gives a VM back. */
+/* Releases a VM; FENCE is the fencing token of the lease. */
 void platform_release(platform_t *platform, const char *vm_id, uint64_t fence,
 		      platform_done_t done, void *ctx)
 {
--- a/adapters/platform_http.h
+++ b/adapters/platform_http.h
@@ -1,6 +1,6 @@
 /*
- * The platform over HTTP: its object API with versions as entity tags, its VM
- * list and its cloud API.
+ * HTTP client of the platform: its object API, with versions as entity tags,
+ * its VM list and its cloud API.
  */
 #ifndef PISTACHIO_PLATFORM_HTTP_H
 #define PISTACHIO_PLATFORM_HTTP_H
@@ -15,7 +15,7 @@
 
 typedef struct platform platform_t;
 
-/* The answer to one call. BODY is borrowed and may be NULL. */
+/* The outcome of one call; BODY is borrowed for the callback. */
 typedef struct platform_answer {
 	store_status_t status;
 	uint64_t version;
@@ -23,9 +23,10 @@
 	size_t len;
 } platform_answer_t;
 
+/* Called once for each call. */
 typedef void (*platform_done_t)(void *ctx, const platform_answer_t *answer);
 
-#define PLATFORM_ANY_VERSION UINT64_MAX /* of a write: whatever is there */
+#define PLATFORM_ANY_VERSION UINT64_MAX /* writes unconditionally */
 
 platform_t *platform_create(uv_loop_t *loop, const char *address, uint16_t port);
 void platform_read(platform_t *platform, const char *key, platform_done_t done,
--- a/adapters/platform_json.c
+++ b/adapters/platform_json.c
@@ -1,4 +1,6 @@
-/* Encodes and decodes what is kept in, or read from, the platform. */
+/*
+ * Encodes and decodes objects that are stored on the platform or listed by it.
+ */
 #include "adapters/platform_json.h"
 
 #include <string.h>
@@ -23,6 +25,7 @@
 	[VM_SERVICE] = "service",
 };
 
+/* Returns the index of NAME in NAMES, or -1 with ERR set, which names WHAT. */
 static int name_to_index(const char *const *names, size_t count,
 			 const char *name, const char *what, pd_error_t *err)
 {
@@ -34,6 +37,10 @@
 			    name);
 }
 
+/*
+ * Returns OBJECT as JSON text with sorted keys, owned by the caller, and
+ * releases OBJECT.
+ */
 static char *dump_and_release(json_t *object)
 {
 	char *text = json_dumps(object, JSON_COMPACT | JSON_SORT_KEYS);
@@ -44,6 +51,7 @@
 	return copy;
 }
 
+/* Returns a claim as a JSON object, owned by the caller. */
 static json_t *claim_encode(const claim_t *claim)
 {
 	json_t *object = json_object();
@@ -63,7 +71,7 @@
 	return object;
 }
 
-/* Returns the table as JSON text, owned by the caller. */
+/* Returns a table of claims as JSON text, owned by the caller. */
 char *claim_table_encode(const claim_table_t *table)
 {
 	json_t *object = json_object();
@@ -78,6 +86,7 @@
 	return dump_and_release(object);
 }
 
+/* Decodes a claim into TABLE; returns 0, or -1 with ERR set. */
 static int claim_decode(const json_t *object, claim_table_t *table, pd_error_t *err)
 {
 	const char *key;
@@ -106,7 +115,10 @@
 	return 0;
 }
 
-/* Reads a table that the caller then owns; NULL with ERR set if it is bad. */
+/*
+ * Decodes a table of claims. Returns it, owned by the caller, or NULL with ERR
+ * set if it is malformed.
+ */
 claim_table_t *claim_table_decode(const char *data, size_t len, pd_error_t *err)
 {
 	claim_table_t *table = NULL;
@@ -131,6 +143,7 @@
 	return NULL;
 }
 
+/* Returns an intent as a JSON object, owned by the caller. */
 static json_t *intent_encode(const intent_t *intent)
 {
 	json_t *object = json_object();
@@ -148,7 +161,7 @@
 	return object;
 }
 
-/* Returns the record as JSON text, owned by the caller. */
+/* Returns a lease record as JSON text, owned by the caller. */
 char *lease_record_encode(const lease_record_t *record)
 {
 	json_t *object = json_object();
@@ -166,6 +179,10 @@
 	return dump_and_release(object);
 }
 
+/*
+ * Decodes an intent, which then owns its strings; returns 0, or -1 with ERR
+ * set.
+ */
 static int intent_decode(const json_t *object, intent_t *intent, pd_error_t *err)
 {
 	const char *tag;
@@ -187,7 +204,10 @@
 	return 0;
 }
 
-/* Reads a record that the caller then owns; NULL with ERR set if it is bad. */
+/*
+ * Decodes a lease record. Returns it, owned by the caller, or NULL with ERR set
+ * if it is malformed or has more than INTENTS_MAX intents.
+ */
 lease_record_t *lease_record_decode(const char *data, size_t len, pd_error_t *err)
 {
 	lease_record_t *record = lease_record_create();
@@ -225,6 +245,10 @@
 	return NULL;
 }
 
+/*
+ * Decodes a VM, which then owns its strings; returns 0, or -1 with ERR set and
+ * no strings to free.
+ */
 static int vm_decode(const json_t *object, vm_t *vm, pd_error_t *err)
 {
 	const char *id;
@@ -268,19 +292,23 @@
 	return 0;
 }
 
-/* Frees a list and its items; NULL is allowed. */
+/* Frees a list of VMs; NULL is allowed. */
 void vm_list_free(GArray *vms)
 {
 	if (vms)
 		g_array_unref(vms);
 }
 
+/* Frees the strings of an item of a list of VMs. */
 static void vm_item_clear(void *item)
 {
 	vm_clear(item);
 }
 
-/* Reads a VM list as an array of vm_t; NULL with ERR set if it is bad. */
+/*
+ * Decodes a VM list. Returns an array of vm_t, owned by the caller, or NULL
+ * with ERR set if it is malformed.
+ */
 GArray *vm_list_decode(const char *data, size_t len, pd_error_t *err)
 {
 	GArray *vms = g_array_new(FALSE, TRUE, sizeof(vm_t));
@@ -308,7 +336,7 @@
 	return NULL;
 }
 
-/* Returns an entry's own record as JSON text, owned by the caller. */
+/* Returns an entry's registration as JSON text, owned by the caller. */
 char *member_info_encode(const member_info_t *info)
 {
 	json_t *object = json_object();
@@ -323,7 +351,10 @@
 	return dump_and_release(object);
 }
 
-/* Reads an entry's record into INFO, which then owns its strings. */
+/*
+ * Decodes an entry's registration into INFO, which then owns its strings.
+ * Returns 0, or -1 with ERR set and INFO untouched.
+ */
 int member_info_decode(const char *data, size_t len, member_info_t *info,
 		       pd_error_t *err)
 {
--- a/adapters/platform_json.h
+++ b/adapters/platform_json.h
@@ -1,4 +1,4 @@
-/* The platform's objects as JSON: claims, the lease, VMs, entries. */
+/* JSON encoding of the platform's objects: claims, the lease, VMs, entries. */
 #ifndef PISTACHIO_PLATFORM_JSON_H
 #define PISTACHIO_PLATFORM_JSON_H
 
