--- a/adapters/placer_runner.c
+++ b/adapters/placer_runner.c
@@ -1,4 +1,4 @@
-/* Feeds the placer's core with events and carries out its actions. */
+/* Delivers events to the placer's core and performs its actions. */
 #include "adapters/placer_runner.h"
 
 #include <string.h>
@@ -28,24 +28,27 @@
 	http_client_t *engines;
 	vm_watch_t *vms;
 	price_watch_t *prices;
-	bundle_watch_t *bundles; /* NULL until it first acts */
+	bundle_watch_t *bundles; /* NULL until the placer is first active */
 	uv_timer_t tick;
-	bool active;
-	bool handling;
+	bool active; /* holds the lease, as of the last event */
+	bool handling; /* actions are being performed */
 	list_node_t actions;
 };
 
+/* A read or write of the lease in flight. */
 typedef struct lease_call {
 	placer_runner_t *runner;
 	store_op_t op;
 	bool write;
 } lease_call_t;
 
+/* A purchase in flight. */
 typedef struct purchase_call {
 	placer_runner_t *runner;
 	char *tag;
 } purchase_call_t;
 
+/* An order to an engine in flight. */
 typedef struct engine_call {
 	placer_runner_t *runner;
 	char *vm_id;
@@ -57,6 +60,11 @@
 
 static void runner_update_watches(placer_runner_t *runner);
 
+/*
+ * Delivers an event to the core and performs the actions that result. Actions
+ * may cause events of their own; the outermost call performs the actions of
+ * all.
+ */
 static void runner_handle(placer_runner_t *runner, placer_event_t *event)
 {
 	list_node_t *node;
@@ -76,6 +84,10 @@
 	runner_update_watches(runner);
 }
 
+/*
+ * Reports the outcome of a call for the lease. An invalid record counts as an
+ * unavailable store.
+ */
 static void on_lease_answer(void *ctx, const platform_answer_t *answer)
 {
 	lease_call_t *call = ctx;
@@ -89,7 +101,8 @@
 	if (!call->write && answer->status == STORE_OK) {
 		record = lease_record_decode(answer->body, answer->len, &err);
 		if (!record) {
-			log_error(LOG_COMPONENT, "dropped the lease", &err);
+			log_error(LOG_COMPONENT,
+				  "ignored an invalid lease record", &err);
 			event.lease.status = STORE_DOWN;
 		}
 	}
@@ -99,6 +112,7 @@
 	g_free(call);
 }
 
+/* Reads or conditionally writes the lease. */
 static void runner_call_lease(placer_runner_t *runner, const placer_action_t *action)
 {
 	lease_call_t *call = g_new0(lease_call_t, 1);
@@ -117,6 +131,7 @@
 	g_free(body);
 }
 
+/* Logs and reports the outcome of a purchase. */
 static void on_purchase_answer(void *ctx, const platform_answer_t *answer)
 {
 	purchase_call_t *call = ctx;
@@ -124,20 +139,21 @@
 				 .bought = { call->tag, answer->status } };
 
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "purchase %s: %s", call->tag,
-		 answer->status == STORE_OK	? "taken"
-		 : answer->status == STORE_DOWN ? "refused"
-						: "no clear answer");
+		 answer->status == STORE_OK	? "accepted"
+		 : answer->status == STORE_DOWN ? "failed"
+						: "outcome unknown");
 	runner_handle(call->runner, &event);
 	g_free(call->tag);
 	g_free(call);
 }
 
+/* Logs a release that failed. */
 static void on_release_answer(void *ctx, const platform_answer_t *answer)
 {
 	(void)ctx;
 	if (answer->status != STORE_OK)
 		log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
-			 "a release had no clear answer");
+			 "a release failed or its outcome is unknown");
 }
 
 static void engine_on_head(void *ctx, http_call_t *http, int status)
@@ -154,6 +170,10 @@
 		g_string_append_len(body, data, (gssize)len);
 }
 
+/*
+ * Reports the outcome of an order to an engine: STORE_OK with the number of its
+ * running requests, or STORE_UNKNOWN without a valid response.
+ */
 static void engine_on_done(void *ctx, const pd_error_t *err)
 {
 	engine_call_t *call = ctx;
@@ -181,6 +201,7 @@
 	g_free(call);
 }
 
+/* Tells an engine which model to serve, and whether to serve or to drain. */
 static void runner_send_engine_order(placer_runner_t *runner,
 				     const placer_action_t *action)
 {
@@ -216,20 +237,22 @@
 }
 
 /*
- * A process that was paused after its core decided would send an order under a
- * lease that is another's by now; two placers would act. The clock is read here,
- * right before the order leaves, which leaves only a pause in the send itself;
- * tags and fencing numbers are for that one.
+ * Returns whether the lease under which WHAT was decided expired at NOT_AFTER,
+ * and logs it. A process suspended after its core's decision would otherwise
+ * send an order under a lease that another placer holds by now, and two placers
+ * would act. Reading the clock right before sending leaves only a suspension
+ * during the send itself, which tags and fencing tokens guard against.
  */
 static bool has_lease_expired(pd_time_t not_after, const char *what)
 {
 	if (clock_now() < not_after)
 		return false;
 	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
-		 "dropped a %s decided under a lease that lapsed", what);
+		 "dropped a %s decided under an expired lease", what);
 	return true;
 }
 
+/* Performs one action of the core. */
 static void runner_perform(placer_runner_t *runner, placer_action_t *action)
 {
 	purchase_call_t *call;
@@ -280,6 +303,9 @@
 	runner_handle(ctx, &event);
 }
 
+/*
+ * Delivers a verified bundle; the core may take it, which sets BUNDLE to NULL.
+ */
 static void on_bundle(void *ctx, bundle_t **bundle, GBytes *envelope)
 {
 	placer_event_t event = { .kind = PLACER_BUNDLE, .bundle = *bundle };
@@ -296,6 +322,7 @@
 	runner_handle(timer->data, &event);
 }
 
+/* Starts a timer that fires at once and then every PERIOD_MS. */
 static void runner_start_timer(placer_runner_t *runner, uv_timer_t *timer,
 			       uv_timer_cb callback, uint64_t period_ms)
 {
@@ -305,8 +332,10 @@
 }
 
 /*
- * Reads the VM list and the bundle only while acting: at the planned size
- * hundreds of placers stand by, and their reads would fill the platform's rate.
+ * Polls the VM list and the prices only while the placer is active, and watches
+ * the bundle from its first activity on: at the planned fleet size there are
+ * hundreds of standby placers, whose reads would exhaust the platform's request
+ * rate.
  */
 static void runner_update_watches(placer_runner_t *runner)
 {
@@ -320,7 +349,7 @@
 		return;
 	runner->active = active;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "%s",
-		 active ? "acts" : "stands by");
+		 active ? "active" : "standby");
 	vm_watch_set_paused(runner->vms, !active);
 	price_watch_set_paused(runner->prices, !active);
 	if (!runner->bundles)
@@ -328,14 +357,14 @@
 }
 
 /*
- * Starts a placer on the loop. NULL with ERR set if its key file can't be read;
- * the process then ends, so nothing is taken back.
+ * Starts a placer on the loop. Returns NULL with ERR set if the public key file
+ * can't be read; nothing is freed then, as the process exits.
  */
 placer_runner_t *placer_runner_create(uv_loop_t *loop,
 				      const settings_t *settings, pd_error_t *err)
 {
 	placer_runner_t *runner = g_new0(placer_runner_t, 1);
-	/* Unique to this process: a restarted placer is another holder. */
+	/* Unique to this process: a restarted placer is a different holder. */
 	char *id = g_strdup_printf("%s-%" G_GINT64_MODIFIER "x",
 				   settings->node_id, g_get_real_time());
 	price_watch_config_t prices = { .on_prices = on_prices, .ctx = runner };
--- a/adapters/placer_runner.h
+++ b/adapters/placer_runner.h
@@ -1,4 +1,4 @@
-/* Wires the placer's core to its adapters on one loop. */
+/* Connects the placer's core to its adapters on an event loop. */
 #ifndef PISTACHIO_PLACER_RUNNER_H
 #define PISTACHIO_PLACER_RUNNER_H
 
