--- a/adapters/setting_table.c
+++ b/adapters/setting_table.c
@@ -1,4 +1,4 @@
-/* Reads a TOML file by a table of keys, with errors that name file and line. */
+/* Reads settings from a TOML file, with errors that name the file and line. */
 #include "adapters/setting_table.h"
 
 #include <glib.h>
@@ -9,6 +9,7 @@
 
 #include "adapters/toml_reader.h"
 
+/* Returns the row of a key, or NULL if there is none. */
 static const setting_t *setting_find(const setting_table_t *table, const char *key)
 {
 	for (size_t i = 0; i < table->count; i++) {
@@ -18,11 +19,13 @@
 	return NULL;
 }
 
+/* Returns the member of SETTINGS that holds the setting. */
 static void *setting_field(void *settings, const setting_t *setting)
 {
 	return (char *)settings + setting->offset;
 }
 
+/* Returns whether VALUE is one of CHOICES, which "|" separates. */
 static bool choices_contain(const char *choices, const char *value)
 {
 	char **names = g_strsplit(choices, "|", -1);
@@ -32,6 +35,12 @@
 	return found;
 }
 
+/*
+ * The functions below that set a value return 0, or -1 with ERR set to a
+ * message that begins with LOCATION, the file and line.
+ */
+
+/* Sets a string, file name or choice. */
 static int setting_set_string(void *settings, const setting_t *setting,
 			      const char *text, const char *location,
 			      pd_error_t *err)
@@ -56,6 +65,7 @@
 	return 0;
 }
 
+/* Sets an integer. */
 static int setting_set_integer(void *settings, const setting_t *setting,
 			       int64_t number, const char *location,
 			       pd_error_t *err)
@@ -71,6 +81,7 @@
 	return 0;
 }
 
+/* Appends an item to an array of strings. */
 static int setting_append_string(void *settings, const setting_t *setting,
 				 const char *text, const char *location,
 				 pd_error_t *err)
@@ -89,6 +100,7 @@
 			    location, setting->key, setting->max);
 }
 
+/* Sets ERR to the type that was expected; returns -1. */
 static int set_type_error(const setting_t *setting, const char *location,
 			  pd_error_t *err)
 {
@@ -105,6 +117,7 @@
 			    location, setting->key, expected[setting->kind]);
 }
 
+/* Sets a number with a fraction; integers are accepted too. */
 static int setting_set_double(void *settings, const setting_t *setting,
 			      const toml_leaf_t *leaf, const char *location,
 			      pd_error_t *err)
@@ -124,6 +137,7 @@
 	return 0;
 }
 
+/* Sets the setting that a leaf of the document names. */
 static int apply_leaf(const setting_table_t *table, void *settings,
 		      const toml_leaf_t *leaf, const char *location,
 		      pd_error_t *err)
@@ -158,6 +172,10 @@
 	return rc;
 }
 
+/*
+ * Sets the settings that the document lacks to their default values. Returns 0,
+ * or -1 with ERR set if a required one is missing.
+ */
 static int apply_defaults(const setting_table_t *table, void *settings,
 			  const char *path, const toml_document_t *document,
 			  pd_error_t *err)
@@ -189,9 +207,10 @@
 }
 
 /*
- * Reads the file at PATH by a table into SETTINGS, which is all zero. Returns
- * -1 with ERR set to one line of file, line, key and what was expected; what
- * was filled in by then is the caller's to clear.
+ * Reads the file at PATH into SETTINGS, a zeroed struct that the table
+ * describes. Returns 0, or -1 with ERR set to one line that names the file,
+ * line, key and what was expected. The caller calls setting_table_clear() in
+ * either case.
  */
 int setting_table_read(const setting_table_t *table, const char *path,
 		       void *settings, pd_error_t *err)
@@ -222,7 +241,7 @@
 	return -1;
 }
 
-/* Returns how many bytes a setting takes in its struct. */
+/* Returns the size of a setting in its struct, in bytes. */
 static size_t setting_size(const setting_t *setting)
 {
 	switch (setting->kind) {
@@ -240,7 +259,7 @@
 	return 0;
 }
 
-/* Says whether a setting has the same value in two structs. */
+/* Returns whether a setting has the same value in two structs. */
 bool setting_equal(const setting_t *setting, const void *one, const void *other)
 {
 	const char *left = (const char *)one + setting->offset;
@@ -256,7 +275,7 @@
 	return true;
 }
 
-/* Exchanges the values of a setting in two structs. */
+/* Swaps the values of a setting in two structs. */
 void setting_swap(const setting_t *setting, void *one, void *other)
 {
 	size_t size = setting_size(setting);
@@ -268,7 +287,7 @@
 	g_free(saved);
 }
 
-/* Frees what was read into SETTINGS, but not the struct. */
+/* Frees the values of SETTINGS, but not the struct itself. */
 void setting_table_clear(const setting_table_t *table, void *settings)
 {
 	for (size_t i = 0; i < table->count; i++) {
--- a/adapters/setting_table.h
+++ b/adapters/setting_table.h
@@ -1,6 +1,7 @@
 /*
- * Settings described by a table: one row a key, with its bounds, default and
- * meaning. The same table checks the file and the page that lists the keys.
+ * Settings described by a table: one row per key, with its bounds, default
+ * value and description. The table is used both to validate the settings file
+ * and to check the document that lists the keys.
  */
 #ifndef PISTACHIO_SETTING_TABLE_H
 #define PISTACHIO_SETTING_TABLE_H
@@ -20,15 +21,15 @@
 	SETTING_DECIMAL /* a double */
 } setting_kind_t;
 
-/* One key, as it is checked and documented. */
+/* One key, as it is validated and documented. */
 typedef struct setting {
 	const char *key;
 	setting_kind_t kind;
-	size_t offset; /* in the struct that is filled in */
-	int64_t min; /* of an integer; most items of an array in MOST */
-	int64_t max;
+	size_t offset; /* of the member in the struct of settings */
+	int64_t min; /* of a number */
+	int64_t max; /* of a number; of an array, the number of items */
 	const char *default_value; /* NULL: the key is required */
-	const char *description; /* with the unit; for choices, the choices */
+	const char *description; /* with the unit; of a choice, its values: a|b */
 } setting_t;
 
 typedef struct setting_table {
--- a/adapters/settings.c
+++ b/adapters/settings.c
@@ -1,4 +1,4 @@
-/* The settings of the entry and the placer. */
+/* Settings of the entry and the placer. */
 #include "adapters/settings.h"
 
 #include <glib.h>
@@ -42,7 +42,7 @@
 
 static const setting_table_t table = { rows, G_N_ELEMENTS(rows) };
 
-/* Returns the table of all keys and sets COUNT to its length. */
+/* Returns the rows of the table of keys and sets COUNT to their number. */
 const setting_t *settings_table(size_t *count)
 {
 	*count = table.count;
@@ -50,8 +50,9 @@
 }
 
 /*
- * Reads and checks the settings at PATH. Returns NULL with ERR set to one line
- * of file, line, key and what was expected. The caller destroys them.
+ * Reads and validates the settings file at PATH. Returns the settings, which
+ * the caller destroys, or NULL with ERR set to one line that names the file,
+ * line, key and what was expected.
  */
 settings_t *settings_read(const char *path, pd_error_t *err)
 {
--- a/adapters/settings.h
+++ b/adapters/settings.h
@@ -1,6 +1,6 @@
 /*
- * The settings of one process, from a TOML file. Every key is described by one
- * row of a table, which also makes docs/SETTINGS.md checkable.
+ * The settings of an entry or placer process, read from a TOML file. A table
+ * describes each key, so that tests can check docs/SETTINGS.md against it.
  */
 #ifndef PISTACHIO_SETTINGS_H
 #define PISTACHIO_SETTINGS_H
@@ -25,8 +25,8 @@
 	int64_t callers_body_max;
 	int64_t peers_port;
 	char *peers_key_file;
-	char *peers_seeds[SETTINGS_SEEDS_MAX]; /* address:port */
-	char *placer_zones[SETTINGS_ZONES_MAX];
+	char *peers_seeds[SETTINGS_SEEDS_MAX]; /* address:port; unused ones NULL */
+	char *placer_zones[SETTINGS_ZONES_MAX]; /* unused ones NULL */
 	int64_t routing_subset;
 	char *log_level;
 	char *bundle_public_key_file;
