--- a/adapters/toml_reader.cc
+++ b/adapters/toml_reader.cc
@@ -1,4 +1,4 @@
-/* toml++ behind a C face: nothing of C++ passes through, exceptions neither. */
+/* C interface to toml++; no C++ type or exception crosses it. */
 #include "adapters/toml_reader.h"
 
 #include <sstream>
@@ -11,21 +11,24 @@
 
 #define TOML_ENABLE_UNRELEASED_FEATURES 0
 /*
- * toml++ 3.3 asserts on some malformed keys that a mistyped file can hold, and
- * the process would abort instead of naming the line. Thrown, a failed
- * assertion becomes a problem like any other.
+ * toml++ 3.3 has assertions that some malformed keys violate, so a typing error
+ * in a file would abort the process instead of being reported. As an exception,
+ * a failed assertion is reported like any other error.
  */
 #define TOML_ASSERT(condition)                                \
 	do {                                                  \
 		if (!(condition))                             \
 			throw std::runtime_error("not TOML"); \
 	} while (0)
-/* In a function that may not throw, a failed assertion still ends the process. */
+/* In noexcept functions a failed assertion still terminates the process. */
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wterminate"
 #include <toml++/toml.h>
 #pragma GCC diagnostic pop
 
+/*
+ * Appends a node that is neither table nor array, with copies of its strings.
+ */
 static void add_leaf(std::vector<toml_leaf_t> &leaves, const std::string &key,
 		     const toml::node &node)
 {
@@ -50,6 +53,7 @@
 	leaves.push_back(leaf);
 }
 
+/* Appends the leaves of NODE, whose key is KEY. */
 static void flatten(std::vector<toml_leaf_t> &leaves, const std::string &key,
 		    const toml::node &node)
 {
@@ -72,8 +76,8 @@
 }
 
 /*
- * Reads the file at PATH. Never returns NULL; if the file can't be read or is
- * not TOML, the document's problem says why. The caller frees the document.
+ * Reads the file at PATH. Returns a document that the caller frees, never NULL.
+ * If the file is unreadable or malformed, the document holds only the problem.
  */
 toml_document_t *toml_document_read(const char *path)
 {
--- a/adapters/toml_reader.h
+++ b/adapters/toml_reader.h
@@ -1,6 +1,7 @@
 /*
- * Reading TOML through toml++, the one C++ library here: no TOML library for C
- * is packaged. A document is flattened to leaves with a dotted key and a line.
+ * C interface to toml++, the only C++ library here: no TOML library for C is
+ * packaged. A document is flattened to leaves, each with a dotted key and a
+ * line number.
  */
 #ifndef PISTACHIO_TOML_READER_H
 #define PISTACHIO_TOML_READER_H
@@ -25,16 +26,16 @@
 	unsigned int line;
 	toml_kind_t kind;
 	char *text; /* of a string */
-	int64_t number; /* of an integer, or 0 and 1 */
+	int64_t number; /* of an integer; of a boolean, 0 or 1 */
 	double decimal; /* of a float */
 } toml_leaf_t;
 
 typedef struct toml_document {
 	toml_leaf_t *leaves;
 	size_t count;
-	char *json; /* the whole document */
-	char *problem; /* NULL if it could be read */
-	unsigned int problem_line; /* 0: the file itself can't be read */
+	char *json; /* the whole document as JSON */
+	char *problem; /* error message; NULL if it was read */
+	unsigned int problem_line; /* 0 if unknown, as for a missing file */
 } toml_document_t;
 
 toml_document_t *toml_document_read(const char *path);
