--- a/adapters/upstream_http.c
+++ b/adapters/upstream_http.c
@@ -1,4 +1,4 @@
-/* One HTTP call per attempt, turned into the events that the core knows. */
+/* Makes one HTTP call per attempt and translates it to events of the core. */
 #include "adapters/upstream_http.h"
 
 #include <jansson.h>
@@ -10,7 +10,7 @@
 #include "adapters/sse.h"
 
 #define LOG_COMPONENT "upstream"
-/* Only a backstop: the core drops silent attempts long before. */
+/* A last resort: the core cancels silent attempts long before. */
 #define ATTEMPT_IO_TIMEOUT (120 * PD_SEC)
 #define PROBE_TIMEOUT (1500 * PD_MSEC)
 #define RESPONSE_BYTES_MAX (4 * 1024 * 1024)
@@ -18,9 +18,9 @@
 #define STATUS_OK 200
 #define STATUS_UNAVAILABLE 503
 #define HEADERS_MAX 6
-/* Cache events taken from one report; of more the rest comes with the next. */
+/* Cache events read from one report; the next report continues after them. */
 #define CACHE_EVENTS_MAX 8192
-/* VMs come and go; beyond this many, cache events are asked for anew. */
+/* Bounds memory as VMs come and go; when exceeded, all cursors are reset. */
 #define CACHE_CURSORS_MAX 1024
 
 struct upstream_http {
@@ -28,7 +28,7 @@
 	http_client_t *client;
 	http_client_t *probe_client;
 	GHashTable *attempts; /* attempt id -> attempt_t */
-	GHashTable *cache_cursors; /* vm id -> number of its last cache event */
+	GHashTable *cache_cursors; /* VM id -> number of the last cache event read */
 };
 
 typedef struct attempt {
@@ -38,7 +38,7 @@
 	char *vm_id;
 	http_call_t *call;
 	bool written;
-	bool ended; /* the core has heard the last of it */
+	bool ended; /* the core expects no more events */
 	int status;
 	sse_parser_t *sse;
 	GString *answer;
@@ -51,7 +51,7 @@
 	GString *body;
 } probe_t;
 
-/* Returns an adapter with no attempts; it lives as long as the loop. */
+/* Returns an adapter without attempts, which lives as long as the loop. */
 upstream_http_t *upstream_http_create(uv_loop_t *loop,
 				      const upstream_http_config_t *config)
 {
@@ -77,13 +77,14 @@
 	g_free(attempt);
 }
 
+/* Reports an event of the attempt to the core. */
 static void attempt_report_event(attempt_t *attempt, upstream_event_t *event)
 {
 	event->attempt = attempt->id;
 	attempt->http->config.on_event(attempt->http->config.ctx, event);
 }
 
-/* Reports the last event of an attempt, once. */
+/* Reports the last event of an attempt, unless one was reported before. */
 static void attempt_report_last_event(attempt_t *attempt, upstream_event_t *event)
 {
 	if (attempt->ended)
@@ -110,8 +111,9 @@
 }
 
 /*
- * An engine says its load with each start, so that an upstream in use is known
- * afresh without a probe; probes are left for those that are not.
+ * Reports the load that an engine states with each start of a stream. It keeps
+ * the load of upstreams in use up to date, so that probes are needed only for
+ * the others.
  */
 static void attempt_report_load(const attempt_t *attempt, const json_t *data)
 {
@@ -124,6 +126,7 @@
 	attempt->http->config.on_load(attempt->http->config.ctx, &report);
 }
 
+/* Reports that the engine has processed the prompt. */
 static void attempt_on_start(attempt_t *attempt, const json_t *data)
 {
 	upstream_event_t event = { .kind = UPSTREAM_STARTED };
@@ -133,7 +136,7 @@
 	attempt_report_load(attempt, data);
 }
 
-/* Takes one event of a model's stream. */
+/* Handles one event of a model's stream; malformed ones are dropped. */
 static void attempt_on_sse(void *ctx, const sse_event_t *sse)
 {
 	attempt_t *attempt = ctx;
@@ -170,6 +173,10 @@
 	json_decref(data);
 }
 
+/*
+ * Parses a model's stream, or collects the body of a service's answer or an
+ * error, of which data beyond RESPONSE_BYTES_MAX is dropped.
+ */
 static void attempt_on_body(void *ctx, const char *data, size_t len)
 {
 	attempt_t *attempt = ctx;
@@ -186,6 +193,7 @@
 		g_string_append_len(attempt->answer, data, (gssize)len);
 }
 
+/* Reports how the attempt ended, unless its stream has ended already. */
 static void attempt_on_done(void *ctx, const pd_error_t *err)
 {
 	attempt_t *attempt = ctx;
@@ -213,6 +221,7 @@
 	.on_free = attempt_free,
 };
 
+/* Returns the JSON body of a request to an engine; the caller free()s it. */
 static char *format_generate_request(const dispatch_t *dispatch)
 {
 	json_t *body = json_object();
@@ -241,7 +250,7 @@
 	return text;
 }
 
-/* Starts an attempt; what follows comes as events, none before this returns. */
+/* Starts an attempt. Its events are reported after this function returns. */
 void upstream_http_dispatch(upstream_http_t *http, const dispatch_t *dispatch)
 {
 	attempt_t *attempt = g_new0(attempt_t, 1);
@@ -288,7 +297,10 @@
 	g_free(fence);
 }
 
-/* Drops an attempt: its connection is closed and nothing more is reported. */
+/*
+ * Cancels an attempt: closes its connection and reports no more events. Does
+ * nothing if the attempt has ended.
+ */
 void upstream_http_cancel(upstream_http_t *http, attempt_id_t id)
 {
 	attempt_t *attempt = g_hash_table_lookup(http->attempts, &id);
@@ -315,7 +327,7 @@
 		g_string_append_len(probe->body, data, (gssize)len);
 }
 
-/* Remembers up to where the VM's cache events have been taken. */
+/* Stores the number of the VM's last cache event that was read. */
 static void probe_save_cursor(probe_t *probe, uint64_t cursor)
 {
 	GHashTable *cache_cursors = probe->http->cache_cursors;
@@ -326,7 +338,10 @@
 			     g_memdup2(&cursor, sizeof(cursor)));
 }
 
-/* Reads the news of an engine's cache; the caller frees what it returns. */
+/*
+ * Parses the cache events of a load report into REPORT, which borrows them, and
+ * stores the cursor. Returns the events, which the caller frees.
+ */
 static cache_event_t *probe_parse_cache_events(probe_t *probe, const json_t *body,
 					       load_report_t *report)
 {
@@ -351,6 +366,7 @@
 	return events;
 }
 
+/* Reports the load, or that the probe got no valid answer. */
 static void probe_on_done(void *ctx, const pd_error_t *err)
 {
 	probe_t *probe = ctx;
@@ -391,7 +407,10 @@
 	.on_free = probe_free,
 };
 
-/* Asks an upstream for its load, on a connection of its own. */
+/*
+ * Requests the load of an upstream on a separate connection. Any result, also a
+ * failure, is reported through on_load.
+ */
 void upstream_http_probe(upstream_http_t *http, const char *vm_id,
 			 const char *address, uint16_t port)
 {
--- a/adapters/upstream_http.h
+++ b/adapters/upstream_http.h
@@ -1,4 +1,7 @@
-/* Dispatches to model engines and plain services over HTTP, and probes them. */
+/*
+ * Sends requests to model engines and plain services over HTTP, and probes
+ * them.
+ */
 #ifndef PISTACHIO_UPSTREAM_HTTP_H
 #define PISTACHIO_UPSTREAM_HTTP_H
 
@@ -10,6 +13,7 @@
 
 typedef struct upstream_http_config {
 	void (*on_event)(void *ctx, const upstream_event_t *event);
+	/* From probes, and from streams as they start. */
 	void (*on_load)(void *ctx, const load_report_t *report);
 	void *ctx;
 } upstream_http_config_t;
