--- a/tests/process/test_peer_input.c
+++ b/tests/process/test_peer_input.c
@@ -1,6 +1,6 @@
 /*
- * What a faulty or hostile program may send to the port for fellow entries. The
- * entry must drop the connection, say so, and serve its callers all the same.
+ * Sends invalid input, as a faulty or malicious program could, to the port for
+ * peers. The entry must close the connection and continue to serve callers.
  */
 #include <arpa/inet.h>
 #include <setjmp.h>
@@ -30,13 +30,14 @@
 	return 0;
 }
 
+/* Returns the port for peers of the first entry. */
 static int peer_port(fleet_t *fleet)
 {
 	return process_port(fleet->entries[0].process,
 			    fleet->entries[0].process->log_path, "peers on port ");
 }
 
-/* Wraps a message in a frame that the fleet's own key seals. */
+/* Returns a frame sealed with the fleet's key, owned by the caller. */
 static GByteArray *sealed_frame(fleet_t *fleet, const void *data, size_t len)
 {
 	char *path = g_build_filename(fleet->dir, "peers.key", NULL);
@@ -58,7 +59,10 @@
 	return frame;
 }
 
-/* Sends bytes and waits until the entry has closed the connection. */
+/*
+ * Sends bytes to the first entry and waits until it closes the connection; with
+ * CLOSE_NOW closes it without waiting.
+ */
 static void send_bytes(fleet_t *fleet, const void *data, size_t len, bool close_now)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET,
@@ -74,6 +78,7 @@
 	close(fd);
 }
 
+/* Asserts that the first entry completes a request. */
 static void assert_serves(fleet_t *fleet)
 {
 	call_t *call = completion_start(fleet, fleet->entries[0].port, "go on",
@@ -90,6 +95,7 @@
 	assert_serves(*state);
 }
 
+/* Sends a message in a sealed frame and waits for the entry to close. */
 static void send_sealed(fleet_t *fleet, const void *data, size_t len)
 {
 	GByteArray *frame = sealed_frame(fleet, data, len);
@@ -106,15 +112,15 @@
 
 static void test_unknown_version_is_dropped(void **state)
 {
-	/* An array of twelve, the first of them 9, the rest nil. */
+	/* An array of twelve items: version 9, then nil. */
 	send_sealed(*state,
 		    "\x9c\x09\xc0\xc0\xc0\xc0\xc0\xc0\xc0\xc0\xc0\xc0\xc0", 13);
 	assert_serves(*state);
 }
 
 /*
- * A host that holds no key reaches the peers' port and sends what looks like a
- * message. Taken at its word, it could call every VM leaving.
+ * Guards against a host without the key that reaches the peers' port and sends
+ * forged messages: it could announce that every VM is leaving.
  */
 static void test_frame_without_valid_seal_is_dropped(void **state)
 {
--- a/tests/property/mutated.h
+++ b/tests/property/mutated.h
@@ -1,4 +1,4 @@
-/* Bytes that a faulty sender could send. */
+/* Generates corrupted input for decoders. */
 #ifndef PISTACHIO_TEST_MUTATED_H
 #define PISTACHIO_TEST_MUTATED_H
 
@@ -6,7 +6,10 @@
 
 #include <string>
 
-/* Valid bytes with a few changed, cut or added: deeper than random bytes. */
+/*
+ * Returns valid input with up to three bytes changed and possibly truncated.
+ * It reaches deeper into a decoder than random bytes do.
+ */
 static inline std::string mutated(std::string bytes)
 {
 	auto changes = *rc::gen::inRange(0, 4);
--- a/tests/property/test_decoders.cc
+++ b/tests/property/test_decoders.cc
@@ -1,6 +1,6 @@
 /*
- * Every decoder meets bytes that a faulty or hostile sender could send. None
- * may crash or accept what it should not; an error always has a kind.
+ * Feeds the decoders input that a faulty or malicious sender could send. They
+ * must neither crash nor accept invalid input, and each error has a kind.
  */
 #include <rapidcheck.h>
 
@@ -24,6 +24,7 @@
 #include "adapters/sse.h"
 }
 
+/* Returns a message with all parts set, owned by the caller. */
 static peer_msg_t *sample_msg()
 {
 	peer_msg_t *msg = peer_msg_create(PEER_HANDOVER);
@@ -106,8 +107,8 @@
 }
 
 /*
- * Five bytes claim an array of four thousand million items. msgpack-c would
- * make room for all of them; the entry would die for lack of memory.
+ * Guards against an array header of five bytes that declares up to 2^32 - 1
+ * items: msgpack-c would allocate space for all of them and exhaust memory.
  */
 static bool check_claimed_sizes()
 {
@@ -125,8 +126,8 @@
 }
 
 /*
- * An operator's file with typing errors: a fault is one line that names the
- * file, and nothing is half read.
+ * Guards against typing errors in an operator's file: an error names the file,
+ * and no partially read settings are returned.
  */
 static bool check_toml()
 {
@@ -159,6 +160,7 @@
 	});
 }
 
+/* Guards against accepting a sealed message in which any bit was changed. */
 static bool check_seal()
 {
 	return rc::check("a sealed message with a bit changed opens never", [] {
@@ -196,6 +198,7 @@
 	});
 }
 
+/* Guards against crashes on corrupted objects of the platform. */
 static bool check_platform_decoders()
 {
 	static const std::string claims =
@@ -231,6 +234,7 @@
 	});
 }
 
+/* Guards against accepting a corrupted bundle envelope. */
 static bool check_envelope()
 {
 	return rc::check("no damaged envelope opens", [] {
@@ -249,7 +253,10 @@
 		std::string damaged = mutated(bytes);
 		bundle = envelope_open(damaged.data(), damaged.size(),
 				       public_key, &err);
-		/* White space around members may change and mean nothing. */
+		/*
+		 * Changed white space between members leaves the payload
+		 * intact.
+		 */
 		if (bundle)
 			RC_ASSERT(bundle->generation == 1u);
 		bundle_destroy(bundle);
@@ -263,6 +270,7 @@
 	++*static_cast<int *>(ctx);
 }
 
+/* Checks that events are parsed alike however the stream is divided. */
 static bool check_sse()
 {
 	return rc::check("events do not depend on how bytes are cut", [] {
--- a/tests/unit/test_docs.c
+++ b/tests/unit/test_docs.c
@@ -1,4 +1,4 @@
-/* The pages that list keys say what the code checks, so they can't drift. */
+/* Checks that the documents that list keys match the tables in the code. */
 #include <inttypes.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,6 +13,7 @@
 #include "adapters/gateway/settings.h"
 #include "adapters/settings.h"
 
+/* Returns the text of a file, owned by the caller. */
 static char *read_document(const char *path)
 {
 	char *text = NULL;
@@ -22,12 +23,16 @@
 	return text;
 }
 
+/* Asserts that the document contains the table row ROW. */
 static void assert_has_row(const char *document, const char *row)
 {
 	if (!strstr(document, row))
-		fail_msg("the page lacks this row:\n%s", row);
+		fail_msg("the document lacks this row:\n%s", row);
 }
 
+/*
+ * Writes the bounds of an integer as the documents do; nothing for other types.
+ */
 static void format_range(char *text, size_t size, bool integer, int64_t least,
 			 int64_t most)
 {
@@ -39,6 +44,7 @@
 		snprintf(text, size, "%" PRId64 " to %" PRId64, least, most);
 }
 
+/* Asserts that the document has a row for each of COUNT settings. */
 static void assert_settings(const char *document, const setting_t *rows, size_t count)
 {
 	static const char *const kinds[] = {
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -1,4 +1,6 @@
-/* Settings: every fault is told with file, line, key and what was expected. */
+/*
+ * Tests that errors in settings name the file, line, key and what was expected.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -18,6 +20,7 @@
 	"[bundle]\npublic_key_file = \"/dev/null\"\n"        \
 	"[peers]\nkey_file = \"/dev/null\"\n"
 
+/* Reads TEXT as a settings file; returns NULL with ERR set if it is invalid. */
 static settings_t *read_text(const char *text, pd_error_t *err)
 {
 	char *dir = g_dir_make_tmp("settings-XXXXXX", NULL);
@@ -33,6 +36,7 @@
 	return settings;
 }
 
+/* Asserts that TEXT is rejected with a one-line message that has EXPECTED. */
 static void assert_error(const char *text, const char *expected)
 {
 	pd_error_t err;
