--- a/adapters/placer_runner.c
+++ b/adapters/placer_runner.c
@@ -15,7 +15,7 @@
 #include "core/placer.h"
 
 #define LOG_COMPONENT "placer"
-#define TICK_PERIOD_MS 200
+#define TICK_MS 200
 #define LEASE_KEY "placer/lease"
 #define ENGINE_TIMEOUT (2 * PD_SEC)
 #define ENGINE_RESPONSE_BYTES_MAX (64 * 1024)
@@ -397,7 +397,7 @@
 	vm_watch_set_paused(runner->vms, true);
 	prices.platform = runner->platform;
 	runner->prices = price_watch_create(loop, &prices);
-	runner_start_timer(runner, &runner->tick, on_tick, TICK_PERIOD_MS);
+	runner_start_timer(runner, &runner->tick, on_tick, TICK_MS);
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "%s started", id);
 	g_free(id);
 	return runner;
