--- a/adapters/msgpack_check.c
+++ b/adapters/msgpack_check.c
@@ -20,7 +20,7 @@
 } header_t;
 
 /*
- * Returns the header of a value whose first byte holds no part of its length.
+ * Returns the header of a value whose first byte does not include its length.
  */
 static header_t header_of_code(uint8_t code)
 {
--- a/adapters/placer_runner.c
+++ b/adapters/placer_runner.c
@@ -156,12 +156,14 @@
 			 "a release failed or its outcome is unknown");
 }
 
+/* Records the status of an engine's response. */
 static void engine_on_head(void *ctx, http_call_t *http, int status)
 {
 	(void)http;
 	((engine_call_t *)ctx)->status = status;
 }
 
+/* Appends to the body; data beyond ENGINE_RESPONSE_BYTES_MAX is dropped. */
 static void engine_on_body(void *ctx, const char *data, size_t len)
 {
 	GString *body = ((engine_call_t *)ctx)->body;
@@ -192,6 +194,7 @@
 	runner_handle(call->runner, &event);
 }
 
+/* Frees an order to an engine. */
 static void engine_on_free(void *ctx)
 {
 	engine_call_t *call = ctx;
@@ -288,6 +291,7 @@
 	}
 }
 
+/* Delivers the VM list to the core. */
 static void on_vm_list(void *ctx, const vm_t *vms, size_t count)
 {
 	placer_event_t event = { .kind = PLACER_VM_LIST, .vm_list = { vms, count } };
@@ -295,6 +299,7 @@
 	runner_handle(ctx, &event);
 }
 
+/* Delivers the prices to the core. */
 static void on_prices(void *ctx, const offer_t *offers, size_t count)
 {
 	placer_event_t event = { .kind = PLACER_PRICES,
@@ -315,6 +320,7 @@
 	*bundle = event.bundle;
 }
 
+/* Lets the core act on the time that has passed. */
 static void on_tick(uv_timer_t *timer)
 {
 	placer_event_t event = { .kind = PLACER_TICK };
--- a/adapters/platform_http.c
+++ b/adapters/platform_http.c
@@ -45,6 +45,7 @@
 	return platform;
 }
 
+/* Records that the request may have reached the platform. */
 static void call_on_written(void *ctx)
 {
 	platform_call_t *call = ctx;
@@ -100,6 +101,7 @@
 	}
 }
 
+/* Passes the outcome to the call's callback. */
 static void call_on_done(void *ctx, const pd_error_t *err)
 {
 	platform_call_t *call = ctx;
@@ -113,6 +115,7 @@
 	call->done(call->ctx, &answer);
 }
 
+/* Frees a call. */
 static void call_on_free(void *ctx)
 {
 	platform_call_t *call = ctx;
--- a/adapters/upstream_http.c
+++ b/adapters/upstream_http.c
@@ -66,6 +66,7 @@
 	return http;
 }
 
+/* Frees an attempt, once its call has ended. */
 static void attempt_free(void *ctx)
 {
 	attempt_t *attempt = ctx;
@@ -93,6 +94,7 @@
 	attempt_report_event(attempt, event);
 }
 
+/* Reports that the first byte of the request may have left this process. */
 static void attempt_on_written(void *ctx)
 {
 	attempt_t *attempt = ctx;
@@ -102,6 +104,7 @@
 	attempt_report_event(attempt, &event);
 }
 
+/* Records the status of the upstream's response. */
 static void attempt_on_head(void *ctx, http_call_t *call, int status)
 {
 	attempt_t *attempt = ctx;
@@ -311,6 +314,7 @@
 	http_call_cancel(attempt->call);
 }
 
+/* Records the status of the upstream's response. */
 static void probe_on_head(void *ctx, http_call_t *call, int status)
 {
 	probe_t *probe = ctx;
@@ -319,6 +323,7 @@
 	probe->status = status;
 }
 
+/* Appends to the body; data beyond LOAD_REPORT_BYTES_MAX is dropped. */
 static void probe_on_body(void *ctx, const char *data, size_t len)
 {
 	probe_t *probe = ctx;
@@ -391,6 +396,7 @@
 	g_free(events);
 }
 
+/* Frees a probe. */
 static void probe_free(void *ctx)
 {
 	probe_t *probe = ctx;
--- a/tests/process/test_peer_input.c
+++ b/tests/process/test_peer_input.c
@@ -16,6 +16,7 @@
 #include "adapters/peer_seal.h"
 #include "tests/harness/fleet.h"
 
+/* Starts two entries and one engine. */
 static int setup(void **state)
 {
 	const fleet_config_t config = { .entries = 2, .engines = 1 };
@@ -24,6 +25,7 @@
 	return 0;
 }
 
+/* Stops the fleet. */
 static int teardown(void **state)
 {
 	fleet_destroy(*state);
--- a/tests/property/test_decoders.cc
+++ b/tests/property/test_decoders.cc
@@ -59,6 +59,7 @@
 	return msg;
 }
 
+/* Returns the encoded message. */
 static std::string encoded(const peer_msg_t *msg)
 {
 	GBytes *bytes = peer_msg_encode(msg);
@@ -264,6 +265,7 @@
 	});
 }
 
+/* Counts an event in the int that CTX points to. */
 static void count_event(void *ctx, const sse_event_t *event)
 {
 	(void)event;
