--- a/adapters/peer_codec.c
+++ b/adapters/peer_codec.c
@@ -1,4 +1,7 @@
-/* Encodes and decodes peer messages. Each is one array, the version first. */
+/*
+ * Encodes and decodes peer messages. A message is one msgpack array, whose
+ * first item is the protocol version.
+ */
 #include "adapters/peer_codec.h"
 
 #include <msgpack.h>
@@ -6,14 +9,16 @@
 
 #include "adapters/msgpack_check.h"
 
-#define FIELDS 12
+/* Items of the arrays that messages and their parts are encoded as. */
+#define MSG_FIELDS 12
 #define MEMBER_FIELDS 7
 #define LEAVING_FIELDS 2
 #define DEMAND_FIELDS 2
 #define CLAIM_FIELDS 8
 #define HANDOVER_FIELDS 16
 
-static void pack_text(msgpack_packer *packer, const char *text)
+/* Packs a string; NULL becomes an empty one. */
+static void pack_string(msgpack_packer *packer, const char *text)
 {
 	size_t len = text ? strlen(text) : 0;
 
@@ -21,18 +26,20 @@
 	msgpack_pack_str_body(packer, text ? text : "", len);
 }
 
+/* Packs a member as an array of MEMBER_FIELDS. */
 static void pack_member(msgpack_packer *packer, const member_info_t *info)
 {
 	msgpack_pack_array(packer, MEMBER_FIELDS);
-	pack_text(packer, info->id);
-	pack_text(packer, info->zone);
-	pack_text(packer, info->address);
+	pack_string(packer, info->id);
+	pack_string(packer, info->zone);
+	pack_string(packer, info->address);
 	msgpack_pack_uint16(packer, info->peer_port);
 	msgpack_pack_uint16(packer, info->http_port);
 	msgpack_pack_uint64(packer, info->incarnation);
 	msgpack_pack_uint8(packer, (uint8_t)info->state);
 }
 
+/* Packs binary data; NULL becomes empty data. */
 static void pack_bytes(msgpack_packer *packer, GBytes *bytes)
 {
 	gsize len = bytes ? g_bytes_get_size(bytes) : 0;
@@ -42,15 +49,16 @@
 		msgpack_pack_bin_body(packer, g_bytes_get_data(bytes, NULL), len);
 }
 
-/* A string that may be missing: an empty one means something else. */
+/* Packs a string, or nil for NULL, which differs from an empty string. */
 static void pack_optional(msgpack_packer *packer, const char *text)
 {
 	if (text)
-		pack_text(packer, text);
+		pack_string(packer, text);
 	else
 		msgpack_pack_nil(packer);
 }
 
+/* Packs a claim, or nil if there is none. */
 static void pack_claim(msgpack_packer *packer, const claim_note_t *note)
 {
 	if (!note->key) {
@@ -61,13 +69,14 @@
 	msgpack_pack_uint64(packer, note->ticket);
 	msgpack_pack_uint8(packer, note->operation);
 	msgpack_pack_uint8(packer, note->outcome);
-	pack_text(packer, note->key);
-	pack_text(packer, note->nonce);
-	pack_text(packer, note->digest);
+	pack_string(packer, note->key);
+	pack_string(packer, note->nonce);
+	pack_string(packer, note->digest);
 	msgpack_pack_uint32(packer, (uint32_t)note->status);
 	pack_optional(packer, note->answer);
 }
 
+/* Packs a handover, or nil if there is none. */
 static void pack_handover(msgpack_packer *packer, const handover_t *handover)
 {
 	if (!handover->request_id) {
@@ -75,15 +84,15 @@
 		return;
 	}
 	msgpack_pack_array(packer, HANDOVER_FIELDS);
-	pack_text(packer, handover->request_id);
-	pack_text(packer, handover->account);
-	pack_text(packer, handover->target);
-	pack_text(packer, handover->path);
+	pack_string(packer, handover->request_id);
+	pack_string(packer, handover->account);
+	pack_string(packer, handover->target);
+	pack_string(packer, handover->path);
 	pack_optional(packer, handover->idempotency_key);
 	pack_optional(packer, handover->claim_key);
 	pack_optional(packer, handover->nonce);
 	pack_optional(packer, handover->vm_id);
-	pack_text(packer, handover->emitted);
+	pack_string(packer, handover->emitted);
 	msgpack_pack_uint64(packer, handover->offset);
 	msgpack_pack_uint32(packer, handover->max_tokens);
 	msgpack_pack_uint8(packer, handover->written);
@@ -93,17 +102,18 @@
 	pack_bytes(packer, handover->body);
 }
 
+/* Packs the request rates of accounts as an array of pairs. */
 static void pack_demand(msgpack_packer *packer, const peer_msg_t *msg)
 {
 	msgpack_pack_array(packer, msg->demand_count);
 	for (unsigned int i = 0; i < msg->demand_count; i++) {
 		msgpack_pack_array(packer, DEMAND_FIELDS);
-		pack_text(packer, msg->demand[i].account);
+		pack_string(packer, msg->demand[i].account);
 		msgpack_pack_uint32(packer, msg->demand[i].per_second);
 	}
 }
 
-/* Returns the message as bytes, owned by the caller. */
+/* Returns the encoded message, owned by the caller. */
 GBytes *peer_msg_encode(const peer_msg_t *msg)
 {
 	msgpack_sbuffer buffer;
@@ -112,7 +122,7 @@
 
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	msgpack_pack_array(&packer, FIELDS);
+	msgpack_pack_array(&packer, MSG_FIELDS);
 	msgpack_pack_uint8(&packer, PEER_PROTOCOL_VERSION);
 	msgpack_pack_uint8(&packer, (uint8_t)msg->kind);
 	msgpack_pack_uint64(&packer, msg->sequence);
@@ -124,11 +134,11 @@
 	msgpack_pack_array(&packer, msg->leaving_count);
 	for (unsigned int i = 0; i < msg->leaving_count; i++) {
 		msgpack_pack_array(&packer, LEAVING_FIELDS);
-		pack_text(&packer, msg->leaving[i].vm_id);
+		pack_string(&packer, msg->leaving[i].vm_id);
 		msgpack_pack_int64(&packer, msg->leaving[i].leaves_in);
 	}
 	pack_demand(&packer, msg);
-	pack_text(&packer, msg->about);
+	pack_string(&packer, msg->about);
 	pack_claim(&packer, &msg->claim);
 	pack_handover(&packer, &msg->handover);
 	pack_bytes(&packer, msg->body);
@@ -137,19 +147,27 @@
 	return bytes;
 }
 
-static int unpack_uint(const msgpack_object *object, uint64_t most,
+/*
+ * The unpack_ functions return 0, or -1 with ERR set if OBJECT has another type
+ * or is out of range. What they write to is freed with the message, also after
+ * a failure.
+ */
+
+/* Unpacks an integer from 0 to MAX. */
+static int unpack_uint(const msgpack_object *object, uint64_t max,
 		       uint64_t *value, pd_error_t *err)
 {
-	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER || object->via.u64 > most)
+	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER || object->via.u64 > max)
 		return pd_error_set(err, PD_ERROR_INPUT,
 				    "peer message: expected an integer up to "
 				    "%" G_GUINT64_FORMAT,
-				    most);
+				    max);
 	*value = object->via.u64;
 	return 0;
 }
 
-static int unpack_text(const msgpack_object *object, char **text, pd_error_t *err)
+/* Unpacks a string without NULs. */
+static int unpack_string(const msgpack_object *object, char **text, pd_error_t *err)
 {
 	const msgpack_object_str *str = &object->via.str;
 
@@ -160,19 +178,21 @@
 	return 0;
 }
 
-static int unpack_array(const msgpack_object *object, uint32_t least,
-			uint32_t most, pd_error_t *err)
+/* Checks that OBJECT is an array of MIN_COUNT to MAX_COUNT items. */
+static int unpack_array(const msgpack_object *object, uint32_t min_count,
+			uint32_t max_count, pd_error_t *err)
 {
 	if (object->type != MSGPACK_OBJECT_ARRAY ||
-	    object->via.array.size < least || object->via.array.size > most)
+	    object->via.array.size < min_count ||
+	    object->via.array.size > max_count)
 		return pd_error_set(err, PD_ERROR_INPUT,
 				    "peer message: expected an array of %u to "
 				    "%u items",
-				    least, most);
+				    min_count, max_count);
 	return 0;
 }
 
-/* Reads a member; INFO then owns strings even if this fails half-way. */
+/* Unpacks a member; INFO may own strings even after a failure. */
 static int unpack_member(const msgpack_object *object, member_info_t *info,
 			 pd_error_t *err)
 {
@@ -184,9 +204,9 @@
 	if (unpack_array(object, MEMBER_FIELDS, MEMBER_FIELDS, err) < 0)
 		return -1;
 	fields = object->via.array.ptr;
-	if (unpack_text(&fields[0], &info->id, err) < 0 ||
-	    unpack_text(&fields[1], &info->zone, err) < 0 ||
-	    unpack_text(&fields[2], &info->address, err) < 0 ||
+	if (unpack_string(&fields[0], &info->id, err) < 0 ||
+	    unpack_string(&fields[1], &info->zone, err) < 0 ||
+	    unpack_string(&fields[2], &info->address, err) < 0 ||
 	    unpack_uint(&fields[3], UINT16_MAX, &peer_port, err) < 0 ||
 	    unpack_uint(&fields[4], UINT16_MAX, &http_port, err) < 0 ||
 	    unpack_uint(&fields[5], UINT64_MAX, &info->incarnation, err) < 0 ||
@@ -198,13 +218,14 @@
 	return 0;
 }
 
+/* Unpacks the updates about members that a heartbeat carries. */
 static int unpack_news(const msgpack_object *object, peer_msg_t *msg,
 		       pd_error_t *err)
 {
 	if (unpack_array(object, 0, PEER_NEWS_MAX, err) < 0)
 		return -1;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
-		/* Counted first, so that a half-read one is freed too. */
+		/* Counted first, so that it is freed if unpacking it fails. */
 		msg->news_count++;
 		if (unpack_member(&object->via.array.ptr[i], &msg->news[i], err) < 0)
 			return -1;
@@ -212,20 +233,21 @@
 	return 0;
 }
 
+/* Unpacks the notices of leaving VMs, as pairs of id and time left. */
 static int unpack_leaving(const msgpack_object *object, peer_msg_t *msg,
 			  pd_error_t *err)
 {
 	if (unpack_array(object, 0, PEER_NEWS_MAX, err) < 0)
 		return -1;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
-		const msgpack_object *pair = &object->via.array.ptr[i];
+		const msgpack_object *item = &object->via.array.ptr[i];
 		uint64_t leaves_in = 0;
 
 		msg->leaving_count++;
-		if (unpack_array(pair, LEAVING_FIELDS, LEAVING_FIELDS, err) < 0 ||
-		    unpack_text(&pair->via.array.ptr[0], &msg->leaving[i].vm_id,
-				err) < 0 ||
-		    unpack_uint(&pair->via.array.ptr[1], INT64_MAX, &leaves_in,
+		if (unpack_array(item, LEAVING_FIELDS, LEAVING_FIELDS, err) < 0 ||
+		    unpack_string(&item->via.array.ptr[0],
+				  &msg->leaving[i].vm_id, err) < 0 ||
+		    unpack_uint(&item->via.array.ptr[1], INT64_MAX, &leaves_in,
 				err) < 0)
 			return -1;
 		msg->leaving[i].leaves_in = (pd_time_t)leaves_in;
@@ -233,34 +255,37 @@
 	return 0;
 }
 
+/* Unpacks the request rates of accounts, as pairs of name and rate. */
 static int unpack_demand(const msgpack_object *object, peer_msg_t *msg,
 			 pd_error_t *err)
 {
 	if (unpack_array(object, 0, PEER_NEWS_MAX, err) < 0)
 		return -1;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
-		const msgpack_object *pair = &object->via.array.ptr[i];
+		const msgpack_object *item = &object->via.array.ptr[i];
 		uint64_t rate = 0;
 
 		msg->demand_count++;
-		if (unpack_array(pair, DEMAND_FIELDS, DEMAND_FIELDS, err) < 0 ||
-		    unpack_text(&pair->via.array.ptr[0],
-				&msg->demand[i].account, err) < 0 ||
-		    unpack_uint(&pair->via.array.ptr[1], UINT32_MAX, &rate, err) < 0)
+		if (unpack_array(item, DEMAND_FIELDS, DEMAND_FIELDS, err) < 0 ||
+		    unpack_string(&item->via.array.ptr[0],
+				  &msg->demand[i].account, err) < 0 ||
+		    unpack_uint(&item->via.array.ptr[1], UINT32_MAX, &rate, err) < 0)
 			return -1;
 		msg->demand[i].per_second = (uint32_t)rate;
 	}
 	return 0;
 }
 
+/* Unpacks a string; nil leaves TEXT as it is. */
 static int unpack_optional(const msgpack_object *object, char **text,
 			   pd_error_t *err)
 {
 	if (object->type == MSGPACK_OBJECT_NIL)
 		return 0;
-	return unpack_text(object, text, err);
+	return unpack_string(object, text, err);
 }
 
+/* Unpacks binary data; empty data leaves BYTES as it is. */
 static int unpack_bytes(const msgpack_object *object, GBytes **bytes,
 			pd_error_t *err)
 {
@@ -272,6 +297,7 @@
 	return 0;
 }
 
+/* Unpacks a claim; nil leaves NOTE as it is. */
 static int unpack_claim(const msgpack_object *object, claim_note_t *note,
 			pd_error_t *err)
 {
@@ -288,9 +314,9 @@
 	if (unpack_uint(&fields[0], UINT64_MAX, &note->ticket, err) < 0 ||
 	    unpack_uint(&fields[1], UINT8_MAX, &operation, err) < 0 ||
 	    unpack_uint(&fields[2], UINT8_MAX, &outcome, err) < 0 ||
-	    unpack_text(&fields[3], &note->key, err) < 0 ||
-	    unpack_text(&fields[4], &note->nonce, err) < 0 ||
-	    unpack_text(&fields[5], &note->digest, err) < 0 ||
+	    unpack_string(&fields[3], &note->key, err) < 0 ||
+	    unpack_string(&fields[4], &note->nonce, err) < 0 ||
+	    unpack_string(&fields[5], &note->digest, err) < 0 ||
 	    unpack_uint(&fields[6], INT32_MAX, &status, err) < 0 ||
 	    unpack_optional(&fields[7], &note->answer, err) < 0)
 		return -1;
@@ -300,22 +326,24 @@
 	return 0;
 }
 
-static int unpack_handover_text(const msgpack_object *fields,
-				handover_t *handover, pd_error_t *err)
+/* Unpacks the leading fields of a handover, which are strings. */
+static int unpack_handover_strings(const msgpack_object *fields,
+				   handover_t *handover, pd_error_t *err)
 {
-	if (unpack_text(&fields[0], &handover->request_id, err) < 0 ||
-	    unpack_text(&fields[1], &handover->account, err) < 0 ||
-	    unpack_text(&fields[2], &handover->target, err) < 0 ||
-	    unpack_text(&fields[3], &handover->path, err) < 0 ||
+	if (unpack_string(&fields[0], &handover->request_id, err) < 0 ||
+	    unpack_string(&fields[1], &handover->account, err) < 0 ||
+	    unpack_string(&fields[2], &handover->target, err) < 0 ||
+	    unpack_string(&fields[3], &handover->path, err) < 0 ||
 	    unpack_optional(&fields[4], &handover->idempotency_key, err) < 0 ||
 	    unpack_optional(&fields[5], &handover->claim_key, err) < 0 ||
 	    unpack_optional(&fields[6], &handover->nonce, err) < 0 ||
 	    unpack_optional(&fields[7], &handover->vm_id, err) < 0 ||
-	    unpack_text(&fields[8], &handover->emitted, err) < 0)
+	    unpack_string(&fields[8], &handover->emitted, err) < 0)
 		return -1;
 	return 0;
 }
 
+/* Unpacks a handover; nil leaves HANDOVER as it is. */
 static int unpack_handover(const msgpack_object *object, handover_t *handover,
 			   pd_error_t *err)
 {
@@ -331,7 +359,7 @@
 	if (unpack_array(object, HANDOVER_FIELDS, HANDOVER_FIELDS, err) < 0)
 		return -1;
 	fields = object->via.array.ptr;
-	if (unpack_handover_text(fields, handover, err) < 0 ||
+	if (unpack_handover_strings(fields, handover, err) < 0 ||
 	    unpack_uint(&fields[9], UINT64_MAX, &handover->offset, err) < 0 ||
 	    unpack_uint(&fields[10], UINT32_MAX, &max_tokens, err) < 0 ||
 	    unpack_uint(&fields[11], 1, &written, err) < 0 ||
@@ -348,13 +376,14 @@
 	return 0;
 }
 
+/* Unpacks a whole message, of the current protocol version only. */
 static int unpack_msg(const msgpack_object *root, peer_msg_t *msg, pd_error_t *err)
 {
 	const msgpack_object *fields;
 	uint64_t version = 0;
 	uint64_t kind = 0;
 
-	if (unpack_array(root, FIELDS, FIELDS, err) < 0)
+	if (unpack_array(root, MSG_FIELDS, MSG_FIELDS, err) < 0)
 		return -1;
 	fields = root->via.array.ptr;
 	if (unpack_uint(&fields[0], UINT8_MAX, &version, err) < 0)
@@ -370,7 +399,7 @@
 	    unpack_news(&fields[5], msg, err) < 0 ||
 	    unpack_leaving(&fields[6], msg, err) < 0 ||
 	    unpack_demand(&fields[7], msg, err) < 0 ||
-	    unpack_text(&fields[8], &msg->about, err) < 0 ||
+	    unpack_string(&fields[8], &msg->about, err) < 0 ||
 	    unpack_claim(&fields[9], &msg->claim, err) < 0 ||
 	    unpack_handover(&fields[10], &msg->handover, err) < 0 ||
 	    unpack_bytes(&fields[11], &msg->body, err) < 0)
@@ -379,7 +408,10 @@
 	return 0;
 }
 
-/* Reads a message that the caller then owns; NULL with ERR set if bad. */
+/*
+ * Decodes a message. Returns it, owned by the caller, or NULL with ERR set if
+ * it is malformed (PD_ERROR_INPUT) or of another version (PD_ERROR_VERSION).
+ */
 peer_msg_t *peer_msg_decode(const char *data, size_t len, pd_error_t *err)
 {
 	peer_msg_t *msg = peer_msg_create(PEER_PING);
@@ -387,7 +419,7 @@
 	size_t offset = 0;
 
 	msgpack_unpacked_init(&unpacked);
-	if (!msgpack_sizes_fit(data, len) ||
+	if (!msgpack_lengths_fit(data, len) ||
 	    msgpack_unpack_next(&unpacked, data, len, &offset) !=
 		    MSGPACK_UNPACK_SUCCESS ||
 	    offset != len) {
--- a/adapters/platform_http.c
+++ b/adapters/platform_http.c
@@ -1,4 +1,4 @@
-/* Calls the platform and sorts its answers into store statuses. */
+/* Calls the platform and maps its responses to store statuses. */
 #include "adapters/platform_http.h"
 
 #include <string.h>
@@ -6,11 +6,11 @@
 #include "adapters/http_client.h"
 #include "adapters/json.h"
 
-#define CALL_TIMEOUT (2 * PD_SEC)
-#define WATCH_TIME (20 * PD_SEC)
-/* A watch that outlasts its time by this much has gone silent. */
-#define WATCH_SLACK (3 * PD_SEC)
-#define ANSWER_MAX (4 * 1024 * 1024)
+#define REQUEST_TIMEOUT (2 * PD_SEC)
+#define WATCH_DURATION (20 * PD_SEC) /* the platform answers by then */
+/* A watch still unanswered this long after its duration is considered dead. */
+#define WATCH_TIMEOUT_MARGIN (3 * PD_SEC)
+#define RESPONSE_BYTES_MAX (4 * 1024 * 1024)
 
 struct platform {
 	char *address;
@@ -29,18 +29,23 @@
 	GString *body;
 } platform_call_t;
 
-/* Returns the platform at that address; nothing is sent yet. */
+/*
+ * Returns a client of the platform at ADDRESS, which lives as long as the loop.
+ * Sends nothing yet.
+ */
 platform_t *platform_create(uv_loop_t *loop, const char *address, uint16_t port)
 {
 	platform_t *platform = g_new0(platform_t, 1);
 
 	platform->address = g_strdup(address);
 	platform->port = port;
-	platform->calls = http_client_create(loop, CALL_TIMEOUT);
-	platform->watches = http_client_create(loop, WATCH_TIME + WATCH_SLACK);
+	platform->calls = http_client_create(loop, REQUEST_TIMEOUT);
+	platform->watches =
+		http_client_create(loop, WATCH_DURATION + WATCH_TIMEOUT_MARGIN);
 	return platform;
 }
 
+/* Records that the request may have reached the platform. */
 static void call_on_written(void *ctx)
 {
 	platform_call_t *call = ctx;
@@ -48,6 +53,7 @@
 	call->written = true;
 }
 
+/* Records the status and the version, which is the entity tag. */
 static void call_on_head(void *ctx, http_call_t *http, int status)
 {
 	platform_call_t *call = ctx;
@@ -58,19 +64,22 @@
 		call->version = g_ascii_strtoull(etag + 1, NULL, 10);
 }
 
+/* Appends to the body; data beyond RESPONSE_BYTES_MAX is dropped. */
 static void call_on_body(void *ctx, const char *data, size_t len)
 {
 	platform_call_t *call = ctx;
 
-	if (call->body->len + len <= ANSWER_MAX)
+	if (call->body->len + len <= RESPONSE_BYTES_MAX)
 		g_string_append_len(call->body, data, (gssize)len);
 }
 
 /*
- * A write that was sent and got no clear answer may have taken effect: a lost
- * answer must not pass for a refused one.
+ * Returns the status of a call that ended, with ERR if it failed. A write that
+ * was sent but got no definite response may have taken effect, so it is
+ * STORE_UNKNOWN, not STORE_DOWN.
  */
-static store_status_t call_status(const platform_call_t *call, const pd_error_t *err)
+static store_status_t store_status_of(const platform_call_t *call,
+				      const pd_error_t *err)
 {
 	if (err)
 		return call->is_write && call->written ? STORE_UNKNOWN : STORE_DOWN;
@@ -92,11 +101,12 @@
 	}
 }
 
+/* Passes the outcome to the call's callback. */
 static void call_on_done(void *ctx, const pd_error_t *err)
 {
 	platform_call_t *call = ctx;
 	const platform_answer_t answer = {
-		.status = call_status(call, err),
+		.status = store_status_of(call, err),
 		.version = call->version,
 		.body = call->body->str,
 		.len = call->body->len,
@@ -105,6 +115,7 @@
 	call->done(call->ctx, &answer);
 }
 
+/* Frees a call. */
 static void call_on_free(void *ctx)
 {
 	platform_call_t *call = ctx;
@@ -121,8 +132,13 @@
 	.on_free = call_on_free,
 };
 
-static void platform_call(platform_t *platform, http_client_t *client,
-			  http_request_t *request, platform_done_t done, void *ctx)
+/*
+ * Sends REQUEST to the platform; DONE gets the outcome. Any method but GET
+ * counts as a write.
+ */
+static void platform_send_request(platform_t *platform, http_client_t *client,
+				  http_request_t *request, platform_done_t done,
+				  void *ctx)
 {
 	platform_call_t *call = g_new0(platform_call_t, 1);
 
@@ -135,16 +151,17 @@
 	http_call_start(client, request, &platform_handlers, call);
 }
 
+/* Sends a GET request for PATH, which it frees. */
 static void platform_get(platform_t *platform, http_client_t *client,
 			 char *path, platform_done_t done, void *ctx)
 {
 	http_request_t request = { .method = "GET", .path = path };
 
-	platform_call(platform, client, &request, done, ctx);
+	platform_send_request(platform, client, &request, done, ctx);
 	g_free(path);
 }
 
-/* Reads an object; DONE gets STORE_OK, STORE_MISSING or STORE_DOWN. */
+/* Reads an object. DONE gets STORE_OK, STORE_MISSING or STORE_DOWN. */
 void platform_read(platform_t *platform, const char *key, platform_done_t done,
 		   void *ctx)
 {
@@ -153,8 +170,8 @@
 }
 
 /*
- * Waits until the object's version is above AFTER. DONE gets STORE_CONFLICT if
- * nothing changed in the time that one watch lasts.
+ * Waits for a version of the object above AFTER (long polling). DONE gets
+ * STORE_CONFLICT if there is none within WATCH_DURATION.
  */
 void platform_watch(platform_t *platform, const char *key, uint64_t after,
 		    platform_done_t done, void *ctx)
@@ -162,11 +179,11 @@
 	platform_get(platform, platform->watches,
 		     g_strdup_printf("/objects/%s?after=%" G_GUINT64_FORMAT
 				     "&wait_ms=%" G_GINT64_FORMAT,
-				     key, after, WATCH_TIME / PD_MSEC),
+				     key, after, WATCH_DURATION / PD_MSEC),
 		     done, ctx);
 }
 
-/* Lists the objects whose keys begin with PREFIX, bodies included. */
+/* Lists the objects whose keys begin with PREFIX, with their bodies. */
 void platform_list(platform_t *platform, const char *prefix,
 		   platform_done_t done, void *ctx)
 {
@@ -175,8 +192,9 @@
 }
 
 /*
- * Writes an object if its version is VERSION still: 0 if there must be none,
- * PLATFORM_ANY_VERSION for any. BODY is copied.
+ * Writes an object if its current version is VERSION: 0 requires that it
+ * doesn't exist, PLATFORM_ANY_VERSION writes unconditionally. BODY is copied.
+ * DONE gets STORE_CONFLICT if the version differs.
  */
 void platform_write(platform_t *platform, const char *key, uint64_t version,
 		    const char *body, size_t len, platform_done_t done, void *ctx)
@@ -194,42 +212,45 @@
 		.body_len = len,
 	};
 
-	platform_call(platform, platform->calls, &request, done, ctx);
+	platform_send_request(platform, platform->calls, &request, done, ctx);
 	g_free(path);
 	g_free(tag);
 }
 
-/* Deletes an object; one that is gone already counts as deleted. */
+/* Deletes an object of any version; a missing one counts as deleted. */
 void platform_delete(platform_t *platform, const char *key,
 		     platform_done_t done, void *ctx)
 {
 	char *path = g_strdup_printf("/objects/%s", key);
 	http_request_t request = { .method = "DELETE", .path = path };
 
-	platform_call(platform, platform->calls, &request, done, ctx);
+	platform_send_request(platform, platform->calls, &request, done, ctx);
 	g_free(path);
 }
 
 /*
- * Reads the VM list if it is newer than version AFTER; else DONE gets
- * STORE_CONFLICT. At the planned size the list is some 150 KB, far too much to
- * read whole each time.
+ * Reads the VM list if its version is above AFTER; otherwise DONE gets
+ * STORE_CONFLICT. The condition avoids transferring an unchanged list, which
+ * has about 150 KB at the planned fleet size.
  */
-void platform_vms(platform_t *platform, uint64_t after, platform_done_t done,
-		  void *ctx)
+void platform_read_vms(platform_t *platform, uint64_t after,
+		       platform_done_t done, void *ctx)
 {
 	platform_get(platform, platform->calls,
 		     g_strdup_printf("/vms?after=%" G_GUINT64_FORMAT, after),
 		     done, ctx);
 }
 
-/* Reads the cloud's offers and their prices. */
-void platform_prices(platform_t *platform, platform_done_t done, void *ctx)
+/* Reads the cloud's current offers and their prices. */
+void platform_read_prices(platform_t *platform, platform_done_t done, void *ctx)
 {
 	platform_get(platform, platform->calls, g_strdup("/prices"), done, ctx);
 }
 
-/* Buys a VM; the tag makes a second order for it harmless. */
+/*
+ * Orders a VM. The intent's tag makes the order idempotent; FENCE is the
+ * fencing token of the lease.
+ */
 void platform_buy(platform_t *platform, const intent_t *intent, uint64_t fence,
 		  platform_done_t done, void *ctx)
 {
@@ -248,12 +269,12 @@
 	body = json_dumps(order, JSON_COMPACT);
 	request.body = body;
 	request.body_len = strlen(body);
-	platform_call(platform, platform->calls, &request, done, ctx);
+	platform_send_request(platform, platform->calls, &request, done, ctx);
 	free(body);
 	json_decref(order);
 }
 
-/* Gives a VM back. */
+/* Releases a VM; FENCE is the fencing token of the lease. */
 void platform_release(platform_t *platform, const char *vm_id, uint64_t fence,
 		      platform_done_t done, void *ctx)
 {
@@ -261,6 +282,6 @@
 				     fence);
 	http_request_t request = { .method = "DELETE", .path = path };
 
-	platform_call(platform, platform->calls, &request, done, ctx);
+	platform_send_request(platform, platform->calls, &request, done, ctx);
 	g_free(path);
 }
--- a/adapters/platform_json.c
+++ b/adapters/platform_json.c
@@ -1,4 +1,6 @@
-/* Encodes and decodes what is kept in, or read from, the platform. */
+/*
+ * Encodes and decodes objects that are stored on the platform or listed by it.
+ */
 #include "adapters/platform_json.h"
 
 #include <string.h>
@@ -23,6 +25,7 @@
 	[VM_SERVICE] = "service",
 };
 
+/* Returns the index of NAME in NAMES, or -1 with ERR set, which names WHAT. */
 static int name_to_index(const char *const *names, size_t count,
 			 const char *name, const char *what, pd_error_t *err)
 {
@@ -34,7 +37,11 @@
 			    name);
 }
 
-static char *json_finish(json_t *object)
+/*
+ * Returns OBJECT as JSON text with sorted keys, owned by the caller, and
+ * releases OBJECT.
+ */
+static char *dump_and_release(json_t *object)
 {
 	char *text = json_dumps(object, JSON_COMPACT | JSON_SORT_KEYS);
 	char *copy = g_strdup(text);
@@ -44,6 +51,7 @@
 	return copy;
 }
 
+/* Returns a claim as a JSON object, owned by the caller. */
 static json_t *claim_encode(const claim_t *claim)
 {
 	json_t *object = json_object();
@@ -63,7 +71,7 @@
 	return object;
 }
 
-/* Returns the table as JSON text, owned by the caller. */
+/* Returns a table of claims as JSON text, owned by the caller. */
 char *claim_table_encode(const claim_table_t *table)
 {
 	json_t *object = json_object();
@@ -75,9 +83,10 @@
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		json_array_append_new(claims, claim_encode(value));
 	json_object_set_new(object, "claims", claims);
-	return json_finish(object);
+	return dump_and_release(object);
 }
 
+/* Decodes a claim into TABLE; returns 0, or -1 with ERR set. */
 static int claim_decode(const json_t *object, claim_table_t *table, pd_error_t *err)
 {
 	const char *key;
@@ -106,7 +115,10 @@
 	return 0;
 }
 
-/* Reads a table that the caller then owns; NULL with ERR set if it is bad. */
+/*
+ * Decodes a table of claims. Returns it, owned by the caller, or NULL with ERR
+ * set if it is malformed.
+ */
 claim_table_t *claim_table_decode(const char *data, size_t len, pd_error_t *err)
 {
 	claim_table_t *table = NULL;
@@ -131,6 +143,7 @@
 	return NULL;
 }
 
+/* Returns an intent as a JSON object, owned by the caller. */
 static json_t *intent_encode(const intent_t *intent)
 {
 	json_t *object = json_object();
@@ -148,7 +161,7 @@
 	return object;
 }
 
-/* Returns the record as JSON text, owned by the caller. */
+/* Returns a lease record as JSON text, owned by the caller. */
 char *lease_record_encode(const lease_record_t *record)
 {
 	json_t *object = json_object();
@@ -163,9 +176,13 @@
 	for (unsigned int i = 0; i < record->intent_count; i++)
 		json_array_append_new(intents, intent_encode(&record->intents[i]));
 	json_object_set_new(object, "intents", intents);
-	return json_finish(object);
+	return dump_and_release(object);
 }
 
+/*
+ * Decodes an intent, which then owns its strings; returns 0, or -1 with ERR
+ * set.
+ */
 static int intent_decode(const json_t *object, intent_t *intent, pd_error_t *err)
 {
 	const char *tag;
@@ -187,7 +204,10 @@
 	return 0;
 }
 
-/* Reads a record that the caller then owns; NULL with ERR set if it is bad. */
+/*
+ * Decodes a lease record. Returns it, owned by the caller, or NULL with ERR set
+ * if it is malformed or has more than INTENTS_MAX intents.
+ */
 lease_record_t *lease_record_decode(const char *data, size_t len, pd_error_t *err)
 {
 	lease_record_t *record = lease_record_create();
@@ -225,6 +245,10 @@
 	return NULL;
 }
 
+/*
+ * Decodes a VM, which then owns its strings; returns 0, or -1 with ERR set and
+ * no strings to free.
+ */
 static int vm_decode(const json_t *object, vm_t *vm, pd_error_t *err)
 {
 	const char *id;
@@ -268,35 +292,39 @@
 	return 0;
 }
 
-/* Frees a list and its rows; NULL is allowed. */
+/* Frees a list of VMs; NULL is allowed. */
 void vm_list_free(GArray *vms)
 {
 	if (vms)
 		g_array_unref(vms);
 }
 
-static void vm_row_clear(void *row)
+/* Frees the strings of an item of a list of VMs. */
+static void vm_item_clear(void *item)
 {
-	vm_clear(row);
+	vm_clear(item);
 }
 
-/* Reads a VM list as an array of vm_t; NULL with ERR set if it is bad. */
+/*
+ * Decodes a VM list. Returns an array of vm_t, owned by the caller, or NULL
+ * with ERR set if it is malformed.
+ */
 GArray *vm_list_decode(const char *data, size_t len, pd_error_t *err)
 {
 	GArray *vms = g_array_new(FALSE, TRUE, sizeof(vm_t));
 	json_t *object = json_parse(data, len, err);
-	json_t *rows;
-	json_t *row;
+	json_t *items;
+	json_t *item;
 	size_t i;
 
-	g_array_set_clear_func(vms, vm_row_clear);
-	if (!object || json_read_array(object, "vms", &rows, err) < 0)
+	g_array_set_clear_func(vms, vm_item_clear);
+	if (!object || json_read_array(object, "vms", &items, err) < 0)
 		goto error;
-	json_array_foreach(rows, i, row)
+	json_array_foreach(items, i, item)
 	{
 		vm_t vm = { 0 };
 
-		if (vm_decode(row, &vm, err) < 0)
+		if (vm_decode(item, &vm, err) < 0)
 			goto error;
 		g_array_append_val(vms, vm);
 	}
@@ -308,7 +336,7 @@
 	return NULL;
 }
 
-/* Returns an entry's own record as JSON text, owned by the caller. */
+/* Returns an entry's registration as JSON text, owned by the caller. */
 char *member_info_encode(const member_info_t *info)
 {
 	json_t *object = json_object();
@@ -320,10 +348,13 @@
 	json_object_set_new(object, "http_port", json_integer(info->http_port));
 	json_object_set_new(object, "incarnation",
 			    json_integer((json_int_t)info->incarnation));
-	return json_finish(object);
+	return dump_and_release(object);
 }
 
-/* Reads an entry's record into INFO, which then owns its strings. */
+/*
+ * Decodes an entry's registration into INFO, which then owns its strings.
+ * Returns 0, or -1 with ERR set and INFO untouched.
+ */
 int member_info_decode(const char *data, size_t len, member_info_t *info,
 		       pd_error_t *err)
 {
--- a/adapters/setting_table.h
+++ b/adapters/setting_table.h
@@ -1,6 +1,7 @@
 /*
- * Settings described by a table: one row a key, with its bounds, default and
- * meaning. The same table checks the file and the page that lists the keys.
+ * Settings described by a table: one row per key, with its bounds, default
+ * value and description. The table is used both to validate the settings file
+ * and to check the document that lists the keys.
  */
 #ifndef PISTACHIO_SETTING_TABLE_H
 #define PISTACHIO_SETTING_TABLE_H
@@ -20,15 +21,15 @@
 	SETTING_DECIMAL /* a double */
 } setting_kind_t;
 
-/* One key, as it is checked and documented. */
+/* One key, as it is validated and documented. */
 typedef struct setting {
 	const char *key;
 	setting_kind_t kind;
-	size_t offset; /* in the struct that is filled in */
-	int64_t least; /* of an integer; most items of an array in MOST */
-	int64_t most;
-	const char *fallback; /* NULL: the key is required */
-	const char *meaning; /* with the unit; for choices, the choices */
+	size_t offset; /* of the member in the struct of settings */
+	int64_t min; /* of a number */
+	int64_t max; /* of a number; of an array, the number of items */
+	const char *default_value; /* NULL: the key is required */
+	const char *description; /* with the unit; of a choice, its values: a|b */
 } setting_t;
 
 typedef struct setting_table {
@@ -38,7 +39,7 @@
 
 int setting_table_read(const setting_table_t *table, const char *path,
 		       void *settings, pd_error_t *err);
-bool setting_same(const setting_t *setting, const void *one, const void *other);
+bool setting_equal(const setting_t *setting, const void *one, const void *other);
 void setting_swap(const setting_t *setting, void *one, void *other);
 void setting_table_clear(const setting_table_t *table, void *settings);
 
--- a/adapters/upstream_http.c
+++ b/adapters/upstream_http.c
@@ -1,4 +1,4 @@
-/* One HTTP call per attempt, turned into the events that the core knows. */
+/* Makes one HTTP call per attempt and translates it to events of the core. */
 #include "adapters/upstream_http.h"
 
 #include <jansson.h>
@@ -9,26 +9,26 @@
 #include "adapters/log_glib.h"
 #include "adapters/sse.h"
 
-#define PART "upstream"
-/* Only a backstop: the core drops silent attempts long before. */
-#define IO_TIMEOUT (120 * PD_SEC)
+#define LOG_COMPONENT "upstream"
+/* A last resort: the core cancels silent attempts long before. */
+#define ATTEMPT_IO_TIMEOUT (120 * PD_SEC)
 #define PROBE_TIMEOUT (1500 * PD_MSEC)
-#define ANSWER_MAX (4 * 1024 * 1024)
-#define LOAD_MAX (1024 * 1024)
+#define RESPONSE_BYTES_MAX (4 * 1024 * 1024)
+#define LOAD_REPORT_BYTES_MAX (1024 * 1024)
 #define STATUS_OK 200
-#define STATUS_BUSY 503
+#define STATUS_UNAVAILABLE 503
 #define HEADERS_MAX 6
-/* Cache events taken from one report; of more the rest comes with the next. */
-#define CACHE_NEWS_MAX 8192
-/* VMs come and go; beyond this many, cache events are asked for anew. */
-#define CACHE_VMS_MAX 1024
+/* Cache events read from one report; the next report continues after them. */
+#define CACHE_EVENTS_MAX 8192
+/* Bounds memory as VMs come and go; when exceeded, all cursors are reset. */
+#define CACHE_CURSORS_MAX 1024
 
 struct upstream_http {
 	upstream_http_config_t config;
 	http_client_t *client;
-	http_client_t *prober;
+	http_client_t *probe_client;
 	GHashTable *attempts; /* attempt id -> attempt_t */
-	GHashTable *cache_last; /* vm id -> number of its last cache event */
+	GHashTable *cache_cursors; /* VM id -> number of the last cache event read */
 };
 
 typedef struct attempt {
@@ -38,7 +38,7 @@
 	char *vm_id;
 	http_call_t *call;
 	bool written;
-	bool ended; /* the core has heard the last of it */
+	bool ended; /* the core expects no more events */
 	int status;
 	sse_parser_t *sse;
 	GString *answer;
@@ -51,21 +51,22 @@
 	GString *body;
 } probe_t;
 
-/* Returns an adapter with no attempts; it lives as long as the loop. */
+/* Returns an adapter without attempts, which lives as long as the loop. */
 upstream_http_t *upstream_http_create(uv_loop_t *loop,
 				      const upstream_http_config_t *config)
 {
 	upstream_http_t *http = g_new0(upstream_http_t, 1);
 
 	http->config = *config;
-	http->client = http_client_create(loop, IO_TIMEOUT);
-	http->prober = http_client_create(loop, PROBE_TIMEOUT);
+	http->client = http_client_create(loop, ATTEMPT_IO_TIMEOUT);
+	http->probe_client = http_client_create(loop, PROBE_TIMEOUT);
 	http->attempts = g_hash_table_new(g_int64_hash, g_int64_equal);
-	http->cache_last =
+	http->cache_cursors =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return http;
 }
 
+/* Frees an attempt, once its call has ended. */
 static void attempt_free(void *ctx)
 {
 	attempt_t *attempt = ctx;
@@ -77,30 +78,33 @@
 	g_free(attempt);
 }
 
-static void attempt_emit(attempt_t *attempt, upstream_event_t *event)
+/* Reports an event of the attempt to the core. */
+static void attempt_report_event(attempt_t *attempt, upstream_event_t *event)
 {
 	event->attempt = attempt->id;
 	attempt->http->config.on_event(attempt->http->config.ctx, event);
 }
 
-/* Reports the last event of an attempt, once. */
-static void attempt_end(attempt_t *attempt, upstream_event_t *event)
+/* Reports the last event of an attempt, unless one was reported before. */
+static void attempt_report_last_event(attempt_t *attempt, upstream_event_t *event)
 {
 	if (attempt->ended)
 		return;
 	attempt->ended = true;
-	attempt_emit(attempt, event);
+	attempt_report_event(attempt, event);
 }
 
+/* Reports that the first byte of the request may have left this process. */
 static void attempt_on_written(void *ctx)
 {
 	attempt_t *attempt = ctx;
 	upstream_event_t event = { .kind = UPSTREAM_WRITTEN };
 
 	attempt->written = true;
-	attempt_emit(attempt, &event);
+	attempt_report_event(attempt, &event);
 }
 
+/* Records the status of the upstream's response. */
 static void attempt_on_head(void *ctx, http_call_t *call, int status)
 {
 	attempt_t *attempt = ctx;
@@ -110,8 +114,9 @@
 }
 
 /*
- * An engine says its load with each start, so that an upstream in use is known
- * afresh without a probe; probes are left for those that are not.
+ * Reports the load that an engine states with each start of a stream. It keeps
+ * the load of upstreams in use up to date, so that probes are needed only for
+ * the others.
  */
 static void attempt_report_load(const attempt_t *attempt, const json_t *data)
 {
@@ -124,16 +129,17 @@
 	attempt->http->config.on_load(attempt->http->config.ctx, &report);
 }
 
+/* Reports that the engine has processed the prompt. */
 static void attempt_on_start(attempt_t *attempt, const json_t *data)
 {
 	upstream_event_t event = { .kind = UPSTREAM_STARTED };
 
 	event.recomputed = (unsigned int)json_integer_or(data, "recomputed", 0);
-	attempt_emit(attempt, &event);
+	attempt_report_event(attempt, &event);
 	attempt_report_load(attempt, data);
 }
 
-/* Takes one event of a model's stream. */
+/* Handles one event of a model's stream; malformed ones are dropped. */
 static void attempt_on_sse(void *ctx, const sse_event_t *sse)
 {
 	attempt_t *attempt = ctx;
@@ -145,12 +151,12 @@
 		return;
 	if (!strcmp(sse->name, SSE_COMMENT)) {
 		event.kind = UPSTREAM_ALIVE;
-		attempt_emit(attempt, &event);
+		attempt_report_event(attempt, &event);
 		return;
 	}
 	if (!strcmp(sse->name, "end")) {
 		event.kind = UPSTREAM_END;
-		attempt_end(attempt, &event);
+		attempt_report_last_event(attempt, &event);
 		return;
 	}
 	data = json_parse(sse->data, strlen(sse->data), &err);
@@ -160,16 +166,20 @@
 		return;
 	}
 	if (!data || json_read_string(data, "token", &event.data, &err) < 0) {
-		log_error(PART, "dropped an event", &err);
+		log_error(LOG_COMPONENT, "dropped an event", &err);
 		json_decref(data);
 		return;
 	}
 	event.offset = g_ascii_strtoull(sse->id, NULL, 10);
 	event.len = strlen(event.data);
-	attempt_emit(attempt, &event);
+	attempt_report_event(attempt, &event);
 	json_decref(data);
 }
 
+/*
+ * Parses a model's stream, or collects the body of a service's answer or an
+ * error, of which data beyond RESPONSE_BYTES_MAX is dropped.
+ */
 static void attempt_on_body(void *ctx, const char *data, size_t len)
 {
 	attempt_t *attempt = ctx;
@@ -179,13 +189,14 @@
 		return;
 	if (attempt->kind == TARGET_MODEL && attempt->status == STATUS_OK) {
 		if (sse_parser_feed(attempt->sse, data, len, &err) < 0)
-			log_error(PART, "dropped a stream", &err);
+			log_error(LOG_COMPONENT, "dropped a stream", &err);
 		return;
 	}
-	if (attempt->answer->len + len <= ANSWER_MAX)
+	if (attempt->answer->len + len <= RESPONSE_BYTES_MAX)
 		g_string_append_len(attempt->answer, data, (gssize)len);
 }
 
+/* Reports how the attempt ended, unless its stream has ended already. */
 static void attempt_on_done(void *ctx, const pd_error_t *err)
 {
 	attempt_t *attempt = ctx;
@@ -193,16 +204,16 @@
 				   .written = attempt->written };
 
 	if (err) {
-		log_error(PART, "an attempt failed", err);
+		log_error(LOG_COMPONENT, "an attempt failed", err);
 	} else if (attempt->kind == TARGET_SERVICE) {
 		event.kind = UPSTREAM_ANSWER;
 		event.status = attempt->status;
 		event.data = attempt->answer->str;
 		event.len = attempt->answer->len;
-	} else if (attempt->status == STATUS_BUSY) {
+	} else if (attempt->status == STATUS_UNAVAILABLE) {
 		event.kind = UPSTREAM_BUSY;
 	}
-	attempt_end(attempt, &event);
+	attempt_report_last_event(attempt, &event);
 }
 
 static const http_call_handlers_t attempt_handlers = {
@@ -213,7 +224,8 @@
 	.on_free = attempt_free,
 };
 
-static char *compose_prompt(const dispatch_t *dispatch)
+/* Returns the JSON body of a request to an engine; the caller free()s it. */
+static char *format_generate_request(const dispatch_t *dispatch)
 {
 	json_t *body = json_object();
 	gsize len;
@@ -241,13 +253,13 @@
 	return text;
 }
 
-/* Starts an attempt; what follows comes as events, none before this returns. */
+/* Starts an attempt. Its events are reported after this function returns. */
 void upstream_http_dispatch(upstream_http_t *http, const dispatch_t *dispatch)
 {
 	attempt_t *attempt = g_new0(attempt_t, 1);
 	http_header_t headers[HEADERS_MAX];
 	char *fence = g_strdup_printf("%" G_GUINT64_FORMAT, dispatch->fence);
-	char *prompt = NULL;
+	char *generate_body = NULL;
 	http_request_t request = { .address = dispatch->address,
 				   .port = dispatch->port,
 				   .method = "POST",
@@ -272,10 +284,10 @@
 		headers[request.header_count++] =
 			(http_header_t){ "x-fencing-number", fence };
 	if (dispatch->kind == TARGET_MODEL) {
-		prompt = compose_prompt(dispatch);
+		generate_body = format_generate_request(dispatch);
 		request.path = "/generate";
-		request.body = prompt;
-		request.body_len = strlen(prompt);
+		request.body = generate_body;
+		request.body_len = strlen(generate_body);
 	} else {
 		request.path = dispatch->path;
 		request.body = g_bytes_get_data(dispatch->body, &body_len);
@@ -284,11 +296,14 @@
 	g_hash_table_insert(http->attempts, &attempt->id, attempt);
 	attempt->call = http_call_start(http->client, &request,
 					&attempt_handlers, attempt);
-	free(prompt);
+	free(generate_body);
 	g_free(fence);
 }
 
-/* Drops an attempt: its connection is closed and nothing more is reported. */
+/*
+ * Cancels an attempt: closes its connection and reports no more events. Does
+ * nothing if the attempt has ended.
+ */
 void upstream_http_cancel(upstream_http_t *http, attempt_id_t id)
 {
 	attempt_t *attempt = g_hash_table_lookup(http->attempts, &id);
@@ -299,6 +314,7 @@
 	http_call_cancel(attempt->call);
 }
 
+/* Records the status of the upstream's response. */
 static void probe_on_head(void *ctx, http_call_t *call, int status)
 {
 	probe_t *probe = ctx;
@@ -307,60 +323,65 @@
 	probe->status = status;
 }
 
+/* Appends to the body; data beyond LOAD_REPORT_BYTES_MAX is dropped. */
 static void probe_on_body(void *ctx, const char *data, size_t len)
 {
 	probe_t *probe = ctx;
 
-	if (probe->body->len + len <= LOAD_MAX)
+	if (probe->body->len + len <= LOAD_REPORT_BYTES_MAX)
 		g_string_append_len(probe->body, data, (gssize)len);
 }
 
-/* Remembers up to where the VM's cache events have been taken. */
-static void probe_note_last(probe_t *probe, uint64_t last)
+/* Stores the number of the VM's last cache event that was read. */
+static void probe_save_cursor(probe_t *probe, uint64_t cursor)
 {
-	GHashTable *cache_last = probe->http->cache_last;
+	GHashTable *cache_cursors = probe->http->cache_cursors;
 
-	if (g_hash_table_size(cache_last) >= CACHE_VMS_MAX)
-		g_hash_table_remove_all(cache_last);
-	g_hash_table_replace(cache_last, g_strdup(probe->vm_id),
-			     g_memdup2(&last, sizeof(last)));
+	if (g_hash_table_size(cache_cursors) >= CACHE_CURSORS_MAX)
+		g_hash_table_remove_all(cache_cursors);
+	g_hash_table_replace(cache_cursors, g_strdup(probe->vm_id),
+			     g_memdup2(&cursor, sizeof(cursor)));
 }
 
-/* Reads the news of an engine's cache; the caller frees what it returns. */
-static cache_event_t *probe_read_cache(probe_t *probe, const json_t *body,
-				       load_report_t *report)
+/*
+ * Parses the cache events of a load report into REPORT, which borrows them, and
+ * stores the cursor. Returns the events, which the caller frees.
+ */
+static cache_event_t *probe_parse_cache_events(probe_t *probe, const json_t *body,
+					       load_report_t *report)
 {
 	const json_t *list = json_object_get(body, "cache");
-	size_t count = MIN(json_array_size(list), CACHE_NEWS_MAX);
-	cache_event_t *news = g_new0(cache_event_t, count);
+	size_t count = MIN(json_array_size(list), CACHE_EVENTS_MAX);
+	cache_event_t *events = g_new0(cache_event_t, count);
 
 	for (size_t i = 0; i < count; i++) {
 		const json_t *item = json_array_get(list, i);
 
-		news[i].prefix =
+		events[i].prefix =
 			g_ascii_strtoull(json_string_or(item, "prefix", "0"),
 					 NULL, 16);
-		news[i].held = json_is_true(json_object_get(item, "held"));
+		events[i].held = json_is_true(json_object_get(item, "held"));
 	}
-	report->cache = news;
+	report->cache = events;
 	report->cache_count = count;
 	report->cache_gap = json_is_true(json_object_get(body, "cache_gap"));
 	if (count > 0)
-		probe_note_last(probe,
-				(uint64_t)json_integer_or(body, "cache_last", 0));
-	return news;
+		probe_save_cursor(probe,
+				  (uint64_t)json_integer_or(body, "cache_last", 0));
+	return events;
 }
 
+/* Reports the load, or that the probe got no valid answer. */
 static void probe_on_done(void *ctx, const pd_error_t *err)
 {
 	probe_t *probe = ctx;
 	load_report_t report = { .vm_id = probe->vm_id };
-	cache_event_t *news = NULL;
-	pd_error_t bad;
+	cache_event_t *events = NULL;
+	pd_error_t parse_err;
 	json_t *body = NULL;
 
 	if (!err && probe->status == STATUS_OK)
-		body = json_parse(probe->body->str, probe->body->len, &bad);
+		body = json_parse(probe->body->str, probe->body->len, &parse_err);
 	if (body) {
 		report.answered = true;
 		report.running = (unsigned int)json_integer_or(body, "running", 0);
@@ -368,13 +389,14 @@
 		report.leaving = json_is_true(json_object_get(body, "leaving"));
 		report.leaves_in =
 			json_integer_or(body, "leaves_in_ms", 0) * PD_MSEC;
-		news = probe_read_cache(probe, body, &report);
+		events = probe_parse_cache_events(probe, body, &report);
 		json_decref(body);
 	}
 	probe->http->config.on_load(probe->http->config.ctx, &report);
-	g_free(news);
+	g_free(events);
 }
 
+/* Frees a probe. */
 static void probe_free(void *ctx)
 {
 	probe_t *probe = ctx;
@@ -391,14 +413,17 @@
 	.on_free = probe_free,
 };
 
-/* Asks an upstream for its load, on a connection of its own. */
+/*
+ * Requests the load of an upstream on a separate connection. Any result, also a
+ * failure, is reported through on_load.
+ */
 void upstream_http_probe(upstream_http_t *http, const char *vm_id,
 			 const char *address, uint16_t port)
 {
 	probe_t *probe = g_new0(probe_t, 1);
-	const uint64_t *last = g_hash_table_lookup(http->cache_last, vm_id);
+	const uint64_t *cursor = g_hash_table_lookup(http->cache_cursors, vm_id);
 	char *path = g_strdup_printf("/load?cache_after=%" G_GUINT64_FORMAT,
-				     last ? *last : 0);
+				     cursor ? *cursor : 0);
 	const http_request_t request = {
 		.address = address, .port = port, .method = "GET", .path = path
 	};
@@ -406,6 +431,6 @@
 	probe->http = http;
 	probe->vm_id = g_strdup(vm_id);
 	probe->body = g_string_new(NULL);
-	http_call_start(http->prober, &request, &probe_handlers, probe);
+	http_call_start(http->probe_client, &request, &probe_handlers, probe);
 	g_free(path);
 }
--- a/tests/process/test_peer_input.c
+++ b/tests/process/test_peer_input.c
@@ -1,6 +1,6 @@
 /*
- * What a faulty or hostile program may send to the port for fellow entries. The
- * entry must drop the connection, say so, and serve its callers all the same.
+ * Sends invalid input, as a faulty or malicious program could, to the port for
+ * peers. The entry must close the connection and continue to serve callers.
  */
 #include <arpa/inet.h>
 #include <setjmp.h>
@@ -16,6 +16,7 @@
 #include "adapters/peer_seal.h"
 #include "tests/harness/fleet.h"
 
+/* Starts two entries and one engine. */
 static int setup(void **state)
 {
 	const fleet_config_t config = { .entries = 2, .engines = 1 };
@@ -24,19 +25,21 @@
 	return 0;
 }
 
+/* Stops the fleet. */
 static int teardown(void **state)
 {
 	fleet_destroy(*state);
 	return 0;
 }
 
+/* Returns the port for peers of the first entry. */
 static int peer_port(fleet_t *fleet)
 {
 	return process_port(fleet->entries[0].process,
 			    fleet->entries[0].process->log_path, "peers on port ");
 }
 
-/* Wraps a message in a frame that the fleet's own key seals. */
+/* Returns a frame sealed with the fleet's key, owned by the caller. */
 static GByteArray *sealed_frame(fleet_t *fleet, const void *data, size_t len)
 {
 	char *path = g_build_filename(fleet->dir, "peers.key", NULL);
@@ -58,7 +61,10 @@
 	return frame;
 }
 
-/* Sends bytes and waits until the entry has closed the connection. */
+/*
+ * Sends bytes to the first entry and waits until it closes the connection; with
+ * CLOSE_NOW closes it without waiting.
+ */
 static void send_bytes(fleet_t *fleet, const void *data, size_t len, bool close_now)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET,
@@ -74,6 +80,7 @@
 	close(fd);
 }
 
+/* Asserts that the first entry completes a request. */
 static void assert_serves(fleet_t *fleet)
 {
 	call_t *call = completion_start(fleet, fleet->entries[0].port, "go on",
@@ -84,12 +91,13 @@
 	call_destroy(call);
 }
 
-static void test_an_oversized_frame(void **state)
+static void test_oversized_frame_is_dropped(void **state)
 {
 	send_bytes(*state, "\xff\xff\xff\xff", 4, false);
 	assert_serves(*state);
 }
 
+/* Sends a message in a sealed frame and waits for the entry to close. */
 static void send_sealed(fleet_t *fleet, const void *data, size_t len)
 {
 	GByteArray *frame = sealed_frame(fleet, data, len);
@@ -98,25 +106,25 @@
 	g_byte_array_unref(frame);
 }
 
-static void test_bytes_that_are_no_message(void **state)
+static void test_invalid_message_is_dropped(void **state)
 {
 	send_sealed(*state, "junk", 4);
 	assert_serves(*state);
 }
 
-static void test_an_unknown_version(void **state)
+static void test_unknown_version_is_dropped(void **state)
 {
-	/* An array of twelve, the first of them 9, the rest nil. */
+	/* An array of twelve items: version 9, then nil. */
 	send_sealed(*state,
 		    "\x9c\x09\xc0\xc0\xc0\xc0\xc0\xc0\xc0\xc0\xc0\xc0\xc0", 13);
 	assert_serves(*state);
 }
 
 /*
- * A host that holds no key reaches the peers' port and sends what looks like a
- * message. Taken at its word, it could call every VM leaving.
+ * Guards against a host without the key that reaches the peers' port and sends
+ * forged messages: it could announce that every VM is leaving.
  */
-static void test_a_frame_without_our_seal(void **state)
+static void test_frame_without_valid_seal_is_dropped(void **state)
 {
 	char frame[4 + PEER_SEAL_BYTES + 1] = { 0, 0, 0, PEER_SEAL_BYTES + 1 };
 	fleet_t *fleet = *state;
@@ -129,7 +137,7 @@
 	assert_serves(fleet);
 }
 
-static void test_a_truncated_frame(void **state)
+static void test_truncated_frame_is_dropped(void **state)
 {
 	send_bytes(*state, "\0\0\0\x40\x9c", 5, true);
 	assert_serves(*state);
@@ -138,11 +146,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_an_oversized_frame),
-		cmocka_unit_test(test_bytes_that_are_no_message),
-		cmocka_unit_test(test_an_unknown_version),
-		cmocka_unit_test(test_a_frame_without_our_seal),
-		cmocka_unit_test(test_a_truncated_frame),
+		cmocka_unit_test(test_oversized_frame_is_dropped),
+		cmocka_unit_test(test_invalid_message_is_dropped),
+		cmocka_unit_test(test_unknown_version_is_dropped),
+		cmocka_unit_test(test_frame_without_valid_seal_is_dropped),
+		cmocka_unit_test(test_truncated_frame_is_dropped),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
