--- a/core/attempt.c
+++ b/core/attempt.c
@@ -47,23 +47,23 @@
  * use up every retry at once. A call that may not be repeated and may have
  * reached its upstream is never sent again.
  */
-void attempt_again(entry_t *entry, request_t *request, break_cause_t cause)
+void attempt_again(entry_t *entry, request_t *request, failure_cause_t cause)
 {
 	if (request->claim_key && request->written) {
 		request_give_up(entry, request, REASON_UPSTREAM_LOST, RETRY_SOON);
 		return;
 	}
-	if (cause == BREAK_NOT_BEGUN && request->busy++ > 0) {
+	if (cause == FAILURE_NOT_STARTED && request->busy++ > 0) {
 		unsigned int doublings = MIN(request->busy, BACKOFF_DOUBLINGS);
 
 		attempt_back_off(entry, request, BACKOFF_MIN << doublings);
 		return;
 	}
-	if (cause == BREAK_LOST && ++request->failures >= FAILURES_MAX) {
+	if (cause == FAILURE_LOST && ++request->failures >= FAILURES_MAX) {
 		request_give_up(entry, request, REASON_RETRY_BUDGET, RETRY_SOON);
 		return;
 	}
-	if (cause == BREAK_LOST && !retry_budget_spend(&entry->retries)) {
+	if (cause == FAILURE_LOST && !retry_budget_spend(&entry->retries)) {
 		attempt_back_off(entry, request, BACKOFF_NO_BUDGET);
 		return;
 	}
@@ -75,10 +75,10 @@
 {
 	upstream_t *upstream = upstreams_find(entry->upstreams, request->vm_id);
 	bool written = event->kind == UPSTREAM_FAILED && event->written;
-	break_cause_t cause = written ? BREAK_LOST : BREAK_NOT_BEGUN;
+	failure_cause_t cause = written ? FAILURE_LOST : FAILURE_NOT_STARTED;
 
 	if (written && upstream && upstream->leaving)
-		cause = BREAK_ANNOUNCED;
+		cause = FAILURE_VM_LEAVING;
 	request->attempt_written = written;
 	dispatch_drop_attempt(entry, request);
 	if (upstream) {
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -203,13 +203,13 @@
  * VM goes. Streams on a VM that goes are drain_check()'s.
  */
 static bool dispatch_should_leave(const entry_t *entry,
-				  const request_t *request, break_cause_t *cause)
+				  const request_t *request, failure_cause_t *cause)
 {
 	const upstream_t *upstream =
 		upstreams_find(entry->upstreams, request->vm_id);
 	bool announced = upstream && upstream->leaving;
 
-	*cause = announced ? BREAK_ANNOUNCED : BREAK_LOST;
+	*cause = announced ? FAILURE_VM_LEAVING : FAILURE_LOST;
 	if (request->claim_key)
 		return false; /* it can't be sent again; only wait */
 	if (request->target.kind == TARGET_MODEL)
@@ -220,7 +220,7 @@
 
 static void dispatch_check_one(entry_t *entry, request_t *request)
 {
-	break_cause_t cause;
+	failure_cause_t cause;
 
 	if (entry->now >= request->deadline) {
 		request_give_up(entry, request, REASON_TOO_LATE, RETRY_SOON);
--- a/core/entry_state.h
+++ b/core/entry_state.h
@@ -26,11 +26,11 @@
 } request_state_t;
 
 /* Why an attempt ended before its answer was whole. */
-typedef enum break_cause {
-	BREAK_ANNOUNCED, /* its VM was known to leave */
-	BREAK_NOT_BEGUN, /* refused, or never reached the upstream */
-	BREAK_LOST
-} break_cause_t;
+typedef enum failure_cause {
+	FAILURE_VM_LEAVING, /* its VM was known to leave */
+	FAILURE_NOT_STARTED, /* refused, or never reached the upstream */
+	FAILURE_LOST
+} failure_cause_t;
 
 typedef struct held held_t;
 
@@ -190,7 +190,7 @@
 /* attempt.c */
 void attempt_upstream(entry_t *entry, const upstream_event_t *event);
 void attempt_resume(entry_t *entry, request_t *request);
-void attempt_again(entry_t *entry, request_t *request, break_cause_t cause);
+void attempt_again(entry_t *entry, request_t *request, failure_cause_t cause);
 
 /* drain.c */
 void drain_check(entry_t *entry);
