--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -407,6 +407,6 @@
  */
 void entry_runner_reclaim(entry_runner_t *runner, pd_time_t leaves_in)
 {
-	entry_leave_by(runner->entry, clock_now() + leaves_in);
+	entry_set_reclaim_time(runner->entry, clock_now() + leaves_in);
 	entry_runner_stop(runner);
 }
--- a/core/admission.c
+++ b/core/admission.c
@@ -35,7 +35,7 @@
 	const target_t *target;
 	pd_time_t retry_after = 0;
 
-	if (!entry_serves(entry)) {
+	if (!entry_can_serve(entry)) {
 		entry_refuse(entry, from->caller, NULL, REFUSAL_NOT_RUN,
 			     REASON_NOT_READY, RETRY_SOON);
 		return NULL;
--- a/core/adopt.c
+++ b/core/adopt.c
@@ -78,7 +78,7 @@
 	request->written = from->written;
 	request->held = held_create(entry, from);
 	request->held->request = request;
-	entry_decide(entry, request->id, "handover", "adopt",
+	entry_log_decision(entry, request->id, "handover", "adopt",
 		     "its entry leaves", "");
 	if (!dispatch_request(entry, request))
 		queue_add(entry, request, true);
--- a/core/attempt.c
+++ b/core/attempt.c
@@ -27,7 +27,7 @@
 	pd_time_t spread = (pd_time_t)(hash_string(request->id) % (uint64_t)wait);
 
 	request->retry_at = entry->now + wait + spread;
-	entry_decide(entry, request->id, "route", "wait",
+	entry_log_decision(entry, request->id, "route", "wait",
 		     "tried in vain; it waits before the next attempt", "");
 }
 
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -94,7 +94,7 @@
 	why = g_strdup_printf("%s; %s", reason,
 			      request->imports ? "KV cache imported"
 					       : "resumed from the text");
-	entry_decide(entry, request->id, "move", target->vm.id, why, from);
+	entry_log_decision(entry, request->id, "move", target->vm.id, why, from);
 	g_free(from);
 	g_free(why);
 }
@@ -117,7 +117,7 @@
 static void dispatch_chosen(entry_t *entry, request_t *request, uint64_t prefix,
 			    route_choice_t *choice)
 {
-	entry_decide(entry, request->id, "route", choice->upstream->vm.id,
+	entry_log_decision(entry, request->id, "route", choice->upstream->vm.id,
 		     choice->reason, choice->passed_over);
 	prefix_cache_sent(entry->prefixes, choice->upstream->vm.id, prefix,
 			  entry->now);
@@ -139,14 +139,14 @@
 		dispatch_chosen(entry, request, query.prefix, &choice);
 		return true;
 	case ROUTE_ALL_BUSY:
-		entry_decide(entry, request->id, "route", "wait",
+		entry_log_decision(entry, request->id, "route", "wait",
 			     "no room where it would go", "");
 		queue_add(entry, request, request->attempts > 0);
 		return true;
 	case ROUTE_NONE:
 		break;
 	}
-	entry_decide(entry, request->id, "route", "none",
+	entry_log_decision(entry, request->id, "route", "none",
 		     "no usable upstream serves it", "");
 	return false;
 }
--- a/core/entry.c
+++ b/core/entry.c
@@ -20,19 +20,19 @@
  * not recorded are missing, so a caller's retry hears "outcome unknown", never
  * "not run"; no call runs twice.
  */
-#define STOP_STORE_MAX (30 * PD_SEC)
+#define STOP_CLAIMS_TIMEOUT (30 * PD_SEC)
 /*
  * A fresh entry may read a stale bundle from the store. It serves only once a
  * peer has told it of none later, or none has answered for this long; callers
  * would else be served by a bundle that the rest has left behind.
  */
-#define PEERS_WAIT (2 * PD_SEC)
+#define PEER_BUNDLE_WAIT (2 * PD_SEC)
 /*
  * News of a generation comes from several peers at once, and each pull moves a
  * whole body; this long only one is asked.
  */
 #define PULL_TIMEOUT (500 * PD_MSEC)
-#define RETENTION_DEFAULT (24 * 3600 * PD_SEC)
+#define CLAIM_RETENTION_DEFAULT (24 * 3600 * PD_SEC)
 
 /* Returns an entry with no bundle and no upstreams; the caller owns it. */
 entry_t *entry_create(const entry_config_t *config)
@@ -42,7 +42,7 @@
 	member_info_copy(&entry->self, &config->self);
 	entry->upstreams = upstreams_create(config->self.id, config->self.zone,
 					    config->subset);
-	entry->claims = claims_create(config->self.id, RETENTION_DEFAULT);
+	entry->claims = claims_create(config->self.id, CLAIM_RETENTION_DEFAULT);
 	entry->limits = limits_create();
 	entry->members = members_create(&config->self, (uint32_t)config->seed);
 	retry_budget_init(&entry->retries);
@@ -100,12 +100,12 @@
 	action->refuse.reason = reason;
 	action->refuse.retry_after = retry_after;
 	list_append(entry->actions, &action->node);
-	entry_decide(entry, request_id ? request_id : "-", "admission",
+	entry_log_decision(entry, request_id ? request_id : "-", "admission",
 		     refusal_name(refusal), refusal_reason_name(reason), "");
 }
 
 /* Appends the log line of one decision; copies its strings. */
-void entry_decide(entry_t *entry, const char *request_id, const char *part,
+void entry_log_decision(entry_t *entry, const char *request_id, const char *part,
 		  const char *choice, const char *reason, const char *passed_over)
 {
 	action_t *action = action_create(ACTION_DECISION);
@@ -125,18 +125,18 @@
 }
 
 /* Says whether there is a bundle that callers may be served by. */
-bool entry_serves(const entry_t *entry)
+bool entry_can_serve(const entry_t *entry)
 {
 	if (!entry->bundle)
 		return false;
 	return entry->peers_agree || members_alive(entry->members) == 1 ||
-	       entry->now - entry->first_bundle_at >= PEERS_WAIT;
+	       entry->now - entry->first_bundle_at >= PEER_BUNDLE_WAIT;
 }
 
 /* Says whether the balancer should send callers here. */
 bool entry_is_ready(const entry_t *entry)
 {
-	return entry_serves(entry) && entry->vm_list_seen && !entry->stopping;
+	return entry_can_serve(entry) && entry->vm_list_seen && !entry->stopping;
 }
 
 /* Returns how many requests this entry has taken on and not ended. */
@@ -174,21 +174,21 @@
 }
 
 /* Notes that a VM leaves and passes it on if that is news here. */
-static void entry_vm_leaving(entry_t *entry, const char *vm_id, pd_time_t leaves_in)
+static void entry_handle_vm_notice(entry_t *entry, const char *vm_id, pd_time_t leaves_in)
 {
 	pd_time_t leaves_at = entry->now + leaves_in;
 
 	if (!upstreams_leaving(entry->upstreams, vm_id, leaves_at))
 		return;
 	members_announce_leaving(entry->members, vm_id, leaves_at);
-	entry_decide(entry, "-", "drain", vm_id, "told to leave", "");
+	entry_log_decision(entry, "-", "drain", vm_id, "told to leave", "");
 }
 
-static void entry_vm_list(entry_t *entry, const vm_t *vms, size_t count)
+static void entry_handle_vm_list(entry_t *entry, const vm_t *vms, size_t count)
 {
 	for (size_t i = 0; i < count; i++) {
 		if (vms[i].state == VM_LEAVING)
-			entry_vm_leaving(entry, vms[i].id, vms[i].leaves_in);
+			entry_handle_vm_notice(entry, vms[i].id, vms[i].leaves_in);
 	}
 	upstreams_update(entry->upstreams, vms, count, entry->now);
 	entry->room = true;
@@ -213,7 +213,7 @@
  * Puts a bundle in force if it is newer than the one that is. A peer or a stale
  * read may bring an older one; taking it would undo what operators signed off.
  */
-static void entry_bundle(entry_t *entry, event_t *event)
+static void entry_handle_bundle(entry_t *entry, event_t *event)
 {
 	bundle_t *bundle = event->bundle.bundle;
 	action_t *action;
@@ -249,7 +249,7 @@
 }
 
 /* Asks the sender for its bundle, if that is later than this entry's. */
-static void entry_pull(entry_t *entry, const peer_msg_t *msg)
+static void entry_pull_bundle(entry_t *entry, const peer_msg_t *msg)
 {
 	if (msg->generation <= entry_generation(entry) ||
 	    (msg->generation <= entry->pull_generation &&
@@ -261,7 +261,7 @@
 }
 
 /* Hands a message about requests that change entries to its part. */
-static void entry_peer_request(entry_t *entry, const peer_msg_t *msg)
+static void entry_handle_request_msg(entry_t *entry, const peer_msg_t *msg)
 {
 	if (msg->kind == PEER_HANDOVER)
 		adopt_handover(entry, msg);
@@ -273,31 +273,31 @@
 		resume_found(entry, msg);
 }
 
-static void entry_peer(entry_t *entry, const peer_msg_t *msg)
+static void entry_handle_peer_msg(entry_t *entry, const peer_msg_t *msg)
 {
 	for (unsigned int i = 0; i < msg->leaving_count; i++)
-		entry_vm_leaving(entry, msg->leaving[i].vm_id,
+		entry_handle_vm_notice(entry, msg->leaving[i].vm_id,
 				 msg->leaving[i].leaves_in);
 	demand_record_peer(entry->demand, msg, entry->now);
 	members_receive(entry->members, msg, entry->now, entry->actions);
 	entry->peer_heard = true;
 	entry->peer_generation = MAX(entry->peer_generation, msg->generation);
 	entry_check_peers(entry);
-	entry_peer_request(entry, msg);
+	entry_handle_request_msg(entry, msg);
 	if (msg->kind == PEER_BUNDLE_PULL && entry->envelope) {
 		peer_msg_t *reply = peer_msg_create(PEER_BUNDLE);
 
 		reply->body = g_bytes_ref(entry->envelope);
 		entry_send_peer(entry, &msg->from, reply);
 	} else if (msg->kind != PEER_BUNDLE) {
-		entry_pull(entry, msg);
+		entry_pull_bundle(entry, msg);
 	}
 }
 
-static void entry_load(entry_t *entry, const load_report_t *report)
+static void entry_handle_load_report(entry_t *entry, const load_report_t *report)
 {
 	if (report->leaving)
-		entry_vm_leaving(entry, report->vm_id, report->leaves_in);
+		entry_handle_vm_notice(entry, report->vm_id, report->leaves_in);
 	upstreams_report(entry->upstreams, report, entry->now);
 	prefix_cache_news(entry->prefixes, report->vm_id, report->cache,
 			  report->cache_count, entry->now);
@@ -321,7 +321,7 @@
 }
 
 /* Does what time alone makes due, after every event. */
-static void entry_run(entry_t *entry)
+static void entry_advance_time(entry_t *entry)
 {
 	list_node_t results;
 	list_node_t *node;
@@ -340,7 +340,7 @@
 	entry_add_demand(entry);
 }
 
-static void entry_stop(entry_t *entry)
+static void entry_begin_stop(entry_t *entry)
 {
 	if (entry->stopping)
 		return;
@@ -355,9 +355,9 @@
 		return true;
 	if (!entry->claims_wait_from)
 		entry->claims_wait_from = entry->now;
-	if (entry->now - entry->claims_wait_from < STOP_STORE_MAX)
+	if (entry->now - entry->claims_wait_from < STOP_CLAIMS_TIMEOUT)
 		return false;
-	entry_decide(entry, "-", "stop", "end with claims unwritten",
+	entry_log_decision(entry, "-", "stop", "end with claims unwritten",
 		     "the store is down", "");
 	return true;
 }
@@ -367,13 +367,13 @@
  * in EVENT_STOP; what has not ended shortly before that time goes to a peer. An
  * earlier time than noted before counts, a later one does not.
  */
-void entry_leave_by(entry_t *entry, pd_time_t leaves_at)
+void entry_set_reclaim_time(entry_t *entry, pd_time_t leaves_at)
 {
 	if (!entry->leaves_at || leaves_at < entry->leaves_at)
 		entry->leaves_at = leaves_at;
 }
 
-static void entry_check_stopped(entry_t *entry)
+static void entry_finish_stop(entry_t *entry)
 {
 	if (!entry->stopping || entry->stopped || entry->now < entry->stop_at)
 		return;
@@ -388,7 +388,7 @@
 	list_append(entry->actions, &action_create(ACTION_STOPPED)->node);
 }
 
-static void entry_tick(entry_t *entry)
+static void entry_handle_tick(entry_t *entry)
 {
 	/* Walks all members, so not after each event: tokens are events too. */
 	claims_set_entries(entry->claims, members_alive(entry->members));
@@ -398,7 +398,7 @@
 	adopt_run(entry);
 	entry->room = true;
 	upstreams_probe(entry->upstreams, entry->now, entry->actions);
-	entry_check_stopped(entry);
+	entry_finish_stop(entry);
 }
 
 /*
@@ -412,10 +412,10 @@
 	entry->actions = actions;
 	switch (event->kind) {
 	case EVENT_TICK:
-		entry_tick(entry);
+		entry_handle_tick(entry);
 		break;
 	case EVENT_STOP:
-		entry_stop(entry);
+		entry_begin_stop(entry);
 		break;
 	case EVENT_REQUEST:
 		admission_arrive(entry, &event->request);
@@ -427,24 +427,24 @@
 		attempt_upstream(entry, &event->upstream);
 		break;
 	case EVENT_LOAD:
-		entry_load(entry, &event->load);
+		entry_handle_load_report(entry, &event->load);
 		break;
 	case EVENT_STORE_REPLY:
 		claims_handle_store_reply(entry->claims, &event->store, entry->now);
 		break;
 	case EVENT_VM_LIST:
-		entry_vm_list(entry, event->vm_list.vms, event->vm_list.count);
+		entry_handle_vm_list(entry, event->vm_list.vms, event->vm_list.count);
 		break;
 	case EVENT_PEER_MSG:
-		entry_peer(entry, event->peer);
+		entry_handle_peer_msg(entry, event->peer);
 		break;
 	case EVENT_PEER_SEEDS:
 		members_seed(entry->members, event->seeds.members,
 			     event->seeds.count, entry->now);
 		break;
 	case EVENT_BUNDLE:
-		entry_bundle(entry, event);
+		entry_handle_bundle(entry, event);
 		break;
 	}
-	entry_run(entry);
+	entry_advance_time(entry);
 }
--- a/core/entry.h
+++ b/core/entry.h
@@ -17,7 +17,7 @@
 
 entry_t *entry_create(const entry_config_t *config);
 void entry_destroy(entry_t *entry);
-void entry_leave_by(entry_t *entry, pd_time_t leaves_at);
+void entry_set_reclaim_time(entry_t *entry, pd_time_t leaves_at);
 void entry_handle(entry_t *entry, event_t *event, list_node_t *actions);
 uint64_t entry_generation(const entry_t *entry);
 bool entry_is_ready(const entry_t *entry);
--- a/core/entry_state.h
+++ b/core/entry_state.h
@@ -141,10 +141,10 @@
 void entry_refuse(entry_t *entry, caller_id_t caller, const char *request_id,
 		  refusal_t refusal, refusal_reason_t reason,
 		  pd_time_t retry_after);
-void entry_decide(entry_t *entry, const char *request_id, const char *part,
+void entry_log_decision(entry_t *entry, const char *request_id, const char *part,
 		  const char *choice, const char *reason, const char *passed_over);
 
-bool entry_serves(const entry_t *entry);
+bool entry_can_serve(const entry_t *entry);
 void entry_send_peer(entry_t *entry, const member_info_t *to, peer_msg_t *msg);
 
 /* request.c */
--- a/core/handover.c
+++ b/core/handover.c
@@ -73,7 +73,7 @@
 	if (request->offers < rank->len)
 		to = g_ptr_array_index(rank, request->offers);
 	g_ptr_array_unref(rank);
-	entry_decide(entry, request->id, "handover", to ? to->id : "none",
+	entry_log_decision(entry, request->id, "handover", to ? to->id : "none",
 		     to ? "this entry leaves" : "no peer took it", "");
 	if (!to) {
 		handover_end(entry, request);
--- a/core/resume.c
+++ b/core/resume.c
@@ -31,7 +31,7 @@
 	const char *tail;
 	gsize len;
 
-	entry_decide(entry, request->id, "resume", "go on", request->resume_id, "");
+	entry_log_decision(entry, request->id, "resume", "go on", request->resume_id, "");
 	if (found->body) {
 		tail = g_bytes_get_data(found->body, &len);
 		/* The event's id is that of the last token in it. */
--- a/tests/property/test_adopt.cc
+++ b/tests/property/test_adopt.cc
@@ -188,7 +188,7 @@
 		event_t stop = {};
 
 		stop.kind = EVENT_STOP;
-		entry_leave_by(drive->entry, drive->now + kNotice);
+		entry_set_reclaim_time(drive->entry, drive->now + kNotice);
 		drive_event(drive, &stop);
 		wait(kStep, reader);
 	}
--- a/tests/unit/test_handover.c
+++ b/tests/unit/test_handover.c
@@ -115,7 +115,7 @@
 {
 	event_t stop = { .kind = EVENT_STOP };
 
-	entry_leave_by(drive->entry, drive->now + notice);
+	entry_set_reclaim_time(drive->entry, drive->now + notice);
 	drive_event(drive, &stop);
 }
 
