--- a/core/attempt.c
+++ b/core/attempt.c
@@ -63,7 +63,7 @@
 		request_give_up(entry, request, REASON_RETRY_BUDGET, RETRY_SOON);
 		return;
 	}
-	if (cause == FAILURE_LOST && !retry_budget_spend(&entry->retries)) {
+	if (cause == FAILURE_LOST && !retry_budget_spend(&entry->retry_budget)) {
 		attempt_back_off(entry, request, BACKOFF_NO_BUDGET);
 		return;
 	}
@@ -104,7 +104,7 @@
 	if (event->kind != UPSTREAM_STARTED)
 		return;
 	if (request->attempts > 1)
-		entry->recomputed += event->recomputed;
+		entry->recomputed_tokens += event->recomputed;
 	/* An import that worked leaves next to nothing to compute. */
 	if (request->imports && set_up == 0)
 		move_costs_learn(&entry->move_costs, true,
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -178,7 +178,7 @@
 	entry->running_of[request->priority]--;
 	request->state = REQUEST_WAITING;
 	request->written |= request->attempt_written;
-	entry->room = true;
+	entry->room_may_exist = true;
 	if (!upstream)
 		return;
 	if (!request->started)
--- a/core/entry.c
+++ b/core/entry.c
@@ -45,7 +45,7 @@
 	entry->claims = claims_create(config->self.id, CLAIM_RETENTION_DEFAULT);
 	entry->limits = limits_create();
 	entry->members = members_create(&config->self, (uint32_t)config->seed);
-	retry_budget_init(&entry->retries);
+	retry_budget_init(&entry->retry_budget);
 	move_costs_init(&entry->move_costs);
 	entry->prefixes = prefix_cache_create();
 	entry->predict = predict_create();
@@ -129,7 +129,7 @@
 {
 	if (!entry->bundle)
 		return false;
-	return entry->peers_agree || members_alive(entry->members) == 1 ||
+	return entry->bundle_confirmed || members_alive(entry->members) == 1 ||
 	       entry->now - entry->first_bundle_at >= PEER_BUNDLE_WAIT;
 }
 
@@ -170,7 +170,7 @@
 /* Returns how many tokens upstreams computed again for moved requests. */
 uint64_t entry_recomputed_tokens(const entry_t *entry)
 {
-	return entry->recomputed;
+	return entry->recomputed_tokens;
 }
 
 /* Notes that a VM leaves and passes it on if that is news here. */
@@ -191,7 +191,7 @@
 			entry_handle_vm_notice(entry, vms[i].id, vms[i].leaves_in);
 	}
 	upstreams_update(entry->upstreams, vms, count, entry->now);
-	entry->room = true;
+	entry->room_may_exist = true;
 	/*
 	 * The list lags, so the first one may be empty though VMs are live.
 	 * An entry that called itself ready on it would refuse what its
@@ -204,9 +204,9 @@
 
 static void entry_check_peers(entry_t *entry)
 {
-	if (entry->bundle && entry->peer_heard &&
+	if (entry->bundle && entry->peer_msg_received &&
 	    entry->peer_generation <= entry_generation(entry))
-		entry->peers_agree = true;
+		entry->bundle_confirmed = true;
 }
 
 /*
@@ -253,10 +253,10 @@
 {
 	if (msg->generation <= entry_generation(entry) ||
 	    (msg->generation <= entry->pull_generation &&
-	     entry->now - entry->pull_at < PULL_TIMEOUT))
+	     entry->now - entry->pulled_at < PULL_TIMEOUT))
 		return;
 	entry->pull_generation = msg->generation;
-	entry->pull_at = entry->now;
+	entry->pulled_at = entry->now;
 	entry_send_peer(entry, &msg->from, peer_msg_create(PEER_BUNDLE_PULL));
 }
 
@@ -280,7 +280,7 @@
 				 msg->leaving[i].leaves_in);
 	demand_record_peer(entry->demand, msg, entry->now);
 	members_receive(entry->members, msg, entry->now, entry->actions);
-	entry->peer_heard = true;
+	entry->peer_msg_received = true;
 	entry->peer_generation = MAX(entry->peer_generation, msg->generation);
 	entry_check_peers(entry);
 	entry_handle_request_msg(entry, msg);
@@ -301,7 +301,7 @@
 	upstreams_report(entry->upstreams, report, entry->now);
 	prefix_cache_news(entry->prefixes, report->vm_id, report->cache,
 			  report->cache_count, entry->now);
-	entry->room = true;
+	entry->room_may_exist = true;
 }
 
 /* Lets this entry's demand ride on the heartbeats that go out. */
@@ -353,9 +353,9 @@
 {
 	if (claims_is_idle(entry->claims))
 		return true;
-	if (!entry->claims_wait_from)
-		entry->claims_wait_from = entry->now;
-	if (entry->now - entry->claims_wait_from < STOP_CLAIMS_TIMEOUT)
+	if (!entry->claims_wait_started_at)
+		entry->claims_wait_started_at = entry->now;
+	if (entry->now - entry->claims_wait_started_at < STOP_CLAIMS_TIMEOUT)
 		return false;
 	entry_log_decision(entry, "-", "stop", "end with claims unwritten",
 		     "the store is down", "");
@@ -378,7 +378,7 @@
 	if (!entry->stopping || entry->stopped || entry->now < entry->stop_at)
 		return;
 	if (entry_in_flight(entry) > 0) {
-		entry->claims_wait_from = 0;
+		entry->claims_wait_started_at = 0;
 		return;
 	}
 	if (!entry_claims_done(entry))
@@ -396,7 +396,7 @@
 	handover_run(entry);
 	resume_run(entry);
 	adopt_run(entry);
-	entry->room = true;
+	entry->room_may_exist = true;
 	upstreams_probe(entry->upstreams, entry->now, entry->actions);
 	entry_finish_stop(entry);
 }
--- a/core/entry_state.h
+++ b/core/entry_state.h
@@ -100,9 +100,9 @@
 	claims_t *claims;
 	limits_t *limits;
 	members_t *members;
-	retry_budget_t retries;
+	retry_budget_t retry_budget;
 	move_costs_t move_costs;
-	uint64_t recomputed; /* tokens, by attempts after the first */
+	uint64_t recomputed_tokens; /* tokens, by attempts after the first */
 	GHashTable *requests; /* caller id -> request_t, owned */
 	GHashTable *running; /* attempt id -> request_t */
 	GHashTable *claiming; /* attempt id as ticket -> request_t */
@@ -111,26 +111,26 @@
 	list_node_t queues[PRIORITIES];
 	unsigned int queued[PRIORITIES];
 	unsigned int running_of[PRIORITIES];
-	bool room; /* something may have made room for what waits */
-	unsigned int batch_turn; /* normal requests sent since a batch one */
+	bool room_may_exist; /* something may have made room for what waits */
+	unsigned int normal_since_batch; /* normal requests sent since a batch one */
 	prefix_cache_t *prefixes;
 	predict_t *predict;
 	demand_t *demand;
 	GRand *rand; /* of the routing */
 	uint64_t next_id;
 	pd_time_t first_bundle_at;
-	bool peer_heard;
+	bool peer_msg_received;
 	uint64_t peer_generation; /* the highest that a peer told of */
-	bool peers_agree; /* none had a later bundle when this entry started */
+	bool bundle_confirmed; /* none had a later bundle when this entry started */
 	uint64_t pull_generation; /* asked for lately */
-	pd_time_t pull_at;
+	pd_time_t pulled_at;
 	bool vm_list_seen;
 	bool stopping;
 	bool stopped; /* ACTION_STOPPED has been given */
 	pd_time_t stop_at; /* not before: callers may still be coming */
 	pd_time_t leaves_at; /* the VM is reclaimed then; 0: no notice */
-	bool leave_told; /* peers know of the notice */
-	pd_time_t claims_wait_from; /* only claims hold up the stop; 0: no */
+	bool leave_announced; /* peers know of the notice */
+	pd_time_t claims_wait_started_at; /* only claims hold up the stop; 0: no */
 	/* Of the event being handled. */
 	pd_time_t now;
 	int64_t wall;
--- a/core/handover.c
+++ b/core/handover.c
@@ -130,8 +130,8 @@
 
 	if (!entry->leaves_at)
 		return;
-	if (!entry->leave_told) {
-		entry->leave_told = true;
+	if (!entry->leave_announced) {
+		entry->leave_announced = true;
 		members_leave(entry->members, entry->now, entry->actions);
 	}
 	if (entry->leaves_at - entry->now > MOVE_LEAD)
--- a/core/queue.c
+++ b/core/queue.c
@@ -102,21 +102,21 @@
  */
 void queue_run(entry_t *entry)
 {
-	if (!entry->room)
+	if (!entry->room_may_exist)
 		return;
-	entry->room = false;
+	entry->room_may_exist = false;
 	queue_pass(entry, PRIORITY_URGENT, G_MAXUINT);
 	for (;;) {
 		unsigned int sent = 0;
 
-		if (entry->batch_turn >= BATCH_SHARE - 1) {
+		if (entry->normal_since_batch >= BATCH_SHARE - 1) {
 			sent = queue_pass(entry, PRIORITY_BATCH, 1);
 			/* With no room for it, its turn is still to come. */
 			if (sent)
-				entry->batch_turn = 0;
+				entry->normal_since_batch = 0;
 		}
 		if (!sent && queue_pass(entry, PRIORITY_NORMAL, 1)) {
-			entry->batch_turn++;
+			entry->normal_since_batch++;
 			sent = 1;
 		}
 		if (!sent)
--- a/tests/unit/test_queue.c
+++ b/tests/unit/test_queue.c
@@ -90,9 +90,9 @@
 		add_waiting(drive, PRIORITY_NORMAL);
 	drive_tick(drive, PD_MSEC);
 	action = drive_take(drive, ACTION_DISPATCH);
-	assert_false(drive->entry->room);
+	assert_false(drive->entry->room_may_exist);
 	drive_upstream(drive, UPSTREAM_TOKEN, action->dispatch.attempt, 0, true);
-	assert_false(drive->entry->room);
+	assert_false(drive->entry->room_may_exist);
 	assert_int_equal(drive->entry->queued[PRIORITY_NORMAL], NORMALS - SLOTS);
 	action_destroy(action);
 }
