--- a/core/attempt.c
+++ b/core/attempt.c
@@ -53,8 +53,8 @@
 		request_give_up(entry, request, REASON_UPSTREAM_LOST, RETRY_SOON);
 		return;
 	}
-	if (cause == FAILURE_NOT_STARTED && request->busy++ > 0) {
-		unsigned int doublings = MIN(request->busy, BACKOFF_DOUBLINGS);
+	if (cause == FAILURE_NOT_STARTED && request->rejections++ > 0) {
+		unsigned int doublings = MIN(request->rejections, BACKOFF_DOUBLINGS);
 
 		attempt_back_off(entry, request, BACKOFF_MIN << doublings);
 		return;
@@ -98,7 +98,7 @@
 	if (request->started)
 		return;
 	request->started = true;
-	request->busy = 0;
+	request->rejections = 0;
 	if (upstream)
 		upstream_started(upstream);
 	if (event->kind != UPSTREAM_STARTED)
@@ -106,7 +106,7 @@
 	if (request->attempts > 1)
 		entry->recomputed_tokens += event->recomputed;
 	/* An import that worked leaves next to nothing to compute. */
-	if (request->imports && set_up == 0)
+	if (request->imports_kv && set_up == 0)
 		move_costs_learn(&entry->move_costs, true,
 				 (unsigned int)request->offset,
 				 entry->now - request->sent_at);
@@ -125,7 +125,7 @@
 {
 	upstream_event_t skipped = { .kind = UPSTREAM_FAILED, .written = true };
 
-	request->progress_at = entry->now;
+	request->last_progress_at = entry->now;
 	attempt_started(entry, request, event);
 	if (event->offset < request->offset)
 		return;
@@ -133,8 +133,8 @@
 		attempt_failed(entry, request, &skipped);
 		return;
 	}
-	if (!request->first_at) {
-		request->first_at = entry->now;
+	if (!request->first_token_at) {
+		request->first_token_at = entry->now;
 		predict_record_first_token(entry->predict, request->target.name,
 					   request->priority,
 					   entry->now - request->sent_at);
@@ -175,10 +175,10 @@
 		request->attempt_written = true;
 		break;
 	case UPSTREAM_ALIVE:
-		request->progress_at = entry->now;
+		request->last_progress_at = entry->now;
 		break;
 	case UPSTREAM_STARTED:
-		request->progress_at = entry->now;
+		request->last_progress_at = entry->now;
 		attempt_started(entry, request, event);
 		break;
 	case UPSTREAM_TOKEN:
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -52,12 +52,12 @@
 {
 	request->attempt_written = false;
 	request->started = false;
-	request->exportable = false;
+	request->kv_exportable = false;
 	request->retry_at = 0;
-	request->first_at = 0;
+	request->first_token_at = 0;
 	request->first_offset = request->offset;
 	request->sent_at = entry->now;
-	request->progress_at = entry->now;
+	request->last_progress_at = entry->now;
 }
 
 static void dispatch_start(entry_t *entry, request_t *request, upstream_t *upstream)
@@ -68,7 +68,7 @@
 	request->state = REQUEST_RUNNING;
 	request->attempt = entry->next_id++;
 	request->attempts++;
-	request->imports = source != NULL;
+	request->imports_kv = source != NULL;
 	dispatch_reset(entry, request);
 	if (source) {
 		action->dispatch.kv_address = g_strdup(source->vm.address);
@@ -92,7 +92,7 @@
 
 	dispatch_start(entry, request, target);
 	why = g_strdup_printf("%s; %s", reason,
-			      request->imports ? "KV cache imported"
+			      request->imports_kv ? "KV cache imported"
 					       : "resumed from the text");
 	entry_log_decision(entry, request->id, "move", target->vm.id, why, from);
 	g_free(from);
@@ -213,7 +213,7 @@
 	if (request->claim_key)
 		return false; /* it can't be sent again; only wait */
 	if (request->target.kind == TARGET_MODEL)
-		return entry->now - request->progress_at >=
+		return entry->now - request->last_progress_at >=
 		       dispatch_silent_max(entry, request);
 	return announced && upstream->leaves_at - entry->now <= MOVE_BEFORE;
 }
--- a/core/drain.c
+++ b/core/drain.c
@@ -39,9 +39,9 @@
 			(unsigned int)(request->max_tokens - request->offset);
 	if (entry->bundle && entry->bundle->token_gap_target > 0)
 		stream.token_gap = entry->bundle->token_gap_target;
-	if (request->first_at && seen > 1)
+	if (request->first_token_at && seen > 1)
 		stream.token_gap = (GAP_PRIOR * stream.token_gap + entry->now -
-				    request->first_at) /
+				    request->first_token_at) /
 				   (GAP_PRIOR + (pd_time_t)(seen - 1));
 	return stream;
 }
@@ -70,7 +70,7 @@
 	unsigned int cached;
 	size_t count;
 
-	if (request->exportable)
+	if (request->kv_exportable)
 		source = drain_source(entry, request);
 	if (!source || source == target)
 		return NULL;
@@ -168,7 +168,7 @@
 		return false;
 	if (!urgent && !move_may_start(target)) {
 		query.pressing = false;
-		target = entry->now - request->progress_at < PATIENCE
+		target = entry->now - request->last_progress_at < PATIENCE
 				 ? NULL
 				 : move_choose(entry->upstreams,
 					       &entry->move_costs, &query);
@@ -228,7 +228,7 @@
 	if (!target && source->leaves_at > entry->now)
 		return false;
 	dispatch_drop_attempt(entry, request);
-	request->exportable = request->started;
+	request->kv_exportable = request->started;
 	if (target)
 		dispatch_move(entry, request, target, "its VM leaves");
 	else
--- a/core/entry_state.h
+++ b/core/entry_state.h
@@ -53,27 +53,27 @@
 	GString *emitted; /* text so far */
 	uint64_t offset; /* tokens in that text */
 	unsigned int attempts;
-	unsigned int busy; /* attempts in a row that did not begin */
+	unsigned int rejections; /* attempts in a row that did not begin */
 	unsigned int failures; /* attempts that broke without a notice */
 	attempt_id_t attempt;
 	char *vm_id; /* of the attempt under way, or of the last one */
 	bool attempt_written; /* the attempt may have reached the upstream */
 	bool written; /* some attempt may have */
-	bool exportable; /* the VM of the last attempt holds its KV cache */
-	bool imports; /* the attempt brings its KV cache along */
+	bool kv_exportable; /* the VM of the last attempt holds its KV cache */
+	bool imports_kv; /* the attempt brings its KV cache along */
 	bool started; /* the attempt has shown a sign of life */
 	pd_time_t arrived_at;
 	pd_time_t deadline;
 	pd_time_t sent_at; /* of the attempt */
-	pd_time_t progress_at; /* of the attempt: last sign of life */
+	pd_time_t last_progress_at; /* of the attempt: last sign of life */
 	pd_time_t retry_at; /* if waiting outside the queue; else 0 */
 	uint64_t first_offset; /* of the attempt's first token */
-	pd_time_t first_at; /* of the same; 0 until it came */
+	pd_time_t first_token_at; /* of the same; 0 until it came */
 	held_t *held; /* it runs for a caller who will come back, or NULL */
 	char *resume_id; /* while finding: what it was called before */
-	unsigned int answers_due; /* while finding */
-	unsigned int offers; /* while moving: peers asked so far */
-	pd_time_t asked_at; /* while finding or moving */
+	unsigned int pending_replies; /* while finding */
+	unsigned int offer_count; /* while moving: peers asked so far */
+	pd_time_t requested_at; /* while finding or moving */
 } request_t;
 
 /*
--- a/core/handover.c
+++ b/core/handover.c
@@ -70,8 +70,8 @@
 	const member_info_t *to = NULL;
 	peer_msg_t *msg;
 
-	if (request->offers < rank->len)
-		to = g_ptr_array_index(rank, request->offers);
+	if (request->offer_count < rank->len)
+		to = g_ptr_array_index(rank, request->offer_count);
 	g_ptr_array_unref(rank);
 	entry_log_decision(entry, request->id, "handover", to ? to->id : "none",
 		     to ? "this entry leaves" : "no peer took it", "");
@@ -79,8 +79,8 @@
 		handover_end(entry, request);
 		return;
 	}
-	request->offers++;
-	request->asked_at = entry->now;
+	request->offer_count++;
+	request->requested_at = entry->now;
 	msg = peer_msg_create(PEER_HANDOVER);
 	msg->about = g_strdup(request->id);
 	handover_fill(entry, request, &msg->handover);
@@ -113,7 +113,7 @@
 		return; /* it is found or runs in a moment */
 	if (request->state != REQUEST_MOVING)
 		handover_begin(entry, request);
-	else if (entry->now - request->asked_at >= OFFER_TIMEOUT)
+	else if (entry->now - request->requested_at >= OFFER_TIMEOUT)
 		handover_offer(entry, request);
 }
 
--- a/core/resume.c
+++ b/core/resume.c
@@ -68,8 +68,8 @@
 
 	request->state = REQUEST_FINDING;
 	request->attempt = entry->next_id++;
-	request->asked_at = entry->now;
-	request->answers_due = rank->len;
+	request->requested_at = entry->now;
+	request->pending_replies = rank->len;
 	g_hash_table_insert(entry->finding, &request->attempt, request);
 	for (guint i = 0; i < rank->len; i++) {
 		peer_msg_t *msg = peer_msg_create(PEER_FIND);
@@ -108,7 +108,7 @@
 		return;
 	if (resume_matches(request, msg))
 		resume_take(entry, request, msg);
-	else if (--request->answers_due == 0)
+	else if (--request->pending_replies == 0)
 		resume_dispatch(entry, request);
 }
 
@@ -123,7 +123,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		request_t *request = value;
 
-		if (entry->now - request->asked_at >= FIND_TIMEOUT)
+		if (entry->now - request->requested_at >= FIND_TIMEOUT)
 			g_ptr_array_add(late, request);
 	}
 	for (guint i = 0; i < late->len; i++)
