--- a/core/adopt.c
+++ b/core/adopt.c
@@ -8,40 +8,41 @@
 #include "core/queue.h"
 
 /* A caller who has not come back by then has gone for good. */
-#define HELD_MAX (120 * PD_SEC)
+#define ADOPTED_ANSWER_TTL (120 * PD_SEC)
 /* Adopted requests have no connection; their ids must not meet those that do. */
 #define ADOPTED_CALLER ((caller_id_t)1 << 63)
 
-/* Frees what is held; a run of it goes on without being kept. */
-void held_destroy(void *data)
+/* Frees what is adopted; a run of it goes on without being kept. */
+void adopted_answer_destroy(void *data)
 {
-	held_t *held = data;
-
-	if (held->request)
-		held->request->held = NULL;
-	g_free(held->id);
-	g_free(held->account);
-	g_string_free(held->text, TRUE);
-	g_array_unref(held->ends);
-	g_free(held);
+	adopted_answer_t *adopted = data;
+
+	if (adopted->request)
+		adopted->request->adopted = NULL;
+	g_free(adopted->id);
+	g_free(adopted->account);
+	g_string_free(adopted->text, TRUE);
+	g_array_unref(adopted->token_ends);
+	g_free(adopted);
 }
 
-static held_t *held_create(entry_t *entry, const handover_t *from)
+static adopted_answer_t *adopted_answer_create(entry_t *entry,
+					       const handover_t *from)
 {
-	held_t *held = g_new0(held_t, 1);
-
-	held->id = g_strdup(from->request_id);
-	held->account = g_strdup(from->account);
-	held->text = g_string_new(from->emitted);
-	held->base = from->offset;
-	held->base_len = held->text->len;
-	held->ends = g_array_new(FALSE, FALSE, sizeof(gsize));
-	held->expires_at = entry->now + HELD_MAX;
-	g_hash_table_insert(entry->held, held->id, held);
-	return held;
+	adopted_answer_t *adopted = g_new0(adopted_answer_t, 1);
+
+	adopted->id = g_strdup(from->request_id);
+	adopted->account = g_strdup(from->account);
+	adopted->text = g_string_new(from->emitted);
+	adopted->base_offset = from->offset;
+	adopted->base_bytes = adopted->text->len;
+	adopted->token_ends = g_array_new(FALSE, FALSE, sizeof(gsize));
+	adopted->expires_at = entry->now + ADOPTED_ANSWER_TTL;
+	g_hash_table_insert(entry->adopted, adopted->id, adopted);
+	return adopted;
 }
 
-static const account_t *account_named(const bundle_t *bundle, const char *name)
+static const account_t *find_account(const bundle_t *bundle, const char *name)
 {
 	GHashTableIter it;
 	void *value;
@@ -59,7 +60,7 @@
 static void adopt_start(entry_t *entry, const handover_t *from,
 			const account_t *account, const target_t *target)
 {
-	const caller_request_t as_asked = {
+	const caller_request_t original = {
 		.caller = ADOPTED_CALLER | entry->next_id++,
 		.kind = target->kind,
 		.key_hash = account->key_hash,
@@ -67,7 +68,7 @@
 		.body = from->body,
 		.max_tokens = from->max_tokens,
 	};
-	request_t *request = request_create(entry, &as_asked, target);
+	request_t *request = request_create(entry, &original, target);
 
 	g_free(request->id);
 	request->id = g_strdup(from->request_id);
@@ -76,10 +77,10 @@
 	request->offset = from->offset;
 	request->deadline = entry->now + from->deadline_in;
 	request->written = from->written;
-	request->held = held_create(entry, from);
-	request->held->request = request;
+	request->adopted = adopted_answer_create(entry, from);
+	request->adopted->request = request;
 	entry_log_decision(entry, request->id, "handover", "adopt",
-		     "its entry leaves", "");
+			   "its entry leaves", "");
 	if (!dispatch_request(entry, request))
 		queue_add(entry, request, true);
 }
@@ -90,7 +91,7 @@
 {
 	if (entry->stopping || !entry->bundle || !from->request_id || !from->body)
 		return false;
-	*account = account_named(entry->bundle, from->account);
+	*account = find_account(entry->bundle, from->account);
 	*target = bundle_target(entry->bundle, from->target);
 	return *account && *target && (*target)->kind == TARGET_MODEL;
 }
@@ -109,7 +110,7 @@
 
 	if (!adopt_check(entry, from, &account, &target))
 		return;
-	if (!g_hash_table_contains(entry->held, from->request_id))
+	if (!g_hash_table_contains(entry->adopted, from->request_id))
 		adopt_start(entry, from, account, target);
 	ack = peer_msg_create(PEER_HANDOVER_ACK);
 	ack->about = g_strdup(from->request_id);
@@ -117,44 +118,50 @@
 }
 
 /* Keeps one more token. */
-void adopt_token(held_t *held, const char *data, size_t len)
+void adopted_answer_append(adopted_answer_t *adopted, const char *data, size_t len)
 {
-	g_string_append_len(held->text, data, (gssize)len);
-	g_array_append_val(held->ends, held->text->len);
+	g_string_append_len(adopted->text, data, (gssize)len);
+	g_array_append_val(adopted->token_ends, adopted->text->len);
 }
 
 /*
  * Finds where token OFFSET begins in the text; false if that is not known. The
  * first one's place always is: whoever waits for a whole answer has no token.
  */
-static bool held_split(const held_t *held, uint64_t offset, gsize *at)
+static bool adopted_answer_split(const adopted_answer_t *adopted,
+				 uint64_t offset, gsize *at)
 {
 	*at = 0;
 	if (offset == 0)
 		return true;
-	if (offset < held->base || offset - held->base > held->ends->len)
+	if (offset < adopted->base_offset ||
+	    offset - adopted->base_offset > adopted->token_ends->len)
 		return false;
-	*at = held->base_len;
-	if (offset > held->base)
-		*at = g_array_index(held->ends, gsize, offset - held->base - 1);
+	*at = adopted->base_bytes;
+	if (offset > adopted->base_offset)
+		*at = g_array_index(adopted->token_ends, gsize,
+				    offset - adopted->base_offset - 1);
 	return true;
 }
 
 /* Looks up REQUEST-ID/OFFSET; OFFSET is the next token's place. */
-static held_t *held_find(const entry_t *entry, const char *event_id, gsize *at)
+static adopted_answer_t *adopted_answer_find(const entry_t *entry,
+					     const char *event_id, gsize *at)
 {
 	const char *slash = strrchr(event_id, '/');
-	held_t *held;
+	adopted_answer_t *adopted;
 	char *id;
 
 	if (!slash)
 		return NULL;
 	id = g_strndup(event_id, (gsize)(slash - event_id));
-	held = g_hash_table_lookup(entry->held, id);
+	adopted = g_hash_table_lookup(entry->adopted, id);
 	g_free(id);
-	if (!held || !held_split(held, g_ascii_strtoull(slash + 1, NULL, 10), at))
+	if (!adopted ||
+	    !adopted_answer_split(adopted,
+				  g_ascii_strtoull(slash + 1, NULL, 10), at))
 		return NULL;
-	return held;
+	return adopted;
 }
 
 /*
@@ -164,49 +171,51 @@
  * ends here, since it goes on at the entry that asked; its text stays for the
  * case that the message is lost.
  */
-peer_msg_t *adopt_answer(entry_t *entry, const char *event_id)
+peer_msg_t *adopt_create_found(entry_t *entry, const char *event_id)
 {
 	peer_msg_t *msg = peer_msg_create(PEER_FOUND);
 	gsize at;
-	held_t *held = held_find(entry, event_id, &at);
+	adopted_answer_t *adopted = adopted_answer_find(entry, event_id, &at);
 
-	if (!held)
+	if (!adopted)
 		return msg;
-	if (held->request)
-		request_end(entry, held->request);
-	msg->handover.request_id = g_strdup(held->id);
-	msg->handover.account = g_strdup(held->account);
-	msg->handover.emitted = g_strdup(held->text->str);
-	msg->handover.offset = held->base + held->ends->len;
-	msg->handover.ended = held->ended;
-	if (held->text->len > at)
-		msg->body = g_bytes_new(held->text->str + at, held->text->len - at);
+	if (adopted->request)
+		request_end(entry, adopted->request);
+	msg->handover.request_id = g_strdup(adopted->id);
+	msg->handover.account = g_strdup(adopted->account);
+	msg->handover.emitted = g_strdup(adopted->text->str);
+	msg->handover.offset = adopted->base_offset + adopted->token_ends->len;
+	msg->handover.ended = adopted->ended;
+	if (adopted->text->len > at)
+		msg->body = g_bytes_new(adopted->text->str + at,
+					adopted->text->len - at);
 	return msg;
 }
 
 /* Answers an entry that asks who holds a request. */
-void adopt_find(entry_t *entry, const peer_msg_t *msg)
+void adopt_handle_find(entry_t *entry, const peer_msg_t *msg)
 {
 	peer_msg_t *answer;
 
 	if (!msg->about)
 		return;
-	answer = adopt_answer(entry, msg->about);
+	answer = adopt_create_found(entry, msg->about);
 	answer->sequence = msg->sequence;
 	entry_send_peer(entry, &msg->from, answer);
 }
 
-static gboolean held_expires(void *key, void *value, void *data)
+static gboolean adopted_answer_has_expired(void *key, void *value, void *data)
 {
-	const held_t *held = value;
+	const adopted_answer_t *adopted = value;
 	const pd_time_t *now = data;
 
 	(void)key;
-	return !held->request && *now >= held->expires_at;
+	return !adopted->request && *now >= adopted->expires_at;
 }
 
 /* Forgets answers that nobody came back for. */
 void adopt_run(entry_t *entry)
 {
-	g_hash_table_foreach_remove(entry->held, held_expires, &entry->now);
+	g_hash_table_foreach_remove(entry->adopted, adopted_answer_has_expired,
+				    &entry->now);
 }
--- a/core/attempt.c
+++ b/core/attempt.c
@@ -28,7 +28,7 @@
 
 	request->retry_at = entry->now + wait + spread;
 	entry_log_decision(entry, request->id, "route", "wait",
-		     "tried in vain; it waits before the next attempt", "");
+			   "tried in vain; it waits before the next attempt", "");
 }
 
 /* Sends a request that has been accepted. With nobody to send to it waits. */
@@ -54,7 +54,8 @@
 		return;
 	}
 	if (cause == FAILURE_NOT_STARTED && request->rejections++ > 0) {
-		unsigned int doublings = MIN(request->rejections, BACKOFF_DOUBLINGS);
+		unsigned int doublings =
+			MIN(request->rejections, BACKOFF_DOUBLINGS);
 
 		attempt_back_off(entry, request, BACKOFF_MIN << doublings);
 		return;
@@ -143,8 +144,8 @@
 		request_reply(entry, request, ACTION_TOKEN, event->data,
 			      event->len, 0);
 	g_string_append_len(request->emitted, event->data, (gssize)event->len);
-	if (request->held)
-		adopt_token(request->held, event->data, event->len);
+	if (request->adopted)
+		adopted_answer_append(request->adopted, event->data, event->len);
 	request->offset++;
 }
 
@@ -188,8 +189,8 @@
 		attempt_answered(entry, request, event);
 		break;
 	case UPSTREAM_END:
-		if (request->held)
-			request->held->ended = true;
+		if (request->adopted)
+			request->adopted->ended = true;
 		predict_record_completion(entry->predict, request->target.name,
 					  request->priority,
 					  entry->now - request->sent_at);
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -93,7 +93,7 @@
 	dispatch_start(entry, request, target);
 	why = g_strdup_printf("%s; %s", reason,
 			      request->imports_kv ? "KV cache imported"
-					       : "resumed from the text");
+						  : "resumed from the text");
 	entry_log_decision(entry, request->id, "move", target->vm.id, why, from);
 	g_free(from);
 	g_free(why);
@@ -118,7 +118,7 @@
 			    route_choice_t *choice)
 {
 	entry_log_decision(entry, request->id, "route", choice->upstream->vm.id,
-		     choice->reason, choice->passed_over);
+			   choice->reason, choice->passed_over);
 	prefix_cache_sent(entry->prefixes, choice->upstream->vm.id, prefix,
 			  entry->now);
 	dispatch_start(entry, request, choice->upstream);
@@ -140,14 +140,14 @@
 		return true;
 	case ROUTE_ALL_BUSY:
 		entry_log_decision(entry, request->id, "route", "wait",
-			     "no room where it would go", "");
+				   "no room where it would go", "");
 		queue_add(entry, request, request->attempts > 0);
 		return true;
 	case ROUTE_NONE:
 		break;
 	}
 	entry_log_decision(entry, request->id, "route", "none",
-		     "no usable upstream serves it", "");
+			   "no usable upstream serves it", "");
 	return false;
 }
 
@@ -202,8 +202,8 @@
  * Says whether the attempt should be left: it is silent, or a plain service's
  * VM goes. Streams on a VM that goes are drain_check()'s.
  */
-static bool dispatch_should_leave(const entry_t *entry,
-				  const request_t *request, failure_cause_t *cause)
+static bool dispatch_should_leave(const entry_t *entry, const request_t *request,
+				  failure_cause_t *cause)
 {
 	const upstream_t *upstream =
 		upstreams_find(entry->upstreams, request->vm_id);
--- a/core/entry.c
+++ b/core/entry.c
@@ -56,8 +56,8 @@
 	entry->running = g_hash_table_new(g_int64_hash, g_int64_equal);
 	entry->claiming = g_hash_table_new(g_int64_hash, g_int64_equal);
 	entry->finding = g_hash_table_new(g_int64_hash, g_int64_equal);
-	entry->held = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					    held_destroy);
+	entry->adopted = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					       adopted_answer_destroy);
 	for (int i = 0; i < PRIORITIES; i++)
 		list_init(&entry->queues[i]);
 	entry->next_id = 1;
@@ -73,7 +73,7 @@
 	g_hash_table_unref(entry->claiming);
 	g_hash_table_unref(entry->finding);
 	g_hash_table_unref(entry->requests);
-	g_hash_table_unref(entry->held);
+	g_hash_table_unref(entry->adopted);
 	members_destroy(entry->members);
 	limits_destroy(entry->limits);
 	prefix_cache_destroy(entry->prefixes);
@@ -101,12 +101,13 @@
 	action->refuse.retry_after = retry_after;
 	list_append(entry->actions, &action->node);
 	entry_log_decision(entry, request_id ? request_id : "-", "admission",
-		     refusal_name(refusal), refusal_reason_name(reason), "");
+			   refusal_name(refusal), refusal_reason_name(reason), "");
 }
 
 /* Appends the log line of one decision; copies its strings. */
-void entry_log_decision(entry_t *entry, const char *request_id, const char *part,
-		  const char *choice, const char *reason, const char *passed_over)
+void entry_log_decision(entry_t *entry, const char *request_id,
+			const char *part, const char *choice,
+			const char *reason, const char *passed_over)
 {
 	action_t *action = action_create(ACTION_DECISION);
 
@@ -174,7 +175,8 @@
 }
 
 /* Notes that a VM leaves and passes it on if that is news here. */
-static void entry_handle_vm_notice(entry_t *entry, const char *vm_id, pd_time_t leaves_in)
+static void entry_handle_vm_notice(entry_t *entry, const char *vm_id,
+				   pd_time_t leaves_in)
 {
 	pd_time_t leaves_at = entry->now + leaves_in;
 
@@ -268,7 +270,7 @@
 	else if (msg->kind == PEER_HANDOVER_ACK && msg->about)
 		handover_acknowledged(entry, msg->about);
 	else if (msg->kind == PEER_FIND)
-		adopt_find(entry, msg);
+		adopt_handle_find(entry, msg);
 	else if (msg->kind == PEER_FOUND)
 		resume_found(entry, msg);
 }
@@ -277,7 +279,7 @@
 {
 	for (unsigned int i = 0; i < msg->leaving_count; i++)
 		entry_handle_vm_notice(entry, msg->leaving[i].vm_id,
-				 msg->leaving[i].leaves_in);
+				       msg->leaving[i].leaves_in);
 	demand_record_peer(entry->demand, msg, entry->now);
 	members_receive(entry->members, msg, entry->now, entry->actions);
 	entry->peer_msg_received = true;
@@ -358,7 +360,7 @@
 	if (entry->now - entry->claims_wait_started_at < STOP_CLAIMS_TIMEOUT)
 		return false;
 	entry_log_decision(entry, "-", "stop", "end with claims unwritten",
-		     "the store is down", "");
+			   "the store is down", "");
 	return true;
 }
 
@@ -433,7 +435,8 @@
 		claims_handle_store_reply(entry->claims, &event->store, entry->now);
 		break;
 	case EVENT_VM_LIST:
-		entry_handle_vm_list(entry, event->vm_list.vms, event->vm_list.count);
+		entry_handle_vm_list(entry, event->vm_list.vms,
+				     event->vm_list.count);
 		break;
 	case EVENT_PEER_MSG:
 		entry_handle_peer_msg(entry, event->peer);
--- a/core/entry_state.h
+++ b/core/entry_state.h
@@ -32,7 +32,7 @@
 	FAILURE_LOST
 } failure_cause_t;
 
-typedef struct held held_t;
+typedef struct adopted_answer adopted_answer_t;
 
 typedef struct request {
 	list_node_t node; /* of the queue, if waiting */
@@ -69,7 +69,7 @@
 	pd_time_t retry_at; /* if waiting outside the queue; else 0 */
 	uint64_t first_offset; /* of the attempt's first token */
 	pd_time_t first_token_at; /* of the same; 0 until it came */
-	held_t *held; /* it runs for a caller who will come back, or NULL */
+	adopted_answer_t *adopted; /* it runs for a caller who will come back, or NULL */
 	char *resume_id; /* while finding: what it was called before */
 	unsigned int pending_replies; /* while finding */
 	unsigned int offer_count; /* while moving: peers asked so far */
@@ -80,13 +80,13 @@
  * A request that a leaving entry gave to this one. It outlives the run, so that
  * a caller who comes back later than the answer's end still gets the rest.
  */
-struct held {
+struct adopted_answer {
 	char *id;
 	char *account; /* name; nobody else gets the answer */
 	GString *text; /* from the first token on */
-	uint64_t base; /* tokens it came with; their bounds are not known */
-	gsize base_len; /* bytes of those */
-	GArray *ends; /* gsize: where each later token ends in the text */
+	uint64_t base_offset; /* tokens it came with; their bounds are not known */
+	gsize base_bytes; /* bytes of those */
+	GArray *token_ends; /* gsize: where each later token ends in the text */
 	bool ended;
 	request_t *request; /* NULL once it runs no more */
 	pd_time_t expires_at;
@@ -107,7 +107,7 @@
 	GHashTable *running; /* attempt id -> request_t */
 	GHashTable *claiming; /* attempt id as ticket -> request_t */
 	GHashTable *finding; /* attempt id as ticket -> request_t */
-	GHashTable *held; /* request id -> held_t, owned */
+	GHashTable *adopted; /* request id -> adopted_answer_t, owned */
 	list_node_t queues[PRIORITIES];
 	unsigned int queued[PRIORITIES];
 	unsigned int running_of[PRIORITIES];
@@ -141,8 +141,9 @@
 void entry_refuse(entry_t *entry, caller_id_t caller, const char *request_id,
 		  refusal_t refusal, refusal_reason_t reason,
 		  pd_time_t retry_after);
-void entry_log_decision(entry_t *entry, const char *request_id, const char *part,
-		  const char *choice, const char *reason, const char *passed_over);
+void entry_log_decision(entry_t *entry, const char *request_id,
+			const char *part, const char *choice,
+			const char *reason, const char *passed_over);
 
 bool entry_can_serve(const entry_t *entry);
 void entry_send_peer(entry_t *entry, const member_info_t *to, peer_msg_t *msg);
@@ -167,11 +168,11 @@
 void handover_acknowledged(entry_t *entry, const char *request_id);
 
 /* adopt.c */
-void held_destroy(void *data);
+void adopted_answer_destroy(void *data);
 void adopt_handover(entry_t *entry, const peer_msg_t *msg);
-void adopt_token(held_t *held, const char *data, size_t len);
-void adopt_find(entry_t *entry, const peer_msg_t *msg);
-peer_msg_t *adopt_answer(entry_t *entry, const char *event_id);
+void adopted_answer_append(adopted_answer_t *adopted, const char *data, size_t len);
+void adopt_handle_find(entry_t *entry, const peer_msg_t *msg);
+peer_msg_t *adopt_create_found(entry_t *entry, const char *event_id);
 void adopt_run(entry_t *entry);
 
 /* resume.c */
--- a/core/handover.c
+++ b/core/handover.c
@@ -28,16 +28,17 @@
 static void handover_fill(const entry_t *entry, const request_t *request,
 			  handover_t *handover)
 {
-	const held_t *held = request->held;
+	const adopted_answer_t *adopted = request->adopted;
 
 	handover->request_id = g_strdup(request->id);
 	handover->account = g_strdup(request->account);
 	handover->target = g_strdup(request->target.name);
 	handover->path = g_strdup(request->path);
 	handover->vm_id = g_strdup(request->vm_id);
-	handover->emitted = held ? g_strndup(held->text->str, held->base_len)
-				 : g_strdup(request->emitted->str);
-	handover->offset = held ? held->base : request->offset;
+	handover->emitted =
+		adopted ? g_strndup(adopted->text->str, adopted->base_bytes)
+			: g_strdup(request->emitted->str);
+	handover->offset = adopted ? adopted->base_offset : request->offset;
 	handover->max_tokens = request->max_tokens;
 	handover->written = request->written;
 	handover->deadline_in = request->deadline - entry->now;
@@ -58,8 +59,8 @@
 		action = LIST_ENTRY(entry->actions->prev, action_t, node);
 		action->reply.offset = MAX(request->offset, request->resume_offset);
 	}
-	if (request->held)
-		g_hash_table_remove(entry->held, request->id);
+	if (request->adopted)
+		g_hash_table_remove(entry->adopted, request->id);
 	request_end(entry, request);
 }
 
@@ -74,7 +75,7 @@
 		to = g_ptr_array_index(rank, request->offer_count);
 	g_ptr_array_unref(rank);
 	entry_log_decision(entry, request->id, "handover", to ? to->id : "none",
-		     to ? "this entry leaves" : "no peer took it", "");
+			   to ? "this entry leaves" : "no peer took it", "");
 	if (!to) {
 		handover_end(entry, request);
 		return;
--- a/core/request.c
+++ b/core/request.c
@@ -82,8 +82,8 @@
 	request_t *request = data;
 
 	list_remove(&request->node);
-	if (request->held)
-		request->held->request = NULL;
+	if (request->adopted)
+		request->adopted->request = NULL;
 	g_free(request->id);
 	g_free(request->account);
 	g_free(request->resume_id);
--- a/core/resume.c
+++ b/core/resume.c
@@ -31,7 +31,8 @@
 	const char *tail;
 	gsize len;
 
-	entry_log_decision(entry, request->id, "resume", "go on", request->resume_id, "");
+	entry_log_decision(entry, request->id, "resume", "go on",
+			   request->resume_id, "");
 	if (found->body) {
 		tail = g_bytes_get_data(found->body, &len);
 		/* The event's id is that of the last token in it. */
@@ -88,7 +89,7 @@
 {
 	char *event_id = g_strdup_printf("%s/%" G_GUINT64_FORMAT, resume_id,
 					 request->resume_offset);
-	peer_msg_t *found = adopt_answer(entry, event_id);
+	peer_msg_t *found = adopt_create_found(entry, event_id);
 
 	request->resume_id = g_strdup(resume_id);
 	if (resume_matches(request, found))
