--- a/core/admission.c
+++ b/core/admission.c
@@ -11,9 +11,9 @@
  * The estimate is a mean, and half of the callers wait longer. Refusing from
  * this part of the target on keeps those that are taken within it.
  */
-#define MARGIN 0.4
-#define RETRY_SOON (1 * PD_SEC)
-#define RETRY_LATER (5 * PD_SEC)
+#define FIRST_TOKEN_MARGIN 0.4
+#define RETRY_AFTER_SHORT (1 * PD_SEC)
+#define RETRY_AFTER_LONG (5 * PD_SEC)
 
 static double admission_share(entry_t *entry, const account_t *account)
 {
@@ -37,7 +37,7 @@
 
 	if (!entry_can_serve(entry)) {
 		entry_refuse(entry, from->caller, NULL, REFUSAL_NOT_RUN,
-			     REASON_NOT_READY, RETRY_SOON);
+			     REASON_NOT_READY, RETRY_AFTER_SHORT);
 		return NULL;
 	}
 	if (from->key_hash)
@@ -72,7 +72,7 @@
 	if (entry->queued[admission_priority(account, target)] >=
 	    entry->bundle->queue_limit) {
 		entry_refuse(entry, from->caller, NULL, REFUSAL_NOT_RUN,
-			     REASON_QUEUE_FULL, RETRY_SOON);
+			     REASON_QUEUE_FULL, RETRY_AFTER_SHORT);
 		return NULL;
 	}
 	return target;
@@ -84,7 +84,7 @@
  * as full engines and no answer in time; the caller is better told at once when
  * to come back. Urgent work has nowhere better to go and keeps its place.
  */
-static void admission_predict(entry_t *entry, request_t *request)
+static void admission_refuse_if_late(entry_t *entry, request_t *request)
 {
 	pd_time_t target = entry->bundle->first_token_target;
 	pd_time_t expected;
@@ -98,13 +98,13 @@
 					    request->priority,
 					    entry->queued[request->priority] - 1,
 					    queue_slots(entry, request->priority));
-	if (expected > (pd_time_t)((double)target * MARGIN))
-		request_give_up(entry, request, REASON_QUEUE_FULL,
-				MAX(expected - target, RETRY_SOON));
+	if (expected > (pd_time_t)((double)target * FIRST_TOKEN_MARGIN))
+		request_fail(entry, request, REASON_QUEUE_FULL,
+			     MAX(expected - target, RETRY_AFTER_SHORT));
 }
 
 /* Takes a caller's request in, or refuses it at once. */
-void admission_arrive(entry_t *entry, const caller_request_t *from)
+void admission_handle_request(entry_t *entry, const caller_request_t *from)
 {
 	const target_t *target = admission_check(entry, from);
 	request_t *request;
@@ -120,13 +120,13 @@
 		return;
 	}
 	if (!dispatch_request(entry, request))
-		request_give_up(entry, request, REASON_NO_UPSTREAM, RETRY_LATER);
+		request_fail(entry, request, REASON_NO_UPSTREAM, RETRY_AFTER_LONG);
 	else if (request->state == REQUEST_WAITING)
-		admission_predict(entry, request);
+		admission_refuse_if_late(entry, request);
 }
 
-static void admission_replay(entry_t *entry, request_t *request,
-			     const claim_result_t *result)
+static void admission_send_recorded_answer(entry_t *entry, request_t *request,
+					   const claim_result_t *result)
 {
 	const char *body = result->answer ? result->answer : "";
 	action_t *action;
@@ -156,16 +156,16 @@
  * claim was written; requests that came meanwhile would all pass the check made
  * on arrival and grow the queue without bound when the store is slow.
  */
-static void admission_go_on(entry_t *entry, request_t *request)
+static void admission_dispatch_claimed(entry_t *entry, request_t *request)
 {
 	if (entry->queued[request->priority] >= entry->bundle->queue_limit)
-		request_give_up(entry, request, REASON_QUEUE_FULL, RETRY_SOON);
+		request_fail(entry, request, REASON_QUEUE_FULL, RETRY_AFTER_SHORT);
 	else if (!dispatch_request(entry, request))
-		request_give_up(entry, request, REASON_NO_UPSTREAM, RETRY_LATER);
+		request_fail(entry, request, REASON_NO_UPSTREAM, RETRY_AFTER_LONG);
 }
 
 /* Goes on with a request whose claim has been settled. */
-void admission_claimed(entry_t *entry, const claim_result_t *result)
+void admission_handle_claim(entry_t *entry, const claim_result_t *result)
 {
 	request_t *request = g_hash_table_lookup(entry->claiming, &result->ticket);
 
@@ -175,14 +175,14 @@
 	request->state = REQUEST_WAITING;
 	switch (result->outcome) {
 	case CLAIM_WON:
-		admission_go_on(entry, request);
+		admission_dispatch_claimed(entry, request);
 		break;
 	case CLAIM_ANSWERED:
-		admission_replay(entry, request, result);
+		admission_send_recorded_answer(entry, request, result);
 		break;
 	case CLAIM_TAKEN:
 		admission_refuse_claim(entry, request, REFUSAL_OUTCOME_UNKNOWN,
-				       REASON_EARLIER_ATTEMPT, RETRY_LATER);
+				       REASON_EARLIER_ATTEMPT, RETRY_AFTER_LONG);
 		break;
 	case CLAIM_MISMATCH:
 		admission_refuse_claim(entry, request, REFUSAL_KEY_REUSED,
@@ -190,7 +190,7 @@
 		break;
 	case CLAIM_UNAVAILABLE:
 		admission_refuse_claim(entry, request, REFUSAL_NOT_RUN,
-				       REASON_STORE_DOWN, RETRY_LATER);
+				       REASON_STORE_DOWN, RETRY_AFTER_LONG);
 		break;
 	}
 }
@@ -200,7 +200,7 @@
  * repeated runs on once it has been sent, so that its answer is on record when
  * the caller asks again with the same key.
  */
-void admission_caller_gone(entry_t *entry, caller_id_t caller)
+void admission_handle_disconnect(entry_t *entry, caller_id_t caller)
 {
 	request_t *request = g_hash_table_lookup(entry->requests, &caller);
 
@@ -210,7 +210,7 @@
 	if (request->claim_key && request->state != REQUEST_WAITING)
 		return;
 	if (request->claim_key)
-		request_give_up(entry, request, REASON_NONE, 0);
+		request_fail(entry, request, REASON_NONE, 0);
 	else
 		request_end(entry, request);
 }
--- a/core/attempt.c
+++ b/core/attempt.c
@@ -7,7 +7,7 @@
 #include "core/hash.h"
 
 #define FAILURES_MAX 6
-#define RETRY_SOON (1 * PD_SEC)
+#define RETRY_AFTER_SHORT (1 * PD_SEC)
 /*
  * An attempt that did not begin is tried again after a wait that doubles. In a
  * wave the remaining upstreams refuse much; trying on at once would only load
@@ -32,7 +32,7 @@
 }
 
 /* Sends a request that has been accepted. With nobody to send to it waits. */
-void attempt_resume(entry_t *entry, request_t *request)
+void attempt_redispatch(entry_t *entry, request_t *request)
 {
 	request->retry_at = 0;
 	if (drain_resume(entry, request))
@@ -47,10 +47,11 @@
  * use up every retry at once. A call that may not be repeated and may have
  * reached its upstream is never sent again.
  */
-void attempt_again(entry_t *entry, request_t *request, failure_cause_t cause)
+void attempt_retry(entry_t *entry, request_t *request, failure_cause_t cause)
 {
 	if (request->claim_key && request->written) {
-		request_give_up(entry, request, REASON_UPSTREAM_LOST, RETRY_SOON);
+		request_fail(entry, request, REASON_UPSTREAM_LOST,
+			     RETRY_AFTER_SHORT);
 		return;
 	}
 	if (cause == FAILURE_NOT_STARTED && request->rejections++ > 0) {
@@ -61,18 +62,19 @@
 		return;
 	}
 	if (cause == FAILURE_LOST && ++request->failures >= FAILURES_MAX) {
-		request_give_up(entry, request, REASON_RETRY_BUDGET, RETRY_SOON);
+		request_fail(entry, request, REASON_RETRY_BUDGET,
+			     RETRY_AFTER_SHORT);
 		return;
 	}
 	if (cause == FAILURE_LOST && !retry_budget_spend(&entry->retry_budget)) {
 		attempt_back_off(entry, request, BACKOFF_NO_BUDGET);
 		return;
 	}
-	attempt_resume(entry, request);
+	attempt_redispatch(entry, request);
 }
 
-static void attempt_failed(entry_t *entry, request_t *request,
-			   const upstream_event_t *event)
+static void attempt_handle_failure(entry_t *entry, request_t *request,
+				   const upstream_event_t *event)
 {
 	upstream_t *upstream = upstreams_find(entry->upstreams, request->vm_id);
 	bool written = event->kind == UPSTREAM_FAILED && event->written;
@@ -81,17 +83,17 @@
 	if (written && upstream && upstream->leaving)
 		cause = FAILURE_VM_LEAVING;
 	request->attempt_written = written;
-	dispatch_drop_attempt(entry, request);
+	dispatch_cancel_attempt(entry, request);
 	if (upstream) {
 		upstream->failed_at = entry->now;
 		upstream->refuses_when_full |= event->kind == UPSTREAM_BUSY;
 	}
-	attempt_again(entry, request, cause);
+	attempt_retry(entry, request, cause);
 }
 
 /* Takes the first sign of life of an attempt. */
-static void attempt_started(entry_t *entry, request_t *request,
-			    const upstream_event_t *event)
+static void attempt_handle_start(entry_t *entry, request_t *request,
+				 const upstream_event_t *event)
 {
 	upstream_t *upstream = upstreams_find(entry->upstreams, request->vm_id);
 	unsigned int set_up = event->recomputed;
@@ -121,17 +123,17 @@
  * repeats tokens the caller has; they are dropped. One that skipped ahead would
  * leave a hole, so its attempt counts as failed.
  */
-static void attempt_token(entry_t *entry, request_t *request,
-			  const upstream_event_t *event)
+static void attempt_handle_token(entry_t *entry, request_t *request,
+				 const upstream_event_t *event)
 {
 	upstream_event_t skipped = { .kind = UPSTREAM_FAILED, .written = true };
 
 	request->last_progress_at = entry->now;
-	attempt_started(entry, request, event);
+	attempt_handle_start(entry, request, event);
 	if (event->offset < request->offset)
 		return;
 	if (event->offset > request->offset) {
-		attempt_failed(entry, request, &skipped);
+		attempt_handle_failure(entry, request, &skipped);
 		return;
 	}
 	if (!request->first_token_at) {
@@ -149,8 +151,8 @@
 	request->offset++;
 }
 
-static void attempt_answered(entry_t *entry, request_t *request,
-			     const upstream_event_t *event)
+static void attempt_handle_answer(entry_t *entry, request_t *request,
+				  const upstream_event_t *event)
 {
 	if (request->claim_key) {
 		char *body = g_strndup(event->data, event->len);
@@ -165,7 +167,7 @@
 }
 
 /* Takes what an upstream did with an attempt; late news is ignored. */
-void attempt_upstream(entry_t *entry, const upstream_event_t *event)
+void attempt_handle_event(entry_t *entry, const upstream_event_t *event)
 {
 	request_t *request = g_hash_table_lookup(entry->running, &event->attempt);
 
@@ -180,13 +182,13 @@
 		break;
 	case UPSTREAM_STARTED:
 		request->last_progress_at = entry->now;
-		attempt_started(entry, request, event);
+		attempt_handle_start(entry, request, event);
 		break;
 	case UPSTREAM_TOKEN:
-		attempt_token(entry, request, event);
+		attempt_handle_token(entry, request, event);
 		break;
 	case UPSTREAM_ANSWER:
-		attempt_answered(entry, request, event);
+		attempt_handle_answer(entry, request, event);
 		break;
 	case UPSTREAM_END:
 		if (request->adopted)
@@ -199,7 +201,7 @@
 		break;
 	case UPSTREAM_BUSY:
 	case UPSTREAM_FAILED:
-		attempt_failed(entry, request, event);
+		attempt_handle_failure(entry, request, event);
 		break;
 	}
 }
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -8,23 +8,23 @@
 #include "core/prefix.h"
 #include "core/queue.h"
 
-#define RETRY_SOON (1 * PD_SEC)
+#define RETRY_AFTER_SHORT (1 * PD_SEC)
 /*
  * A connection can go silent for good without an error. An attempt that shows
  * no sign of life for this long is dropped and its request sent on a new
  * connection; waiting for an error would hold the caller until its deadline.
  */
-#define SILENT_MAX (3 * PD_SEC)
+#define SILENCE_MAX (3 * PD_SEC)
 /*
  * A plain service's call on a VM that leaves is sent elsewhere when this little
  * time is left. Earlier would repeat calls that still end where they are.
  */
-#define MOVE_BEFORE (1 * PD_SEC)
+#define SERVICE_MOVE_LEAD (1 * PD_SEC)
 /* Setting up a long prompt is silent too; it may take this times what is usual. */
-#define SETUP_MARGIN 4
+#define PREFILL_TIME_FACTOR 4
 
-static void dispatch_fill(const entry_t *entry, const request_t *request,
-			  const vm_t *vm, dispatch_t *dispatch)
+static void dispatch_fill_action(const entry_t *entry, const request_t *request,
+				 const vm_t *vm, dispatch_t *dispatch)
 {
 	const target_t *target = &request->target;
 
@@ -48,7 +48,7 @@
 }
 
 /* Forgets what was seen of the attempt before the one that begins. */
-static void dispatch_reset(entry_t *entry, request_t *request)
+static void dispatch_reset_attempt(entry_t *entry, request_t *request)
 {
 	request->attempt_written = false;
 	request->started = false;
@@ -63,13 +63,13 @@
 static void dispatch_start(entry_t *entry, request_t *request, upstream_t *upstream)
 {
 	action_t *action = action_create(ACTION_DISPATCH);
-	const upstream_t *source = drain_export(entry, request, upstream);
+	const upstream_t *source = drain_export_source(entry, request, upstream);
 
 	request->state = REQUEST_RUNNING;
 	request->attempt = entry->next_id++;
 	request->attempts++;
 	request->imports_kv = source != NULL;
-	dispatch_reset(entry, request);
+	dispatch_reset_attempt(entry, request);
 	if (source) {
 		action->dispatch.kv_address = g_strdup(source->vm.address);
 		action->dispatch.kv_port = source->vm.port;
@@ -79,13 +79,13 @@
 	upstream_sent(upstream);
 	entry->running_of[request->priority]++;
 	g_hash_table_insert(entry->running, &request->attempt, request);
-	dispatch_fill(entry, request, &upstream->vm, &action->dispatch);
+	dispatch_fill_action(entry, request, &upstream->vm, &action->dispatch);
 	list_append(entry->actions, &action->node);
 }
 
 /* Sends a request whose attempt was dropped on to that upstream, for REASON. */
-void dispatch_move(entry_t *entry, request_t *request, upstream_t *target,
-		   const char *reason)
+void dispatch_send_to(entry_t *entry, request_t *request, upstream_t *target,
+		      const char *reason)
 {
 	char *from = g_strdup(request->vm_id);
 	char *why;
@@ -114,8 +114,8 @@
 	};
 }
 
-static void dispatch_chosen(entry_t *entry, request_t *request, uint64_t prefix,
-			    route_choice_t *choice)
+static void dispatch_send_chosen(entry_t *entry, request_t *request,
+				 uint64_t prefix, route_choice_t *choice)
 {
 	entry_log_decision(entry, request->id, "route", choice->upstream->vm.id,
 			   choice->reason, choice->passed_over);
@@ -136,7 +136,7 @@
 
 	switch (route_choose(entry->upstreams, &query, &choice)) {
 	case ROUTE_CHOSEN:
-		dispatch_chosen(entry, request, query.prefix, &choice);
+		dispatch_send_chosen(entry, request, query.prefix, &choice);
 		return true;
 	case ROUTE_ALL_BUSY:
 		entry_log_decision(entry, request->id, "route", "wait",
@@ -152,7 +152,7 @@
 }
 
 /* Sends out a request that waits, if there is room; returns what was found. */
-route_result_t dispatch_waiting(entry_t *entry, request_t *request)
+route_result_t dispatch_queued(entry_t *entry, request_t *request)
 {
 	route_query_t query = dispatch_query(entry, request);
 	route_choice_t choice;
@@ -160,13 +160,13 @@
 
 	if (result == ROUTE_CHOSEN) {
 		queue_remove(entry, request);
-		dispatch_chosen(entry, request, query.prefix, &choice);
+		dispatch_send_chosen(entry, request, query.prefix, &choice);
 	}
 	return result;
 }
 
 /* Forgets the attempt under way and tells the adapter to drop it. */
-void dispatch_drop_attempt(entry_t *entry, request_t *request)
+void dispatch_cancel_attempt(entry_t *entry, request_t *request)
 {
 	upstream_t *upstream = upstreams_find(entry->upstreams, request->vm_id);
 	action_t *action = action_create(ACTION_CANCEL);
@@ -187,23 +187,23 @@
 }
 
 /* Returns how long the attempt may stay without a sign of life. */
-static pd_time_t dispatch_silent_max(const entry_t *entry, const request_t *request)
+static pd_time_t dispatch_silence_max(const entry_t *entry, const request_t *request)
 {
 	double bytes =
 		(double)(g_bytes_get_size(request->body) + request->emitted->len);
 	double setup = bytes / PREFIX_BYTES_PER_TOKEN * entry->move_costs.recompute;
 
 	if (request->started)
-		return SILENT_MAX;
-	return SILENT_MAX + (pd_time_t)(SETUP_MARGIN * setup);
+		return SILENCE_MAX;
+	return SILENCE_MAX + (pd_time_t)(PREFILL_TIME_FACTOR * setup);
 }
 
 /*
  * Says whether the attempt should be left: it is silent, or a plain service's
  * VM goes. Streams on a VM that goes are drain_check()'s.
  */
-static bool dispatch_should_leave(const entry_t *entry, const request_t *request,
-				  failure_cause_t *cause)
+static bool dispatch_should_cancel(const entry_t *entry, const request_t *request,
+				   failure_cause_t *cause)
 {
 	const upstream_t *upstream =
 		upstreams_find(entry->upstreams, request->vm_id);
@@ -214,8 +214,8 @@
 		return false; /* it can't be sent again; only wait */
 	if (request->target.kind == TARGET_MODEL)
 		return entry->now - request->last_progress_at >=
-		       dispatch_silent_max(entry, request);
-	return announced && upstream->leaves_at - entry->now <= MOVE_BEFORE;
+		       dispatch_silence_max(entry, request);
+	return announced && upstream->leaves_at - entry->now <= SERVICE_MOVE_LEAD;
 }
 
 static void dispatch_check_one(entry_t *entry, request_t *request)
@@ -223,22 +223,22 @@
 	failure_cause_t cause;
 
 	if (entry->now >= request->deadline) {
-		request_give_up(entry, request, REASON_TOO_LATE, RETRY_SOON);
+		request_fail(entry, request, REASON_TOO_LATE, RETRY_AFTER_SHORT);
 		return;
 	}
 	if (request->retry_at && entry->now >= request->retry_at) {
-		attempt_resume(entry, request);
+		attempt_redispatch(entry, request);
 		return;
 	}
 	if (request->state != REQUEST_RUNNING ||
-	    !dispatch_should_leave(entry, request, &cause))
+	    !dispatch_should_cancel(entry, request, &cause))
 		return;
-	dispatch_drop_attempt(entry, request);
-	attempt_again(entry, request, cause);
+	dispatch_cancel_attempt(entry, request);
+	attempt_retry(entry, request, cause);
 }
 
 /* Ends what is past its deadline and moves what is silent or must leave. */
-void dispatch_check(entry_t *entry)
+void dispatch_check_all(entry_t *entry)
 {
 	GPtrArray *all = g_ptr_array_new();
 	GHashTableIter it;
--- a/core/drain.c
+++ b/core/drain.c
@@ -61,8 +61,9 @@
  * Returns the VM from which an attempt on TARGET should import the request's KV
  * cache, or NULL if there is none, or computing anew is quicker.
  */
-const upstream_t *drain_export(const entry_t *entry, const request_t *request,
-			       const upstream_t *target)
+const upstream_t *drain_export_source(const entry_t *entry,
+				      const request_t *request,
+				      const upstream_t *target)
 {
 	const upstream_t *source = NULL;
 	move_stream_t stream = drain_stream(entry, request);
@@ -74,7 +75,7 @@
 		source = drain_source(entry, request);
 	if (!source || source == target)
 		return NULL;
-	count = drain_prefixes(request, prefixes);
+	count = drain_hash_prefixes(request, prefixes);
 	cached = upstream_cached_tokens(target, prefixes, count);
 	if (!move_should_import(&entry->move_costs, &stream, cached,
 				source->leaves_at - entry->now))
@@ -83,7 +84,7 @@
 }
 
 /* Fills HASHES for the prompt and the text so far; returns how many. */
-size_t drain_prefixes(const request_t *request, uint64_t *hashes)
+size_t drain_hash_prefixes(const request_t *request, uint64_t *hashes)
 {
 	gsize len;
 	const char *prompt = g_bytes_get_data(request->body, &len);
@@ -118,7 +119,7 @@
 	upstream_t *likely;
 	unsigned int cached;
 
-	query.prefix_count = drain_prefixes(request, prefixes);
+	query.prefix_count = drain_hash_prefixes(request, prefixes);
 	likely = move_choose(entry->upstreams, &entry->move_costs, &query);
 	if (!likely)
 		return NULL;
@@ -142,7 +143,7 @@
 	query->pressing = true;
 	query->zone = upstreams_zone(entry->upstreams);
 	query->prefixes = prefixes;
-	query->prefix_count = drain_prefixes(request, prefixes);
+	query->prefix_count = drain_hash_prefixes(request, prefixes);
 	query->held = drain_held(request);
 }
 
@@ -174,7 +175,7 @@
 					       &entry->move_costs, &query);
 	}
 	if (target)
-		dispatch_move(entry, request, target, "its attempt broke");
+		dispatch_send_to(entry, request, target, "its attempt broke");
 	else
 		request->retry_at = entry->now + PACE_WAIT;
 	return true;
@@ -227,12 +228,12 @@
 
 	if (!target && source->leaves_at > entry->now)
 		return false;
-	dispatch_drop_attempt(entry, request);
+	dispatch_cancel_attempt(entry, request);
 	request->kv_exportable = request->started;
 	if (target)
-		dispatch_move(entry, request, target, "its VM leaves");
+		dispatch_send_to(entry, request, target, "its VM leaves");
 	else
-		attempt_resume(entry, request);
+		attempt_redispatch(entry, request);
 	return true;
 }
 
--- a/core/entry.c
+++ b/core/entry.c
@@ -268,11 +268,11 @@
 	if (msg->kind == PEER_HANDOVER)
 		adopt_handover(entry, msg);
 	else if (msg->kind == PEER_HANDOVER_ACK && msg->about)
-		handover_acknowledged(entry, msg->about);
+		handover_handle_ack(entry, msg->about);
 	else if (msg->kind == PEER_FIND)
 		adopt_handle_find(entry, msg);
 	else if (msg->kind == PEER_FOUND)
-		resume_found(entry, msg);
+		resume_handle_found(entry, msg);
 }
 
 static void entry_handle_peer_msg(entry_t *entry, const peer_msg_t *msg)
@@ -334,7 +334,7 @@
 	while ((node = list_pop(&results))) {
 		claim_result_t *result = LIST_ENTRY(node, claim_result_t, node);
 
-		admission_claimed(entry, result);
+		admission_handle_claim(entry, result);
 		claim_result_destroy(result);
 	}
 	queue_run(entry);
@@ -394,7 +394,7 @@
 {
 	/* Walks all members, so not after each event: tokens are events too. */
 	claims_set_entries(entry->claims, members_alive(entry->members));
-	dispatch_check(entry);
+	dispatch_check_all(entry);
 	handover_run(entry);
 	resume_run(entry);
 	adopt_run(entry);
@@ -420,13 +420,13 @@
 		entry_begin_stop(entry);
 		break;
 	case EVENT_REQUEST:
-		admission_arrive(entry, &event->request);
+		admission_handle_request(entry, &event->request);
 		break;
 	case EVENT_CALLER_GONE:
-		admission_caller_gone(entry, event->caller);
+		admission_handle_disconnect(entry, event->caller);
 		break;
 	case EVENT_UPSTREAM:
-		attempt_upstream(entry, &event->upstream);
+		attempt_handle_event(entry, &event->upstream);
 		break;
 	case EVENT_LOAD:
 		entry_handle_load_report(entry, &event->load);
--- a/core/entry_state.h
+++ b/core/entry_state.h
@@ -154,18 +154,18 @@
 void request_destroy(void *data);
 void request_reply(entry_t *entry, const request_t *request, action_kind_t kind,
 		   const char *data, size_t len, int status);
-void request_give_up(entry_t *entry, request_t *request,
-		     refusal_reason_t reason, pd_time_t retry_after);
+void request_fail(entry_t *entry, request_t *request, refusal_reason_t reason,
+		  pd_time_t retry_after);
 void request_end(entry_t *entry, request_t *request);
 
 /* admission.c */
-void admission_arrive(entry_t *entry, const caller_request_t *from);
-void admission_claimed(entry_t *entry, const claim_result_t *result);
-void admission_caller_gone(entry_t *entry, caller_id_t caller);
+void admission_handle_request(entry_t *entry, const caller_request_t *from);
+void admission_handle_claim(entry_t *entry, const claim_result_t *result);
+void admission_handle_disconnect(entry_t *entry, caller_id_t caller);
 
 /* handover.c */
 void handover_run(entry_t *entry);
-void handover_acknowledged(entry_t *entry, const char *request_id);
+void handover_handle_ack(entry_t *entry, const char *request_id);
 
 /* adopt.c */
 void adopted_answer_destroy(void *data);
@@ -177,27 +177,28 @@
 
 /* resume.c */
 void resume_start(entry_t *entry, request_t *request, const char *resume_id);
-void resume_found(entry_t *entry, const peer_msg_t *msg);
+void resume_handle_found(entry_t *entry, const peer_msg_t *msg);
 void resume_run(entry_t *entry);
 
 /* dispatch.c */
 bool dispatch_request(entry_t *entry, request_t *request);
-route_result_t dispatch_waiting(entry_t *entry, request_t *request);
-void dispatch_check(entry_t *entry);
-void dispatch_drop_attempt(entry_t *entry, request_t *request);
-void dispatch_move(entry_t *entry, request_t *request, upstream_t *target,
-		   const char *reason);
+route_result_t dispatch_queued(entry_t *entry, request_t *request);
+void dispatch_check_all(entry_t *entry);
+void dispatch_cancel_attempt(entry_t *entry, request_t *request);
+void dispatch_send_to(entry_t *entry, request_t *request, upstream_t *target,
+		      const char *reason);
 
 /* attempt.c */
-void attempt_upstream(entry_t *entry, const upstream_event_t *event);
-void attempt_resume(entry_t *entry, request_t *request);
-void attempt_again(entry_t *entry, request_t *request, failure_cause_t cause);
+void attempt_handle_event(entry_t *entry, const upstream_event_t *event);
+void attempt_redispatch(entry_t *entry, request_t *request);
+void attempt_retry(entry_t *entry, request_t *request, failure_cause_t cause);
 
 /* drain.c */
 void drain_check(entry_t *entry);
 bool drain_resume(entry_t *entry, request_t *request);
-size_t drain_prefixes(const request_t *request, uint64_t *hashes);
-const upstream_t *drain_export(const entry_t *entry, const request_t *request,
-			       const upstream_t *target);
+size_t drain_hash_prefixes(const request_t *request, uint64_t *hashes);
+const upstream_t *drain_export_source(const entry_t *entry,
+				      const request_t *request,
+				      const upstream_t *target);
 
 #endif
--- a/core/handover.c
+++ b/core/handover.c
@@ -95,7 +95,7 @@
 static void handover_begin(entry_t *entry, request_t *request)
 {
 	if (request->state == REQUEST_RUNNING)
-		dispatch_drop_attempt(entry, request);
+		dispatch_cancel_attempt(entry, request);
 	queue_remove(entry, request);
 	request->state = REQUEST_MOVING;
 	handover_offer(entry, request);
@@ -107,7 +107,7 @@
 
 	if (request->target.kind != TARGET_MODEL) {
 		if (left <= REFUSE_LEAD)
-			request_give_up(entry, request, REASON_STOPPING, PD_SEC);
+			request_fail(entry, request, REASON_STOPPING, PD_SEC);
 		return;
 	}
 	if (request->state == REQUEST_FINDING)
@@ -147,7 +147,7 @@
 }
 
 /* A peer has a request; its caller may go there. */
-void handover_acknowledged(entry_t *entry, const char *request_id)
+void handover_handle_ack(entry_t *entry, const char *request_id)
 {
 	GHashTableIter it;
 	void *value;
--- a/core/queue.c
+++ b/core/queue.c
@@ -83,7 +83,7 @@
 			break;
 		if (busy_has(&busy, request->target.name))
 			continue;
-		switch (dispatch_waiting(entry, request)) {
+		switch (dispatch_queued(entry, request)) {
 		case ROUTE_CHOSEN:
 			sent++;
 			break;
--- a/core/request.c
+++ b/core/request.c
@@ -21,8 +21,8 @@
 }
 
 /* Asks for the claim without which this call may not be dispatched. */
-static void request_claim(entry_t *entry, request_t *request,
-			  const caller_request_t *from)
+static void request_acquire_claim(entry_t *entry, request_t *request,
+				  const caller_request_t *from)
 {
 	const account_t *account = bundle_account(entry->bundle, from->key_hash);
 	char *digest = request_digest(request->target.name, request->path,
@@ -72,7 +72,7 @@
 	request->deadline = entry->now + target->timeout;
 	g_hash_table_insert(entry->requests, &request->caller, request);
 	if (!target->repeatable)
-		request_claim(entry, request, from);
+		request_acquire_claim(entry, request, from);
 	return request;
 }
 
@@ -120,7 +120,7 @@
 void request_end(entry_t *entry, request_t *request)
 {
 	if (request->state == REQUEST_RUNNING)
-		dispatch_drop_attempt(entry, request);
+		dispatch_cancel_attempt(entry, request);
 	if (request->state == REQUEST_CLAIMING)
 		g_hash_table_remove(entry->claiming, &request->attempt);
 	if (request->state == REQUEST_FINDING)
@@ -136,13 +136,13 @@
  * caller's retry can run. Else the outcome is unknown, and a claim stays held
  * for ever, because the call may have run.
  */
-void request_give_up(entry_t *entry, request_t *request,
-		     refusal_reason_t reason, pd_time_t retry_after)
+void request_fail(entry_t *entry, request_t *request, refusal_reason_t reason,
+		  pd_time_t retry_after)
 {
 	refusal_t refusal = REFUSAL_NOT_RUN;
 
 	if (request->state == REQUEST_RUNNING)
-		dispatch_drop_attempt(entry, request);
+		dispatch_cancel_attempt(entry, request);
 	if (request->written)
 		refusal = REFUSAL_OUTCOME_UNKNOWN;
 	else if (request->claim_key)
--- a/core/resume.c
+++ b/core/resume.c
@@ -6,7 +6,7 @@
 
 #include "core/entry_state.h"
 
-#define RETRY_LATER (5 * PD_SEC)
+#define RETRY_AFTER_LONG (5 * PD_SEC)
 /*
  * The entry that gave a request away chose among the first three of its own
  * ranking, which leaves itself out; the fourth makes up for that.
@@ -21,11 +21,12 @@
 		g_hash_table_remove(entry->finding, &request->attempt);
 	request->state = REQUEST_WAITING;
 	if (!dispatch_request(entry, request))
-		request_give_up(entry, request, REASON_NO_UPSTREAM, RETRY_LATER);
+		request_fail(entry, request, REASON_NO_UPSTREAM, RETRY_AFTER_LONG);
 }
 
 /* Gives the caller what was held for it, as one event, and goes on. */
-static void resume_take(entry_t *entry, request_t *request, const peer_msg_t *found)
+static void resume_with_found(entry_t *entry, request_t *request,
+			      const peer_msg_t *found)
 {
 	const handover_t *held = &found->handover;
 	const char *tail;
@@ -62,7 +63,8 @@
 	       !strcmp(held->account, request->account);
 }
 
-static void resume_ask(entry_t *entry, request_t *request, const char *event_id)
+static void resume_query_peers(entry_t *entry, request_t *request,
+			       const char *event_id)
 {
 	GPtrArray *rank =
 		members_rank(entry->members, request->resume_id, FIND_FANOUT);
@@ -93,22 +95,22 @@
 
 	request->resume_id = g_strdup(resume_id);
 	if (resume_matches(request, found))
-		resume_take(entry, request, found);
+		resume_with_found(entry, request, found);
 	else
-		resume_ask(entry, request, event_id);
+		resume_query_peers(entry, request, event_id);
 	peer_msg_destroy(found);
 	g_free(event_id);
 }
 
 /* Takes a peer's answer to a search; one that comes late is ignored. */
-void resume_found(entry_t *entry, const peer_msg_t *msg)
+void resume_handle_found(entry_t *entry, const peer_msg_t *msg)
 {
 	request_t *request = g_hash_table_lookup(entry->finding, &msg->sequence);
 
 	if (!request)
 		return;
 	if (resume_matches(request, msg))
-		resume_take(entry, request, msg);
+		resume_with_found(entry, request, msg);
 	else if (--request->pending_replies == 0)
 		resume_dispatch(entry, request);
 }
