--- a/core/admission.c
+++ b/core/admission.c
@@ -111,7 +111,7 @@
 
 	if (!target)
 		return;
-	retry_budget_earn(&entry->retry_budget);
+	retry_budget_credit(&entry->retry_budget);
 	request = request_create(entry, from, target);
 	if (request->state == REQUEST_CLAIMING)
 		return;
--- a/core/queue.c
+++ b/core/queue.c
@@ -6,18 +6,19 @@
 
 #include <string.h>
 
-#define BUSY_MAX 8 /* targets found busy that one pass remembers */
+#define FULL_TARGETS_MAX \
+	8 /* targets found full_targets that one pass remembers */
 /*
  * A steady stream of normal work would hold batch work back until its deadline.
  * So of each this many sent from the queues below urgent one is a batch request.
  */
-#define BATCH_SHARE 8
+#define BATCH_INTERVAL 8
 
 /* The targets that one pass over a queue found with no room. */
-typedef struct busy {
-	const char *names[BUSY_MAX];
+typedef struct full_targets {
+	const char *names[FULL_TARGETS_MAX];
 	unsigned int count;
-} busy_t;
+} full_targets_t;
 
 /* Puts a request into the queue of its priority, at its end or its head. */
 void queue_add(entry_t *entry, request_t *request, bool first)
@@ -50,16 +51,17 @@
 	if (priority != PRIORITY_BATCH)
 		return running[priority];
 	share = (double)(running[PRIORITY_NORMAL] + running[PRIORITY_BATCH]) /
-		BATCH_SHARE;
+		BATCH_INTERVAL;
 	return entry->queued[PRIORITY_NORMAL]
 		       ? share
 		       : MAX(running[PRIORITY_BATCH], share);
 }
 
-static bool busy_has(const busy_t *busy, const char *name)
+static bool full_targets_contain(const full_targets_t *full_targets,
+				 const char *name)
 {
-	for (unsigned int i = 0; i < busy->count; i++) {
-		if (!strcmp(busy->names[i], name))
+	for (unsigned int i = 0; i < full_targets->count; i++) {
+		if (!strcmp(full_targets->names[i], name))
 			return true;
 	}
 	return false;
@@ -70,18 +72,18 @@
  * had no room for one request has none for the next of the same priority, so
  * it is asked about once a pass.
  */
-static unsigned int queue_pass(entry_t *entry, priority_t priority,
-			       unsigned int limit)
+static unsigned int queue_dispatch(entry_t *entry, priority_t priority,
+				   unsigned int limit)
 {
-	busy_t busy = { .count = 0 };
+	full_targets_t full_targets = { .count = 0 };
 	unsigned int sent = 0;
 
 	LIST_FOR_EACH_SAFE (it, &entry->queues[priority]) {
 		request_t *request = LIST_ENTRY(it, request_t, node);
 
-		if (sent >= limit || busy.count >= BUSY_MAX)
+		if (sent >= limit || full_targets.count >= FULL_TARGETS_MAX)
 			break;
-		if (busy_has(&busy, request->target.name))
+		if (full_targets_contain(&full_targets, request->target.name))
 			continue;
 		switch (dispatch_queued(entry, request)) {
 		case ROUTE_CHOSEN:
@@ -89,7 +91,8 @@
 			break;
 		case ROUTE_ALL_BUSY:
 		case ROUTE_NONE:
-			busy.names[busy.count++] = request->target.name;
+			full_targets.names[full_targets.count++] =
+				request->target.name;
 			break;
 		}
 	}
@@ -105,22 +108,22 @@
 	if (!entry->room_may_exist)
 		return;
 	entry->room_may_exist = false;
-	queue_pass(entry, PRIORITY_URGENT, G_MAXUINT);
+	queue_dispatch(entry, PRIORITY_URGENT, G_MAXUINT);
 	for (;;) {
 		unsigned int sent = 0;
 
-		if (entry->normal_since_batch >= BATCH_SHARE - 1) {
-			sent = queue_pass(entry, PRIORITY_BATCH, 1);
+		if (entry->normal_since_batch >= BATCH_INTERVAL - 1) {
+			sent = queue_dispatch(entry, PRIORITY_BATCH, 1);
 			/* With no room for it, its turn is still to come. */
 			if (sent)
 				entry->normal_since_batch = 0;
 		}
-		if (!sent && queue_pass(entry, PRIORITY_NORMAL, 1)) {
+		if (!sent && queue_dispatch(entry, PRIORITY_NORMAL, 1)) {
 			entry->normal_since_batch++;
 			sent = 1;
 		}
 		if (!sent)
 			break;
 	}
-	queue_pass(entry, PRIORITY_BATCH, G_MAXUINT);
+	queue_dispatch(entry, PRIORITY_BATCH, G_MAXUINT);
 }
--- a/core/retry_budget.h
+++ b/core/retry_budget.h
@@ -13,7 +13,7 @@
 } retry_budget_t;
 
 void retry_budget_init(retry_budget_t *budget);
-void retry_budget_earn(retry_budget_t *budget);
+void retry_budget_credit(retry_budget_t *budget);
 bool retry_budget_spend(retry_budget_t *budget);
 
 #endif
