--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -43,7 +43,7 @@
 				.prefix = 7,
 				.cache = drive->entry->prefixes,
 				.rand = drive->entry->rand,
-				.sharers = 6,
+				.sender_count = 6,
 				.now = drive->now };
 
 	for (unsigned int i = 1; i <= 3; i++) {
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -101,17 +101,16 @@
 
 static route_query_t dispatch_query(entry_t *entry, const request_t *request)
 {
-	return (route_query_t){
-		.target = &request->target,
-		.priority = request->priority,
-		.avoid = request->vm_id,
-		.prefix = prefix_of(request->body),
-		.cache = entry->prefixes,
-		.rand = entry->rand,
-		.sharers = upstreams_sharers(entry->upstreams,
-					     members_alive(entry->members)),
-		.now = entry->now
-	};
+	return (route_query_t){ .target = &request->target,
+				.priority = request->priority,
+				.avoid = request->vm_id,
+				.prefix = prefix_of(request->body),
+				.cache = entry->prefixes,
+				.rand = entry->rand,
+				.sender_count = upstreams_senders_per_upstream(
+					entry->upstreams,
+					members_alive(entry->members)),
+				.now = entry->now };
 }
 
 static void dispatch_send_chosen(entry_t *entry, request_t *request,
--- a/core/move.c
+++ b/core/move.c
@@ -33,8 +33,8 @@
  * An upstream that refused or broke an attempt a moment ago looks idle, and by
  * its load would be tried first by every stream that looks for a place.
  */
-#define FAILED_COST 10e6 /* microseconds */
-#define FAILED_MEMORY (5 * PD_SEC)
+#define RECENT_FAILURE_COST 10e6 /* microseconds */
+#define RECENT_FAILURE_TIME (5 * PD_SEC)
 
 /* Sets costs that are plausible before any start was seen. */
 void move_costs_init(move_costs_t *costs)
@@ -110,8 +110,9 @@
 	cost += load * OTHER_ZONE_COST;
 	if (strcmp(upstream->vm.zone, query->zone) != 0)
 		cost += OTHER_ZONE_COST;
-	if (upstream->failed_at && query->now - upstream->failed_at < FAILED_MEMORY)
-		cost += FAILED_COST;
+	if (upstream->failed_at &&
+	    query->now - upstream->failed_at < RECENT_FAILURE_TIME)
+		cost += RECENT_FAILURE_COST;
 	return cost;
 }
 
--- a/core/route.c
+++ b/core/route.c
@@ -9,34 +9,36 @@
 
 #include "core/prefix.h"
 
-#define ZONE_MS 1.0 /* another zone: half a millisecond more each way */
-#define FAILED_MS 500.0 /* an attempt failed there a moment ago */
-#define FAILED_MEMORY (5 * PD_SEC)
-#define RECLAIM_MS 10.0 /* urgent work on a VM that may vanish */
-#define AHEAD_MS 6.0 /* each request in the batch, by its prompt's work */
-#define PREFIX_MS 150.0 /* computing a prefix that is not cached */
-#define PASSED_OVER_MAX 6 /* named in the log; more would hide the choice */
-#define CHOICES 2 /* drawn at random, besides those that hold the prefix */
-#define RESERVED_PART 8 /* one slot in so many is for urgent work */
+#define CROSS_ZONE_MS 1.0 /* another zone: half a millisecond more each way */
+#define RECENT_FAILURE_MS 500.0 /* an attempt failed there a moment ago */
+#define RECENT_FAILURE_TIME (5 * PD_SEC)
+#define RECLAIM_RISK_MS 10.0 /* urgent work on a VM that may vanish */
+#define LOAD_MS 6.0 /* each request in the batch, by its prompt's work */
+#define PREFILL_MS 150.0 /* computing a prefix that is not cached */
+#define LOGGED_CANDIDATES_MAX \
+	6 /* named in the log; more would hide the choice */
+#define RANDOM_CHOICES \
+	2 /* sampled at random, besides those that hold the prefix */
+#define URGENT_RESERVE_DIVISOR 8 /* one slot in so many is for urgent work */
 /*
  * When a burst begins, reports still call every engine empty for a second; were
  * all of it open, all entries would fill it at once. So each may use at most this
  * many times its fair share.
  */
-#define BORROWED_MAX 2
-#define BATCHING_MIN 8 /* slots; with fewer an engine hardly batches */
+#define FAIR_SHARE_FACTOR 2
+#define BATCHING_SLOTS_MIN 8 /* slots; with fewer an engine hardly batches */
 
-/* What one walk over the subset found. */
-typedef struct route_walk {
+/* What one candidates over the subset found. */
+typedef struct candidates {
 	upstream_t *best;
 	double best_score;
 	unsigned int usable;
-	unsigned int open; /* of them with room */
-	double fair; /* slots that are this entry's by right */
+	unsigned int available; /* of them with room */
+	double fair_share; /* slots that are this entry's by right */
 	unsigned int running; /* attempts of this entry, all upstreams */
-	GString *passed;
-	unsigned int named;
-} route_walk_t;
+	GString *log_text;
+	unsigned int log_count;
+} candidates_t;
 
 /*
  * Returns how many slots of the upstream work of that priority may fill. Urgent
@@ -44,13 +46,14 @@
  * next one that comes free, sooner than an entry hears of it. One that has
  * refused work for being full is not tried so again.
  */
-static unsigned int route_room(const upstream_t *upstream, priority_t priority)
+static unsigned int route_slots_for_priority(const upstream_t *upstream,
+					     priority_t priority)
 {
 	unsigned int slots = upstream->vm.slots;
 
 	if (priority != PRIORITY_URGENT)
-		return slots - slots / RESERVED_PART;
-	if (slots < BATCHING_MIN || upstream->refuses_when_full)
+		return slots - slots / URGENT_RESERVE_DIVISOR;
+	if (slots < BATCHING_SLOTS_MIN || upstream->refuses_when_full)
 		return slots;
 	return 2 * slots;
 }
@@ -58,18 +61,19 @@
 static double route_score(upstreams_t *upstreams, const upstream_t *upstream,
 			  const route_query_t *query, bool cached)
 {
-	double score = upstream_load(upstream) * AHEAD_MS;
+	double score = upstream_load(upstream) * LOAD_MS;
 
 	if (query->prefix && !cached)
-		score += PREFIX_MS;
+		score += PREFILL_MS;
 	if (strcmp(upstream->vm.zone, upstreams_zone(upstreams)))
-		score += ZONE_MS;
-	if (upstream->failed_at && query->now - upstream->failed_at < FAILED_MEMORY)
-		score += FAILED_MS;
+		score += CROSS_ZONE_MS;
+	if (upstream->failed_at &&
+	    query->now - upstream->failed_at < RECENT_FAILURE_TIME)
+		score += RECENT_FAILURE_MS;
 	if (query->avoid && !strcmp(query->avoid, upstream->vm.id))
-		score += FAILED_MS;
+		score += RECENT_FAILURE_MS;
 	if (query->priority == PRIORITY_URGENT && upstream->vm.reclaimable)
-		score += RECLAIM_MS;
+		score += RECLAIM_RISK_MS;
 	return score;
 }
 
@@ -87,56 +91,62 @@
  * time. By reports alone all entries would see the same room and fill it
  * together, seen under overload as engines with long queues of their own.
  */
-static bool route_is_open(const upstream_t *upstream,
-			  const route_query_t *query, const route_walk_t *walk)
+static bool route_has_capacity(const upstream_t *upstream,
+			       const route_query_t *query,
+			       const candidates_t *candidates)
 {
-	unsigned int room = route_room(upstream, query->priority);
+	unsigned int slots = route_slots_for_priority(upstream, query->priority);
 
 	if (!route_serves(upstream, query->target) || !upstream_is_usable(upstream))
 		return false;
-	if (walk->running < walk->fair && upstream->running < room / query->sharers)
+	if (candidates->running < candidates->fair_share &&
+	    upstream->running < slots / query->sender_count)
 		return true;
-	return upstream->running < MAX(BORROWED_MAX * room / query->sharers,
-				       upstream->allowance) &&
-	       upstream->running + upstream->others_peak + 1 <= room;
+	return upstream->running <
+		       MAX(FAIR_SHARE_FACTOR * slots / query->sender_count,
+			   upstream->allowance) &&
+	       upstream->running + upstream->others_peak + 1 <= slots;
 }
 
 /*
- * Draws which of the open upstreams, by their place in the walk, compete. If
+ * Draws which of the open upstreams, by their index in the candidates, compete. If
  * every entry took the best of all by reports that are a second old, they would
  * all load the same one until the next report; seen as engines taking turns at
  * long queues. Two choices at random spread the load nearly as well, and no two
  * entries draw the same.
  */
-static void route_draw(GRand *rand, unsigned int open, unsigned int *drawn)
+static void route_sample(GRand *rand, unsigned int available, unsigned int *sampled)
 {
-	for (int i = 0; i < CHOICES; i++)
-		drawn[i] = (unsigned int)g_rand_int_range(rand, 0, (gint32)open);
+	for (int i = 0; i < RANDOM_CHOICES; i++)
+		sampled[i] = (unsigned int)g_rand_int_range(rand, 0,
+							    (gint32)available);
 }
 
-static bool route_is_drawn(const unsigned int *drawn, unsigned int place)
+static bool route_is_sampled(const unsigned int *sampled, unsigned int index)
 {
-	for (int i = 0; i < CHOICES; i++) {
-		if (drawn[i] == place)
+	for (int i = 0; i < RANDOM_CHOICES; i++) {
+		if (sampled[i] == index)
 			return true;
 	}
 	return false;
 }
 
-static void route_compare(route_walk_t *walk, upstream_t *upstream, double score)
+static void route_add_candidate(candidates_t *candidates, upstream_t *upstream,
+				double score)
 {
-	if (walk->named++ < PASSED_OVER_MAX)
-		g_string_append_printf(walk->passed, "%s%s=%.2f",
-				       walk->passed->len ? "," : "",
+	if (candidates->log_count++ < LOGGED_CANDIDATES_MAX)
+		g_string_append_printf(candidates->log_text, "%s%s=%.2f",
+				       candidates->log_text->len ? "," : "",
 				       upstream->vm.id, score);
-	if (!walk->best || score < walk->best_score) {
-		walk->best = upstream;
-		walk->best_score = score;
+	if (!candidates->best || score < candidates->best_score) {
+		candidates->best = upstream;
+		candidates->best_score = score;
 	}
 }
 
-static void route_count(upstreams_t *upstreams, const route_query_t *query,
-			route_walk_t *walk)
+static void route_count_candidates(upstreams_t *upstreams,
+				   const route_query_t *query,
+				   candidates_t *candidates)
 {
 	LIST_FOR_EACH (it, upstreams_list(upstreams)) {
 		upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
@@ -146,16 +156,19 @@
 		if (!route_serves(upstream, query->target) ||
 		    !upstream_is_usable(upstream))
 			continue;
-		walk->usable++;
-		walk->running += upstream->running;
-		walk->fair += route_room(upstream, query->priority) / query->sharers;
+		candidates->usable++;
+		candidates->running += upstream->running;
+		candidates->fair_share +=
+			route_slots_for_priority(upstream, query->priority) /
+			query->sender_count;
 	}
 	LIST_FOR_EACH (it, upstreams_list(upstreams)) {
 		const upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 
 		if (!upstream->chosen)
 			break;
-		walk->open += route_is_open(upstream, query, walk);
+		candidates->available +=
+			route_has_capacity(upstream, query, candidates);
 	}
 }
 
@@ -172,27 +185,28 @@
 				  query->now);
 }
 
-static void route_compete(upstreams_t *upstreams, const route_query_t *query,
-			  route_walk_t *walk)
+static void route_score_candidates(upstreams_t *upstreams,
+				   const route_query_t *query,
+				   candidates_t *candidates)
 {
-	unsigned int drawn[CHOICES];
-	unsigned int place = 0;
+	unsigned int sampled[RANDOM_CHOICES];
+	unsigned int index = 0;
 
-	route_draw(query->rand, walk->open, drawn);
+	route_sample(query->rand, candidates->available, sampled);
 	LIST_FOR_EACH (it, upstreams_list(upstreams)) {
 		upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 		bool cached;
 
 		if (!upstream->chosen)
 			break;
-		if (!route_is_open(upstream, query, walk))
+		if (!route_has_capacity(upstream, query, candidates))
 			continue;
 		cached = route_is_cached(upstream, query);
-		if (cached || route_is_drawn(drawn, place))
-			route_compare(walk, upstream,
-				      route_score(upstreams, upstream, query,
-						  cached));
-		place++;
+		if (cached || route_is_sampled(sampled, index))
+			route_add_candidate(candidates, upstream,
+					    route_score(upstreams, upstream,
+							query, cached));
+		index++;
 	}
 }
 
@@ -204,18 +218,18 @@
 route_result_t route_choose(upstreams_t *upstreams, const route_query_t *query,
 			    route_choice_t *choice)
 {
-	route_walk_t walk = { 0 };
+	candidates_t candidates = { 0 };
 
 	memset(choice, 0, sizeof(*choice));
-	route_count(upstreams, query, &walk);
-	if (!walk.open)
-		return walk.usable ? ROUTE_ALL_BUSY : ROUTE_NONE;
-	walk.passed = g_string_new(NULL);
-	route_compete(upstreams, query, &walk);
-	choice->upstream = walk.best;
+	route_count_candidates(upstreams, query, &candidates);
+	if (!candidates.available)
+		return candidates.usable ? ROUTE_ALL_BUSY : ROUTE_NONE;
+	candidates.log_text = g_string_new(NULL);
+	route_score_candidates(upstreams, query, &candidates);
+	choice->upstream = candidates.best;
 	choice->reason = g_strdup_printf("lowest score %.2f of %u usable",
-					 walk.best_score, walk.usable);
-	choice->passed_over = g_string_free(walk.passed, FALSE);
+					 candidates.best_score, candidates.usable);
+	choice->passed_over = g_string_free(candidates.log_text, FALSE);
 	return ROUTE_CHOSEN;
 }
 
--- a/core/route.h
+++ b/core/route.h
@@ -18,7 +18,7 @@
 	uint64_t prefix; /* of the prompt; 0 if it has none */
 	const prefix_cache_t *cache; /* borrowed */
 	GRand *rand; /* borrowed */
-	double sharers; /* entries that send to one upstream */
+	double sender_count; /* entries that send to one upstream */
 	pd_time_t now;
 } route_query_t;
 
--- a/core/upstreams.c
+++ b/core/upstreams.c
@@ -160,7 +160,8 @@
  * Returns how many of that many ENTRIES send to one upstream, on average: each
  * sends to its subset only.
  */
-double upstreams_sharers(const upstreams_t *upstreams, unsigned int entries)
+double upstreams_senders_per_upstream(const upstreams_t *upstreams,
+				      unsigned int entries)
 {
 	unsigned int all = g_hash_table_size(upstreams->by_id);
 
--- a/core/upstreams.h
+++ b/core/upstreams.h
@@ -56,7 +56,8 @@
 void upstream_started(upstream_t *upstream);
 unsigned int upstream_cached_tokens(const upstream_t *upstream,
 				    const uint64_t *prefixes, size_t count);
-double upstreams_sharers(const upstreams_t *upstreams, unsigned int entries);
+double upstreams_senders_per_upstream(const upstreams_t *upstreams,
+				      unsigned int entries);
 double upstream_load(const upstream_t *upstream);
 void vm_copy(vm_t *to, const vm_t *from);
 void vm_clear(vm_t *vm);
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -38,7 +38,7 @@
 				.prefix = prefix,
 				.cache = drive->entry->prefixes,
 				.rand = drive->entry->rand,
-				.sharers = 1,
+				.sender_count = 1,
 				.now = drive->now };
 
 	return route_choose(drive->entry->upstreams, &query, choice);
@@ -132,7 +132,7 @@
 				.priority = PRIORITY_NORMAL,
 				.cache = drive->entry->prefixes,
 				.rand = drive->entry->rand,
-				.sharers = 6,
+				.sender_count = 6,
 				.now = drive->now };
 	route_choice_t choice;
 
