--- a/core/attempt.c
+++ b/core/attempt.c
@@ -103,7 +103,7 @@
 	request->started = true;
 	request->rejections = 0;
 	if (upstream)
-		upstream_started(upstream);
+		upstream_record_start(upstream);
 	if (event->kind != UPSTREAM_STARTED)
 		return;
 	if (request->attempts > 1)
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -76,7 +76,7 @@
 	}
 	g_free(request->vm_id);
 	request->vm_id = g_strdup(upstream->vm.id);
-	upstream_sent(upstream);
+	upstream_record_send(upstream);
 	entry->running_of[request->priority]++;
 	g_hash_table_insert(entry->running, &request->attempt, request);
 	dispatch_fill_action(entry, request, &upstream->vm, &action->dispatch);
@@ -181,8 +181,8 @@
 	if (!upstream)
 		return;
 	if (!request->started)
-		upstream_started(upstream);
-	upstream_ended(upstream);
+		upstream_record_start(upstream);
+	upstream_record_end(upstream);
 }
 
 /* Returns how long the attempt may stay without a sign of life. */
--- a/core/entry.c
+++ b/core/entry.c
@@ -180,7 +180,7 @@
 {
 	pd_time_t leaves_at = entry->now + leaves_in;
 
-	if (!upstreams_leaving(entry->upstreams, vm_id, leaves_at))
+	if (!upstreams_record_notice(entry->upstreams, vm_id, leaves_at))
 		return;
 	members_announce_leaving(entry->members, vm_id, leaves_at);
 	entry_log_decision(entry, "-", "drain", vm_id, "told to leave", "");
@@ -300,7 +300,7 @@
 {
 	if (report->leaving)
 		entry_handle_vm_notice(entry, report->vm_id, report->leaves_in);
-	upstreams_report(entry->upstreams, report, entry->now);
+	upstreams_record_report(entry->upstreams, report, entry->now);
 	prefix_cache_news(entry->prefixes, report->vm_id, report->cache,
 			  report->cache_count, entry->now);
 	entry->room_may_exist = true;
--- a/core/route.c
+++ b/core/route.c
@@ -105,7 +105,7 @@
 	return upstream->running <
 		       MAX(FAIR_SHARE_FACTOR * slots / query->sender_count,
 			   upstream->allowance) &&
-	       upstream->running + upstream->others_peak + 1 <= slots;
+	       upstream->running + upstream->others_load_peak + 1 <= slots;
 }
 
 /*
@@ -151,7 +151,7 @@
 	LIST_FOR_EACH (it, upstreams_list(upstreams)) {
 		upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 
-		if (!upstream->chosen)
+		if (!upstream->in_subset)
 			break; /* the subset is in front */
 		if (!route_serves(upstream, query->target) ||
 		    !upstream_is_usable(upstream))
@@ -165,7 +165,7 @@
 	LIST_FOR_EACH (it, upstreams_list(upstreams)) {
 		const upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 
-		if (!upstream->chosen)
+		if (!upstream->in_subset)
 			break;
 		candidates->available +=
 			route_has_capacity(upstream, query, candidates);
@@ -180,7 +180,7 @@
 {
 	if (!query->prefix)
 		return false;
-	return prefix_set_covers(upstream->prefixes, &query->prefix, 1) ||
+	return prefix_set_covers(upstream->cached_prefixes, &query->prefix, 1) ||
 	       prefix_cache_holds(query->cache, upstream->vm.id, query->prefix,
 				  query->now);
 }
@@ -197,7 +197,7 @@
 		upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 		bool cached;
 
-		if (!upstream->chosen)
+		if (!upstream->in_subset)
 			break;
 		if (!route_has_capacity(upstream, query, candidates))
 			continue;
--- a/core/upstreams.c
+++ b/core/upstreams.c
@@ -25,33 +25,33 @@
  */
 #define PROBES_MISSED_MAX 2
 /* A notice must be this much earlier than the last to count as news. */
-#define NOTICE_EARLIER_MIN (1 * PD_SEC)
+#define NOTICE_ADVANCE_MIN (1 * PD_SEC)
 /*
  * A notice outlives its VM by this much, because the list may show the VM as
  * live for a while after it has gone. Then it is dropped: kept for ever, notices
  * would grow without bound, and an id given out again would never get work.
  */
-#define NOTICE_KEPT (60 * PD_SEC)
+#define NOTICE_TTL (60 * PD_SEC)
 
 /* What was said of a VM that leaves. */
 typedef struct notice {
 	pd_time_t leaves_at; /* the earliest time said: work ends by it */
-	pd_time_t latest; /* the latest: until then the VM may be there */
+	pd_time_t latest_leaves_at; /* the latest: until then the VM may be there */
 } notice_t;
-#define ALLOWED_GROWTH 1.5 /* by one report */
-#define ALLOWED_DECAY 0.8
+#define ALLOWANCE_GROWTH 1.5 /* by one report */
+#define ALLOWANCE_DECAY 0.8
 /*
  * The smoothed estimate follows reports with this time constant, however often
  * they come: a busy engine's come with every answer, an idle one's with a probe.
  */
-#define OTHERS_TIME (20 * PD_SEC)
+#define OTHERS_LOAD_TIME_CONSTANT (20 * PD_SEC)
 
 struct upstreams {
 	char *entry_id;
 	char *zone;
 	unsigned int subset;
 	pd_time_t next_probe_at;
-	unsigned int chosen; /* upstreams in the subset */
+	unsigned int subset_size; /* upstreams in the subset */
 	list_node_t list;
 	GHashTable *by_id; /* vm id -> upstream_t, owned */
 	GHashTable *leaving; /* vm id -> notice_t; may precede the list */
@@ -86,7 +86,7 @@
 
 	list_remove(&upstream->node);
 	vm_clear(&upstream->vm);
-	g_hash_table_unref(upstream->prefixes);
+	g_hash_table_unref(upstream->cached_prefixes);
 	g_free(upstream);
 }
 
@@ -143,8 +143,8 @@
 /* Says whether new work may go to this upstream at all. */
 bool upstream_is_usable(const upstream_t *upstream)
 {
-	return upstream->chosen && upstream->listed && !upstream->leaving &&
-	       upstream->missed < PROBES_MISSED_MAX;
+	return upstream->in_subset && upstream->listed && !upstream->leaving &&
+	       upstream->missed_probes < PROBES_MISSED_MAX;
 }
 
 /*
@@ -153,7 +153,7 @@
  */
 double upstream_load(const upstream_t *upstream)
 {
-	return upstream->running + upstream->others;
+	return upstream->running + upstream->others_load;
 }
 
 /*
@@ -165,18 +165,18 @@
 {
 	unsigned int all = g_hash_table_size(upstreams->by_id);
 
-	return MAX((double)entries * upstreams->chosen / MAX(all, 1), 1.0);
+	return MAX((double)entries * upstreams->subset_size / MAX(all, 1), 1.0);
 }
 
 /* Counts an attempt that is sent now. */
-void upstream_sent(upstream_t *upstream)
+void upstream_record_send(upstream_t *upstream)
 {
 	upstream->running++;
 	upstream->starting++;
 }
 
 /* Counts an attempt that has been heard of, or has ended before it was. */
-void upstream_started(upstream_t *upstream)
+void upstream_record_start(upstream_t *upstream)
 {
 	if (upstream->starting > 0)
 		upstream->starting--;
@@ -189,13 +189,14 @@
 unsigned int upstream_cached_tokens(const upstream_t *upstream,
 				    const uint64_t *prefixes, size_t count)
 {
-	size_t blocks = prefix_set_covers(upstream->prefixes, prefixes, count);
+	size_t blocks =
+		prefix_set_covers(upstream->cached_prefixes, prefixes, count);
 
 	return (unsigned int)(blocks * PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
 }
 
 /* Takes back an attempt that has ended. */
-void upstream_ended(upstream_t *upstream)
+void upstream_record_end(upstream_t *upstream)
 {
 	if (upstream->running > 0)
 		upstream->running--;
@@ -206,13 +207,13 @@
  * runs already. A balancer may send one entry nearly all the traffic; held to a
  * fixed part, it would refuse callers while engines idle.
  */
-static void upstream_allow(upstream_t *upstream, unsigned int load)
+static void upstream_update_allowance(upstream_t *upstream, unsigned int load)
 {
 	if (load < upstream->vm.slots)
 		upstream->allowance = MAX(upstream->allowance,
-					  upstream->running * ALLOWED_GROWTH);
+					  upstream->running * ALLOWANCE_GROWTH);
 	if (upstream->running < upstream->allowance / 2)
-		upstream->allowance *= ALLOWED_DECAY;
+		upstream->allowance *= ALLOWANCE_DECAY;
 }
 
 /*
@@ -222,21 +223,24 @@
  * seen as engines that take turns at long queues. What is left after this
  * entry's own part, smoothed over some reports, does not swing like that.
  */
-static void upstream_reported(upstream_t *upstream, unsigned int load, pd_time_t now)
+static void upstream_update_load(upstream_t *upstream, unsigned int load,
+				 pd_time_t now)
 {
-	double others = (double)load - upstream->running;
-	double weight =
-		MIN((double)(now - upstream->reported_at) / OTHERS_TIME, 1.0);
+	double others_load = (double)load - upstream->running;
+	double weight = MIN((double)(now - upstream->reported_at) /
+				    OTHERS_LOAD_TIME_CONSTANT,
+			    1.0);
 
 	if (!upstream->reported_at)
-		upstream->others = others;
+		upstream->others_load = others_load;
 	else
-		upstream->others += weight * (others - upstream->others);
-	upstream->others = MAX(upstream->others, 0);
-	upstream_allow(upstream, load);
-	upstream->others_peak +=
-		weight * (upstream->others - upstream->others_peak);
-	upstream->others_peak = MAX(upstream->others_peak, others);
+		upstream->others_load +=
+			weight * (others_load - upstream->others_load);
+	upstream->others_load = MAX(upstream->others_load, 0);
+	upstream_update_allowance(upstream, load);
+	upstream->others_load_peak +=
+		weight * (upstream->others_load - upstream->others_load_peak);
+	upstream->others_load_peak = MAX(upstream->others_load_peak, others_load);
 }
 
 static upstream_t *upstream_add(upstreams_t *upstreams, const vm_t *vm)
@@ -245,9 +249,9 @@
 	const notice_t *notice;
 
 	vm_copy(&upstream->vm, vm);
-	upstream->prefixes =
+	upstream->cached_prefixes =
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	upstream->rank = hash_pair(upstreams->entry_id, vm->id);
+	upstream->rendezvous_weight = hash_pair(upstreams->entry_id, vm->id);
 	list_append(&upstreams->list, &upstream->node);
 	g_hash_table_insert(upstreams->by_id, upstream->vm.id, upstream);
 	notice = g_hash_table_lookup(upstreams->leaving, vm->id);
@@ -259,21 +263,21 @@
 }
 
 /* Takes over a row that changed: an engine may be given another model. */
-static void upstream_refresh(upstream_t *upstream, const vm_t *vm)
+static void upstream_set_vm(upstream_t *upstream, const vm_t *vm)
 {
 	/* The table's key is this id, so it stays where it is. */
 	char *id = g_steal_pointer(&upstream->vm.id);
 
 	/* Another model's prefixes mean nothing to the new one. */
 	if (strcmp(upstream->vm.serves, vm->serves) != 0)
-		g_hash_table_remove_all(upstream->prefixes);
+		g_hash_table_remove_all(upstream->cached_prefixes);
 	vm_clear(&upstream->vm);
 	vm_copy(&upstream->vm, vm);
 	g_free(upstream->vm.id);
 	upstream->vm.id = id;
 }
 
-static gint upstream_compare(gconstpointer a, gconstpointer b)
+static gint compare_upstreams(gconstpointer a, gconstpointer b)
 {
 	const upstream_t *left = *(upstream_t *const *)a;
 	const upstream_t *right = *(upstream_t *const *)b;
@@ -281,7 +285,9 @@
 
 	if (by_name)
 		return by_name;
-	return left->rank < right->rank ? 1 : left->rank > right->rank ? -1 : 0;
+	return left->rendezvous_weight < right->rendezvous_weight   ? 1
+	       : left->rendezvous_weight > right->rendezvous_weight ? -1
+								    : 0;
 }
 
 /* Marks the SUBSET highest-ranking usable upstreams of each name as chosen. */
@@ -289,38 +295,38 @@
 {
 	GPtrArray *all = g_ptr_array_new();
 	const char *name = NULL;
-	unsigned int taken = 0;
+	unsigned int subset_count = 0;
 
 	LIST_FOR_EACH (it, &upstreams->list)
 		g_ptr_array_add(all, LIST_ENTRY(it, upstream_t, node));
-	g_ptr_array_sort(all, upstream_compare);
-	upstreams->chosen = 0;
+	g_ptr_array_sort(all, compare_upstreams);
+	upstreams->subset_size = 0;
 	for (guint i = 0; i < all->len; i++) {
 		upstream_t *upstream = g_ptr_array_index(all, i);
 
 		if (!name || strcmp(name, upstream->vm.serves)) {
 			name = upstream->vm.serves;
-			taken = 0;
+			subset_count = 0;
 		}
-		upstream->chosen = upstream->listed && !upstream->leaving &&
-				   taken < upstreams->subset;
-		if (upstream->chosen)
-			taken++;
-		upstreams->chosen += upstream->chosen;
+		upstream->in_subset = upstream->listed && !upstream->leaving &&
+				      subset_count < upstreams->subset;
+		if (upstream->in_subset)
+			subset_count++;
+		upstreams->subset_size += upstream->in_subset;
 	}
 	/* In front, so that a choice walks the subset and not the fleet. */
 	for (guint i = 0; i < all->len; i++) {
 		upstream_t *upstream = g_ptr_array_index(all, i);
 
 		list_remove(&upstream->node);
-		list_append(upstream->chosen ? upstreams->list.next
-					     : &upstreams->list,
+		list_append(upstream->in_subset ? upstreams->list.next
+						: &upstreams->list,
 			    &upstream->node);
 	}
 	g_ptr_array_unref(all);
 }
 
-static gboolean upstream_is_gone(void *key, void *value, void *data)
+static gboolean upstream_is_removable(void *key, void *value, void *data)
 {
 	const upstream_t *upstream = value;
 
@@ -329,7 +335,7 @@
 	return !upstream->listed && upstream->running == 0;
 }
 
-/* Drops the notices of VMs that went long ago; see NOTICE_KEPT. */
+/* Drops the notices of VMs that went long ago; see NOTICE_TTL. */
 static void notices_expire(upstreams_t *upstreams, pd_time_t now)
 {
 	GHashTableIter it;
@@ -338,7 +344,7 @@
 
 	g_hash_table_iter_init(&it, upstreams->leaving);
 	while (g_hash_table_iter_next(&it, &vm_id, &notice)) {
-		if (now - ((notice_t *)notice)->latest >= NOTICE_KEPT &&
+		if (now - ((notice_t *)notice)->latest_leaves_at >= NOTICE_TTL &&
 		    !upstreams_find(upstreams, vm_id))
 			g_hash_table_iter_remove(&it);
 	}
@@ -361,13 +367,13 @@
 		if (!upstream)
 			upstream = upstream_add(upstreams, &vms[i]);
 		else
-			upstream_refresh(upstream, &vms[i]);
+			upstream_set_vm(upstream, &vms[i]);
 		upstream->listed = true;
 		if (vms[i].state == VM_LEAVING)
-			upstreams_leaving(upstreams, vms[i].id,
-					  now + vms[i].leaves_in);
+			upstreams_record_notice(upstreams, vms[i].id,
+						now + vms[i].leaves_in);
 	}
-	g_hash_table_foreach_remove(upstreams->by_id, upstream_is_gone, NULL);
+	g_hash_table_foreach_remove(upstreams->by_id, upstream_is_removable, NULL);
 	notices_expire(upstreams, now);
 	choose_subset(upstreams);
 }
@@ -378,18 +384,19 @@
  * passing on; one that is hardly earlier is none, because a notice gets a little
  * earlier or later at each entry that passes it on, and would go round for ever.
  */
-bool upstreams_leaving(upstreams_t *upstreams, const char *vm_id, pd_time_t leaves_at)
+bool upstreams_record_notice(upstreams_t *upstreams, const char *vm_id,
+			     pd_time_t leaves_at)
 {
 	upstream_t *upstream = upstreams_find(upstreams, vm_id);
 	notice_t *notice = g_hash_table_lookup(upstreams->leaving, vm_id);
 
 	if (notice)
-		notice->latest = MAX(notice->latest, leaves_at);
-	if (notice && leaves_at > notice->leaves_at - NOTICE_EARLIER_MIN)
+		notice->latest_leaves_at = MAX(notice->latest_leaves_at, leaves_at);
+	if (notice && leaves_at > notice->leaves_at - NOTICE_ADVANCE_MIN)
 		return false;
 	if (!notice) {
 		notice = g_new0(notice_t, 1);
-		notice->latest = leaves_at;
+		notice->latest_leaves_at = leaves_at;
 		g_hash_table_insert(upstreams->leaving, g_strdup(vm_id), notice);
 	}
 	notice->leaves_at = leaves_at;
@@ -405,18 +412,20 @@
  * Takes news of an upstream's cache. After a gap what was known is kept: it is
  * a hint, and most of it still holds.
  */
-static void upstream_cache_news(upstream_t *upstream, const load_report_t *report)
+static void upstream_update_cached_prefixes(upstream_t *upstream,
+					    const load_report_t *report)
 {
 	for (size_t i = 0; i < report->cache_count; i++) {
 		const cache_event_t *news = &report->cache[i];
 
-		prefix_set_note(upstream->prefixes, news->prefix, news->held);
+		prefix_set_note(upstream->cached_prefixes, news->prefix,
+				news->held);
 	}
 }
 
 /* Takes what an upstream answered, or failed to answer, to a probe. */
-void upstreams_report(upstreams_t *upstreams, const load_report_t *report,
-		      pd_time_t now)
+void upstreams_record_report(upstreams_t *upstreams,
+			     const load_report_t *report, pd_time_t now)
 {
 	upstream_t *upstream = upstreams_find(upstreams, report->vm_id);
 
@@ -424,16 +433,16 @@
 		return;
 	upstream->probing = false;
 	if (!report->answered) {
-		upstream->missed++;
+		upstream->missed_probes++;
 		return;
 	}
-	upstream->missed = 0;
-	upstream_reported(upstream, report->running + report->waiting, now);
+	upstream->missed_probes = 0;
+	upstream_update_load(upstream, report->running + report->waiting, now);
 	upstream->reported_at = now;
-	upstream_cache_news(upstream, report);
+	upstream_update_cached_prefixes(upstream, report);
 }
 
-static void probe_one(upstream_t *upstream, pd_time_t now, list_node_t *actions)
+static void send_probe(upstream_t *upstream, pd_time_t now, list_node_t *actions)
 {
 	action_t *action = action_create(ACTION_PROBE);
 
@@ -446,23 +455,23 @@
 }
 
 /* A probe that got no answer in time counts as missed. */
-static void probe_expire(upstream_t *upstream, pd_time_t now)
+static void time_out_probe(upstream_t *upstream, pd_time_t now)
 {
 	if (!upstream->probing || now - upstream->probed_at < PROBE_TIMEOUT)
 		return;
-	upstream->missed++;
+	upstream->missed_probes++;
 	upstream->probing = false;
 }
 
 /* Returns the upstream of the subset that was probed longest ago, or NULL. */
-static upstream_t *probe_next(upstreams_t *upstreams)
+static upstream_t *next_upstream_to_probe(upstreams_t *upstreams)
 {
 	upstream_t *next = NULL;
 
 	LIST_FOR_EACH (it, &upstreams->list) {
 		upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 
-		if (!upstream->chosen || upstream->probing)
+		if (!upstream->in_subset || upstream->probing)
 			continue;
 		if (!next || upstream->probed_at < next->probed_at)
 			next = upstream;
@@ -480,12 +489,12 @@
 	upstream_t *next;
 
 	LIST_FOR_EACH (it, &upstreams->list)
-		probe_expire(LIST_ENTRY(it, upstream_t, node), now);
+		time_out_probe(LIST_ENTRY(it, upstream_t, node), now);
 	if (now < upstreams->next_probe_at)
 		return;
-	next = probe_next(upstreams);
+	next = next_upstream_to_probe(upstreams);
 	if (!next || (next->probed_at && now - next->probed_at < PROBE_PERIOD))
 		return;
 	upstreams->next_probe_at = now + PD_SEC / PROBES_PER_SECOND;
-	probe_one(next, now, actions);
+	send_probe(next, now, actions);
 }
--- a/core/upstreams.h
+++ b/core/upstreams.h
@@ -16,23 +16,23 @@
 typedef struct upstream {
 	list_node_t node;
 	vm_t vm;
-	uint64_t rank; /* of this upstream for this entry; fixed */
+	uint64_t rendezvous_weight; /* of this upstream for this entry; fixed */
 	bool listed; /* in the latest VM list */
-	bool chosen; /* in the subset that this entry sends to */
+	bool in_subset; /* in the subset that this entry sends to */
 	bool leaving;
 	pd_time_t leaves_at; /* if leaving */
-	unsigned int missed; /* probes in a row without an answer */
+	unsigned int missed_probes; /* probes in a row without an answer */
 	bool probing;
 	pd_time_t probed_at;
 	bool refuses_when_full; /* it has refused an attempt as busy */
 	pd_time_t failed_at; /* of the last failed attempt; 0 if none */
 	unsigned int running; /* attempts of this entry under way */
 	unsigned int starting; /* of those, not yet heard of */
-	double others; /* requests of other entries there, smoothed */
+	double others_load; /* requests of other entries there, smoothed */
 	double allowance; /* streams that reports have shown room for */
-	double others_peak; /* the same, falling slowly from the highest */
+	double others_load_peak; /* the same, falling slowly from the highest */
 	pd_time_t reported_at; /* 0 if it never reported */
-	GHashTable *prefixes; /* that its cache is thought to hold */
+	GHashTable *cached_prefixes; /* that its cache is thought to hold */
 } upstream_t;
 
 typedef struct upstreams upstreams_t;
@@ -43,17 +43,17 @@
 void upstreams_update(upstreams_t *upstreams, const vm_t *vms, size_t count,
 		      pd_time_t now);
 upstream_t *upstreams_find(const upstreams_t *upstreams, const char *vm_id);
-bool upstreams_leaving(upstreams_t *upstreams, const char *vm_id,
-		       pd_time_t leaves_at);
-void upstreams_report(upstreams_t *upstreams, const load_report_t *report,
-		      pd_time_t now);
+bool upstreams_record_notice(upstreams_t *upstreams, const char *vm_id,
+			     pd_time_t leaves_at);
+void upstreams_record_report(upstreams_t *upstreams,
+			     const load_report_t *report, pd_time_t now);
 void upstreams_probe(upstreams_t *upstreams, pd_time_t now, list_node_t *actions);
 list_node_t *upstreams_list(upstreams_t *upstreams);
 const char *upstreams_zone(const upstreams_t *upstreams);
-void upstream_sent(upstream_t *upstream);
-void upstream_ended(upstream_t *upstream);
+void upstream_record_send(upstream_t *upstream);
+void upstream_record_end(upstream_t *upstream);
 bool upstream_is_usable(const upstream_t *upstream);
-void upstream_started(upstream_t *upstream);
+void upstream_record_start(upstream_t *upstream);
 unsigned int upstream_cached_tokens(const upstream_t *upstream,
 				    const uint64_t *prefixes, size_t count);
 double upstreams_senders_per_upstream(const upstreams_t *upstreams,
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -140,7 +140,7 @@
 	for (int second = 0; second < 6; second++) {
 		while (route_choose(drive->entry->upstreams, &query, &choice) ==
 		       ROUTE_CHOSEN) {
-			upstream_sent(choice.upstream);
+			upstream_record_send(choice.upstream);
 			route_choice_clear(&choice);
 		}
 		assert_true(upstream->running <= SLOTS);
@@ -162,8 +162,8 @@
 	LIST_FOR_EACH (it, upstreams_list(drive->entry->upstreams)) {
 		const upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 
-		assert_true(chosen || !upstream->chosen);
-		chosen = upstream->chosen;
+		assert_true(chosen || !upstream->in_subset);
+		chosen = upstream->in_subset;
 		subset += chosen;
 	}
 	assert_int_equal(subset, 24);
--- a/tests/unit/test_upstreams.c
+++ b/tests/unit/test_upstreams.c
@@ -43,7 +43,7 @@
 	upstreams_t *upstreams = *state;
 
 	upstreams_update(upstreams, &model, 1, START);
-	assert_true(upstreams_leaving(upstreams, "vm-1", START + 30 * PD_SEC));
+	assert_true(upstreams_record_notice(upstreams, "vm-1", START + 30 * PD_SEC));
 	for (int i = 1; i <= 10; i++)
 		upstreams_update(upstreams, &model, 1, START + i * PD_SEC);
 	assert_false(upstream_is_usable(upstreams_find(upstreams, "vm-1")));
@@ -54,7 +54,7 @@
 {
 	upstreams_t *upstreams = *state;
 
-	upstreams_leaving(upstreams, "vm-1", START + 30 * PD_SEC);
+	upstreams_record_notice(upstreams, "vm-1", START + 30 * PD_SEC);
 	upstreams_update(upstreams, &model, 1, START);
 	assert_false(upstream_is_usable(upstreams_find(upstreams, "vm-1")));
 }
@@ -68,9 +68,10 @@
 	upstreams_t *upstreams = *state;
 
 	upstreams_update(upstreams, &model, 1, START);
-	assert_true(upstreams_leaving(upstreams, "vm-1", START + 30 * PD_SEC));
-	assert_true(upstreams_leaving(upstreams, "vm-1", START + 2 * PD_SEC));
-	assert_false(upstreams_leaving(upstreams, "vm-1", START + 20 * PD_SEC));
+	assert_true(upstreams_record_notice(upstreams, "vm-1", START + 30 * PD_SEC));
+	assert_true(upstreams_record_notice(upstreams, "vm-1", START + 2 * PD_SEC));
+	assert_false(upstreams_record_notice(upstreams, "vm-1",
+					     START + 20 * PD_SEC));
 	assert_int_equal(upstreams_find(upstreams, "vm-1")->leaves_at,
 			 START + 2 * PD_SEC);
 }
@@ -83,9 +84,9 @@
 {
 	upstreams_t *upstreams = *state;
 
-	assert_true(upstreams_leaving(upstreams, "vm-1", START + 30 * PD_SEC));
-	assert_false(upstreams_leaving(upstreams, "vm-1",
-				       START + 30 * PD_SEC - 5 * PD_MSEC));
+	assert_true(upstreams_record_notice(upstreams, "vm-1", START + 30 * PD_SEC));
+	assert_false(upstreams_record_notice(upstreams, "vm-1",
+					     START + 30 * PD_SEC - 5 * PD_MSEC));
 }
 
 /*
@@ -97,7 +98,7 @@
 	upstreams_t *upstreams = *state;
 
 	upstreams_update(upstreams, &model, 1, START);
-	upstreams_leaving(upstreams, "vm-1", START + 2 * PD_SEC);
+	upstreams_record_notice(upstreams, "vm-1", START + 2 * PD_SEC);
 	upstreams_update(upstreams, NULL, 0, START + 3 * PD_SEC);
 	upstreams_update(upstreams, NULL, 0, START + 120 * PD_SEC);
 	upstreams_update(upstreams, &model, 1, START + 130 * PD_SEC);
@@ -112,8 +113,8 @@
 {
 	upstreams_t *upstreams = *state;
 
-	upstreams_leaving(upstreams, "vm-1", START + 2 * PD_SEC);
-	upstreams_leaving(upstreams, "vm-1", START + 54 * PD_SEC);
+	upstreams_record_notice(upstreams, "vm-1", START + 2 * PD_SEC);
+	upstreams_record_notice(upstreams, "vm-1", START + 54 * PD_SEC);
 	upstreams_update(upstreams, NULL, 0, START + 63 * PD_SEC);
 	upstreams_update(upstreams, &model, 1, START + 64 * PD_SEC);
 	assert_false(upstream_is_usable(upstreams_find(upstreams, "vm-1")));
@@ -132,11 +133,11 @@
 
 	upstreams_update(upstreams, &model, 1, START);
 	upstream = upstreams_find(upstreams, "vm-1");
-	upstreams_report(upstreams, &report, START);
+	upstreams_record_report(upstreams, &report, START);
 	assert_int_equal(upstream_cached_tokens(upstream, prefixes, 3),
 			 2 * PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
 	news[1].held = false;
-	upstreams_report(upstreams, &report, START);
+	upstreams_record_report(upstreams, &report, START);
 	assert_int_equal(upstream_cached_tokens(upstream, prefixes, 3),
 			 PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
 }
@@ -152,8 +153,9 @@
 
 	upstreams_update(upstreams, &model, 1, START);
 	for (news.prefix = 1; news.prefix <= 100000; news.prefix++)
-		upstreams_report(upstreams, &report, START);
-	assert_in_range(g_hash_table_size(upstreams_find(upstreams, "vm-1")->prefixes),
+		upstreams_record_report(upstreams, &report, START);
+	assert_in_range(g_hash_table_size(
+				upstreams_find(upstreams, "vm-1")->cached_prefixes),
 			1, 4096);
 }
 
