--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -49,7 +49,7 @@
 	for (unsigned int i = 1; i <= 3; i++) {
 		char *id = g_strdup_printf("m-%u", i);
 
-		prefix_cache_sent(drive->entry->prefixes, id, 7, drive->now);
+		prefix_cache_record_send(drive->entry->prefixes, id, 7, drive->now);
 		g_free(id);
 	}
 	for (unsigned int i = 0; i < count; i++) {
--- a/bench/scenario.c
+++ b/bench/scenario.c
@@ -121,7 +121,7 @@
 	call.prompt = (unsigned int)g_rand_int_range(rand, PROMPT_MIN, PROMPT_MAX);
 	call.tokens = draw_answer(rand, account);
 	call.body = make_body(prefix, call.prompt);
-	call.prefix = prefix_of(call.body);
+	call.prefix = prefix_cache_hash_prompt(call.body);
 	g_array_append_val(calls, call);
 }
 
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -104,7 +104,7 @@
 	return (route_query_t){ .target = &request->target,
 				.priority = request->priority,
 				.avoid = request->vm_id,
-				.prefix = prefix_of(request->body),
+				.prefix = prefix_cache_hash_prompt(request->body),
 				.cache = entry->prefixes,
 				.rand = entry->rand,
 				.sender_count = upstreams_senders_per_upstream(
@@ -118,8 +118,8 @@
 {
 	entry_log_decision(entry, request->id, "route", choice->upstream->vm.id,
 			   choice->reason, choice->passed_over);
-	prefix_cache_sent(entry->prefixes, choice->upstream->vm.id, prefix,
-			  entry->now);
+	prefix_cache_record_send(entry->prefixes, choice->upstream->vm.id,
+				 prefix, entry->now);
 	dispatch_start(entry, request, choice->upstream);
 	route_choice_clear(choice);
 }
--- a/core/entry.c
+++ b/core/entry.c
@@ -301,8 +301,8 @@
 	if (report->leaving)
 		entry_handle_vm_notice(entry, report->vm_id, report->leaves_in);
 	upstreams_record_report(entry->upstreams, report, entry->now);
-	prefix_cache_news(entry->prefixes, report->vm_id, report->cache,
-			  report->cache_count, entry->now);
+	prefix_cache_apply_events(entry->prefixes, report->vm_id, report->cache,
+				  report->cache_count, entry->now);
 	entry->room_may_exist = true;
 }
 
--- a/core/prefix.c
+++ b/core/prefix.c
@@ -4,7 +4,7 @@
 #include <xxhash.h>
 
 /* Prefixes remembered of one upstream; 24 upstreams then take some 2 MB. */
-#define SET_MAX 2048
+#define PREFIX_SET_MAX 2048
 
 /*
  * Fills HASHES with the hash of the first block of TEXT, of its first two, and
@@ -37,7 +37,7 @@
 {
 	GHashTableIter it;
 
-	if (g_hash_table_size(set) < SET_MAX)
+	if (g_hash_table_size(set) < PREFIX_SET_MAX)
 		return;
 	g_hash_table_iter_init(&it, set);
 	if (g_hash_table_iter_next(&it, NULL, NULL))
@@ -45,7 +45,7 @@
 }
 
 /* Notes that an engine holds the prefix, or has dropped it. */
-void prefix_set_note(GHashTable *set, uint64_t prefix, bool held)
+void prefix_set_update(GHashTable *set, uint64_t prefix, bool held)
 {
 	if (!held) {
 		g_hash_table_remove(set, &prefix);
@@ -58,7 +58,8 @@
 }
 
 /* Returns how many blocks the longest of the text's prefixes in the set has. */
-size_t prefix_set_covers(GHashTable *set, const uint64_t *prefixes, size_t count)
+size_t prefix_set_count_blocks(GHashTable *set, const uint64_t *prefixes,
+			       size_t count)
 {
 	for (size_t i = count; i > 0; i--) {
 		if (g_hash_table_contains(set, &prefixes[i - 1]))
--- a/core/prefix.h
+++ b/core/prefix.h
@@ -16,7 +16,8 @@
 
 size_t prefix_hashes(const char *text, size_t len, uint64_t *hashes, size_t max);
 GHashTable *prefix_set_create(void);
-void prefix_set_note(GHashTable *set, uint64_t prefix, bool held);
-size_t prefix_set_covers(GHashTable *set, const uint64_t *prefixes, size_t count);
+void prefix_set_update(GHashTable *set, uint64_t prefix, bool held);
+size_t prefix_set_count_blocks(GHashTable *set, const uint64_t *prefixes,
+			       size_t count);
 
 #endif
--- a/core/prefix_cache.h
+++ b/core/prefix_cache.h
@@ -17,12 +17,13 @@
 
 prefix_cache_t *prefix_cache_create(void);
 void prefix_cache_destroy(prefix_cache_t *cache);
-uint64_t prefix_of(GBytes *prompt);
-void prefix_cache_news(prefix_cache_t *cache, const char *vm_id,
-		       const cache_event_t *events, size_t count, pd_time_t now);
-void prefix_cache_sent(prefix_cache_t *cache, const char *vm_id,
-		       uint64_t prefix, pd_time_t now);
-bool prefix_cache_holds(const prefix_cache_t *cache, const char *vm_id,
-			uint64_t prefix, pd_time_t now);
+uint64_t prefix_cache_hash_prompt(GBytes *prompt);
+void prefix_cache_apply_events(prefix_cache_t *cache, const char *vm_id,
+			       const cache_event_t *events, size_t count,
+			       pd_time_t now);
+void prefix_cache_record_send(prefix_cache_t *cache, const char *vm_id,
+			      uint64_t prefix, pd_time_t now);
+bool prefix_cache_contains(const prefix_cache_t *cache, const char *vm_id,
+			   uint64_t prefix, pd_time_t now);
 
 #endif
--- a/core/route.c
+++ b/core/route.c
@@ -180,9 +180,10 @@
 {
 	if (!query->prefix)
 		return false;
-	return prefix_set_covers(upstream->cached_prefixes, &query->prefix, 1) ||
-	       prefix_cache_holds(query->cache, upstream->vm.id, query->prefix,
-				  query->now);
+	return prefix_set_count_blocks(upstream->cached_prefixes,
+				       &query->prefix, 1) ||
+	       prefix_cache_contains(query->cache, upstream->vm.id,
+				     query->prefix, query->now);
 }
 
 static void route_score_candidates(upstreams_t *upstreams,
--- a/core/upstreams.c
+++ b/core/upstreams.c
@@ -189,8 +189,8 @@
 unsigned int upstream_cached_tokens(const upstream_t *upstream,
 				    const uint64_t *prefixes, size_t count)
 {
-	size_t blocks =
-		prefix_set_covers(upstream->cached_prefixes, prefixes, count);
+	size_t blocks = prefix_set_count_blocks(upstream->cached_prefixes,
+						prefixes, count);
 
 	return (unsigned int)(blocks * PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
 }
@@ -418,8 +418,8 @@
 	for (size_t i = 0; i < report->cache_count; i++) {
 		const cache_event_t *news = &report->cache[i];
 
-		prefix_set_note(upstream->cached_prefixes, news->prefix,
-				news->held);
+		prefix_set_update(upstream->cached_prefixes, news->prefix,
+				  news->held);
 	}
 }
 
--- a/tests/unit/test_prefix_cache.c
+++ b/tests/unit/test_prefix_cache.c
@@ -17,12 +17,12 @@
 	const cache_event_t news[] = { { 8, true }, { 7, false } };
 
 	(void)state;
-	prefix_cache_sent(cache, "vm-1", 7, NOW);
-	assert_true(prefix_cache_holds(cache, "vm-1", 7, NOW));
-	assert_false(prefix_cache_holds(cache, "vm-2", 7, NOW));
-	prefix_cache_news(cache, "vm-1", news, 2, NOW);
-	assert_false(prefix_cache_holds(cache, "vm-1", 7, NOW));
-	assert_true(prefix_cache_holds(cache, "vm-1", 8, NOW));
+	prefix_cache_record_send(cache, "vm-1", 7, NOW);
+	assert_true(prefix_cache_contains(cache, "vm-1", 7, NOW));
+	assert_false(prefix_cache_contains(cache, "vm-2", 7, NOW));
+	prefix_cache_apply_events(cache, "vm-1", news, 2, NOW);
+	assert_false(prefix_cache_contains(cache, "vm-1", 7, NOW));
+	assert_true(prefix_cache_contains(cache, "vm-1", 8, NOW));
 	prefix_cache_destroy(cache);
 }
 
@@ -35,9 +35,9 @@
 	prefix_cache_t *cache = prefix_cache_create();
 
 	(void)state;
-	prefix_cache_sent(cache, "vm-1", 7, NOW);
-	assert_true(prefix_cache_holds(cache, "vm-1", 7, NOW + 29 * PD_SEC));
-	assert_false(prefix_cache_holds(cache, "vm-1", 7, NOW + 31 * PD_SEC));
+	prefix_cache_record_send(cache, "vm-1", 7, NOW);
+	assert_true(prefix_cache_contains(cache, "vm-1", 7, NOW + 29 * PD_SEC));
+	assert_false(prefix_cache_contains(cache, "vm-1", 7, NOW + 31 * PD_SEC));
 	prefix_cache_destroy(cache);
 }
 
@@ -49,11 +49,11 @@
 
 	(void)state;
 	for (uint64_t i = 1; i <= 1000; i++)
-		prefix_cache_sent(cache, "vm-1", i, NOW + (pd_time_t)i);
+		prefix_cache_record_send(cache, "vm-1", i, NOW + (pd_time_t)i);
 	for (uint64_t i = 1; i <= 1000; i++)
-		held += prefix_cache_holds(cache, "vm-1", i, NOW + 1000);
+		held += prefix_cache_contains(cache, "vm-1", i, NOW + 1000);
 	assert_int_equal(held, 64);
-	assert_true(prefix_cache_holds(cache, "vm-1", 1000, NOW + 1000));
+	assert_true(prefix_cache_contains(cache, "vm-1", 1000, NOW + 1000));
 	prefix_cache_destroy(cache);
 }
 
@@ -69,9 +69,10 @@
 	shorter = g_bytes_new(text, PREFIX_BYTES - 1);
 	first = g_bytes_new(text, PREFIX_BYTES + 1);
 	second = g_bytes_new(text, PREFIX_BYTES + 8);
-	assert_int_equal(prefix_of(shorter), 0);
-	assert_true(prefix_of(first) != 0);
-	assert_true(prefix_of(first) == prefix_of(second));
+	assert_int_equal(prefix_cache_hash_prompt(shorter), 0);
+	assert_true(prefix_cache_hash_prompt(first) != 0);
+	assert_true(prefix_cache_hash_prompt(first) ==
+		    prefix_cache_hash_prompt(second));
 	g_bytes_unref(shorter);
 	g_bytes_unref(first);
 	g_bytes_unref(second);
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -58,7 +58,7 @@
 {
 	drive_t *drive = *state;
 
-	prefix_cache_sent(drive->entry->prefixes, "m-3", 7, drive->now);
+	prefix_cache_record_send(drive->entry->prefixes, "m-3", 7, drive->now);
 	for (int i = 0; i < 20; i++) {
 		route_choice_t choice;
 
