--- a/core/attempt.c
+++ b/core/attempt.c
@@ -110,12 +110,12 @@
 		entry->recomputed_tokens += event->recomputed;
 	/* An import that worked leaves next to nothing to compute. */
 	if (request->imports_kv && set_up == 0)
-		move_costs_learn(&entry->move_costs, true,
-				 (unsigned int)request->offset,
-				 entry->now - request->sent_at);
+		move_costs_record_start(&entry->move_costs, true,
+					(unsigned int)request->offset,
+					entry->now - request->sent_at);
 	else
-		move_costs_learn(&entry->move_costs, false, set_up,
-				 entry->now - request->sent_at);
+		move_costs_record_start(&entry->move_costs, false, set_up,
+					entry->now - request->sent_at);
 }
 
 /*
--- a/core/drain.c
+++ b/core/drain.c
@@ -10,44 +10,47 @@
 
 #define TOKEN_GAP_DEFAULT (40 * PD_MSEC)
 /*
- * The usual gap counts as this many seen ones. Else one late token at the start
+ * The usual gap counts as this many token_count ones. Else one late token at the start
  * of an answer reads as a slow stream, and it is moved though it would end.
  */
-#define GAP_PRIOR 8
-#define PACE_WAIT (50 * PD_MSEC)
+#define TOKEN_GAP_PRIOR_WEIGHT 8
+#define START_LIMIT_RETRY_DELAY (50 * PD_MSEC)
 /*
  * So long a broken stream waits for the upstream that has most of its prefix;
  * longer, and the wait costs its caller more than computing it elsewhere.
  */
-#define PATIENCE (500 * PD_MSEC)
+#define PREFIX_HOLDER_WAIT_MAX (500 * PD_MSEC)
 
-static unsigned int drain_held(const request_t *request)
+static unsigned int drain_context_tokens(const request_t *request)
 {
 	return (unsigned int)(g_bytes_get_size(request->body) /
 				      PREFIX_BYTES_PER_TOKEN +
 			      request->offset);
 }
 
-static move_stream_t drain_stream(const entry_t *entry, const request_t *request)
+static move_stream_t drain_describe_stream(const entry_t *entry,
+					   const request_t *request)
 {
-	uint64_t seen = request->offset - request->first_offset;
-	move_stream_t stream = { .held = drain_held(request),
+	uint64_t token_count = request->offset - request->first_offset;
+	move_stream_t stream = { .context_tokens = drain_context_tokens(request),
 				 .token_gap = TOKEN_GAP_DEFAULT };
 
 	if (request->max_tokens > request->offset)
-		stream.remaining =
+		stream.remaining_tokens =
 			(unsigned int)(request->max_tokens - request->offset);
 	if (entry->bundle && entry->bundle->token_gap_target > 0)
 		stream.token_gap = entry->bundle->token_gap_target;
-	if (request->first_token_at && seen > 1)
-		stream.token_gap = (GAP_PRIOR * stream.token_gap + entry->now -
-				    request->first_token_at) /
-				   (GAP_PRIOR + (pd_time_t)(seen - 1));
+	if (request->first_token_at && token_count > 1)
+		stream.token_gap =
+			(TOKEN_GAP_PRIOR_WEIGHT * stream.token_gap +
+			 entry->now - request->first_token_at) /
+			(TOKEN_GAP_PRIOR_WEIGHT + (pd_time_t)(token_count - 1));
 	return stream;
 }
 
 /* Returns the VM that the request's running attempt must leave, or NULL. */
-static upstream_t *drain_source(const entry_t *entry, const request_t *request)
+static upstream_t *drain_leaving_upstream(const entry_t *entry,
+					  const request_t *request)
 {
 	upstream_t *upstream = upstreams_find(entry->upstreams, request->vm_id);
 
@@ -66,13 +69,13 @@
 				      const upstream_t *target)
 {
 	const upstream_t *source = NULL;
-	move_stream_t stream = drain_stream(entry, request);
+	move_stream_t stream = drain_describe_stream(entry, request);
 	uint64_t prefixes[PREFIX_BLOCKS_MAX];
 	unsigned int cached;
 	size_t count;
 
 	if (request->kv_exportable)
-		source = drain_source(entry, request);
+		source = drain_leaving_upstream(entry, request);
 	if (!source || source == target)
 		return NULL;
 	count = drain_hash_prefixes(request, prefixes);
@@ -103,33 +106,33 @@
  * an export that would else be lost is worth leaving the pace: a stream that
  * resumes from its text can do so as well when its VM has gone.
  */
-static upstream_t *drain_target(entry_t *entry, const request_t *request,
-				const upstream_t *source)
+static upstream_t *drain_choose_target(entry_t *entry, const request_t *request,
+				       const upstream_t *source)
 {
 	pd_time_t time_left = source->leaves_at - entry->now;
-	move_stream_t stream = drain_stream(entry, request);
+	move_stream_t stream = drain_describe_stream(entry, request);
 	uint64_t prefixes[PREFIX_BLOCKS_MAX];
 	move_query_t query = { .avoid = source->vm.id,
 			       .now = entry->now,
 			       .serves = request->target.name,
-			       .pressing = true,
+			       .ignores_start_limit = true,
 			       .zone = upstreams_zone(entry->upstreams),
 			       .prefixes = prefixes,
-			       .held = stream.held };
-	upstream_t *likely;
+			       .context_tokens = stream.context_tokens };
+	upstream_t *preferred;
 	unsigned int cached;
 
 	query.prefix_count = drain_hash_prefixes(request, prefixes);
-	likely = move_choose(entry->upstreams, &entry->move_costs, &query);
-	if (!likely)
+	preferred = move_choose(entry->upstreams, &entry->move_costs, &query);
+	if (!preferred)
 		return NULL;
-	cached = upstream_cached_tokens(likely, prefixes, query.prefix_count);
-	query.imports = request->started &&
-			move_should_import(&entry->move_costs, &stream, cached,
-					   time_left);
-	if (!query.imports)
-		return move_may_start(likely) ? likely : NULL;
-	query.pressing = move_is_pressing(time_left);
+	cached = upstream_cached_tokens(preferred, prefixes, query.prefix_count);
+	query.imports_kv = request->started &&
+			   move_should_import(&entry->move_costs, &stream,
+					      cached, time_left);
+	if (!query.imports_kv)
+		return move_has_start_capacity(preferred) ? preferred : NULL;
+	query.ignores_start_limit = move_is_due(time_left);
 	return move_choose(entry->upstreams, &entry->move_costs, &query);
 }
 
@@ -140,11 +143,11 @@
 	query->avoid = request->vm_id;
 	query->now = entry->now;
 	query->serves = request->target.name;
-	query->pressing = true;
+	query->ignores_start_limit = true;
 	query->zone = upstreams_zone(entry->upstreams);
 	query->prefixes = prefixes;
 	query->prefix_count = drain_hash_prefixes(request, prefixes);
-	query->held = drain_held(request);
+	query->context_tokens = drain_context_tokens(request);
 }
 
 /*
@@ -167,9 +170,9 @@
 	target = move_choose(entry->upstreams, &entry->move_costs, &query);
 	if (!target)
 		return false;
-	if (!urgent && !move_may_start(target)) {
-		query.pressing = false;
-		target = entry->now - request->last_progress_at < PATIENCE
+	if (!urgent && !move_has_start_capacity(target)) {
+		query.ignores_start_limit = false;
+		target = entry->now - request->last_progress_at < PREFIX_HOLDER_WAIT_MAX
 				 ? NULL
 				 : move_choose(entry->upstreams,
 					       &entry->move_costs, &query);
@@ -177,24 +180,24 @@
 	if (target)
 		dispatch_send_to(entry, request, target, "its attempt broke");
 	else
-		request->retry_at = entry->now + PACE_WAIT;
+		request->retry_at = entry->now + START_LIMIT_RETRY_DELAY;
 	return true;
 }
 
-static gint drain_compare(gconstpointer a, gconstpointer b)
+static gint compare_context_tokens(gconstpointer a, gconstpointer b)
 {
 	const request_t *left = *(request_t *const *)a;
 	const request_t *right = *(request_t *const *)b;
-	unsigned int left_held = drain_held(left);
-	unsigned int right_held = drain_held(right);
+	unsigned int left_tokens = drain_context_tokens(left);
+	unsigned int right_tokens = drain_context_tokens(right);
 
-	if (left_held != right_held)
-		return left_held > right_held ? -1 : 1;
+	if (left_tokens != right_tokens)
+		return left_tokens > right_tokens ? -1 : 1;
 	return left->attempt < right->attempt ? -1 : 1;
 }
 
 /* Returns the streams that must leave their VM, most to lose first. */
-static GPtrArray *drain_collect(entry_t *entry)
+static GPtrArray *drain_collect_streams(entry_t *entry)
 {
 	GPtrArray *streams = g_ptr_array_new();
 	GHashTableIter it;
@@ -203,16 +206,17 @@
 	g_hash_table_iter_init(&it, entry->running);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		request_t *request = value;
-		const upstream_t *source = drain_source(entry, request);
+		const upstream_t *source = drain_leaving_upstream(entry, request);
 		move_stream_t stream;
 
 		if (!source)
 			continue;
-		stream = drain_stream(entry, request);
-		if (!move_can_end(&stream, source->leaves_at - entry->now))
+		stream = drain_describe_stream(entry, request);
+		if (!move_stream_will_finish(&stream,
+					     source->leaves_at - entry->now))
 			g_ptr_array_add(streams, request);
 	}
-	g_ptr_array_sort(streams, drain_compare);
+	g_ptr_array_sort(streams, compare_context_tokens);
 	return streams;
 }
 
@@ -221,10 +225,10 @@
  * on where it is: each token it still gets need not be computed later. Once the
  * VM is gone it is taken for broken.
  */
-static bool drain_one(entry_t *entry, request_t *request)
+static bool drain_move_stream(entry_t *entry, request_t *request)
 {
-	const upstream_t *source = drain_source(entry, request);
-	upstream_t *target = drain_target(entry, request, source);
+	const upstream_t *source = drain_leaving_upstream(entry, request);
+	upstream_t *target = drain_choose_target(entry, request, source);
 
 	if (!target && source->leaves_at > entry->now)
 		return false;
@@ -240,18 +244,18 @@
 /* Moves the streams that have to leave, as far as targets have room now. */
 void drain_check(entry_t *entry)
 {
-	GPtrArray *streams = drain_collect(entry);
-	const char *full = NULL; /* no room for this model at present */
+	GPtrArray *streams = drain_collect_streams(entry);
+	const char *full_model = NULL; /* no room for this model at present */
 
 	for (guint i = 0; i < streams->len; i++) {
 		request_t *request = g_ptr_array_index(streams, i);
-		const upstream_t *source = drain_source(entry, request);
+		const upstream_t *source = drain_leaving_upstream(entry, request);
 
-		if (full && !strcmp(full, request->target.name) &&
-		    !move_is_pressing(source->leaves_at - entry->now))
+		if (full_model && !strcmp(full_model, request->target.name) &&
+		    !move_is_due(source->leaves_at - entry->now))
 			continue;
-		if (!drain_one(entry, request))
-			full = request->target.name;
+		if (!drain_move_stream(entry, request))
+			full_model = request->target.name;
 	}
 	g_ptr_array_unref(streams);
 }
--- a/core/handover.c
+++ b/core/handover.c
@@ -12,7 +12,7 @@
  * away: room for three peers in turn and for the last bytes to the caller.
  * Earlier would move answers that could still end here.
  */
-#define MOVE_LEAD (2 * PD_SEC)
+#define HANDOVER_LEAD (2 * PD_SEC)
 /*
  * A plain service's call can't be moved once it is sent, so it is waited for
  * until this little is left; then its caller is told, while there is time.
@@ -135,7 +135,7 @@
 		entry->leave_announced = true;
 		members_leave(entry->members, entry->now, entry->actions);
 	}
-	if (entry->leaves_at - entry->now > MOVE_LEAD)
+	if (entry->leaves_at - entry->now > HANDOVER_LEAD)
 		return;
 	all = g_ptr_array_new();
 	g_hash_table_iter_init(&it, entry->requests);
--- a/core/move.c
+++ b/core/move.c
@@ -9,16 +9,17 @@
 
 #include "core/prefix.h"
 
-#define RECOMPUTE_AT_FIRST 300.0 /* microseconds a token, until one is seen */
-#define TRANSFER_AT_FIRST 30.0
-#define LEARN_SHARE 0.2 /* weight of the latest start in the average */
-#define LEARN_TOKENS_MIN \
+#define RECOMPUTE_COST_INITIAL \
+	300.0 /* microseconds a token, until one is seen */
+#define TRANSFER_COST_INITIAL 30.0
+#define EWMA_WEIGHT 0.2 /* weight of the latest start in the average */
+#define SAMPLE_TOKENS_MIN \
 	16 /* fewer say more of the network than of the engine */
 /* An answer may come slower than it came so far; so much is added. */
-#define END_MARGIN_NUM 5
-#define END_MARGIN_DEN 4
+#define FINISH_MARGIN_NUM 5
+#define FINISH_MARGIN_DEN 4
 /* Time kept free before the VM goes: the last chance to move. */
-#define RESERVE (1 * PD_SEC)
+#define MOVE_RESERVE (1 * PD_SEC)
 /* A KV export must end with this much to spare. */
 #define EXPORT_RESERVE (100 * PD_MSEC)
 /*
@@ -27,8 +28,8 @@
  * wait for the prefill of the others there, and streams that already run there
  * would stall. So this entry sets up this many at once on one target.
  */
-#define STARTS_MAX 2
-#define OTHER_ZONE_COST 1000.0 /* microseconds */
+#define CONCURRENT_STARTS_MAX 2
+#define CROSS_ZONE_COST 1000.0 /* microseconds */
 /*
  * An upstream that refused or broke an attempt a moment ago looks idle, and by
  * its load would be tried first by every stream that looks for a place.
@@ -39,34 +40,34 @@
 /* Sets costs that are plausible before any start was seen. */
 void move_costs_init(move_costs_t *costs)
 {
-	costs->recompute = RECOMPUTE_AT_FIRST;
-	costs->transfer = TRANSFER_AT_FIRST;
+	costs->recompute = RECOMPUTE_COST_INITIAL;
+	costs->transfer = TRANSFER_COST_INITIAL;
 }
 
 /* Takes a start that set up TOKENS tokens, by import or not, and TOOK so long. */
-void move_costs_learn(move_costs_t *costs, bool imported, unsigned int tokens,
-		      pd_time_t took)
+void move_costs_record_start(move_costs_t *costs, bool imported,
+			     unsigned int tokens, pd_time_t elapsed)
 {
 	double *cost = imported ? &costs->transfer : &costs->recompute;
 
-	if (tokens < LEARN_TOKENS_MIN)
+	if (tokens < SAMPLE_TOKENS_MIN)
 		return;
-	*cost += LEARN_SHARE * ((double)took / tokens - *cost);
+	*cost += EWMA_WEIGHT * ((double)elapsed / tokens - *cost);
 }
 
 /* Says whether the stream will have ended before the VM goes. */
-bool move_can_end(const move_stream_t *stream, pd_time_t time_left)
+bool move_stream_will_finish(const move_stream_t *stream, pd_time_t time_left)
 {
-	pd_time_t needed = (pd_time_t)stream->remaining * stream->token_gap *
-			   END_MARGIN_NUM / END_MARGIN_DEN;
+	pd_time_t needed = (pd_time_t)stream->remaining_tokens * stream->token_gap *
+			   FINISH_MARGIN_NUM / FINISH_MARGIN_DEN;
 
 	return needed <= time_left;
 }
 
 /* Says whether a stream must move now, however busy the targets' starts are. */
-bool move_is_pressing(pd_time_t time_left)
+bool move_is_due(pd_time_t time_left)
 {
-	return time_left <= RESERVE;
+	return time_left <= MOVE_RESERVE;
 }
 
 /*
@@ -76,40 +77,41 @@
 bool move_should_import(const move_costs_t *costs, const move_stream_t *stream,
 			unsigned int cached, pd_time_t time_left)
 {
-	unsigned int lacking = stream->held - MIN(cached, stream->held);
-	double export = stream->held * costs->transfer;
+	unsigned int uncached =
+		stream->context_tokens - MIN(cached, stream->context_tokens);
+	double export = stream->context_tokens * costs->transfer;
 
-	return export < lacking * costs->recompute &&
+	return export < uncached * costs->recompute &&
 	       export <= (double)(time_left - EXPORT_RESERVE);
 }
 
 /* Returns how many tokens the upstream must compute for the query. */
-static unsigned int move_lacking(const upstream_t *upstream,
-				 const move_query_t *query)
+static unsigned int move_uncached_tokens(const upstream_t *upstream,
+					 const move_query_t *query)
 {
 	unsigned int cached;
 
-	if (query->imports)
+	if (query->imports_kv)
 		return 0;
 	cached = upstream_cached_tokens(upstream, query->prefixes,
 					query->prefix_count);
-	return query->held - MIN(cached, query->held);
+	return query->context_tokens - MIN(cached, query->context_tokens);
 }
 
 static double move_cost(const move_costs_t *costs, const upstream_t *upstream,
 			const move_query_t *query)
 {
-	double setup = move_lacking(upstream, query) * costs->recompute;
+	double setup = move_uncached_tokens(upstream, query) * costs->recompute;
 	double load = (double)upstream_load(upstream) / MAX(upstream->vm.slots, 1);
 	double cost;
 
-	if (query->imports)
-		setup = query->held * costs->transfer;
+	if (query->imports_kv)
+		setup = query->context_tokens * costs->transfer;
 	/* A full engine takes about twice as long as an idle one. */
 	cost = setup * (1.0 + upstream->starting) * (1.0 + load);
-	cost += load * OTHER_ZONE_COST;
+	cost += load * CROSS_ZONE_COST;
 	if (strcmp(upstream->vm.zone, query->zone) != 0)
-		cost += OTHER_ZONE_COST;
+		cost += CROSS_ZONE_COST;
 	if (upstream->failed_at &&
 	    query->now - upstream->failed_at < RECENT_FAILURE_TIME)
 		cost += RECENT_FAILURE_COST;
@@ -117,12 +119,12 @@
 }
 
 /* Says whether the upstream sets up few enough streams of this entry. */
-bool move_may_start(const upstream_t *upstream)
+bool move_has_start_capacity(const upstream_t *upstream)
 {
-	return upstream->starting < STARTS_MAX;
+	return upstream->starting < CONCURRENT_STARTS_MAX;
 }
 
-static bool move_may_take(const upstream_t *upstream, const move_query_t *query)
+static bool move_is_candidate(const upstream_t *upstream, const move_query_t *query)
 {
 	if (upstream->vm.role != VM_MODEL || !upstream_is_usable(upstream) ||
 	    strcmp(upstream->vm.serves, query->serves) != 0)
@@ -131,7 +133,7 @@
 		return false;
 	if (upstream_load(upstream) >= upstream->vm.slots)
 		return false;
-	return query->pressing || move_may_start(upstream);
+	return query->ignores_start_limit || move_has_start_capacity(upstream);
 }
 
 /*
@@ -148,7 +150,7 @@
 		upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 		double cost;
 
-		if (!move_may_take(upstream, query))
+		if (!move_is_candidate(upstream, query))
 			continue;
 		cost = move_cost(costs, upstream, query);
 		if (!best || cost < best_cost) {
