--- a/core/entry.c
+++ b/core/entry.c
@@ -1,4 +1,4 @@
-/* The entry's core: hands each event to the part it is for. */
+/* The entry's core: passes each event to the module that handles it. */
 #include "core/entry.h"
 
 #include <string.h>
@@ -8,33 +8,34 @@
 #include "core/queue.h"
 
 /*
- * After a planned stop began, callers whom the balancer has not yet turned away
- * are still served for this long; refusing them would be an error they see.
+ * After a planned stop begins, requests that the load balancer still sends here
+ * are served for this long; refusing them would be an error that callers see.
  */
 #define STOP_GRACE (2 * PD_SEC)
 /*
- * With the store down, what is still to be written about claims can't be, and
- * an entry that waited for it would never end: operators would see a
- * replacement that hangs. After this long without a request in flight it ends
- * all the same. Claims that were not given back stay held and answers that were
- * not recorded are missing, so a caller's retry hears "outcome unknown", never
- * "not run"; no call runs twice.
+ * While the store is down, pending claim writes can't complete, and an entry
+ * that waited for them would never exit: operators would see a replacement that
+ * hangs. After this long without a request in flight the entry exits anyway.
+ * Claims that were not released then stay held and answers that were not
+ * recorded are missing, so a caller's retry gets "outcome unknown", never "not
+ * run"; no call runs twice.
  */
 #define STOP_CLAIMS_TIMEOUT (30 * PD_SEC)
 /*
- * A fresh entry may read a stale bundle from the store. It serves only once a
- * peer has told it of none later, or none has answered for this long; callers
- * would else be served by a bundle that the rest has left behind.
+ * A new entry may read a stale bundle from the store, and callers would be
+ * served by a configuration that the other entries have replaced. So it serves
+ * only once a peer has reported no later generation, or no peer has answered
+ * for this long.
  */
 #define PEER_BUNDLE_WAIT (2 * PD_SEC)
 /*
- * News of a generation comes from several peers at once, and each pull moves a
- * whole body; this long only one is asked.
+ * Several peers announce a new generation at once, and each pull transfers the
+ * whole bundle; so only one peer is asked within this time.
  */
 #define PULL_TIMEOUT (500 * PD_MSEC)
 #define CLAIM_RETENTION_DEFAULT (24 * 3600 * PD_SEC)
 
-/* Returns an entry with no bundle and no upstreams; the caller owns it. */
+/* Returns an entry with no bundle and no upstreams. The caller owns it. */
 entry_t *entry_create(const entry_config_t *config)
 {
 	entry_t *entry = g_new0(entry_t, 1);
@@ -64,7 +65,10 @@
 	return entry;
 }
 
-/* Frees an entry and everything in flight, unsaid; NULL is allowed. */
+/*
+ * Frees an entry and its requests in flight without replying to their callers.
+ * NULL is allowed.
+ */
 void entry_destroy(entry_t *entry)
 {
 	if (!entry)
@@ -88,7 +92,10 @@
 	g_free(entry);
 }
 
-/* Appends a refusal for a caller. */
+/*
+ * Appends an action that refuses a caller's request, and logs it. REQUEST_ID
+ * may be NULL. RETRY_AFTER is 0 if the caller should not retry.
+ */
 void entry_refuse(entry_t *entry, caller_id_t caller, const char *request_id,
 		  refusal_t refusal, refusal_reason_t reason, pd_time_t retry_after)
 {
@@ -104,7 +111,7 @@
 			   refusal_name(refusal), refusal_reason_name(reason), "");
 }
 
-/* Appends the log line of one decision; copies its strings. */
+/* Appends an action that logs one decision. Copies the strings. */
 void entry_log_decision(entry_t *entry, const char *request_id,
 			const char *part, const char *choice,
 			const char *reason, const char *passed_over)
@@ -119,13 +126,16 @@
 	list_append(entry->actions, &action->node);
 }
 
-/* Returns the generation of the bundle in force, 0 if there is none. */
+/* Returns the generation of the bundle in force, or 0 if there is none. */
 uint64_t entry_generation(const entry_t *entry)
 {
 	return entry->bundle ? entry->bundle->generation : 0;
 }
 
-/* Says whether there is a bundle that callers may be served by. */
+/*
+ * Returns whether callers may be served by the bundle in force: it is confirmed
+ * by a peer, there are no peers, or none answered in time.
+ */
 bool entry_can_serve(const entry_t *entry)
 {
 	if (!entry->bundle)
@@ -134,19 +144,19 @@
 	       entry->now - entry->first_bundle_at >= PEER_BUNDLE_WAIT;
 }
 
-/* Says whether the balancer should send callers here. */
+/* Returns whether the load balancer should send callers here. */
 bool entry_is_ready(const entry_t *entry)
 {
 	return entry_can_serve(entry) && entry->vm_list_seen && !entry->stopping;
 }
 
-/* Returns how many requests this entry has taken on and not ended. */
+/* Returns the number of requests that this entry has accepted and not ended. */
 unsigned int entry_in_flight(const entry_t *entry)
 {
 	return g_hash_table_size(entry->requests);
 }
 
-/* Returns how many upstreams may get new work from this entry. */
+/* Returns the number of upstreams that may get new work from this entry. */
 unsigned int entry_upstreams_usable(const entry_t *entry)
 {
 	unsigned int usable = 0;
@@ -156,25 +166,30 @@
 	return usable;
 }
 
-/* Says whether another entry has stopped, or been dead for long. */
+/* Returns whether another entry has stopped or has been dead for long. */
 bool entry_member_is_gone(const entry_t *entry, const char *id)
 {
 	return members_is_gone(entry->members, id, entry->now);
 }
 
-/* Returns how many entries are thought alive, this one among them. */
+/*
+ * Returns the number of entries that are considered alive, including this one.
+ */
 unsigned int entry_members_alive(const entry_t *entry)
 {
 	return members_alive(entry->members);
 }
 
-/* Returns how many tokens upstreams computed again for moved requests. */
+/* Returns how many tokens upstreams recomputed for moved requests. */
 uint64_t entry_recomputed_tokens(const entry_t *entry)
 {
 	return entry->recomputed_tokens;
 }
 
-/* Notes that a VM leaves and passes it on if that is news here. */
+/*
+ * Records the notice that a VM is reclaimed in LEAVES_IN, and gossips it if it
+ * was not known here.
+ */
 static void entry_handle_vm_notice(entry_t *entry, const char *vm_id,
 				   pd_time_t leaves_in)
 {
@@ -186,6 +201,9 @@
 	entry_log_decision(entry, "-", "drain", vm_id, "told to leave", "");
 }
 
+/*
+ * Updates the table of upstreams and the notices from the platform's VM list.
+ */
 static void entry_handle_vm_list(entry_t *entry, const vm_t *vms, size_t count)
 {
 	for (size_t i = 0; i < count; i++) {
@@ -195,15 +213,16 @@
 	upstreams_update(entry->upstreams, vms, count, entry->now);
 	entry->room_may_exist = true;
 	/*
-	 * The list lags, so the first one may be empty though VMs are live.
-	 * An entry that called itself ready on it would refuse what its
-	 * fellows could serve. Once it has seen VMs it stays ready without
-	 * them: an honest refusal is better than no entry at all.
+	 * The list lags, so the first one may be empty though VMs are live. An
+	 * entry that called itself ready on it would refuse what other entries
+	 * could serve. Once it has seen VMs it stays ready without them: a
+	 * refusal with a reason is better than no entry at all.
 	 */
 	if (count > 0)
 		entry->vm_list_seen = true;
 }
 
+/* Confirms the bundle in force if no peer has reported a later generation. */
 static void entry_check_peers(entry_t *entry)
 {
 	if (entry->bundle && entry->peer_msg_received &&
@@ -212,8 +231,9 @@
 }
 
 /*
- * Puts a bundle in force if it is newer than the one that is. A peer or a stale
- * read may bring an older one; taking it would undo what operators signed off.
+ * Puts a bundle in force if it is newer than the current one, and then takes it
+ * from EVENT. A peer or a stale read may deliver an older one; applying it
+ * would undo what operators signed.
  */
 static void entry_handle_bundle(entry_t *entry, event_t *event)
 {
@@ -237,7 +257,10 @@
 	list_append(entry->actions, &action->node);
 }
 
-/* Appends a message of this entry's to a peer; takes MSG over. */
+/*
+ * Appends an action that sends MSG to a peer, with this entry's identity and
+ * generation. Takes ownership of MSG.
+ */
 void entry_send_peer(entry_t *entry, const member_info_t *to, peer_msg_t *msg)
 {
 	action_t *action = action_create(ACTION_PEER_SEND);
@@ -250,7 +273,10 @@
 	list_append(entry->actions, &action->node);
 }
 
-/* Asks the sender for its bundle, if that is later than this entry's. */
+/*
+ * Requests the sender's bundle if it is later than this entry's and no such
+ * request is in flight.
+ */
 static void entry_pull_bundle(entry_t *entry, const peer_msg_t *msg)
 {
 	if (msg->generation <= entry_generation(entry) ||
@@ -262,7 +288,7 @@
 	entry_send_peer(entry, &msg->from, peer_msg_create(PEER_BUNDLE_PULL));
 }
 
-/* Hands a message about requests that change entries to its part. */
+/* Handles the messages that transfer requests between entries. */
 static void entry_handle_request_msg(entry_t *entry, const peer_msg_t *msg)
 {
 	if (msg->kind == PEER_HANDOVER)
@@ -275,6 +301,9 @@
 		resume_handle_found(entry, msg);
 }
 
+/*
+ * Handles a peer's message: notices, demand, membership, requests and bundles.
+ */
 static void entry_handle_peer_msg(entry_t *entry, const peer_msg_t *msg)
 {
 	for (unsigned int i = 0; i < msg->leaving_count; i++)
@@ -296,6 +325,7 @@
 	}
 }
 
+/* Updates what is known of an upstream from its load report. */
 static void entry_handle_load_report(entry_t *entry, const load_report_t *report)
 {
 	if (report->leaving)
@@ -306,7 +336,7 @@
 	entry->room_may_exist = true;
 }
 
-/* Lets this entry's demand ride on the heartbeats that go out. */
+/* Adds this entry's demand to the pings and acks that are about to be sent. */
 static void entry_add_demand(entry_t *entry)
 {
 	LIST_FOR_EACH (it, entry->actions) {
@@ -322,7 +352,7 @@
 	}
 }
 
-/* Does what time alone makes due, after every event. */
+/* Runs what is due at the current time; called after every event. */
 static void entry_advance_time(entry_t *entry)
 {
 	list_node_t results;
@@ -342,6 +372,7 @@
 	entry_add_demand(entry);
 }
 
+/* Begins a planned stop. Repeated calls have no effect. */
 static void entry_begin_stop(entry_t *entry)
 {
 	if (entry->stopping)
@@ -350,7 +381,7 @@
 	entry->stop_at = entry->now + STOP_GRACE;
 }
 
-/* Says whether the claims are written, or have had their time. */
+/* Returns whether all claims are written or STOP_CLAIMS_TIMEOUT has passed. */
 static bool entry_claims_done(entry_t *entry)
 {
 	if (claims_is_idle(entry->claims))
@@ -365,9 +396,10 @@
 }
 
 /*
- * Notes that this entry's VM is reclaimed at LEAVES_AT. The caller then hands
- * in EVENT_STOP; what has not ended shortly before that time goes to a peer. An
- * earlier time than noted before counts, a later one does not.
+ * Sets the time at which this entry's VM is reclaimed. The caller then sends
+ * EVENT_STOP; requests that have not ended shortly before that time are handed
+ * over to a peer. An earlier time replaces the current one, a later one is
+ * ignored.
  */
 void entry_set_reclaim_time(entry_t *entry, pd_time_t leaves_at)
 {
@@ -375,6 +407,10 @@
 		entry->leaves_at = leaves_at;
 }
 
+/*
+ * Reports the stop as complete once no request is in flight, the claims are
+ * written and the grace period is over.
+ */
 static void entry_finish_stop(entry_t *entry)
 {
 	if (!entry->stopping || entry->stopped || entry->now < entry->stop_at)
@@ -390,6 +426,7 @@
 	list_append(entry->actions, &action_create(ACTION_STOPPED)->node);
 }
 
+/* Runs the periodic work of all modules. */
 static void entry_handle_tick(entry_t *entry)
 {
 	/* Walks all members, so not after each event: tokens are events too. */
@@ -404,8 +441,8 @@
 }
 
 /*
- * Takes one event and appends to ACTIONS what follows from it, in the order in
- * which it must be done. The caller owns the actions.
+ * Handles one event and appends the resulting actions to ACTIONS, in the order
+ * in which they must be performed. The caller owns the actions.
  */
 void entry_handle(entry_t *entry, event_t *event, list_node_t *actions)
 {
--- a/core/entry.h
+++ b/core/entry.h
@@ -1,6 +1,7 @@
 /*
- * The core of one entry: takes events, gives actions. It holds the requests in
- * flight and the parts that decide about them; it does no I/O of its own.
+ * The core of one entry (gateway process): handles events and returns actions.
+ * It holds the requests in flight and the modules that decide about them, and
+ * does no I/O.
  */
 #ifndef PISTACHIO_ENTRY_H
 #define PISTACHIO_ENTRY_H
@@ -9,8 +10,8 @@
 
 typedef struct entry_config {
 	member_info_t self; /* borrowed by entry_create() */
-	unsigned int subset; /* upstreams of a name that it sends to */
-	uint64_t seed; /* of everything random */
+	unsigned int subset; /* max upstreams per model or service that it sends to */
+	uint64_t seed; /* of all random choices */
 } entry_config_t;
 
 typedef struct entry entry_t;
--- a/core/entry_state.h
+++ b/core/entry_state.h
@@ -1,6 +1,6 @@
 /*
- * What the parts of the entry's core share: the requests in flight and the
- * parts' own state. Private to core/.
+ * State shared by the modules of the entry's core: the requests in flight and
+ * the modules' own state. Private to core/.
  */
 #ifndef PISTACHIO_ENTRY_STATE_H
 #define PISTACHIO_ENTRY_STATE_H
@@ -18,91 +18,92 @@
 #include "core/upstreams.h"
 
 typedef enum request_state {
-	REQUEST_CLAIMING, /* its claim is being written */
-	REQUEST_FINDING, /* peers are asked who holds it */
-	REQUEST_MOVING, /* offered to a peer, which has not acknowledged it */
+	REQUEST_CLAIMING, /* its claim is being acquired */
+	REQUEST_FINDING, /* peers are asked which of them holds its answer */
+	REQUEST_MOVING, /* offered to a peer that has not acknowledged it */
 	REQUEST_WAITING, /* in the queue of its priority */
-	REQUEST_RUNNING /* an attempt is under way */
+	REQUEST_RUNNING /* an attempt is in flight */
 } request_state_t;
 
-/* Why an attempt ended before its answer was whole. */
+/* Why an attempt ended before its answer was complete. */
 typedef enum failure_cause {
-	FAILURE_VM_LEAVING, /* its VM was known to leave */
-	FAILURE_NOT_STARTED, /* refused, or never reached the upstream */
+	FAILURE_VM_LEAVING, /* its VM had a reclaim notice */
+	FAILURE_NOT_STARTED, /* rejected, or never sent to the upstream */
 	FAILURE_LOST
 } failure_cause_t;
 
 typedef struct adopted_answer adopted_answer_t;
 
 typedef struct request {
-	list_node_t node; /* of the queue, if waiting */
+	list_node_t node; /* in its queue, if waiting */
 	request_state_t state;
 	char *id;
 	char *account; /* name */
 	caller_id_t caller;
-	bool caller_gone; /* it runs on only to be recorded */
-	target_t target; /* as the bundle had it when the request came */
+	bool caller_gone; /* continues only to have its answer recorded */
+	target_t target; /* as of the bundle at its arrival */
 	priority_t priority;
 	char *path;
 	char *idempotency_key;
-	char *claim_key; /* NULL if it may be repeated */
+	char *claim_key; /* NULL if it is repeatable */
 	char *nonce;
 	GBytes *body;
 	unsigned int max_tokens;
-	uint64_t resume_offset; /* tokens the caller has already */
-	GString *emitted; /* text so far */
+	uint64_t resume_offset; /* tokens that the caller already has */
+	GString *emitted; /* text generated so far */
 	uint64_t offset; /* tokens in that text */
 	unsigned int attempts;
-	unsigned int rejections; /* attempts in a row that did not begin */
-	unsigned int failures; /* attempts that broke without a notice */
+	unsigned int rejections; /* consecutive attempts that did not start */
+	unsigned int failures; /* attempts that were lost without a notice */
 	attempt_id_t attempt;
-	char *vm_id; /* of the attempt under way, or of the last one */
+	char *vm_id; /* of the attempt in flight, else of the last one */
 	bool attempt_written; /* the attempt may have reached the upstream */
-	bool written; /* some attempt may have */
-	bool kv_exportable; /* the VM of the last attempt holds its KV cache */
-	bool imports_kv; /* the attempt brings its KV cache along */
-	bool started; /* the attempt has shown a sign of life */
+	bool written; /* any attempt may have reached an upstream */
+	bool kv_exportable; /* by the VM of the last attempt */
+	bool imports_kv; /* the attempt imports its KV cache */
+	bool started; /* the upstream has responded to the attempt */
 	pd_time_t arrived_at;
 	pd_time_t deadline;
 	pd_time_t sent_at; /* of the attempt */
-	pd_time_t last_progress_at; /* of the attempt: last sign of life */
-	pd_time_t retry_at; /* if waiting outside the queue; else 0 */
+	pd_time_t last_progress_at; /* of the attempt: last response of any kind */
+	pd_time_t retry_at; /* if waiting outside the queue, else 0 */
 	uint64_t first_offset; /* of the attempt's first token */
-	pd_time_t first_token_at; /* of the same; 0 until it came */
-	adopted_answer_t *adopted; /* it runs for a caller who will come back, or NULL */
-	char *resume_id; /* while finding: what it was called before */
+	pd_time_t first_token_at; /* arrival of that token; 0 before */
+	adopted_answer_t *adopted; /* if handed over to this entry */
+	char *resume_id; /* while finding: its id at the earlier entry */
 	unsigned int pending_replies; /* while finding */
 	unsigned int offer_count; /* while moving: peers asked so far */
 	pd_time_t requested_at; /* while finding or moving */
 } request_t;
 
 /*
- * A request that a leaving entry gave to this one. It outlives the run, so that
- * a caller who comes back later than the answer's end still gets the rest.
+ * The answer of a request that a leaving entry handed over to this one. It is
+ * retained after the answer's end, so that a caller who reconnects later still
+ * gets the rest.
  */
 struct adopted_answer {
 	char *id;
-	char *account; /* name; nobody else gets the answer */
+	char *account; /* name; no other account gets the answer */
 	GString *text; /* from the first token on */
-	uint64_t base_offset; /* tokens it came with; their bounds are not known */
-	gsize base_bytes; /* bytes of those */
-	GArray *token_ends; /* gsize: where each later token ends in the text */
+	uint64_t base_offset; /* tokens at handover; bounds unknown */
+	gsize base_bytes; /* length of their text */
+	GArray *token_ends; /* gsize: end of each later token in the text */
 	bool ended;
-	request_t *request; /* NULL once it runs no more */
+	request_t *request; /* NULL once it has ended */
 	pd_time_t expires_at;
 };
 
 struct entry {
 	member_info_t self;
 	bundle_t *bundle; /* NULL until one is in force */
-	GBytes *envelope; /* its signed bytes, for peers */
+	GBytes *envelope; /* the bundle's signed bytes, for peers */
 	upstreams_t *upstreams;
 	claims_t *claims;
 	limits_t *limits;
 	members_t *members;
 	retry_budget_t retry_budget;
 	move_costs_t move_costs;
-	uint64_t recomputed_tokens; /* tokens, by attempts after the first */
+	uint64_t recomputed_tokens; /* by attempts after the first */
 	GHashTable *requests; /* caller id -> request_t, owned */
 	GHashTable *running; /* attempt id -> request_t */
 	GHashTable *claiming; /* attempt id as ticket -> request_t */
@@ -111,26 +112,26 @@
 	list_node_t queues[PRIORITIES];
 	unsigned int queued[PRIORITIES];
 	unsigned int running_of[PRIORITIES];
-	bool room_may_exist; /* something may have made room for what waits */
-	unsigned int normal_since_batch; /* normal requests sent since a batch one */
+	bool room_may_exist; /* since the queues were last run */
+	unsigned int normal_since_batch; /* requests dispatched */
 	prefix_cache_t *prefixes;
 	predict_t *predict;
 	demand_t *demand;
-	GRand *rand; /* of the routing */
+	GRand *rand; /* random choices of the routing */
 	uint64_t next_id;
 	pd_time_t first_bundle_at;
 	bool peer_msg_received;
-	uint64_t peer_generation; /* the highest that a peer told of */
-	bool bundle_confirmed; /* none had a later bundle when this entry started */
-	uint64_t pull_generation; /* asked for lately */
+	uint64_t peer_generation; /* highest generation that a peer reported */
+	bool bundle_confirmed; /* no peer had a later bundle at this entry's start */
+	uint64_t pull_generation; /* last requested from a peer */
 	pd_time_t pulled_at;
 	bool vm_list_seen;
 	bool stopping;
 	bool stopped; /* ACTION_STOPPED has been given */
-	pd_time_t stop_at; /* not before: callers may still be coming */
-	pd_time_t leaves_at; /* the VM is reclaimed then; 0: no notice */
-	bool leave_announced; /* peers know of the notice */
-	pd_time_t claims_wait_started_at; /* only claims hold up the stop; 0: no */
+	pd_time_t stop_at; /* earliest stop: callers may still arrive */
+	pd_time_t leaves_at; /* this entry's VM is reclaimed then; 0: no notice */
+	bool leave_announced; /* peers have been told of the notice */
+	pd_time_t claims_wait_started_at; /* only claims delay the stop; 0: no */
 	/* Of the event being handled. */
 	pd_time_t now;
 	int64_t wall;
--- a/core/event.c
+++ b/core/event.c
@@ -1,4 +1,4 @@
-/* Making and freeing what the ports' messages own. */
+/* Creation and destruction of the events' and actions' contents. */
 #include "ports/event.h"
 
 #include "ports/placer_event.h"
@@ -34,21 +34,23 @@
 	[REASON_EARLIER_ATTEMPT] = "earlier-attempt",
 };
 
-/* Returns the last part of the problem type that a refusal is sent as. */
+/*
+ * Returns the last segment of the problem type URI that a refusal is sent as.
+ */
 const char *refusal_name(refusal_t refusal)
 {
 	g_assert(refusal >= 0 && refusal < REFUSALS);
 	return refusal_names[refusal];
 }
 
-/* Returns the fixed name of a reason. */
+/* Returns the name of a reason, as it is logged. */
 const char *refusal_reason_name(refusal_reason_t reason)
 {
 	g_assert(reason >= 0 && reason < REASONS);
 	return reason_names[reason];
 }
 
-/* Returns the HTTP status that a refusal is sent with. */
+/* Returns the HTTP status of a refusal. */
 int refusal_status(refusal_t refusal)
 {
 	g_assert(refusal >= 0 && refusal < REFUSALS);
@@ -63,7 +65,7 @@
 	g_free(info->address);
 }
 
-/* Copies FROM over TO, which must not own anything yet. */
+/* Makes TO a deep copy of FROM. TO must not own anything yet. */
 void member_info_copy(member_info_t *to, const member_info_t *from)
 {
 	*to = *from;
@@ -81,7 +83,7 @@
 	g_free(note->answer);
 }
 
-/* Frees what HANDOVER owns, not HANDOVER itself. */
+/* Frees the contents of HANDOVER, not HANDOVER itself. */
 void handover_clear(handover_t *handover)
 {
 	g_free(handover->request_id);
@@ -96,7 +98,7 @@
 	g_clear_pointer(&handover->body, g_bytes_unref);
 }
 
-/* Returns an empty message, owned by the caller. */
+/* Returns an empty message of that kind. The caller owns it. */
 peer_msg_t *peer_msg_create(peer_msg_kind_t kind)
 {
 	peer_msg_t *msg = g_new0(peer_msg_t, 1);
@@ -105,7 +107,7 @@
 	return msg;
 }
 
-/* Frees a message and what it owns; NULL is allowed. */
+/* Frees a message and its contents. NULL is allowed. */
 void peer_msg_destroy(peer_msg_t *msg)
 {
 	if (!msg)
@@ -124,6 +126,7 @@
 	g_free(msg);
 }
 
+/* Frees the contents of DISPATCH, not DISPATCH itself. */
 static void dispatch_clear(dispatch_t *dispatch)
 {
 	g_free(dispatch->vm_id);
@@ -147,7 +150,7 @@
 	g_free(decision->passed_over);
 }
 
-/* Returns an action of that kind, else empty; the caller owns it. */
+/* Returns an empty action of that kind. The caller owns it. */
 action_t *action_create(action_kind_t kind)
 {
 	action_t *action = g_new0(action_t, 1);
@@ -157,7 +160,7 @@
 	return action;
 }
 
-/* Frees an action that is on no list, and all it owns. */
+/* Frees an action that is not linked into a list, and its contents. */
 void action_destroy(action_t *action)
 {
 	switch (action->kind) {
@@ -198,7 +201,7 @@
 	g_free(action);
 }
 
-/* Frees every action on a list and leaves the list empty. */
+/* Frees all actions on a list and empties the list. */
 void action_list_clear(list_node_t *actions)
 {
 	list_node_t *node;
--- a/tests/harness/drive.c
+++ b/tests/harness/drive.c
@@ -1,4 +1,4 @@
-/* Feeds one entry's core. */
+/* Sends events to one entry's core and collects its actions. */
 #include "tests/harness/drive.h"
 
 #include <string.h>
@@ -7,7 +7,10 @@
 #define WALL_START 1700000000
 #define MAX_TOKENS 8
 
-/* Returns an entry with no bundle and no upstreams; the caller destroys it. */
+/*
+ * Returns a driver with an entry that has no bundle and no upstreams. The
+ * caller owns it; the strings are copied.
+ */
 drive_t *drive_create(const char *id, const char *zone, uint64_t seed)
 {
 	drive_t *drive = g_new0(drive_t, 1);
@@ -27,7 +30,7 @@
 	return drive;
 }
 
-/* Frees the entry and the actions not taken. */
+/* Frees the driver, its entry and the remaining actions. */
 void drive_destroy(drive_t *drive)
 {
 	action_list_clear(&drive->actions);
@@ -35,7 +38,7 @@
 	g_free(drive);
 }
 
-/* Hands an event to the core at the test's time. */
+/* Handles an event at the current simulated time. */
 void drive_event(drive_t *drive, event_t *event)
 {
 	event->now = drive->now;
@@ -43,7 +46,7 @@
 	entry_handle(drive->entry, event, &drive->actions);
 }
 
-/* Moves the clock on and ticks once. */
+/* Advances the clock by STEP and sends one tick. */
 void drive_tick(drive_t *drive, pd_time_t step)
 {
 	event_t event = { .kind = EVENT_TICK };
@@ -54,9 +57,9 @@
 }
 
 /*
- * Puts a bundle in force: model "m", repeatable service "s", not-repeatable and
- * urgent service "once", and two accounts that may call them all, of which the
- * second is urgent.
+ * Puts a bundle in force with model "m", repeatable service "s", urgent service
+ * "once" that is not repeatable, and two accounts that may call all of them,
+ * the second of which is urgent.
  */
 void drive_bundle(drive_t *drive, uint64_t generation)
 {
@@ -89,6 +92,7 @@
 	g_bytes_unref(envelope);
 }
 
+/* Appends a live VM that serves that name. Its id is owned by the caller. */
 static void add_vm(GArray *vms, vm_role_t role, const char *serves,
 		   unsigned int index, unsigned int slots)
 {
@@ -105,7 +109,10 @@
 	g_array_append_val(vms, vm);
 }
 
-/* Lists that many live VMs for "m", and for each of "s" and "once". */
+/*
+ * Sends a list of MODELS live VMs for "m", and SERVICES for each of "s" and
+ * "once".
+ */
 void drive_vms(drive_t *drive, unsigned int models, unsigned int services,
 	       unsigned int slots)
 {
@@ -126,6 +133,7 @@
 	g_array_unref(vms);
 }
 
+/* Sends a request with the given account key; returns the caller's id. */
 static caller_id_t send_request(drive_t *drive, const char *key_hash,
 				target_kind_t kind, const char *target,
 				const char *idempotency_key)
@@ -148,7 +156,7 @@
 	return drive->next_caller;
 }
 
-/* Sends a request as the account's caller; returns the caller's id. */
+/* Sends a request of the normal account; returns the caller's id. */
 caller_id_t drive_request(drive_t *drive, target_kind_t kind,
 			  const char *target, const char *idempotency_key)
 {
@@ -162,7 +170,7 @@
 			    NULL);
 }
 
-/* Reports what an upstream did with an attempt. */
+/* Sends an upstream's event about an attempt. */
 void drive_upstream(drive_t *drive, upstream_event_kind_t kind,
 		    attempt_id_t attempt, uint64_t offset, bool written)
 {
@@ -178,12 +186,13 @@
 	drive_event(drive, &event);
 }
 
-/* Answers a read or write of a claims object; TABLE is borrowed. */
-void drive_store_reply(drive_t *drive, const action_t *ask, store_status_t status,
-		       uint64_t version, claim_table_t *table)
+/* Replies to a read or write of a claims object. TABLE is borrowed. */
+void drive_store_reply(drive_t *drive, const action_t *request_action,
+		       store_status_t status, uint64_t version,
+		       claim_table_t *table)
 {
 	event_t event = { .kind = EVENT_STORE_REPLY,
-			  .store = { .op = ask->store.op,
+			  .store = { .op = request_action->store.op,
 				     .status = status,
 				     .version = version,
 				     .table = table } };
@@ -191,7 +200,10 @@
 	drive_event(drive, &event);
 }
 
-/* Takes the first action of that kind off the list, owned; NULL if none. */
+/*
+ * Removes and returns the first action of that kind, owned by the caller; NULL
+ * if there is none.
+ */
 action_t *drive_take(drive_t *drive, action_kind_t kind)
 {
 	LIST_FOR_EACH (it, &drive->actions) {
@@ -205,7 +217,7 @@
 	return NULL;
 }
 
-/* Returns how many actions of that kind wait. */
+/* Returns the number of collected actions of that kind. */
 unsigned int drive_count(const drive_t *drive, action_kind_t kind)
 {
 	unsigned int count = 0;
@@ -215,7 +227,7 @@
 	return count;
 }
 
-/* Drops every action. */
+/* Frees all collected actions. */
 void drive_clear(drive_t *drive)
 {
 	action_list_clear(&drive->actions);
--- a/tests/harness/drive.h
+++ b/tests/harness/drive.h
@@ -1,6 +1,7 @@
 /*
- * Drives one entry's core by hand, on a clock that only the test moves: events
- * go in, actions are looked at. For unit and property tests.
+ * Drives one entry's core directly, on a simulated clock that only the test
+ * advances: the test sends events and inspects actions. For unit and property
+ * tests.
  */
 #ifndef PISTACHIO_TEST_DRIVE_H
 #define PISTACHIO_TEST_DRIVE_H
@@ -30,8 +31,9 @@
 			  const char *target, const char *idempotency_key);
 void drive_upstream(drive_t *drive, upstream_event_kind_t kind,
 		    attempt_id_t attempt, uint64_t offset, bool written);
-void drive_store_reply(drive_t *drive, const action_t *ask, store_status_t status,
-		       uint64_t version, claim_table_t *table);
+void drive_store_reply(drive_t *drive, const action_t *request_action,
+		       store_status_t status, uint64_t version,
+		       claim_table_t *table);
 action_t *drive_take(drive_t *drive, action_kind_t kind);
 unsigned int drive_count(const drive_t *drive, action_kind_t kind);
 void drive_clear(drive_t *drive);
--- a/tests/unit/test_entry.c
+++ b/tests/unit/test_entry.c
@@ -1,4 +1,6 @@
-/* The entry's core as a whole: readiness, retries, refusals, stopping. */
+/*
+ * The entry's core as a whole: readiness, retries, refusals and planned stops.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -26,6 +28,7 @@
 	return 0;
 }
 
+/* Takes the next refusal and checks it. */
 static void expect_refusal(drive_t *drive, refusal_t refusal, refusal_reason_t reason)
 {
 	action_t *action = drive_take(drive, ACTION_REFUSE);
@@ -36,6 +39,7 @@
 	action_destroy(action);
 }
 
+/* Takes the next dispatch and checks its offset; returns its attempt. */
 static attempt_id_t expect_dispatch(drive_t *drive, uint64_t offset)
 {
 	action_t *action = drive_take(drive, ACTION_DISPATCH);
@@ -49,10 +53,11 @@
 }
 
 /*
- * The VM list lags, so a fresh entry's first list may be empty though VMs are
- * live. Callers sent there by the balancer would be refused for nothing.
+ * The VM list lags, so a new entry's first list may be empty though VMs are
+ * live. If the entry were ready on it, the load balancer would send it callers
+ * that it must refuse.
  */
-static void test_not_ready_before_a_vm_is_listed(void **state)
+static void test_not_ready_before_first_vm_is_listed(void **state)
 {
 	drive_t *drive = drive_create("entry-2", "zone-a", 7);
 
@@ -68,10 +73,10 @@
 }
 
 /*
- * An engine dies in the middle of a stream. The caller's answer must go on from
- * the next token, with none twice and none missing.
+ * An engine fails in the middle of a stream. The answer must continue from the
+ * next token, without duplicates or gaps.
  */
-static void test_a_broken_stream_resumes_at_its_offset(void **state)
+static void test_broken_stream_resumes_at_its_offset(void **state)
 {
 	drive_t *drive = *state;
 	attempt_id_t first;
@@ -93,10 +98,10 @@
 }
 
 /*
- * A stream's connection goes silent: no error, no token. Waiting for an error
- * would hold the caller until its deadline.
+ * A stream's connection stalls without an error. Waiting for an error would
+ * block the caller until its deadline.
  */
-static void test_a_silent_stream_is_moved(void **state)
+static void test_stalled_stream_is_moved(void **state)
 {
 	drive_t *drive = *state;
 
@@ -108,11 +113,11 @@
 }
 
 /*
- * The engine is full and keeps a stream waiting for its turn, longer than a
- * silent connection is given. Sent elsewhere each time, the stream would lose
- * its place and in the end fail; the engine's comments say that it is alive.
+ * A full engine queues a stream for longer than the time-out of a stalled
+ * connection. Sent elsewhere each time, the stream would lose its place and
+ * finally fail; the engine's comment lines show that it is alive.
  */
-static void test_a_stream_that_waits_its_turn_stays(void **state)
+static void test_queued_stream_is_not_moved(void **state)
 {
 	drive_t *drive = *state;
 	attempt_id_t attempt;
@@ -138,7 +143,7 @@
 	assert_int_equal(drive_count(drive, ACTION_DISPATCH), 0);
 }
 
-static void test_an_older_bundle_is_not_taken(void **state)
+static void test_older_bundle_is_ignored(void **state)
 {
 	drive_t *drive = *state;
 
@@ -147,8 +152,11 @@
 	assert_int_equal(entry_generation(drive->entry), 5);
 }
 
-/* Puts a not-repeatable call through its claim; returns its attempt. */
-static attempt_id_t claimed_call(drive_t *drive, const char *key)
+/*
+ * Sends a call that is not repeatable and completes its claim; returns its
+ * attempt.
+ */
+static attempt_id_t start_claimed_call(drive_t *drive, const char *key)
 {
 	action_t *read;
 	action_t *write;
@@ -168,42 +176,42 @@
 }
 
 /*
- * The connection to a station breaks after the call was sent. It may have run,
- * so it must not be sent again, and the caller must not hear "not run".
+ * The connection to a service breaks after the call was sent. It may have run,
+ * so it must not be sent again, and the caller must not be told "not run".
  */
-static void test_a_sent_call_is_never_sent_again(void **state)
+static void test_sent_call_is_never_resent(void **state)
 {
 	drive_t *drive = *state;
-	attempt_id_t attempt = claimed_call(drive, "k");
+	attempt_id_t attempt = start_claimed_call(drive, "k");
 
 	drive_upstream(drive, UPSTREAM_WRITTEN, attempt, 0, true);
 	drive_upstream(drive, UPSTREAM_FAILED, attempt, 0, true);
 	expect_refusal(drive, REFUSAL_OUTCOME_UNKNOWN, REASON_UPSTREAM_LOST);
 	assert_int_equal(drive_count(drive, ACTION_DISPATCH), 0);
 	drive_request(drive, TARGET_SERVICE, "once", "k");
-	for (action_t *ask; (ask = drive_take(drive, ACTION_STORE_READ));) {
+	for (action_t *read; (read = drive_take(drive, ACTION_STORE_READ));) {
 		claim_table_t *table = claim_table_create();
 
-		drive_store_reply(drive, ask, STORE_DOWN, 0, table);
+		drive_store_reply(drive, read, STORE_DOWN, 0, table);
 		claim_table_destroy(table);
-		action_destroy(ask);
+		action_destroy(read);
 	}
 	assert_int_equal(drive_count(drive, ACTION_DISPATCH), 0);
 }
 
-/* Nothing was written, so the same claim may go to another upstream. */
-static void test_a_refused_connection_is_tried_elsewhere(void **state)
+/* Nothing was sent, so the same claim may go to another upstream. */
+static void test_refused_connection_is_retried_elsewhere(void **state)
 {
 	drive_t *drive = *state;
-	attempt_id_t attempt = claimed_call(drive, "k");
+	attempt_id_t attempt = start_claimed_call(drive, "k");
 
 	drive_upstream(drive, UPSTREAM_FAILED, attempt, 0, false);
 	expect_dispatch(drive, 0);
 }
 
 /*
- * The store is down when a station call comes. It can't be claimed, so it must
- * not run; the caller hears so at once and may come back.
+ * The store is down when a call that needs a claim arrives. It must not run,
+ * and the caller must be told so at once and may retry.
  */
 static void test_store_down_is_not_run_at_once(void **state)
 {
@@ -219,10 +227,10 @@
 }
 
 /*
- * Office work fills the engine and its queue when a line terminal asks. The
- * terminal must get the next free slot though it came last.
+ * Normal requests fill the engine and its queue before an urgent one arrives.
+ * The urgent one must get the next free slot.
  */
-static void test_urgent_goes_before_normal(void **state)
+static void test_urgent_is_dispatched_before_normal(void **state)
 {
 	drive_t *drive = *state;
 	attempt_id_t first;
@@ -242,10 +250,10 @@
 }
 
 /*
- * An operator stops an entry. What runs there must end by itself, and callers
- * that the balancer still sends for a moment must be served.
+ * An operator stops an entry. Requests in flight must complete, and callers
+ * that the load balancer still sends for a moment must be served.
  */
-static void test_a_stop_waits_for_what_runs(void **state)
+static void test_stop_waits_for_requests_in_flight(void **state)
 {
 	drive_t *drive = *state;
 	event_t stop = { .kind = EVENT_STOP };
@@ -270,26 +278,26 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_not_ready_before_a_vm_is_listed),
-		cmocka_unit_test_setup_teardown(test_a_broken_stream_resumes_at_its_offset,
+		cmocka_unit_test(test_not_ready_before_first_vm_is_listed),
+		cmocka_unit_test_setup_teardown(test_broken_stream_resumes_at_its_offset,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_silent_stream_is_moved,
+		cmocka_unit_test_setup_teardown(test_stalled_stream_is_moved,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_stream_that_waits_its_turn_stays,
+		cmocka_unit_test_setup_teardown(test_queued_stream_is_not_moved,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(test_no_upstream_is_not_run,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_an_older_bundle_is_not_taken,
+		cmocka_unit_test_setup_teardown(test_older_bundle_is_ignored,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_sent_call_is_never_sent_again,
+		cmocka_unit_test_setup_teardown(test_sent_call_is_never_resent,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_refused_connection_is_tried_elsewhere,
+		cmocka_unit_test_setup_teardown(test_refused_connection_is_retried_elsewhere,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(test_store_down_is_not_run_at_once,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_urgent_goes_before_normal,
+		cmocka_unit_test_setup_teardown(test_urgent_is_dispatched_before_normal,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_stop_waits_for_what_runs,
+		cmocka_unit_test_setup_teardown(test_stop_waits_for_requests_in_flight,
 						setup, teardown),
 	};
 
