--- a/tests/property/test_admission.cc
+++ b/tests/property/test_admission.cc
@@ -38,7 +38,7 @@
 		drive_destroy(drive);
 	}
 
-	void dispatched()
+	void take_dispatches()
 	{
 		while (action_t *action = drive_take(drive, ACTION_DISPATCH)) {
 			running[action->dispatch.attempt] =
@@ -47,7 +47,7 @@
 		}
 	}
 
-	void cancelled()
+	void take_cancels()
 	{
 		while (action_t *action = drive_take(drive, ACTION_CANCEL)) {
 			running.erase(action->attempt);
@@ -81,8 +81,8 @@
 		entry_t *entry = drive->entry;
 
 		answer_probes();
-		dispatched();
-		cancelled();
+		take_dispatches();
+		take_cancels();
 		check_refusals();
 		drive_clear(drive);
 		for (int i = 0; i < PRIORITIES; i++) {
@@ -96,7 +96,7 @@
 		}
 	}
 
-	void end_one()
+	void end_random_attempt()
 	{
 		if (running.empty())
 			return;
@@ -107,7 +107,7 @@
 		running.erase(at->first);
 	}
 
-	void token_each()
+	void send_token_to_each()
 	{
 		auto copy = running;
 
@@ -132,14 +132,14 @@
 		case 3:
 			urgent_waits = drive->entry->queued[PRIORITY_URGENT] > 0;
 			lower = drive->entry->running_of[PRIORITY_NORMAL];
-			end_one();
+			end_random_attempt();
 			/* What ended made room for urgent work first. */
 			if (urgent_waits)
 				RC_ASSERT(drive->entry->running_of[PRIORITY_NORMAL] <=
 					  lower);
 			break;
 		case 4:
-			token_each();
+			send_token_to_each();
 			break;
 		default:
 			drive_tick(drive, TICK * *rc::gen::inRange(1, 100));
@@ -160,7 +160,7 @@
 		demand_t *demand = demand_create();
 		limits_t *limits = limits_create();
 		bool alive = true;
-		double asks = 0; /* a second */
+		double request_rate = 0; /* a second */
 		double due = 0;
 	};
 	std::vector<One> entries;
@@ -192,7 +192,7 @@
 		return count;
 	}
 
-	void ask(One &one)
+	void send_request(One &one)
 	{
 		pd_time_t retry_after = 0;
 
@@ -206,7 +206,7 @@
 	}
 
 	/* As the membership does: a ping a second to one other, and its ack. */
-	void tell(size_t from, size_t to)
+	void send_ping(size_t from, size_t to)
 	{
 		peer_msg_t *msg = peer_msg_create(PEER_PING);
 
@@ -216,16 +216,16 @@
 		peer_msg_destroy(msg);
 	}
 
-	void second()
+	void run_second()
 	{
 		for (int i = 0; i < 50; i++) {
 			now += TICK;
 			for (auto &one : entries) {
 				if (!one.alive)
 					continue;
-				for (one.due += one.asks / 50; one.due >= 1;
-				     one.due--)
-					ask(one);
+				for (one.due += one.request_rate / 50;
+				     one.due >= 1; one.due--)
+					send_request(one);
 			}
 		}
 		for (size_t i = 0; i < entries.size(); i++) {
@@ -234,26 +234,26 @@
 
 			if (other == i || !entries[i].alive || !entries[other].alive)
 				continue;
-			tell(i, other);
-			tell(other, i);
+			send_ping(i, other);
+			send_ping(other, i);
 		}
 	}
 };
 
 /*
- * A line terminal's account asks through one entry of six only, because its
+ * A line terminal's account request_rate through one entry of six only, because its
  * connections all went there. It must get nearly its whole limit.
  */
 static void one_entry_gets_the_limit()
 {
 	Sharers sharers(6);
 
-	sharers.entries[0].asks = 60;
+	sharers.entries[0].request_rate = 60;
 	for (int i = 0; i < 60; i++)
-		sharers.second();
+		sharers.run_second();
 	sharers.granted = 0;
 	for (int i = 0; i < 20; i++)
-		sharers.second();
+		sharers.run_second();
 	RC_ASSERT(sharers.granted >= 0.9 * 20 * 60);
 }
 
@@ -280,9 +280,9 @@
 		/* The first ten are quiet, and all know it. */
 		if (i % 20 == 10) {
 			for (auto &one : sharers.entries)
-				one.asks = *rc::gen::inRange(0, 120);
+				one.request_rate = *rc::gen::inRange(0, 120);
 		}
-		sharers.second();
+		sharers.run_second();
 	}
 	RC_ASSERT(sharers.granted <=
 		  1.5 * seconds * 60 + 60 + 6 + 60.0 * changes / 6);
@@ -299,14 +299,14 @@
 	const int seconds = 10;
 
 	for (auto &one : sharers.entries)
-		one.asks = 1;
+		one.request_rate = 1;
 	for (int i = 0; i < seconds; i++)
-		sharers.second();
+		sharers.run_second();
 	sharers.granted = 0;
 	for (auto &one : sharers.entries)
-		one.asks = *rc::gen::inRange(30, 120);
+		one.request_rate = *rc::gen::inRange(30, 120);
 	for (int i = 0; i < seconds; i++)
-		sharers.second();
+		sharers.run_second();
 	RC_ASSERT(sharers.granted <= 1.5 * seconds * 60 + 60 + 6);
 }
 
--- a/tests/unit/test_queue.c
+++ b/tests/unit/test_queue.c
@@ -11,7 +11,7 @@
 #include "tests/harness/drive.h"
 
 #define SLOTS 2
-#define NORMALS 30
+#define NORMAL_REQUESTS 30
 
 static int setup(void **state)
 {
@@ -30,7 +30,7 @@
 	return 0;
 }
 
-static void add_waiting(drive_t *drive, priority_t priority)
+static void add_queued_request(drive_t *drive, priority_t priority)
 {
 	const target_t *target = bundle_target(drive->entry->bundle, "m");
 	GBytes *body = g_bytes_new_static("p", 1);
@@ -47,7 +47,7 @@
 }
 
 /* Ends the first attempt sent out; returns the priority that it had. */
-static priority_t end_first(drive_t *drive)
+static priority_t end_first_attempt(drive_t *drive)
 {
 	action_t *action = drive_take(drive, ACTION_DISPATCH);
 	priority_t priority;
@@ -68,11 +68,11 @@
 	drive_t *drive = *state;
 	unsigned int before = 0;
 
-	for (int i = 0; i < NORMALS; i++)
-		add_waiting(drive, PRIORITY_NORMAL);
-	add_waiting(drive, PRIORITY_BATCH);
+	for (int i = 0; i < NORMAL_REQUESTS; i++)
+		add_queued_request(drive, PRIORITY_NORMAL);
+	add_queued_request(drive, PRIORITY_BATCH);
 	drive_tick(drive, PD_MSEC);
-	while (end_first(drive) != PRIORITY_BATCH)
+	while (end_first_attempt(drive) != PRIORITY_BATCH)
 		before++;
 	assert_in_range(before, 1, 8 + SLOTS);
 }
@@ -81,19 +81,20 @@
  * Ten thousand tokens a second pass an entry whose queue is long. Were the queue
  * walked for each, the entry would fall behind and every stream stutter.
  */
-static void test_a_token_does_not_walk_the_queue(void **state)
+static void test_token_does_not_scan_queue(void **state)
 {
 	drive_t *drive = *state;
 	action_t *action;
 
-	for (int i = 0; i < NORMALS; i++)
-		add_waiting(drive, PRIORITY_NORMAL);
+	for (int i = 0; i < NORMAL_REQUESTS; i++)
+		add_queued_request(drive, PRIORITY_NORMAL);
 	drive_tick(drive, PD_MSEC);
 	action = drive_take(drive, ACTION_DISPATCH);
 	assert_false(drive->entry->room_may_exist);
 	drive_upstream(drive, UPSTREAM_TOKEN, action->dispatch.attempt, 0, true);
 	assert_false(drive->entry->room_may_exist);
-	assert_int_equal(drive->entry->queued[PRIORITY_NORMAL], NORMALS - SLOTS);
+	assert_int_equal(drive->entry->queued[PRIORITY_NORMAL],
+			 NORMAL_REQUESTS - SLOTS);
 	action_destroy(action);
 }
 
@@ -116,13 +117,13 @@
  * Three times as many callers come as the engines can serve. One who would get
  * the first token too late must hear so at once, with a time to come back.
  */
-static void test_too_late_is_refused_at_once(void **state)
+static void test_late_request_is_refused_at_once(void **state)
 {
 	drive_t *drive = *state;
 
-	for (int i = 0; i < NORMALS; i++)
+	for (int i = 0; i < NORMAL_REQUESTS; i++)
 		drive_request(drive, TARGET_MODEL, "m", NULL);
-	assert_int_equal(take_refusals(drive), NORMALS - SLOTS);
+	assert_int_equal(take_refusals(drive), NORMAL_REQUESTS - SLOTS);
 	drive_urgent_request(drive, "m");
 	assert_int_equal(take_refusals(drive), 0);
 	assert_int_equal(drive->entry->queued[PRIORITY_URGENT], 1);
@@ -133,9 +134,9 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(test_batch_work_is_not_starved,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_token_does_not_walk_the_queue,
+		cmocka_unit_test_setup_teardown(test_token_does_not_scan_queue,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_too_late_is_refused_at_once,
+		cmocka_unit_test_setup_teardown(test_late_request_is_refused_at_once,
 						setup, teardown),
 	};
 
