--- a/core/admission.c
+++ b/core/admission.c
@@ -1,6 +1,7 @@
 /*
- * Takes requests in: who may call what, how much, and under which claim. What
- * is refused here has not been sent anywhere, so "not run" is certain.
+ * Admission of requests: authorization, rate limits, queue limits and claims. A
+ * request that is refused here has not been sent anywhere, so "not run" is
+ * certain.
  */
 #include <string.h>
 
@@ -8,13 +9,17 @@
 #include "core/queue.h"
 
 /*
- * The estimate is a mean, and half of the callers wait longer. Refusing from
- * this part of the target on keeps those that are taken within it.
+ * The predicted time to the first token is a mean, which half of the callers
+ * exceed. Refusing requests whose prediction exceeds this fraction of the
+ * target keeps the admitted ones within the target.
  */
 #define FIRST_TOKEN_MARGIN 0.4
 #define RETRY_AFTER_SHORT (1 * PD_SEC)
 #define RETRY_AFTER_LONG (5 * PD_SEC)
 
+/*
+ * Records a request of the account and returns this entry's share of its limit.
+ */
 static double admission_share(entry_t *entry, const account_t *account)
 {
 	demand_record_request(entry->demand, account->name, entry->now);
@@ -22,13 +27,16 @@
 			    members_alive(entry->members), entry->now);
 }
 
-/* Returns how urgent a request is: its account's word goes before its target's. */
+/* Returns the priority of a request: the account's overrides the target's. */
 static priority_t admission_priority(const account_t *account, const target_t *target)
 {
 	return account->has_priority ? account->priority : target->priority;
 }
 
-/* Checks rights and limits; returns the target, or NULL after a refusal. */
+/*
+ * Checks authorization and limits. Returns the target, borrowed, or NULL after
+ * a refusal.
+ */
 static const target_t *admission_check(entry_t *entry, const caller_request_t *from)
 {
 	const account_t *account = NULL;
@@ -79,10 +87,11 @@
 }
 
 /*
- * Refuses a request that was queued if its first token would come too late. Under
- * overload a queue that takes all it has room for makes every caller late, seen
- * as full engines and no answer in time; the caller is better told at once when
- * to come back. Urgent work has nowhere better to go and keeps its place.
+ * Refuses a queued request if its first token is predicted to come too late.
+ * Under overload a queue that accepts requests up to its limit makes every
+ * caller late: engines are full and answers time out. It is better to tell the
+ * caller at once when to retry. Urgent requests have no better alternative and
+ * stay queued.
  */
 static void admission_refuse_if_late(entry_t *entry, request_t *request)
 {
@@ -92,7 +101,7 @@
 	if (request->target.kind != TARGET_MODEL ||
 	    request->priority == PRIORITY_URGENT)
 		return;
-	/* It is in the queue itself, which is not ahead of it. */
+	/* The request itself is counted in the queue. */
 	expected =
 		predict_time_to_first_token(entry->predict, request->target.name,
 					    request->priority,
@@ -103,7 +112,7 @@
 			     MAX(expected - target, RETRY_AFTER_SHORT));
 }
 
-/* Takes a caller's request in, or refuses it at once. */
+/* Admits a caller's request, or refuses it at once. */
 void admission_handle_request(entry_t *entry, const caller_request_t *from)
 {
 	const target_t *target = admission_check(entry, from);
@@ -125,6 +134,7 @@
 		admission_refuse_if_late(entry, request);
 }
 
+/* Sends the answer that is recorded under the request's claim and ends it. */
 static void admission_send_recorded_answer(entry_t *entry, request_t *request,
 					   const claim_result_t *result)
 {
@@ -140,7 +150,7 @@
 	request_end(entry, request);
 }
 
-/* Ends a request whose claim another attempt holds. */
+/* Refuses and ends a request whose claim was not acquired. */
 static void admission_refuse_claim(entry_t *entry, request_t *request,
 				   refusal_t refusal, refusal_reason_t reason,
 				   pd_time_t retry_after)
@@ -152,9 +162,10 @@
 }
 
 /*
- * Sends out a request that has its claim. The queue may have filled while the
- * claim was written; requests that came meanwhile would all pass the check made
- * on arrival and grow the queue without bound when the store is slow.
+ * Dispatches a request whose claim was acquired. The queue may have filled
+ * while the claim was written; requests that arrived in that time all passed
+ * the check on arrival and would grow the queue without bound when the store is
+ * slow.
  */
 static void admission_dispatch_claimed(entry_t *entry, request_t *request)
 {
@@ -164,7 +175,10 @@
 		request_fail(entry, request, REASON_NO_UPSTREAM, RETRY_AFTER_LONG);
 }
 
-/* Goes on with a request whose claim has been settled. */
+/*
+ * Continues a request whose claim has been resolved. Ignores requests that have
+ * ended.
+ */
 void admission_handle_claim(entry_t *entry, const claim_result_t *result)
 {
 	request_t *request = g_hash_table_lookup(entry->claiming, &result->ticket);
@@ -196,9 +210,9 @@
 }
 
 /*
- * A caller hung up. A model's answer is dropped. A call that may not be
- * repeated runs on once it has been sent, so that its answer is on record when
- * the caller asks again with the same key.
+ * Handles the disconnect of a caller. A model's request ends. A call that is
+ * not repeatable and has been sent continues, so that its answer is recorded
+ * when the caller retries with the same key.
  */
 void admission_handle_disconnect(entry_t *entry, caller_id_t caller)
 {
--- a/core/attempt.c
+++ b/core/attempt.c
@@ -1,6 +1,6 @@
 /*
- * What became of an attempt: tokens, answers and failures come in, and a request
- * whose attempt broke goes on elsewhere, now or after a wait.
+ * The outcome of attempts: handles tokens, answers and failures, and retries
+ * requests whose attempt failed, at once or after a delay.
  */
 #include "core/entry_state.h"
 #include "core/queue.h"
@@ -9,18 +9,19 @@
 #define FAILURES_MAX 6
 #define RETRY_AFTER_SHORT (1 * PD_SEC)
 /*
- * An attempt that did not begin is tried again after a wait that doubles. In a
- * wave the remaining upstreams refuse much; trying on at once would only load
- * them more, and giving up would fail work that was accepted.
+ * An attempt that did not start is retried after a delay that doubles. In a
+ * wave of reclaims the remaining upstreams reject many attempts; immediate
+ * retries would only add to their load, and giving up would fail requests that
+ * were accepted.
  */
 #define BACKOFF_MIN (50 * PD_MSEC)
 #define BACKOFF_DOUBLINGS 4
-/* Without retries left in the budget, a retry waits once to twice this long. */
+/* With an empty retry budget, a retry is delayed by one to two times this. */
 #define BACKOFF_NO_BUDGET (1 * PD_SEC)
 
 /*
- * Leaves a request outside the queue for WAIT, and up to as long again: those
- * that failed together must not all come back together.
+ * Schedules a retry of the request after WAIT plus a jitter of up to the same
+ * time, so that requests that failed together are not all retried together.
  */
 static void attempt_back_off(entry_t *entry, request_t *request, pd_time_t wait)
 {
@@ -31,7 +32,10 @@
 			   "tried in vain; it waits before the next attempt", "");
 }
 
-/* Sends a request that has been accepted. With nobody to send to it waits. */
+/*
+ * Dispatches a request that was accepted before. If there is no upstream for
+ * it, it is queued.
+ */
 void attempt_redispatch(entry_t *entry, request_t *request)
 {
 	request->retry_at = 0;
@@ -42,10 +46,11 @@
 }
 
 /*
- * Tries a request again after its attempt was dropped. What was announced or
- * did not begin costs no retry: no work is multiplied by it, and a wave would
- * use up every retry at once. A call that may not be repeated and may have
- * reached its upstream is never sent again.
+ * Retries a request after its attempt was cancelled. Attempts that did not
+ * start, or whose VM had a reclaim notice, don't use the retry budget: they
+ * don't multiply the load, and a wave of reclaims would use up the budget at
+ * once. A call that is not repeatable and may have reached an upstream is never
+ * resent.
  */
 void attempt_retry(entry_t *entry, request_t *request, failure_cause_t cause)
 {
@@ -73,6 +78,7 @@
 	attempt_redispatch(entry, request);
 }
 
+/* Handles a rejected or failed attempt. */
 static void attempt_handle_failure(entry_t *entry, request_t *request,
 				   const upstream_event_t *event)
 {
@@ -91,7 +97,7 @@
 	attempt_retry(entry, request, cause);
 }
 
-/* Takes the first sign of life of an attempt. */
+/* Handles the first response of an attempt. */
 static void attempt_handle_start(entry_t *entry, request_t *request,
 				 const upstream_event_t *event)
 {
@@ -108,7 +114,7 @@
 		return;
 	if (request->attempts > 1)
 		entry->recomputed_tokens += event->recomputed;
-	/* An import that worked leaves next to nothing to compute. */
+	/* After a successful import hardly any token is recomputed. */
 	if (request->imports_kv && set_up == 0)
 		move_costs_record_start(&entry->move_costs, true,
 					(unsigned int)request->offset,
@@ -119,9 +125,9 @@
 }
 
 /*
- * Passes a token on if it is the next one. An upstream that resumed too early
- * repeats tokens the caller has; they are dropped. One that skipped ahead would
- * leave a hole, so its attempt counts as failed.
+ * Sends a token to the caller if it is the next one. An upstream that resumed
+ * too early repeats tokens that the caller has; they are dropped. One that
+ * skipped tokens would leave a gap, so its attempt counts as failed.
  */
 static void attempt_handle_token(entry_t *entry, request_t *request,
 				 const upstream_event_t *event)
@@ -151,6 +157,10 @@
 	request->offset++;
 }
 
+/*
+ * Sends a complete answer to the caller, records it if there is a claim, and
+ * ends the request.
+ */
 static void attempt_handle_answer(entry_t *entry, request_t *request,
 				  const upstream_event_t *event)
 {
@@ -166,7 +176,10 @@
 	request_end(entry, request);
 }
 
-/* Takes what an upstream did with an attempt; late news is ignored. */
+/*
+ * Handles an upstream's event about an attempt. Ignores attempts that have
+ * ended.
+ */
 void attempt_handle_event(entry_t *entry, const upstream_event_t *event)
 {
 	request_t *request = g_hash_table_lookup(entry->running, &event->attempt);
--- a/core/dispatch.c
+++ b/core/dispatch.c
@@ -1,6 +1,7 @@
 /*
- * Sends requests to upstreams: chooses, tries, hears back, tries elsewhere.
- * Work that can't go out at once waits in the queue of its priority.
+ * Dispatches requests to upstreams, and cancels attempts that stall or must
+ * move. Requests that can't be sent at once wait in the queue of their
+ * priority.
  */
 #include <string.h>
 
@@ -10,19 +11,23 @@
 
 #define RETRY_AFTER_SHORT (1 * PD_SEC)
 /*
- * A connection can go silent for good without an error. An attempt that shows
- * no sign of life for this long is dropped and its request sent on a new
- * connection; waiting for an error would hold the caller until its deadline.
+ * A connection can stall for good without an error. An attempt without any sign
+ * of progress for this long is cancelled and its request sent on a new
+ * connection; waiting for an error would block the caller until its deadline.
  */
 #define SILENCE_MAX (3 * PD_SEC)
 /*
- * A plain service's call on a VM that leaves is sent elsewhere when this little
- * time is left. Earlier would repeat calls that still end where they are.
+ * A service's call on a leaving VM is cancelled and sent elsewhere when this
+ * much time is left. Earlier would repeat calls that can still complete.
  */
 #define SERVICE_MOVE_LEAD (1 * PD_SEC)
-/* Setting up a long prompt is silent too; it may take this times what is usual. */
+/*
+ * The prefill of a long prompt gives no sign of progress either; an attempt may
+ * take this many times the expected prefill time.
+ */
 #define PREFILL_TIME_FACTOR 4
 
+/* Fills DISPATCH for the request's attempt on VM; copies the strings. */
 static void dispatch_fill_action(const entry_t *entry, const request_t *request,
 				 const vm_t *vm, dispatch_t *dispatch)
 {
@@ -47,7 +52,7 @@
 		dispatch->fence = entry->self.incarnation;
 }
 
-/* Forgets what was seen of the attempt before the one that begins. */
+/* Resets the state of the previous attempt before a new one starts. */
 static void dispatch_reset_attempt(entry_t *entry, request_t *request)
 {
 	request->attempt_written = false;
@@ -60,6 +65,7 @@
 	request->last_progress_at = entry->now;
 }
 
+/* Starts an attempt of the request on that upstream. */
 static void dispatch_start(entry_t *entry, request_t *request, upstream_t *upstream)
 {
 	action_t *action = action_create(ACTION_DISPATCH);
@@ -83,7 +89,7 @@
 	list_append(entry->actions, &action->node);
 }
 
-/* Sends a request whose attempt was dropped on to that upstream, for REASON. */
+/* Sends a request whose attempt was cancelled to TARGET, and logs REASON. */
 void dispatch_send_to(entry_t *entry, request_t *request, upstream_t *target,
 		      const char *reason)
 {
@@ -99,6 +105,7 @@
 	g_free(why);
 }
 
+/* Returns the routing query for a request. It borrows from both. */
 static route_query_t dispatch_query(entry_t *entry, const request_t *request)
 {
 	return (route_query_t){ .target = &request->target,
@@ -113,6 +120,7 @@
 				.now = entry->now };
 }
 
+/* Starts an attempt on the upstream in CHOICE, logs it, and clears CHOICE. */
 static void dispatch_send_chosen(entry_t *entry, request_t *request,
 				 uint64_t prefix, route_choice_t *choice)
 {
@@ -125,8 +133,8 @@
 }
 
 /*
- * Sends a request out, or queues it if every upstream is busy. Returns false,
- * and leaves it out of the queue, if there is no upstream to wait for.
+ * Dispatches a request, or queues it if all upstreams are busy. Returns false,
+ * without queueing it, if no usable upstream serves its target.
  */
 bool dispatch_request(entry_t *entry, request_t *request)
 {
@@ -150,7 +158,10 @@
 	return false;
 }
 
-/* Sends out a request that waits, if there is room; returns what was found. */
+/*
+ * Dispatches a queued request if there is capacity; returns the result of the
+ * routing.
+ */
 route_result_t dispatch_queued(entry_t *entry, request_t *request)
 {
 	route_query_t query = dispatch_query(entry, request);
@@ -164,7 +175,7 @@
 	return result;
 }
 
-/* Forgets the attempt under way and tells the adapter to drop it. */
+/* Cancels the attempt in flight; its request is then waiting, in no queue. */
 void dispatch_cancel_attempt(entry_t *entry, request_t *request)
 {
 	upstream_t *upstream = upstreams_find(entry->upstreams, request->vm_id);
@@ -185,7 +196,7 @@
 	upstream_record_end(upstream);
 }
 
-/* Returns how long the attempt may stay without a sign of life. */
+/* Returns how long the attempt may go without a sign of progress. */
 static pd_time_t dispatch_silence_max(const entry_t *entry, const request_t *request)
 {
 	double bytes =
@@ -198,8 +209,9 @@
 }
 
 /*
- * Says whether the attempt should be left: it is silent, or a plain service's
- * VM goes. Streams on a VM that goes are drain_check()'s.
+ * Returns whether the attempt should be cancelled, because it stalls or, for a
+ * service, because its VM is about to go; sets CAUSE. Streams on leaving VMs
+ * are handled by drain_check().
  */
 static bool dispatch_should_cancel(const entry_t *entry, const request_t *request,
 				   failure_cause_t *cause)
@@ -210,13 +222,14 @@
 
 	*cause = announced ? FAILURE_VM_LEAVING : FAILURE_LOST;
 	if (request->claim_key)
-		return false; /* it can't be sent again; only wait */
+		return false; /* can't be resent, so only wait */
 	if (request->target.kind == TARGET_MODEL)
 		return entry->now - request->last_progress_at >=
 		       dispatch_silence_max(entry, request);
 	return announced && upstream->leaves_at - entry->now <= SERVICE_MOVE_LEAD;
 }
 
+/* Ends, retries or moves one request, if that is due. */
 static void dispatch_check_one(entry_t *entry, request_t *request)
 {
 	failure_cause_t cause;
@@ -236,7 +249,10 @@
 	attempt_retry(entry, request, cause);
 }
 
-/* Ends what is past its deadline and moves what is silent or must leave. */
+/*
+ * Ends requests that are past their deadline, and moves those that stall or
+ * whose VM leaves.
+ */
 void dispatch_check_all(entry_t *entry)
 {
 	GPtrArray *all = g_ptr_array_new();
--- a/core/queue.c
+++ b/core/queue.c
@@ -1,26 +1,29 @@
 /*
- * The queues of waiting requests, one for each priority. Urgent work goes
- * first; of the rest, batch work gets a share so that it is not starved.
+ * The queues of waiting requests, one for each priority. Urgent requests go
+ * first; of the rest, batch requests get a share so that they are not starved.
  */
 #include "core/queue.h"
 
 #include <string.h>
 
-#define FULL_TARGETS_MAX \
-	8 /* targets found full_targets that one pass remembers */
+#define FULL_TARGETS_MAX 8 /* at most recorded in one pass */
 /*
- * A steady stream of normal work would hold batch work back until its deadline.
- * So of each this many sent from the queues below urgent one is a batch request.
+ * A steady stream of normal requests would delay batch requests until their
+ * deadline. So one of this many requests that are dispatched from the queues
+ * below urgent is a batch request.
  */
 #define BATCH_INTERVAL 8
 
-/* The targets that one pass over a queue found with no room. */
+/* The targets for which one pass over a queue found no capacity. */
 typedef struct full_targets {
 	const char *names[FULL_TARGETS_MAX];
 	unsigned int count;
 } full_targets_t;
 
-/* Puts a request into the queue of its priority, at its end or its head. */
+/*
+ * Adds a request to the queue of its priority, at the head if FIRST is set,
+ * else at the end.
+ */
 void queue_add(entry_t *entry, request_t *request, bool first)
 {
 	list_node_t *queue = &entry->queues[request->priority];
@@ -30,7 +33,7 @@
 	entry->queued[request->priority]++;
 }
 
-/* Takes a request out of its queue, if it is in one. */
+/* Removes a request from its queue, if it is in one. */
 void queue_remove(entry_t *entry, request_t *request)
 {
 	if (list_empty(&request->node))
@@ -40,8 +43,9 @@
 }
 
 /*
- * Returns how many slots, of those that this entry has in use, work of that
- * priority gets. Batch work gets its share though none of it runs just now.
+ * Returns how many of the slots that this entry has in use are available to
+ * requests of that priority. Batch requests have their share even if none of
+ * them is running now.
  */
 double queue_slots(const entry_t *entry, priority_t priority)
 {
@@ -57,6 +61,9 @@
 		       : MAX(running[PRIORITY_BATCH], share);
 }
 
+/*
+ * Returns whether the pass has found no capacity for the target of that NAME.
+ */
 static bool full_targets_contain(const full_targets_t *full_targets,
 				 const char *name)
 {
@@ -68,9 +75,9 @@
 }
 
 /*
- * Sends at most LIMIT requests of a queue; returns how many went. A target that
- * had no room for one request has none for the next of the same priority, so
- * it is asked about once a pass.
+ * Dispatches at most LIMIT requests of a queue; returns how many were
+ * dispatched. A target without capacity for one request has none for the next
+ * one of the same priority, so each target is tried once in a pass.
  */
 static unsigned int queue_dispatch(entry_t *entry, priority_t priority,
 				   unsigned int limit)
@@ -100,8 +107,9 @@
 }
 
 /*
- * Sends out what waits, as far as there is room. A token gives no room, so
- * unless something ended or was heard since the last pass, it does nothing.
+ * Dispatches waiting requests as far as there is capacity. A token frees no
+ * capacity, so this does nothing unless a request ended or a report arrived
+ * since the last call.
  */
 void queue_run(entry_t *entry)
 {
@@ -114,7 +122,10 @@
 
 		if (entry->normal_since_batch >= BATCH_INTERVAL - 1) {
 			sent = queue_dispatch(entry, PRIORITY_BATCH, 1);
-			/* With no room for it, its turn is still to come. */
+			/*
+			 * If there is no capacity for it, the batch request
+			 * stays due.
+			 */
 			if (sent)
 				entry->normal_since_batch = 0;
 		}
--- a/core/queue.h
+++ b/core/queue.h
@@ -1,4 +1,7 @@
-/* The queues of requests that wait for room at an upstream. Private to core/. */
+/*
+ * The queues of requests that wait for capacity at an upstream. Private to
+ * core/.
+ */
 #ifndef PISTACHIO_QUEUE_H
 #define PISTACHIO_QUEUE_H
 
--- a/core/request.c
+++ b/core/request.c
@@ -1,10 +1,13 @@
-/* One request in flight: its making, its answers and its end. */
+/* One request in flight: creation, replies and end. */
 #include <string.h>
 
 #include "core/entry_state.h"
 #include "core/queue.h"
 
-/* Returns the SHA-256 of the parts, joined by a byte none may hold, in hex. */
+/*
+ * Returns the SHA-256 of the parts, in hex; the caller owns it. The strings are
+ * terminated by NUL, which neither may contain. BODY may be NULL.
+ */
 static char *request_digest(const char *a, const char *b, GBytes *body)
 {
 	GChecksum *sum = g_checksum_new(G_CHECKSUM_SHA256);
@@ -20,7 +23,7 @@
 	return hex;
 }
 
-/* Asks for the claim without which this call may not be dispatched. */
+/* Requests the claim without which the call may not be dispatched. */
 static void request_acquire_claim(entry_t *entry, request_t *request,
 				  const caller_request_t *from)
 {
@@ -40,8 +43,8 @@
 }
 
 /*
- * Makes the request of a caller whose rights have been checked, and asks for
- * its claim if its target may not be repeated. The entry owns the request.
+ * Creates the request of an authorized caller, and requests its claim if its
+ * target is not repeatable. The entry owns the request.
  */
 request_t *request_create(entry_t *entry, const caller_request_t *from,
 			  const target_t *target)
@@ -98,7 +101,10 @@
 	g_free(request);
 }
 
-/* Appends a reply of that kind for the request's caller; copies DATA. */
+/*
+ * Appends a reply of that kind to the request's caller, unless the caller has
+ * gone. Copies DATA.
+ */
 void request_reply(entry_t *entry, const request_t *request, action_kind_t kind,
 		   const char *data, size_t len, int status)
 {
@@ -116,7 +122,7 @@
 	list_append(entry->actions, &action->node);
 }
 
-/* Takes the request off every table and frees it. */
+/* Removes the request from all tables, cancels its attempt and frees it. */
 void request_end(entry_t *entry, request_t *request)
 {
 	if (request->state == REQUEST_RUNNING)
@@ -131,10 +137,10 @@
 }
 
 /*
- * Ends a request without an answer, and says which of the two it is. Nothing
- * was written to any upstream: not run, and a claim is given back so that the
- * caller's retry can run. Else the outcome is unknown, and a claim stays held
- * for ever, because the call may have run.
+ * Refuses and ends a request. If no attempt has been written to an upstream the
+ * refusal is "not run", and a claim is released so that the caller's retry can
+ * run. Otherwise the outcome is unknown, and a claim stays held for ever,
+ * because the call may have run.
  */
 void request_fail(entry_t *entry, request_t *request, refusal_reason_t reason,
 		  pd_time_t retry_after)
--- a/core/retry_budget.c
+++ b/core/retry_budget.c
@@ -1,16 +1,16 @@
-/* The retry budget: each request earns a part of a retry. */
+/* The retry budget: a token bucket that each new request refills a little. */
 #include "core/retry_budget.h"
 
-#define RETRIES_PER_REQUEST 0.2 /* of a retry, by each new request */
-#define RETRY_TOKENS_MAX 50.0 /* saved up at most */
+#define RETRIES_PER_REQUEST 0.2 /* tokens added by each new request */
+#define RETRY_TOKENS_MAX 50.0 /* bucket size */
 
-/* Fills the budget, so that the first failures may be retried. */
+/* Fills the bucket, so that the first failures may be retried. */
 void retry_budget_init(retry_budget_t *budget)
 {
 	budget->tokens = RETRY_TOKENS_MAX;
 }
 
-/* Credits one new request. */
+/* Adds the tokens of one new request. */
 void retry_budget_credit(retry_budget_t *budget)
 {
 	budget->tokens += RETRIES_PER_REQUEST;
@@ -18,7 +18,7 @@
 		budget->tokens = RETRY_TOKENS_MAX;
 }
 
-/* Takes one retry; returns false if there is none. */
+/* Takes the token of one retry. Returns false if there is none. */
 bool retry_budget_spend(retry_budget_t *budget)
 {
 	if (budget->tokens < 1.0)
--- a/core/retry_budget.h
+++ b/core/retry_budget.h
@@ -1,7 +1,7 @@
 /*
- * How many retries this entry may add to its callers' own requests. Without a
- * budget a wave of failures multiplies the work just when there is least room
- * for it. Moves away from a VM that was announced to leave are not retries.
+ * Limits the retries that this entry adds to its callers' own requests. Without
+ * a budget a wave of failures multiplies the load just when capacity is lowest.
+ * Moves away from a VM with a reclaim notice are not retries.
  */
 #ifndef PISTACHIO_RETRY_BUDGET_H
 #define PISTACHIO_RETRY_BUDGET_H
--- a/tests/property/test_admission.cc
+++ b/tests/property/test_admission.cc
@@ -1,7 +1,8 @@
 /*
- * Admission under random arrivals and ends: urgent work is never passed over,
- * queues are bounded, nothing waits past its deadline, refusals say when to come
- * back, and what entries grant an account together stays near its limit.
+ * Admission under random arrivals and completions: urgent requests are
+ * dispatched first, queues are bounded, nothing waits past its deadline,
+ * refusals have a retry time, and the sum of what the entries grant an account
+ * stays near its limit.
  */
 #include <rapidcheck.h>
 
@@ -18,10 +19,10 @@
 #include "tests/harness/drive.h"
 }
 
-static const unsigned int SLOTS = 3; /* too few to reserve any */
+static const unsigned int SLOTS = 3; /* too few for a reserve */
 static const pd_time_t TICK = 20 * PD_MSEC;
 
-/* An entry before two engines, and what the test knows to run and to wait. */
+/* An entry with two engines, and the attempts that the test knows of. */
 struct Model {
 	drive_t *drive;
 	std::map<attempt_id_t, unsigned int> running; /* token offsets */
@@ -133,7 +134,7 @@
 			urgent_waits = drive->entry->queued[PRIORITY_URGENT] > 0;
 			lower = drive->entry->running_of[PRIORITY_NORMAL];
 			end_random_attempt();
-			/* What ended made room for urgent work first. */
+			/* Urgent requests are first to get the freed slot. */
 			if (urgent_waits)
 				RC_ASSERT(drive->entry->running_of[PRIORITY_NORMAL] <=
 					  lower);
@@ -145,7 +146,7 @@
 			drive_tick(drive, TICK * *rc::gen::inRange(1, 100));
 			break;
 		}
-		/* No lower work starts while urgent work waits. */
+		/* No lower priority starts while urgent requests wait. */
 		if (drive->entry->queued[PRIORITY_URGENT] > 0)
 			RC_ASSERT(drive->entry->running_of[PRIORITY_NORMAL] +
 					  drive->entry->running_of[PRIORITY_URGENT] >=
@@ -154,7 +155,7 @@
 	}
 };
 
-/* Entries that share one account's limit and hear of each other now and then. */
+/* Entries that share one account's limit and exchange demand reports. */
 struct Sharers {
 	struct One {
 		demand_t *demand = demand_create();
@@ -205,7 +206,9 @@
 			RC_ASSERT(retry_after > 0);
 	}
 
-	/* As the membership does: a ping a second to one other, and its ack. */
+	/*
+	 * Like the membership: a ping a second to one random peer, and its ack.
+	 */
 	void send_ping(size_t from, size_t to)
 	{
 		peer_msg_t *msg = peer_msg_create(PEER_PING);
@@ -241,8 +244,8 @@
 };
 
 /*
- * A line terminal's account request_rate through one entry of six only, because its
- * connections all went there. It must get nearly its whole limit.
+ * All requests of an account arrive at one entry of six, because its
+ * connections were all made there. It must get nearly its whole limit.
  */
 static void one_entry_gets_the_limit()
 {
@@ -258,10 +261,10 @@
 }
 
 /*
- * A large account floods, and entries come and go meanwhile. What it gets in
- * sum must stay within its limit, one burst, and the slack that docs state: half
- * of the limit while demand moves, one request for each entry, and the bursts of
- * entries that come back.
+ * A large account sends more than its limit while entries leave and join. The
+ * sum that it is granted must stay within its limit, one burst and the
+ * documented slack: half of the limit while demand moves, one request for each
+ * entry, and the bursts of entries that return.
  */
 static void sum_stays_within_the_limit()
 {
@@ -277,7 +280,7 @@
 			one.alive = !one.alive || sharers.alive() < 2;
 			changes++;
 		}
-		/* The first ten are quiet, and all know it. */
+		/* The first ten seconds are idle, and all entries know it. */
 		if (i % 20 == 10) {
 			for (auto &one : sharers.entries)
 				one.request_rate = *rc::gen::inRange(0, 120);
@@ -289,9 +292,9 @@
 }
 
 /*
- * An account that was quiet floods all entries at once. Each knows only that the
- * others were quiet; were each to grant the whole limit until news came round,
- * the flood would get six times its limit and push others out.
+ * An idle account suddenly sends to all entries. Each entry knows only that the
+ * others were idle; if each granted the whole limit until demand reports
+ * arrived, the account would get six times its limit and displace others.
  */
 static void a_sudden_flood_stays_within_the_limit()
 {
--- a/tests/unit/test_queue.c
+++ b/tests/unit/test_queue.c
@@ -1,4 +1,4 @@
-/* The queues: who goes first, who is refused, what a token costs. */
+/* The queues: order of priorities, refusals, and the cost of a token. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -30,6 +30,7 @@
 	return 0;
 }
 
+/* Adds a request of that priority to its queue. */
 static void add_queued_request(drive_t *drive, priority_t priority)
 {
 	const target_t *target = bundle_target(drive->entry->bundle, "m");
@@ -46,7 +47,7 @@
 	g_bytes_unref(body);
 }
 
-/* Ends the first attempt sent out; returns the priority that it had. */
+/* Ends the first attempt that was dispatched; returns its priority. */
 static priority_t end_first_attempt(drive_t *drive)
 {
 	action_t *action = drive_take(drive, ACTION_DISPATCH);
@@ -60,8 +61,8 @@
 }
 
 /*
- * Normal work comes without end and batch work waits behind it. It would wait
- * until its deadline; so one in eight that goes is batch.
+ * Batch requests behind a steady stream of normal ones would wait until their
+ * deadline; so one of eight that are dispatched is a batch request.
  */
 static void test_batch_work_is_not_starved(void **state)
 {
@@ -78,8 +79,9 @@
 }
 
 /*
- * Ten thousand tokens a second pass an entry whose queue is long. Were the queue
- * walked for each, the entry would fall behind and every stream stutter.
+ * An entry handles ten thousand tokens a second while its queue is long. If
+ * each of them scanned the queue, the entry would fall behind and all streams
+ * would stall.
  */
 static void test_token_does_not_scan_queue(void **state)
 {
@@ -98,7 +100,7 @@
 	action_destroy(action);
 }
 
-/* Returns how many of the calls made are refused, and checks what they hear. */
+/* Returns the number of refused calls, and checks their refusals. */
 static unsigned int take_refusals(drive_t *drive)
 {
 	unsigned int refused = 0;
@@ -114,8 +116,8 @@
 }
 
 /*
- * Three times as many callers come as the engines can serve. One who would get
- * the first token too late must hear so at once, with a time to come back.
+ * The load is three times the capacity. A caller whose first token would come
+ * too late must be refused at once, with a time to retry.
  */
 static void test_late_request_is_refused_at_once(void **state)
 {
