--- a/core/upstreams.c
+++ b/core/upstreams.c
@@ -416,10 +416,10 @@
 					    const load_report_t *report)
 {
 	for (size_t i = 0; i < report->cache_count; i++) {
-		const cache_event_t *news = &report->cache[i];
+		const cache_event_t *event = &report->cache[i];
 
-		prefix_set_update(upstream->cached_prefixes, news->prefix,
-				  news->held);
+		prefix_set_update(upstream->cached_prefixes, event->prefix,
+				  event->held);
 	}
 }
 
--- a/tests/unit/test_probes.c
+++ b/tests/unit/test_probes.c
@@ -11,9 +11,9 @@
 #define MODELS 24
 #define SECONDS 30
 #define TICK (20 * PD_MSEC)
-#define PROBES_MOST (6 * SECONDS + 1)
+#define PROBES_MAX (6 * SECONDS + 1)
 
-static void answer(drive_t *drive, const char *vm_id)
+static void answer_probe(drive_t *drive, const char *vm_id)
 {
 	event_t event = { .kind = EVENT_LOAD,
 			  .load = { .vm_id = vm_id, .answered = true } };
@@ -22,7 +22,7 @@
 }
 
 /* Answers every probe; returns how many there were, and counts by upstream. */
-static unsigned int run(drive_t *drive, GHashTable *seen)
+static unsigned int answer_probes(drive_t *drive, GHashTable *probed)
 {
 	unsigned int probes = 0;
 	action_t *probe;
@@ -31,8 +31,8 @@
 		drive_tick(drive, TICK);
 		while ((probe = drive_take(drive, ACTION_PROBE))) {
 			probes++;
-			g_hash_table_add(seen, g_strdup(probe->probe.vm_id));
-			answer(drive, probe->probe.vm_id);
+			g_hash_table_add(probed, g_strdup(probe->probe.vm_id));
+			answer_probe(drive, probe->probe.vm_id);
 			action_destroy(probe);
 		}
 		drive_clear(drive);
@@ -45,27 +45,27 @@
  * cost a node more than it may spend on control, and the operators would see it
  * in the traffic between zones.
  */
-static void test_probes_are_paced_and_reach_all(void **state)
+static void test_probe_rate_is_bounded_and_covers_all(void **state)
 {
 	drive_t *drive = drive_create("entry-1", "zone-a", 7);
-	GHashTable *seen =
+	GHashTable *probed =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	unsigned int probes;
 
 	(void)state;
 	drive_bundle(drive, 1);
 	drive_vms(drive, MODELS, 8, 4);
-	probes = run(drive, seen);
-	assert_in_range(probes, PROBES_MOST / 2, PROBES_MOST);
-	assert_int_equal(g_hash_table_size(seen), MODELS + 2 * 8);
-	g_hash_table_unref(seen);
+	probes = answer_probes(drive, probed);
+	assert_in_range(probes, PROBES_MAX / 2, PROBES_MAX);
+	assert_int_equal(g_hash_table_size(probed), MODELS + 2 * 8);
+	g_hash_table_unref(probed);
 	drive_destroy(drive);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_probes_are_paced_and_reach_all),
+		cmocka_unit_test(test_probe_rate_is_bounded_and_covers_all),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -54,7 +54,7 @@
 	drive_event(drive, &event);
 }
 
-static void test_an_engine_with_the_prefix_is_chosen(void **state)
+static void test_engine_with_cached_prefix_is_chosen(void **state)
 {
 	drive_t *drive = *state;
 
@@ -73,7 +73,7 @@
  * Reports lag, so a moment's low figure must not make an engine look empty: all
  * entries would send there together, and its callers would wait in a long queue.
  */
-static void test_one_report_moves_the_estimate_little(void **state)
+static void test_single_report_changes_load_estimate_little(void **state)
 {
 	drive_t *drive = *state;
 	upstream_t *upstream = upstreams_find(drive->entry->upstreams, "m-1");
@@ -86,7 +86,7 @@
 }
 
 /* Office work fills the engines; a line terminal must still find a slot. */
-static void test_slots_are_kept_for_urgent_work(void **state)
+static void test_slots_are_reserved_for_urgent_requests(void **state)
 {
 	drive_t *drive = *state;
 	route_choice_t choice;
@@ -103,7 +103,7 @@
  * An engine refuses work beyond its slots. Urgent calls that were sent there
  * again and again would use up their attempts and be refused.
  */
-static void test_an_engine_that_refuses_is_not_overfilled(void **state)
+static void test_rejecting_engine_is_not_overcommitted(void **state)
 {
 	drive_t *drive = *state;
 	route_choice_t choice;
@@ -123,7 +123,7 @@
  * The balancer sends one entry of six all the calls. Held to its share, or twice
  * it, the entry would refuse callers while engines idle.
  */
-static void test_room_that_reports_show_may_be_used(void **state)
+static void test_free_capacity_beyond_share_is_used(void **state)
 {
 	drive_t *drive = *state;
 	upstream_t *upstream = upstreams_find(drive->entry->upstreams, "m-1");
@@ -152,7 +152,7 @@
 }
 
 /* At 790 upstreams a choice must not walk them all: the subset is in front. */
-static void test_the_subset_is_in_front(void **state)
+static void test_subset_is_first_in_list(void **state)
 {
 	drive_t *drive = *state;
 	bool chosen = true;
@@ -172,17 +172,17 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_an_engine_with_the_prefix_is_chosen,
+		cmocka_unit_test_setup_teardown(test_engine_with_cached_prefix_is_chosen,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_one_report_moves_the_estimate_little,
+		cmocka_unit_test_setup_teardown(test_single_report_changes_load_estimate_little,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_slots_are_kept_for_urgent_work,
+		cmocka_unit_test_setup_teardown(test_slots_are_reserved_for_urgent_requests,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_an_engine_that_refuses_is_not_overfilled,
+		cmocka_unit_test_setup_teardown(test_rejecting_engine_is_not_overcommitted,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_room_that_reports_show_may_be_used,
+		cmocka_unit_test_setup_teardown(test_free_capacity_beyond_share_is_used,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_the_subset_is_in_front,
+		cmocka_unit_test_setup_teardown(test_subset_is_first_in_list,
 						setup, teardown),
 	};
 
--- a/tests/unit/test_upstreams.c
+++ b/tests/unit/test_upstreams.c
@@ -38,7 +38,7 @@
  * An engine hears of its reclaim before the platform's list says so. The list
  * goes on to show it as live, and work sent there by the list would be lost.
  */
-static void test_a_lagging_list_undoes_no_notice(void **state)
+static void test_lagging_list_does_not_undo_notice(void **state)
 {
 	upstreams_t *upstreams = *state;
 
@@ -50,7 +50,7 @@
 }
 
 /* A notice may come from a peer before the VM itself is listed. */
-static void test_a_notice_may_precede_its_vm(void **state)
+static void test_notice_may_precede_listing(void **state)
 {
 	upstreams_t *upstreams = *state;
 
@@ -63,7 +63,7 @@
  * The cloud first says thirty seconds and then two. Streams moved by the first
  * notice would be cut off.
  */
-static void test_the_earlier_notice_counts(void **state)
+static void test_earlier_notice_takes_effect(void **state)
 {
 	upstreams_t *upstreams = *state;
 
@@ -80,7 +80,7 @@
  * A notice that gets a few milliseconds earlier at each entry that passes it on
  * must not count as news each time, or it goes round for ever.
  */
-static void test_a_hardly_earlier_notice_is_no_news(void **state)
+static void test_slightly_earlier_notice_is_not_new(void **state)
 {
 	upstreams_t *upstreams = *state;
 
@@ -93,7 +93,7 @@
  * A VM is gone for minutes and its id is given to a new one. Left out for ever,
  * the new VM would cost money and serve nobody.
  */
-static void test_an_id_given_out_again_is_used(void **state)
+static void test_reused_vm_id_is_usable(void **state)
 {
 	upstreams_t *upstreams = *state;
 
@@ -109,7 +109,7 @@
  * The notice is said again long after the VM should have gone: it is late and
  * still there. Its notice forgotten, it would get new work and cut it off.
  */
-static void test_a_notice_said_again_is_kept(void **state)
+static void test_repeated_notice_is_retained(void **state)
 {
 	upstreams_t *upstreams = *state;
 
@@ -121,14 +121,15 @@
 }
 
 /* Cache news says which prefix an engine holds, until it says it dropped it. */
-static void test_cache_news_is_kept(void **state)
+static void test_cache_events_are_recorded(void **state)
 {
 	upstreams_t *upstreams = *state;
 	const uint64_t prefixes[] = { 11, 22, 33 };
-	cache_event_t news[] = { { 11, true }, { 22, true } };
-	load_report_t report = {
-		.vm_id = "vm-1", .answered = true, .cache = news, .cache_count = 2
-	};
+	cache_event_t events[] = { { 11, true }, { 22, true } };
+	load_report_t report = { .vm_id = "vm-1",
+				 .answered = true,
+				 .cache = events,
+				 .cache_count = 2 };
 	const upstream_t *upstream;
 
 	upstreams_update(upstreams, &model, 1, START);
@@ -136,23 +137,24 @@
 	upstreams_record_report(upstreams, &report, START);
 	assert_int_equal(upstream_cached_tokens(upstream, prefixes, 3),
 			 2 * PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
-	news[1].held = false;
+	events[1].held = false;
 	upstreams_record_report(upstreams, &report, START);
 	assert_int_equal(upstream_cached_tokens(upstream, prefixes, 3),
 			 PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
 }
 
 /* An engine with a huge cache must not grow the entry's memory without bound. */
-static void test_cache_news_is_bounded(void **state)
+static void test_cache_events_are_bounded(void **state)
 {
 	upstreams_t *upstreams = *state;
-	cache_event_t news = { .held = true };
-	const load_report_t report = {
-		.vm_id = "vm-1", .answered = true, .cache = &news, .cache_count = 1
-	};
+	cache_event_t event = { .held = true };
+	const load_report_t report = { .vm_id = "vm-1",
+				       .answered = true,
+				       .cache = &event,
+				       .cache_count = 1 };
 
 	upstreams_update(upstreams, &model, 1, START);
-	for (news.prefix = 1; news.prefix <= 100000; news.prefix++)
+	for (event.prefix = 1; event.prefix <= 100000; event.prefix++)
 		upstreams_record_report(upstreams, &report, START);
 	assert_in_range(g_hash_table_size(
 				upstreams_find(upstreams, "vm-1")->cached_prefixes),
@@ -164,14 +166,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		TABLE_TEST(test_a_lagging_list_undoes_no_notice),
-		TABLE_TEST(test_a_notice_may_precede_its_vm),
-		TABLE_TEST(test_the_earlier_notice_counts),
-		TABLE_TEST(test_a_hardly_earlier_notice_is_no_news),
-		TABLE_TEST(test_an_id_given_out_again_is_used),
-		TABLE_TEST(test_a_notice_said_again_is_kept),
-		TABLE_TEST(test_cache_news_is_kept),
-		TABLE_TEST(test_cache_news_is_bounded),
+		TABLE_TEST(test_lagging_list_does_not_undo_notice),
+		TABLE_TEST(test_notice_may_precede_listing),
+		TABLE_TEST(test_earlier_notice_takes_effect),
+		TABLE_TEST(test_slightly_earlier_notice_is_not_new),
+		TABLE_TEST(test_reused_vm_id_is_usable),
+		TABLE_TEST(test_repeated_notice_is_retained),
+		TABLE_TEST(test_cache_events_are_recorded),
+		TABLE_TEST(test_cache_events_are_bounded),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
