--- a/core/route.c
+++ b/core/route.c
@@ -1,7 +1,7 @@
 /*
  * Scores upstreams by the expected time to the first token, in milliseconds:
- * the work ahead, the prompt left to compute after the prefix cache, the zone,
- * and the risks. core/route-notes.md has the reasoning and the figures.
+ * the load, the part of the prompt that is not cached, the zone, and the risks.
+ * core/route-notes.md has the reasoning and the measurements.
  */
 #include "core/route.h"
 
@@ -9,42 +9,42 @@
 
 #include "core/prefix.h"
 
-#define CROSS_ZONE_MS 1.0 /* another zone: half a millisecond more each way */
-#define RECENT_FAILURE_MS 500.0 /* an attempt failed there a moment ago */
+#define CROSS_ZONE_MS 1.0 /* another zone: half a millisecond each way */
+#define RECENT_FAILURE_MS 500.0 /* an attempt failed there recently */
 #define RECENT_FAILURE_TIME (5 * PD_SEC)
-#define RECLAIM_RISK_MS 10.0 /* urgent work on a VM that may vanish */
-#define LOAD_MS 6.0 /* each request in the batch, by its prompt's work */
-#define PREFILL_MS 150.0 /* computing a prefix that is not cached */
-#define LOGGED_CANDIDATES_MAX \
-	6 /* named in the log; more would hide the choice */
-#define RANDOM_CHOICES \
-	2 /* sampled at random, besides those that hold the prefix */
-#define URGENT_RESERVE_DIVISOR 8 /* one slot in so many is for urgent work */
+#define RECLAIM_RISK_MS 10.0 /* urgent request on a reclaimable VM */
+#define LOAD_MS 6.0 /* each request in the engine's batch, by its prefill */
+#define PREFILL_MS 150.0 /* prefill of a prefix that is not cached */
+#define LOGGED_CANDIDATES_MAX 6 /* more would obscure the choice in the log */
+#define RANDOM_CHOICES 2 /* besides those that hold the prefix */
+#define URGENT_RESERVE_DIVISOR \
+	8 /* one of so many slots is reserved for urgent requests */
 /*
- * When a burst begins, reports still call every engine empty for a second; were
- * all of it open, all entries would fill it at once. So each may use at most this
- * many times its fair share.
+ * When a burst begins, reports still show every engine as empty for up to a
+ * second; if all of that capacity could be used, all entries would fill it at
+ * once. So each entry may use at most this many times its fair share.
  */
 #define FAIR_SHARE_FACTOR 2
-#define BATCHING_SLOTS_MIN 8 /* slots; with fewer an engine hardly batches */
+#define BATCHING_SLOTS_MIN 8 /* slots; an engine with fewer hardly batches */
 
-/* What one candidates over the subset found. */
+/* The candidates among the subset, and the best of them. */
 typedef struct candidates {
 	upstream_t *best;
 	double best_score;
 	unsigned int usable;
-	unsigned int available; /* of them with room */
-	double fair_share; /* slots that are this entry's by right */
-	unsigned int running; /* attempts of this entry, all upstreams */
+	unsigned int available; /* usable ones with capacity */
+	double fair_share; /* of this entry, in slots of all usable ones */
+	unsigned int running; /* attempts of this entry on all of them */
 	GString *log_text;
 	unsigned int log_count;
 } candidates_t;
 
 /*
- * Returns how many slots of the upstream work of that priority may fill. Urgent
- * work may go beyond the slots: an engine that honours priorities gives it the
- * next one that comes free, sooner than an entry hears of it. One that has
- * refused work for being full is not tried so again.
+ * Returns how many slots of the upstream requests of that priority may use.
+ * Urgent requests may exceed the number of slots: an engine that respects
+ * priorities gives them the next free one, sooner than an entry learns of it.
+ * An engine that has rejected an attempt as full is not overcommitted in this
+ * way.
  */
 static unsigned int route_slots_for_priority(const upstream_t *upstream,
 					     priority_t priority)
@@ -58,6 +58,10 @@
 	return 2 * slots;
 }
 
+/*
+ * Returns the expected time to the first token on the upstream, in
+ * milliseconds.
+ */
 static double route_score(upstreams_t *upstreams, const upstream_t *upstream,
 			  const route_query_t *query, bool cached)
 {
@@ -77,6 +81,7 @@
 	return score;
 }
 
+/* Returns whether the upstream serves the target. */
 static bool route_serves(const upstream_t *upstream, const target_t *target)
 {
 	vm_role_t role = target->kind == TARGET_MODEL ? VM_MODEL : VM_SERVICE;
@@ -86,10 +91,11 @@
 }
 
 /*
- * Says whether the upstream has room for work of that priority from this entry:
- * within its fair share, or in what the other entries have left unused for some
- * time. By reports alone all entries would see the same room and fill it
- * together, seen under overload as engines with long queues of their own.
+ * Returns whether the upstream has capacity for a request of that priority from
+ * this entry: within its fair share, or in what the other entries have left
+ * unused for some time. By reports alone all entries would see the same free
+ * capacity and use it together; under overload that gives long queues inside
+ * the engines.
  */
 static bool route_has_capacity(const upstream_t *upstream,
 			       const route_query_t *query,
@@ -109,11 +115,11 @@
 }
 
 /*
- * Draws which of the open upstreams, by their index in the candidates, compete. If
- * every entry took the best of all by reports that are a second old, they would
- * all load the same one until the next report; seen as engines taking turns at
- * long queues. Two choices at random spread the load nearly as well, and no two
- * entries draw the same.
+ * Samples RANDOM_CHOICES of the available upstreams, by their index. If each
+ * entry took the best of all upstreams by reports that are up to a second old,
+ * all would load the same one until the next report, and engines would
+ * alternate between idle and long queues. Two random choices spread the load
+ * nearly as well, and entries sample independently.
  */
 static void route_sample(GRand *rand, unsigned int available, unsigned int *sampled)
 {
@@ -122,6 +128,7 @@
 							    (gint32)available);
 }
 
+/* Returns whether the upstream of that index was sampled. */
 static bool route_is_sampled(const unsigned int *sampled, unsigned int index)
 {
 	for (int i = 0; i < RANDOM_CHOICES; i++) {
@@ -131,6 +138,7 @@
 	return false;
 }
 
+/* Adds a scored upstream; the one with the lowest score becomes the best. */
 static void route_add_candidate(candidates_t *candidates, upstream_t *upstream,
 				double score)
 {
@@ -144,6 +152,7 @@
 	}
 }
 
+/* Counts the usable and available upstreams and this entry's fair share. */
 static void route_count_candidates(upstreams_t *upstreams,
 				   const route_query_t *query,
 				   candidates_t *candidates)
@@ -152,7 +161,7 @@
 		upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 
 		if (!upstream->in_subset)
-			break; /* the subset is in front */
+			break; /* the subset is first in the list */
 		if (!route_serves(upstream, query->target) ||
 		    !upstream_is_usable(upstream))
 			continue;
@@ -173,8 +182,8 @@
 }
 
 /*
- * Says whether the upstream probably holds the prompt's prefix: by its own
- * news, or because this entry sent such a prompt there a moment ago.
+ * Returns whether the upstream probably has the prompt's prefix cached: by its
+ * own cache events, or because this entry recently sent such a prompt there.
  */
 static bool route_is_cached(const upstream_t *upstream, const route_query_t *query)
 {
@@ -186,6 +195,7 @@
 				     query->prefix, query->now);
 }
 
+/* Scores the sampled upstreams and those that have the prefix cached. */
 static void route_score_candidates(upstreams_t *upstreams,
 				   const route_query_t *query,
 				   candidates_t *candidates)
@@ -213,8 +223,8 @@
 
 /*
  * Chooses an upstream for the query. On ROUTE_CHOSEN the caller owns the
- * strings in CHOICE and frees them by route_choice_clear(); else CHOICE is
- * empty.
+ * strings in CHOICE and frees them with route_choice_clear(); otherwise CHOICE
+ * is empty.
  */
 route_result_t route_choose(upstreams_t *upstreams, const route_query_t *query,
 			    route_choice_t *choice)
--- a/core/upstreams.c
+++ b/core/upstreams.c
@@ -1,7 +1,7 @@
 /*
- * Keeps the table of upstreams. An entry sends to a subset, the upstreams that
- * rank highest for it by rendezvous hashing, so that its connections, probes
- * and reports do not grow with the fleet.
+ * The table of upstreams. An entry sends to a subset of them, those with the
+ * highest rendezvous weight for it, so that its connections, probes and reports
+ * do not grow with the fleet.
  */
 #include "core/upstreams.h"
 
@@ -13,36 +13,38 @@
 
 #define PROBE_PERIOD (1 * PD_SEC)
 /*
- * Probes of one entry, whatever its subset: at the planned size a subset of
- * each of a few models is a hundred upstreams, and a probe a second of each
- * would cost ten times what a node may spend on control.
+ * The limit for all probes of one entry, whatever the size of its subset: at
+ * the planned fleet size a subset of each of a few models is a hundred
+ * upstreams, and probing each of them every second would cost ten times a
+ * node's budget for control traffic.
  */
 #define PROBES_PER_SECOND 6
 #define PROBE_TIMEOUT (2 * PD_SEC)
 /*
- * An upstream that misses this many probes in a row, each on a connection of
- * its own, is called down. One miss may be one bad connection.
+ * An upstream that misses this many consecutive probes, each on a connection of
+ * its own, is considered down. A single miss may be due to one bad connection.
  */
 #define PROBES_MISSED_MAX 2
-/* A notice must be this much earlier than the last to count as news. */
+/* A notice must be this much earlier than the known one to count as new. */
 #define NOTICE_ADVANCE_MIN (1 * PD_SEC)
 /*
- * A notice outlives its VM by this much, because the list may show the VM as
- * live for a while after it has gone. Then it is dropped: kept for ever, notices
- * would grow without bound, and an id given out again would never get work.
+ * Notices are retained for this long after the VM should have gone, because the
+ * list may show the VM as live for some time afterwards. Retained for ever,
+ * notices would grow without bound, and a VM with a reused id would never get
+ * work.
  */
 #define NOTICE_TTL (60 * PD_SEC)
 
-/* What was said of a VM that leaves. */
+/* The reclaim notices of one VM. */
 typedef struct notice {
-	pd_time_t leaves_at; /* the earliest time said: work ends by it */
-	pd_time_t latest_leaves_at; /* the latest: until then the VM may be there */
+	pd_time_t leaves_at; /* the earliest time: work must end by it */
+	pd_time_t latest_leaves_at; /* until then the VM may exist */
 } notice_t;
-#define ALLOWANCE_GROWTH 1.5 /* by one report */
+#define ALLOWANCE_GROWTH 1.5 /* factor for a report that shows capacity */
 #define ALLOWANCE_DECAY 0.8
 /*
- * The smoothed estimate follows reports with this time constant, however often
- * they come: a busy engine's come with every answer, an idle one's with a probe.
+ * The time constant of the smoothed estimate, whatever the rate of reports: a
+ * busy engine reports with every answer, an idle one with every probe.
  */
 #define OTHERS_LOAD_TIME_CONSTANT (20 * PD_SEC)
 
@@ -51,13 +53,13 @@
 	char *zone;
 	unsigned int subset;
 	pd_time_t next_probe_at;
-	unsigned int subset_size; /* upstreams in the subset */
+	unsigned int subset_size; /* upstreams in the subset, all targets */
 	list_node_t list;
 	GHashTable *by_id; /* vm id -> upstream_t, owned */
-	GHashTable *leaving; /* vm id -> notice_t; may precede the list */
+	GHashTable *leaving; /* vm id -> notice_t, also of unlisted VMs */
 };
 
-/* Copies FROM over TO, which must not own anything yet. */
+/* Makes TO a deep copy of FROM. TO must not own anything yet. */
 void vm_copy(vm_t *to, const vm_t *from)
 {
 	*to = *from;
@@ -80,6 +82,7 @@
 	g_free(vm->tag);
 }
 
+/* Frees an upstream and unlinks it from the list. */
 static void upstream_destroy(void *data)
 {
 	upstream_t *upstream = data;
@@ -91,8 +94,9 @@
 }
 
 /*
- * Returns an empty table for the entry of that ID in that zone, which will send
- * to at most SUBSET upstreams for each model or service.
+ * Returns an empty table for the entry ENTRY_ID in ZONE, which sends to at most
+ * SUBSET upstreams for each model or service. The caller owns the table; the
+ * strings are copied.
  */
 upstreams_t *upstreams_create(const char *entry_id, const char *zone,
 			      unsigned int subset)
@@ -122,7 +126,10 @@
 	g_free(upstreams);
 }
 
-/* Returns the head of all upstreams, for reading. */
+/*
+ * Returns the head of the list of all upstreams, for reading; the subset is
+ * first.
+ */
 list_node_t *upstreams_list(upstreams_t *upstreams)
 {
 	return &upstreams->list;
@@ -140,7 +147,7 @@
 	return g_hash_table_lookup(upstreams->by_id, vm_id);
 }
 
-/* Says whether new work may go to this upstream at all. */
+/* Returns whether the upstream may get new work from this entry. */
 bool upstream_is_usable(const upstream_t *upstream)
 {
 	return upstream->in_subset && upstream->listed && !upstream->leaving &&
@@ -148,8 +155,8 @@
 }
 
 /*
- * Returns how many requests the upstream probably has: those of this entry,
- * which it knows, and those of others, which it estimates from reports.
+ * Returns the estimated number of requests on the upstream: those of this
+ * entry, which it knows, and those of others, estimated from reports.
  */
 double upstream_load(const upstream_t *upstream)
 {
@@ -157,8 +164,8 @@
 }
 
 /*
- * Returns how many of that many ENTRIES send to one upstream, on average: each
- * sends to its subset only.
+ * Returns how many of ENTRIES entries send to one upstream on average; each
+ * sends to its own subset only.
  */
 double upstreams_senders_per_upstream(const upstreams_t *upstreams,
 				      unsigned int entries)
@@ -168,14 +175,14 @@
 	return MAX((double)entries * upstreams->subset_size / MAX(all, 1), 1.0);
 }
 
-/* Counts an attempt that is sent now. */
+/* Counts an attempt that is sent. */
 void upstream_record_send(upstream_t *upstream)
 {
 	upstream->running++;
 	upstream->starting++;
 }
 
-/* Counts an attempt that has been heard of, or has ended before it was. */
+/* Counts the first response to an attempt, or its end without one. */
 void upstream_record_start(upstream_t *upstream)
 {
 	if (upstream->starting > 0)
@@ -184,7 +191,7 @@
 
 /*
  * Returns how many tokens of a text with these prefixes the upstream's cache
- * probably holds. News of it lags, so this is a hint that may be wrong.
+ * probably holds. Cache events lag, so this is a hint that may be wrong.
  */
 unsigned int upstream_cached_tokens(const upstream_t *upstream,
 				    const uint64_t *prefixes, size_t count)
@@ -195,7 +202,7 @@
 	return (unsigned int)(blocks * PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
 }
 
-/* Takes back an attempt that has ended. */
+/* Counts the end of an attempt. */
 void upstream_record_end(upstream_t *upstream)
 {
 	if (upstream->running > 0)
@@ -203,9 +210,10 @@
 }
 
 /*
- * Lets this entry run more there with each report that shows room beside what it
- * runs already. A balancer may send one entry nearly all the traffic; held to a
- * fixed part, it would refuse callers while engines idle.
+ * Raises the number of attempts that this entry may run on the upstream with
+ * each report that shows capacity beyond its current ones. A load balancer may
+ * send nearly all traffic to one entry; limited to a fixed share, that entry
+ * would refuse callers while engines are idle.
  */
 static void upstream_update_allowance(upstream_t *upstream, unsigned int load)
 {
@@ -217,11 +225,12 @@
 }
 
 /*
- * Takes the load of a report. It lags by up to seconds, so it holds attempts of
- * this entry that have ended since and lacks those sent since. Taken as it is,
- * it makes every entry see the same engine as empty and send there together;
- * seen as engines that take turns at long queues. What is left after this
- * entry's own part, smoothed over some reports, does not swing like that.
+ * Updates the estimate of the other entries' load from a report. A report lags
+ * by up to seconds, so it includes attempts of this entry that have ended since
+ * and lacks those sent since. Used as it is, it shows every entry the same
+ * engine as empty, all send there together, and engines alternate between idle
+ * and long queues. The remainder after subtracting this entry's own attempts,
+ * smoothed over some reports, does not oscillate like that.
  */
 static void upstream_update_load(upstream_t *upstream, unsigned int load,
 				 pd_time_t now)
@@ -243,6 +252,7 @@
 	upstream->others_load_peak = MAX(upstream->others_load_peak, others_load);
 }
 
+/* Adds a listed VM to the table; returns its upstream, borrowed. */
 static upstream_t *upstream_add(upstreams_t *upstreams, const vm_t *vm)
 {
 	upstream_t *upstream = g_new0(upstream_t, 1);
@@ -262,13 +272,13 @@
 	return upstream;
 }
 
-/* Takes over a row that changed: an engine may be given another model. */
+/* Updates the VM of an upstream: an engine may be assigned another model. */
 static void upstream_set_vm(upstream_t *upstream, const vm_t *vm)
 {
-	/* The table's key is this id, so it stays where it is. */
+	/* The table's key is this id, so it must stay allocated. */
 	char *id = g_steal_pointer(&upstream->vm.id);
 
-	/* Another model's prefixes mean nothing to the new one. */
+	/* Prefixes are cached per model. */
 	if (strcmp(upstream->vm.serves, vm->serves) != 0)
 		g_hash_table_remove_all(upstream->cached_prefixes);
 	vm_clear(&upstream->vm);
@@ -277,6 +287,9 @@
 	upstream->vm.id = id;
 }
 
+/*
+ * Orders upstreams by the name that they serve and then by descending weight.
+ */
 static gint compare_upstreams(gconstpointer a, gconstpointer b)
 {
 	const upstream_t *left = *(upstream_t *const *)a;
@@ -290,7 +303,10 @@
 								    : 0;
 }
 
-/* Marks the SUBSET highest-ranking usable upstreams of each name as chosen. */
+/*
+ * Puts the SUBSET usable upstreams of the highest weight for each name into the
+ * subset, and moves them to the front of the list.
+ */
 static void choose_subset(upstreams_t *upstreams)
 {
 	GPtrArray *all = g_ptr_array_new();
@@ -314,7 +330,10 @@
 			subset_count++;
 		upstreams->subset_size += upstream->in_subset;
 	}
-	/* In front, so that a choice walks the subset and not the fleet. */
+	/*
+	 * First in the list, so that routing walks the subset and not the
+	 * fleet.
+	 */
 	for (guint i = 0; i < all->len; i++) {
 		upstream_t *upstream = g_ptr_array_index(all, i);
 
@@ -326,6 +345,7 @@
 	g_ptr_array_unref(all);
 }
 
+/* Returns whether an upstream is unlisted and has no attempts of this entry. */
 static gboolean upstream_is_removable(void *key, void *value, void *data)
 {
 	const upstream_t *upstream = value;
@@ -335,7 +355,7 @@
 	return !upstream->listed && upstream->running == 0;
 }
 
-/* Drops the notices of VMs that went long ago; see NOTICE_TTL. */
+/* Removes the notices of VMs that went long ago; see NOTICE_TTL. */
 static void notices_expire(upstreams_t *upstreams, pd_time_t now)
 {
 	GHashTableIter it;
@@ -351,8 +371,9 @@
 }
 
 /*
- * Takes a VM list, borrowed. Rows that are starting are left out. A row that
- * says live does not undo an earlier notice, because the list lags behind it.
+ * Updates the table from a VM list, which is borrowed. VMs that are starting
+ * are ignored. A VM that is listed as live does not undo an earlier notice,
+ * because the list lags behind it.
  */
 void upstreams_update(upstreams_t *upstreams, const vm_t *vms, size_t count,
 		      pd_time_t now)
@@ -379,10 +400,11 @@
 }
 
 /*
- * Notes that a VM leaves at LEAVES_AT. The VM need not be known yet. Of several
- * notices the earliest counts. Returns true if this is news, which is then worth
- * passing on; one that is hardly earlier is none, because a notice gets a little
- * earlier or later at each entry that passes it on, and would go round for ever.
+ * Records the notice that a VM is reclaimed at LEAVES_AT. The VM need not be
+ * known yet. Of several notices the earliest counts. Returns true if the notice
+ * is new, and so worth gossiping. One that is only slightly earlier is not,
+ * because a notice gets a little earlier or later at each entry that forwards
+ * it, and would circulate for ever.
  */
 bool upstreams_record_notice(upstreams_t *upstreams, const char *vm_id,
 			     pd_time_t leaves_at)
@@ -409,8 +431,8 @@
 }
 
 /*
- * Takes news of an upstream's cache. After a gap what was known is kept: it is
- * a hint, and most of it still holds.
+ * Applies the cache events of a report. After a gap in the events the known
+ * prefixes are retained: they are hints, and most of them still hold.
  */
 static void upstream_update_cached_prefixes(upstream_t *upstream,
 					    const load_report_t *report)
@@ -423,7 +445,7 @@
 	}
 }
 
-/* Takes what an upstream answered, or failed to answer, to a probe. */
+/* Handles a load report, or the failure of a probe. */
 void upstreams_record_report(upstreams_t *upstreams,
 			     const load_report_t *report, pd_time_t now)
 {
@@ -442,6 +464,7 @@
 	upstream_update_cached_prefixes(upstream, report);
 }
 
+/* Appends a probe of the upstream. */
 static void send_probe(upstream_t *upstream, pd_time_t now, list_node_t *actions)
 {
 	action_t *action = action_create(ACTION_PROBE);
@@ -454,7 +477,7 @@
 	list_append(actions, &action->node);
 }
 
-/* A probe that got no answer in time counts as missed. */
+/* Counts a probe that timed out as missed. */
 static void time_out_probe(upstream_t *upstream, pd_time_t now)
 {
 	if (!upstream->probing || now - upstream->probed_at < PROBE_TIMEOUT)
@@ -463,7 +486,10 @@
 	upstream->probing = false;
 }
 
-/* Returns the upstream of the subset that was probed longest ago, or NULL. */
+/*
+ * Returns the upstream of the subset that was probed longest ago, borrowed, or
+ * NULL.
+ */
 static upstream_t *next_upstream_to_probe(upstreams_t *upstreams)
 {
 	upstream_t *next = NULL;
@@ -480,9 +506,9 @@
 }
 
 /*
- * Appends a probe if one is due: of the upstream probed longest ago, and at
- * most PROBES_PER_SECOND in all. An upstream whose connections take bytes but
- * never answer is found out by the probes it misses.
+ * Appends a probe if one is due: of the upstream that was probed longest ago,
+ * at most PROBES_PER_SECOND in all. Probes detect an upstream whose connections
+ * accept bytes but never answer.
  */
 void upstreams_probe(upstreams_t *upstreams, pd_time_t now, list_node_t *actions)
 {
--- a/core/upstreams.h
+++ b/core/upstreams.h
@@ -1,6 +1,6 @@
 /*
- * The upstreams that this entry knows: which VMs serve what, which are leaving
- * or silent, and how much work each has by the latest report and by what this
+ * The table of upstreams: which VMs serve what, which are leaving or
+ * unresponsive, and the load of each by the latest reports and by what this
  * entry itself has sent since.
  */
 #ifndef PISTACHIO_UPSTREAMS_H
@@ -16,23 +16,23 @@
 typedef struct upstream {
 	list_node_t node;
 	vm_t vm;
-	uint64_t rendezvous_weight; /* of this upstream for this entry; fixed */
-	bool listed; /* in the latest VM list */
-	bool in_subset; /* in the subset that this entry sends to */
+	uint64_t rendezvous_weight; /* for this entry; constant */
+	bool listed; /* is in the latest VM list */
+	bool in_subset; /* this entry may send to it */
 	bool leaving;
 	pd_time_t leaves_at; /* if leaving */
-	unsigned int missed_probes; /* probes in a row without an answer */
+	unsigned int missed_probes; /* consecutive, without an answer */
 	bool probing;
 	pd_time_t probed_at;
-	bool refuses_when_full; /* it has refused an attempt as busy */
-	pd_time_t failed_at; /* of the last failed attempt; 0 if none */
-	unsigned int running; /* attempts of this entry under way */
-	unsigned int starting; /* of those, not yet heard of */
-	double others_load; /* requests of other entries there, smoothed */
-	double allowance; /* streams that reports have shown room for */
-	double others_load_peak; /* the same, falling slowly from the highest */
+	bool refuses_when_full; /* has rejected an attempt as busy */
+	pd_time_t failed_at; /* time of the last failed attempt; 0 if none */
+	unsigned int running; /* attempts of this entry in flight */
+	unsigned int starting; /* of those, without a response so far */
+	double others_load; /* requests of other entries, smoothed */
+	double allowance; /* attempts that reports have shown capacity for */
+	double others_load_peak; /* decaying maximum of others_load */
 	pd_time_t reported_at; /* 0 if it never reported */
-	GHashTable *cached_prefixes; /* that its cache is thought to hold */
+	GHashTable *cached_prefixes; /* set of prefix hashes that it probably holds */
 } upstream_t;
 
 typedef struct upstreams upstreams_t;
--- a/tests/unit/test_probes.c
+++ b/tests/unit/test_probes.c
@@ -1,4 +1,4 @@
-/* Probes of upstreams: their rate is bounded, and each gets its turn. */
+/* Probes of upstreams: their rate is bounded, and all upstreams are probed. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,6 +13,7 @@
 #define TICK (20 * PD_MSEC)
 #define PROBES_MAX (6 * SECONDS + 1)
 
+/* Answers a probe of that VM. */
 static void answer_probe(drive_t *drive, const char *vm_id)
 {
 	event_t event = { .kind = EVENT_LOAD,
@@ -21,7 +22,10 @@
 	drive_event(drive, &event);
 }
 
-/* Answers every probe; returns how many there were, and counts by upstream. */
+/*
+ * Answers all probes for SECONDS; returns their number, and adds the probed VMs
+ * to PROBED.
+ */
 static unsigned int answer_probes(drive_t *drive, GHashTable *probed)
 {
 	unsigned int probes = 0;
@@ -41,9 +45,9 @@
 }
 
 /*
- * With a hundred upstreams in the subset a probe of each every second would
- * cost a node more than it may spend on control, and the operators would see it
- * in the traffic between zones.
+ * With a hundred upstreams in the subset, probing each of them every second
+ * would exceed a node's budget for control traffic and show in the traffic
+ * between zones.
  */
 static void test_probe_rate_is_bounded_and_covers_all(void **state)
 {
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -1,4 +1,4 @@
-/* The choice of an upstream, and the estimate of load that it goes by. */
+/* The choice of an upstream, and the load estimate that it uses. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -29,6 +29,7 @@
 	return 0;
 }
 
+/* Chooses an upstream for model "m" as the only sender. */
 static route_result_t choose(drive_t *drive, priority_t priority,
 			     uint64_t prefix, route_choice_t *choice)
 {
@@ -44,6 +45,7 @@
 	return route_choose(drive->entry->upstreams, &query, choice);
 }
 
+/* Sends a load report of RUNNING requests. */
 static void report(drive_t *drive, const char *vm_id, unsigned int running)
 {
 	event_t event = {
@@ -70,8 +72,9 @@
 }
 
 /*
- * Reports lag, so a moment's low figure must not make an engine look empty: all
- * entries would send there together, and its callers would wait in a long queue.
+ * Reports lag, so a single low one must not make an engine look empty: all
+ * entries would send there together, and their callers would wait in a long
+ * queue.
  */
 static void test_single_report_changes_load_estimate_little(void **state)
 {
@@ -85,7 +88,7 @@
 	assert_true(upstream_load(upstream) > 11);
 }
 
-/* Office work fills the engines; a line terminal must still find a slot. */
+/* Normal requests fill the engines; an urgent one must still find a slot. */
 static void test_slots_are_reserved_for_urgent_requests(void **state)
 {
 	drive_t *drive = *state;
@@ -100,8 +103,8 @@
 }
 
 /*
- * An engine refuses work beyond its slots. Urgent calls that were sent there
- * again and again would use up their attempts and be refused.
+ * An engine rejects attempts beyond its slots. Urgent requests that were sent
+ * there repeatedly would use up their attempts and be refused.
  */
 static void test_rejecting_engine_is_not_overcommitted(void **state)
 {
@@ -120,8 +123,8 @@
 }
 
 /*
- * The balancer sends one entry of six all the calls. Held to its share, or twice
- * it, the entry would refuse callers while engines idle.
+ * The load balancer sends all calls to one entry of six. Limited to its share,
+ * or twice that, the entry would refuse callers while engines are idle.
  */
 static void test_free_capacity_beyond_share_is_used(void **state)
 {
@@ -151,7 +154,9 @@
 	assert_int_equal(upstream->running, SLOTS - SLOTS / 8);
 }
 
-/* At 790 upstreams a choice must not walk them all: the subset is in front. */
+/*
+ * With 790 upstreams a choice must not walk them all, so the subset is first.
+ */
 static void test_subset_is_first_in_list(void **state)
 {
 	drive_t *drive = *state;
--- a/tests/unit/test_upstreams.c
+++ b/tests/unit/test_upstreams.c
@@ -1,4 +1,4 @@
-/* Notices and cache news in the table of upstreams. */
+/* Reclaim notices and cache events in the table of upstreams. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -35,8 +35,8 @@
 }
 
 /*
- * An engine hears of its reclaim before the platform's list says so. The list
- * goes on to show it as live, and work sent there by the list would be lost.
+ * An engine learns of its reclaim before the platform's list shows it. The list
+ * continues to show it as live, and requests that are sent there would be lost.
  */
 static void test_lagging_list_does_not_undo_notice(void **state)
 {
@@ -49,7 +49,7 @@
 	assert_false(upstream_is_usable(upstreams_find(upstreams, "vm-1")));
 }
 
-/* A notice may come from a peer before the VM itself is listed. */
+/* A notice may arrive from a peer before the VM itself is listed. */
 static void test_notice_may_precede_listing(void **state)
 {
 	upstreams_t *upstreams = *state;
@@ -60,8 +60,8 @@
 }
 
 /*
- * The cloud first says thirty seconds and then two. Streams moved by the first
- * notice would be cut off.
+ * The cloud first gives thirty seconds and then two. Streams that are moved by
+ * the first notice would be cut off.
  */
 static void test_earlier_notice_takes_effect(void **state)
 {
@@ -77,8 +77,8 @@
 }
 
 /*
- * A notice that gets a few milliseconds earlier at each entry that passes it on
- * must not count as news each time, or it goes round for ever.
+ * A notice that gets a few milliseconds earlier at each entry that forwards it
+ * must not count as new each time, or it circulates for ever.
  */
 static void test_slightly_earlier_notice_is_not_new(void **state)
 {
@@ -90,8 +90,8 @@
 }
 
 /*
- * A VM is gone for minutes and its id is given to a new one. Left out for ever,
- * the new VM would cost money and serve nobody.
+ * A VM has been gone for minutes and its id is reused. If the notice still
+ * held, the new VM would cost money and serve nobody.
  */
 static void test_reused_vm_id_is_usable(void **state)
 {
@@ -106,8 +106,8 @@
 }
 
 /*
- * The notice is said again long after the VM should have gone: it is late and
- * still there. Its notice forgotten, it would get new work and cut it off.
+ * The notice is repeated long after the VM should have gone: the VM is late and
+ * still exists. Without the notice, it would get new requests and cut them off.
  */
 static void test_repeated_notice_is_retained(void **state)
 {
@@ -120,7 +120,7 @@
 	assert_false(upstream_is_usable(upstreams_find(upstreams, "vm-1")));
 }
 
-/* Cache news says which prefix an engine holds, until it says it dropped it. */
+/* Cache events say which prefixes an engine holds and has dropped. */
 static void test_cache_events_are_recorded(void **state)
 {
 	upstreams_t *upstreams = *state;
@@ -143,7 +143,9 @@
 			 PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
 }
 
-/* An engine with a huge cache must not grow the entry's memory without bound. */
+/*
+ * An engine with a huge cache must not grow the entry's memory without bound.
+ */
 static void test_cache_events_are_bounded(void **state)
 {
 	upstreams_t *upstreams = *state;
