--- a/tests/unit/test_prefix_cache.c
+++ b/tests/unit/test_prefix_cache.c
@@ -11,26 +11,26 @@
 
 #define NOW (1000 * PD_SEC)
 
-static void test_own_attempts_and_news_are_believed(void **state)
+static void test_sends_and_events_are_recorded(void **state)
 {
 	prefix_cache_t *cache = prefix_cache_create();
-	const cache_event_t news[] = { { 8, true }, { 7, false } };
+	const cache_event_t events[] = { { 8, true }, { 7, false } };
 
 	(void)state;
 	prefix_cache_record_send(cache, "vm-1", 7, NOW);
 	assert_true(prefix_cache_contains(cache, "vm-1", 7, NOW));
 	assert_false(prefix_cache_contains(cache, "vm-2", 7, NOW));
-	prefix_cache_apply_events(cache, "vm-1", news, 2, NOW);
+	prefix_cache_apply_events(cache, "vm-1", events, 2, NOW);
 	assert_false(prefix_cache_contains(cache, "vm-1", 7, NOW));
 	assert_true(prefix_cache_contains(cache, "vm-1", 8, NOW));
 	prefix_cache_destroy(cache);
 }
 
 /*
- * The news that an engine dropped a prefix is lost. Its prompts would go there
+ * The events that an engine dropped a prefix is lost. Its prompts would go there
  * for nothing for ever, and their callers would wait for the longer prompt.
  */
-static void test_belief_ends_without_news(void **state)
+static void test_cached_prefix_expires(void **state)
 {
 	prefix_cache_t *cache = prefix_cache_create();
 
@@ -42,7 +42,7 @@
 }
 
 /* An engine that reports prefixes without end must not fill the memory. */
-static void test_what_is_remembered_is_bounded(void **state)
+static void test_cached_prefixes_are_bounded(void **state)
 {
 	prefix_cache_t *cache = prefix_cache_create();
 	unsigned int held = 0;
@@ -57,23 +57,23 @@
 	prefix_cache_destroy(cache);
 }
 
-static void test_a_short_prompt_has_no_prefix(void **state)
+static void test_short_prompt_has_no_prefix(void **state)
 {
 	char text[PREFIX_BYTES + 8];
-	GBytes *shorter;
+	GBytes *too_short;
 	GBytes *first;
 	GBytes *second;
 
 	(void)state;
 	memset(text, 'x', sizeof(text));
-	shorter = g_bytes_new(text, PREFIX_BYTES - 1);
+	too_short = g_bytes_new(text, PREFIX_BYTES - 1);
 	first = g_bytes_new(text, PREFIX_BYTES + 1);
 	second = g_bytes_new(text, PREFIX_BYTES + 8);
-	assert_int_equal(prefix_cache_hash_prompt(shorter), 0);
+	assert_int_equal(prefix_cache_hash_prompt(too_short), 0);
 	assert_true(prefix_cache_hash_prompt(first) != 0);
 	assert_true(prefix_cache_hash_prompt(first) ==
 		    prefix_cache_hash_prompt(second));
-	g_bytes_unref(shorter);
+	g_bytes_unref(too_short);
 	g_bytes_unref(first);
 	g_bytes_unref(second);
 }
@@ -81,10 +81,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_own_attempts_and_news_are_believed),
-		cmocka_unit_test(test_belief_ends_without_news),
-		cmocka_unit_test(test_what_is_remembered_is_bounded),
-		cmocka_unit_test(test_a_short_prompt_has_no_prefix),
+		cmocka_unit_test(test_sends_and_events_are_recorded),
+		cmocka_unit_test(test_cached_prefix_expires),
+		cmocka_unit_test(test_cached_prefixes_are_bounded),
+		cmocka_unit_test(test_short_prompt_has_no_prefix),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
