--- a/core/prefix.c
+++ b/core/prefix.c
@@ -1,15 +1,20 @@
-/* Hashes the beginnings of a text, and remembers which an engine holds. */
+/*
+ * Hashes the prefixes of a text, and holds the set of those that an engine has
+ * cached.
+ */
 #include "core/prefix.h"
 
 #include <xxhash.h>
 
-/* Prefixes remembered of one upstream; 24 upstreams then take some 2 MB. */
+/*
+ * Max prefixes in the set of one upstream; 24 upstreams then take about 2 MB.
+ */
 #define PREFIX_SET_MAX 2048
 
 /*
- * Fills HASHES with the hash of the first block of TEXT, of its first two, and
- * so on, at most MAX; a last block that is not full is left out. Returns how
- * many there are.
+ * Fills HASHES with the hash of the first block of TEXT, of its first two
+ * blocks, and so on, at most MAX hashes; an incomplete last block is ignored.
+ * Returns the number of hashes.
  */
 size_t prefix_hashes(const char *text, size_t len, uint64_t *hashes, size_t max)
 {
@@ -26,13 +31,13 @@
 	return blocks;
 }
 
-/* Returns an empty set of prefixes; the caller owns it. */
+/* Returns an empty set of prefixes. The caller owns it. */
 GHashTable *prefix_set_create(void)
 {
 	return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 }
 
-/* Makes room for one prefix more by forgetting any one. */
+/* Removes an arbitrary prefix if the set is full. */
 static void prefix_set_evict(GHashTable *set)
 {
 	GHashTableIter it;
@@ -44,7 +49,7 @@
 		g_hash_table_iter_remove(&it);
 }
 
-/* Notes that an engine holds the prefix, or has dropped it. */
+/* Adds the prefix if the engine holds it, else removes it. */
 void prefix_set_update(GHashTable *set, uint64_t prefix, bool held)
 {
 	if (!held) {
@@ -57,7 +62,10 @@
 	g_hash_table_add(set, g_memdup2(&prefix, sizeof(prefix)));
 }
 
-/* Returns how many blocks the longest of the text's prefixes in the set has. */
+/*
+ * Returns the number of blocks of the longest of the text's prefixes that is in
+ * the set, 0 if none is.
+ */
 size_t prefix_set_count_blocks(GHashTable *set, const uint64_t *prefixes,
 			       size_t count)
 {
--- a/core/prefix.h
+++ b/core/prefix.h
@@ -1,6 +1,6 @@
 /*
- * Names for the beginnings of a text, as engines and entries agree on them: an
- * engine caches whole blocks, and news of its cache carries these hashes.
+ * Hashes of the prefixes of a text, as engines and entries agree on them: an
+ * engine caches whole blocks, and its cache events carry these hashes.
  */
 #ifndef PISTACHIO_PREFIX_H
 #define PISTACHIO_PREFIX_H
--- a/core/prefix_cache.c
+++ b/core/prefix_cache.c
@@ -1,13 +1,13 @@
-/* The table of engines and the prefixes they are thought to hold. */
+/* The table of engines and the prefixes that they probably hold. */
 #include "core/prefix_cache.h"
 
 #include "core/prefix.h"
 
-#define PREFIXES_PER_ENGINE_MAX 64 /* prefixes remembered of one engine */
+#define PREFIXES_PER_ENGINE_MAX 64 /* the rest are evicted or ignored */
 /*
- * News that an engine dropped a prefix can be lost. Then its prompts would be
- * sent there for nothing, seen only as slower first tokens; so belief that
- * neither news nor an attempt has renewed ends after this long.
+ * The event that an engine dropped a prefix can be lost. Its prompts would then
+ * be sent there in vain, with slower first tokens as the only sign; so an entry
+ * expires if neither an event nor an attempt has renewed it within this time.
  */
 #define CACHED_PREFIX_TTL (30 * PD_SEC)
 
@@ -20,12 +20,13 @@
 	GHashTable *engines; /* vm id -> GArray of cached_prefix_t, owned */
 };
 
+/* Frees the prefixes of one engine. */
 static void destroy_prefixes(void *data)
 {
 	g_array_unref(data);
 }
 
-/* Returns an empty table; the caller owns it. */
+/* Returns an empty table. The caller owns it. */
 prefix_cache_t *prefix_cache_create(void)
 {
 	prefix_cache_t *cache = g_new0(prefix_cache_t, 1);
@@ -45,8 +46,8 @@
 }
 
 /*
- * Returns the name of the prompt's first PREFIX_BYTES, as engines use it in
- * their news; 0 if the prompt is shorter.
+ * Returns the hash of the prompt's first PREFIX_BYTES, as engines use it in
+ * their cache events; 0 if the prompt is shorter.
  */
 uint64_t prefix_cache_hash_prompt(GBytes *prompt)
 {
@@ -60,6 +61,7 @@
 	return hashes[G_N_ELEMENTS(hashes) - 1];
 }
 
+/* Returns the entry of PREFIX in LIST, borrowed, or NULL. LIST may be NULL. */
 static cached_prefix_t *find_prefix(GArray *list, uint64_t prefix)
 {
 	for (guint i = 0; list && i < list->len; i++) {
@@ -71,7 +73,7 @@
 	return NULL;
 }
 
-/* Makes room by dropping the belief that ends first. */
+/* Removes the prefix that expires first. */
 static void evict_first_to_expire(GArray *list)
 {
 	guint first = 0;
@@ -84,7 +86,10 @@
 	g_array_remove_index_fast(list, first);
 }
 
-/* Notes that an attempt with that prefix goes there: it will be held. */
+/*
+ * Records that an attempt with that prefix is sent to the engine, which will
+ * cache it.
+ */
 void prefix_cache_record_send(prefix_cache_t *cache, const char *vm_id,
 			      uint64_t prefix, pd_time_t now)
 {
@@ -107,6 +112,7 @@
 	g_array_append_val(list, added);
 }
 
+/* Removes a prefix that the engine has dropped. */
 static void remove_prefix(prefix_cache_t *cache, const char *vm_id, uint64_t prefix)
 {
 	GArray *list = g_hash_table_lookup(cache->engines, vm_id);
@@ -118,7 +124,7 @@
 			(guint)(cached - (cached_prefix_t *)(void *)list->data));
 }
 
-/* Says whether nothing more can be noted of an engine without dropping some. */
+/* Returns whether adding a prefix of the engine would evict another. */
 static bool is_full(const prefix_cache_t *cache, const char *vm_id)
 {
 	const GArray *list = g_hash_table_lookup(cache->engines, vm_id);
@@ -127,9 +133,9 @@
 }
 
 /*
- * Takes an engine's news in the order in which it happened. An engine tells of
- * every block it caches, far more than this entry will ask for; news that finds
- * no room is left out, or it would push out what this entry sent there itself.
+ * Applies an engine's cache events in their order. An engine reports each block
+ * that it caches, far more than this entry will look up; events that find the
+ * list full are ignored, as they would evict what this entry itself sent there.
  */
 void prefix_cache_apply_events(prefix_cache_t *cache, const char *vm_id,
 			       const cache_event_t *events, size_t count,
@@ -144,7 +150,7 @@
 	}
 }
 
-/* Says whether an engine probably holds the prefix; 0 is held nowhere. */
+/* Returns whether an engine probably holds the prefix; never true for 0. */
 bool prefix_cache_contains(const prefix_cache_t *cache, const char *vm_id,
 			   uint64_t prefix, pd_time_t now)
 {
--- a/core/prefix_cache.h
+++ b/core/prefix_cache.h
@@ -1,6 +1,6 @@
 /*
- * Which engine probably holds which prompt prefix, by the engines' late and
- * gappy news and by what this entry sent there itself.
+ * Which engine probably holds which prompt prefix, by the engines' cache
+ * events, which lag and have gaps, and by what this entry itself sent to them.
  */
 #ifndef PISTACHIO_PREFIX_CACHE_H
 #define PISTACHIO_PREFIX_CACHE_H
@@ -11,7 +11,7 @@
 
 #include "ports/upstream.h"
 
-#define PREFIX_BYTES 1024 /* of a prompt; a shorter one has no prefix */
+#define PREFIX_BYTES 1024 /* of the prompt; shorter ones have no prefix */
 
 typedef struct prefix_cache prefix_cache_t;
 
--- a/tests/unit/test_prefix_cache.c
+++ b/tests/unit/test_prefix_cache.c
@@ -1,4 +1,4 @@
-/* What is believed of the engines' prefix caches. */
+/* The assumed contents of the engines' prefix caches. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -41,7 +41,7 @@
 	prefix_cache_destroy(cache);
 }
 
-/* An engine that reports prefixes without end must not fill the memory. */
+/* An engine that reports prefixes without end must not exhaust the memory. */
 static void test_cached_prefixes_are_bounded(void **state)
 {
 	prefix_cache_t *cache = prefix_cache_create();
