--- a/core/prefix_cache.c
+++ b/core/prefix_cache.c
@@ -6,7 +6,7 @@
 #define PREFIXES_PER_ENGINE_MAX 64 /* the rest are evicted or ignored */
 /*
  * The event that an engine dropped a prefix can be lost. Its prompts would then
- * be sent there in vain, with slower first tokens as the only sign; so an entry
+ * be sent there in vain, with slower first tokens as the only sign; so a prefix
  * expires if neither an event nor an attempt has renewed it within this time.
  */
 #define CACHED_PREFIX_TTL (30 * PD_SEC)
@@ -61,7 +61,7 @@
 	return hashes[G_N_ELEMENTS(hashes) - 1];
 }
 
-/* Returns the entry of PREFIX in LIST, borrowed, or NULL. LIST may be NULL. */
+/* Returns the record of PREFIX in LIST, borrowed, or NULL. LIST may be NULL. */
 static cached_prefix_t *find_prefix(GArray *list, uint64_t prefix)
 {
 	for (guint i = 0; list && i < list->len; i++) {
--- a/tests/unit/test_prefix_cache.c
+++ b/tests/unit/test_prefix_cache.c
@@ -27,8 +27,8 @@
 }
 
 /*
- * The events that an engine dropped a prefix is lost. Its prompts would go there
- * for nothing for ever, and their callers would wait for the longer prompt.
+ * The event that an engine dropped a prefix is lost. Its prompts would be sent
+ * there in vain for ever, and their callers would wait for the whole prefill.
  */
 static void test_cached_prefix_expires(void **state)
 {
