--- a/tests/unit/test_handover.c
+++ b/tests/unit/test_handover.c
@@ -39,25 +39,26 @@
 }
 
 /* Answers every read and write of claims the same way. */
-static void answer_store(drive_t *drive, store_status_t read, store_status_t write)
+static void reply_to_store_actions(drive_t *drive, store_status_t read,
+				   store_status_t write)
 {
-	action_t *ask;
+	action_t *pending;
 
-	while ((ask = drive_take(drive, ACTION_STORE_READ))) {
-		drive_store_reply(drive, ask, read, 0, NULL);
-		action_destroy(ask);
+	while ((pending = drive_take(drive, ACTION_STORE_READ))) {
+		drive_store_reply(drive, pending, read, 0, NULL);
+		action_destroy(pending);
 	}
-	while ((ask = drive_take(drive, ACTION_STORE_WRITE))) {
-		drive_store_reply(drive, ask, write, 1, NULL);
-		action_destroy(ask);
+	while ((pending = drive_take(drive, ACTION_STORE_WRITE))) {
+		drive_store_reply(drive, pending, write, 1, NULL);
+		action_destroy(pending);
 	}
 }
 
 /* Ticks for that long with the store down; returns whether the entry stopped. */
-static bool stops_within(drive_t *drive, pd_time_t limit)
+static bool is_stopped_within(drive_t *drive, pd_time_t limit)
 {
 	for (pd_time_t t = 0; t < limit; t += PD_SEC) {
-		answer_store(drive, STORE_DOWN, STORE_DOWN);
+		reply_to_store_actions(drive, STORE_DOWN, STORE_DOWN);
 		drive_tick(drive, PD_SEC);
 		if (drive_count(drive, ACTION_STOPPED) > 0)
 			return true;
@@ -71,28 +72,28 @@
  * block the replacement as long as the outage lasts; one that left at once
  * would lose the record to a blip.
  */
-static void test_a_stop_ends_while_the_store_is_down(void **state)
+static void test_stop_completes_while_store_is_down(void **state)
 {
 	drive_t *drive = *state;
 	event_t stop = { .kind = EVENT_STOP };
 	attempt_id_t attempt;
 
 	drive_request(drive, TARGET_SERVICE, "once", "k");
-	answer_store(drive, STORE_MISSING, STORE_OK);
+	reply_to_store_actions(drive, STORE_MISSING, STORE_OK);
 	attempt = expect_dispatch(drive, 0);
 	drive_upstream(drive, UPSTREAM_WRITTEN, attempt, 0, true);
 	drive_event(drive, &stop);
 	drive_event(drive, &stop);
-	assert_false(stops_within(drive, 5 * PD_SEC));
+	assert_false(is_stopped_within(drive, 5 * PD_SEC));
 	drive_upstream(drive, UPSTREAM_ANSWER, attempt, 0, true);
 	assert_int_equal(drive_count(drive, ACTION_ANSWER), 1);
-	assert_false(stops_within(drive, 10 * PD_SEC));
-	assert_true(stops_within(drive, 60 * PD_SEC));
+	assert_false(is_stopped_within(drive, 10 * PD_SEC));
+	assert_true(is_stopped_within(drive, 60 * PD_SEC));
 	assert_int_equal(drive_count(drive, ACTION_DISPATCH), 0);
 }
 
 /* Makes the entry know PEERS others, at ports 1 and up. */
-static void know_peers(drive_t *drive, unsigned int peers)
+static void add_peers(drive_t *drive, unsigned int peers)
 {
 	for (unsigned int i = 1; i <= peers; i++) {
 		char *id = g_strdup_printf("peer-%u", i);
@@ -138,48 +139,49 @@
  * itself would be given the requests of others that go with it, and be sent
  * callers by the balancer to the end.
  */
-static void test_a_notice_shows_at_once(void **state)
+static void test_notice_takes_effect_at_once(void **state)
 {
 	drive_t *drive = *state;
 	action_t *action;
-	unsigned int told = 0;
+	unsigned int notified = 0;
 
-	know_peers(drive, 3);
+	add_peers(drive, 3);
 	reclaim(drive, 30 * PD_SEC);
 	assert_false(entry_is_ready(drive->entry));
 	drive_tick(drive, 20 * PD_MSEC);
 	while ((action = drive_take(drive, ACTION_PEER_SEND))) {
-		told += action->peer.msg->from.state == MEMBER_LEFT;
+		notified += action->peer.msg->from.state == MEMBER_LEFT;
 		action_destroy(action);
 	}
-	assert_true(told >= 3);
+	assert_true(notified >= 3);
 }
 
 /*
  * The peer that should take an answer is dead or leaves too, and says nothing.
- * The next ones are asked; when none answers the caller is still told where it
+ * The next ones are offered_to; when none answers the caller is still notified where it
  * stands, since the VM's end would break its connection without a word.
  */
-static void test_silent_peers_are_passed_over(void **state)
+static void test_unresponsive_peers_are_skipped(void **state)
 {
 	drive_t *drive = *state;
-	uint16_t asked[3];
+	uint16_t offered_to[3];
 	action_t *moved;
 	attempt_id_t attempt;
 
-	know_peers(drive, 5);
+	add_peers(drive, 5);
 	drive_request(drive, TARGET_MODEL, "m", NULL);
 	attempt = expect_dispatch(drive, 0);
 	drive_upstream(drive, UPSTREAM_TOKEN, attempt, 0, true);
 	reclaim(drive, 2 * PD_SEC);
-	for (size_t i = 0; i < G_N_ELEMENTS(asked); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(offered_to); i++) {
 		drive_tick(drive, 400 * PD_MSEC);
-		asked[i] = take_message(drive, PEER_HANDOVER);
-		assert_true(asked[i] > 0);
+		offered_to[i] = take_message(drive, PEER_HANDOVER);
+		assert_true(offered_to[i] > 0);
 		assert_int_equal(drive_count(drive, ACTION_MOVED), 0);
 	}
-	assert_true(asked[0] != asked[1] && asked[1] != asked[2] &&
-		    asked[0] != asked[2]);
+	assert_true(offered_to[0] != offered_to[1] &&
+		    offered_to[1] != offered_to[2] &&
+		    offered_to[0] != offered_to[2]);
 	drive_tick(drive, 400 * PD_MSEC);
 	moved = drive_take(drive, ACTION_MOVED);
 	assert_non_null(moved);
@@ -189,12 +191,12 @@
 }
 
 /* A long notice must not move an answer that ends in time where it is. */
-static void test_a_long_notice_lets_answers_end(void **state)
+static void test_long_notice_lets_answers_finish(void **state)
 {
 	drive_t *drive = *state;
 	attempt_id_t attempt;
 
-	know_peers(drive, 2);
+	add_peers(drive, 2);
 	drive_request(drive, TARGET_MODEL, "m", NULL);
 	attempt = expect_dispatch(drive, 0);
 	reclaim(drive, 10 * PD_SEC);
@@ -211,13 +213,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_a_stop_ends_while_the_store_is_down,
+		cmocka_unit_test_setup_teardown(test_stop_completes_while_store_is_down,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_notice_shows_at_once,
+		cmocka_unit_test_setup_teardown(test_notice_takes_effect_at_once,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_silent_peers_are_passed_over,
+		cmocka_unit_test_setup_teardown(test_unresponsive_peers_are_skipped,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_a_long_notice_lets_answers_end,
+		cmocka_unit_test_setup_teardown(test_long_notice_lets_answers_finish,
 						setup, teardown),
 	};
 
