--- a/core/adopt.c
+++ b/core/adopt.c
@@ -1,18 +1,24 @@
 /*
- * Requests that leaving entries gave to this one: runs them on, keeps what they
- * answer, and gives it to the entry that their caller comes back to.
+ * Requests that leaving entries handed over to this one: runs them, retains
+ * their answers, and sends these to the entry that their caller reconnects to.
  */
 #include <string.h>
 
 #include "core/entry_state.h"
 #include "core/queue.h"
 
-/* A caller who has not come back by then has gone for good. */
+/* A caller that has not reconnected by then is assumed to be gone for good. */
 #define ADOPTED_ANSWER_TTL (120 * PD_SEC)
-/* Adopted requests have no connection; their ids must not meet those that do. */
+/*
+ * Adopted requests have no connection; this bit keeps their caller ids distinct
+ * from those that do.
+ */
 #define ADOPTED_CALLER ((caller_id_t)1 << 63)
 
-/* Frees what is adopted; a run of it goes on without being kept. */
+/*
+ * Frees an adopted answer. A request that still runs for it continues without
+ * recording its tokens.
+ */
 void adopted_answer_destroy(void *data)
 {
 	adopted_answer_t *adopted = data;
@@ -26,6 +32,10 @@
 	g_free(adopted);
 }
 
+/*
+ * Adds the answer of a request that is handed over to the entry's table;
+ * returns it, borrowed.
+ */
 static adopted_answer_t *adopted_answer_create(entry_t *entry,
 					       const handover_t *from)
 {
@@ -42,6 +52,7 @@
 	return adopted;
 }
 
+/* Returns the account of that name, borrowed, or NULL. */
 static const account_t *find_account(const bundle_t *bundle, const char *name)
 {
 	GHashTableIter it;
@@ -57,6 +68,7 @@
 	return NULL;
 }
 
+/* Runs a request that is handed over, from its offset on. */
 static void adopt_start(entry_t *entry, const handover_t *from,
 			const account_t *account, const target_t *target)
 {
@@ -85,7 +97,10 @@
 		queue_add(entry, request, true);
 }
 
-/* Says whether a request may be adopted, and by what it then runs. */
+/*
+ * Returns whether this entry can adopt a request; if so sets its ACCOUNT and
+ * TARGET, borrowed.
+ */
 static bool adopt_check(const entry_t *entry, const handover_t *from,
 			const account_t **account, const target_t **target)
 {
@@ -97,9 +112,9 @@
 }
 
 /*
- * Takes a request over from a leaving entry and says so. One that came before
- * is acknowledged again, as the first acknowledgement may be lost. An entry that
- * can't take it says nothing, and the other asks its next peer.
+ * Adopts a request of a leaving entry and acknowledges it. A repeated one is
+ * acknowledged again, as the first acknowledgement may have been lost. An entry
+ * that can't adopt it does not reply, and the other entry asks its next peer.
  */
 void adopt_handover(entry_t *entry, const peer_msg_t *msg)
 {
@@ -117,7 +132,7 @@
 	entry_send_peer(entry, &msg->from, ack);
 }
 
-/* Keeps one more token. */
+/* Appends one token to the answer. */
 void adopted_answer_append(adopted_answer_t *adopted, const char *data, size_t len)
 {
 	g_string_append_len(adopted->text, data, (gssize)len);
@@ -125,8 +140,9 @@
 }
 
 /*
- * Finds where token OFFSET begins in the text; false if that is not known. The
- * first one's place always is: whoever waits for a whole answer has no token.
+ * Sets AT to the position of token OFFSET in the text. Returns false if it is
+ * unknown. The position of token 0 is always known: a caller that waits for a
+ * whole answer has no token.
  */
 static bool adopted_answer_split(const adopted_answer_t *adopted,
 				 uint64_t offset, gsize *at)
@@ -144,7 +160,11 @@
 	return true;
 }
 
-/* Looks up REQUEST-ID/OFFSET; OFFSET is the next token's place. */
+/*
+ * Returns the answer of EVENT_ID (REQUEST-ID/OFFSET, OFFSET being that of the
+ * next token), borrowed, and sets AT to the token's position; NULL if there is
+ * none.
+ */
 static adopted_answer_t *adopted_answer_find(const entry_t *entry,
 					     const char *event_id, gsize *at)
 {
@@ -165,11 +185,11 @@
 }
 
 /*
- * Returns what this entry has of the answer that EVENT_ID (REQUEST-ID/OFFSET)
- * is in, as a message that the caller then owns: the text so far, and from
- * OFFSET on once more as its body. An empty one says that it has none. A run
- * ends here, since it goes on at the entry that asked; its text stays for the
- * case that the message is lost.
+ * Returns what this entry has of the answer of EVENT_ID (REQUEST-ID/OFFSET) as
+ * a message, owned by the caller: the text so far, and its part from OFFSET on
+ * as the body. The message is empty if there is none. The request ends here,
+ * since it continues at the entry that asked; its text is retained in case the
+ * message is lost.
  */
 peer_msg_t *adopt_create_found(entry_t *entry, const char *event_id)
 {
@@ -192,7 +212,7 @@
 	return msg;
 }
 
-/* Answers an entry that asks who holds a request. */
+/* Replies to an entry that looks for the holder of a request. */
 void adopt_handle_find(entry_t *entry, const peer_msg_t *msg)
 {
 	peer_msg_t *answer;
@@ -204,6 +224,10 @@
 	entry_send_peer(entry, &msg->from, answer);
 }
 
+/*
+ * Returns whether the request has ended and its caller has not come back in
+ * time.
+ */
 static gboolean adopted_answer_has_expired(void *key, void *value, void *data)
 {
 	const adopted_answer_t *adopted = value;
@@ -213,7 +237,7 @@
 	return !adopted->request && *now >= adopted->expires_at;
 }
 
-/* Forgets answers that nobody came back for. */
+/* Removes answers that have expired. */
 void adopt_run(entry_t *entry)
 {
 	g_hash_table_foreach_remove(entry->adopted, adopted_answer_has_expired,
--- a/core/drain.c
+++ b/core/drain.c
@@ -1,6 +1,6 @@
 /*
- * Empties VMs that were told to leave: every tick it looks at the streams that
- * run on them, lets those stay that will end in time, and moves the others.
+ * Drains leaving VMs: each tick checks the streams that run on them, leaves
+ * those that will finish in time, and moves the others.
  */
 #include <string.h>
 
@@ -10,17 +10,19 @@
 
 #define TOKEN_GAP_DEFAULT (40 * PD_MSEC)
 /*
- * The usual gap counts as this many token_count ones. Else one late token at the start
- * of an answer reads as a slow stream, and it is moved though it would end.
+ * The weight of the expected gap, in observed gaps. Without it a single late
+ * token at the start of an answer makes the stream look slow, and it is moved
+ * though it would finish in time.
  */
 #define TOKEN_GAP_PRIOR_WEIGHT 8
 #define START_LIMIT_RETRY_DELAY (50 * PD_MSEC)
 /*
- * So long a broken stream waits for the upstream that has most of its prefix;
- * longer, and the wait costs its caller more than computing it elsewhere.
+ * How long a broken stream waits for the upstream that holds most of its
+ * prefix; a longer wait costs its caller more than recomputing it elsewhere.
  */
 #define PREFIX_HOLDER_WAIT_MAX (500 * PD_MSEC)
 
+/* Returns the approximate number of tokens of prompt and generated text. */
 static unsigned int drain_context_tokens(const request_t *request)
 {
 	return (unsigned int)(g_bytes_get_size(request->body) /
@@ -28,6 +30,10 @@
 			      request->offset);
 }
 
+/*
+ * Returns the progress of the request's stream, as the policy of moves needs
+ * it.
+ */
 static move_stream_t drain_describe_stream(const entry_t *entry,
 					   const request_t *request)
 {
@@ -48,7 +54,10 @@
 	return stream;
 }
 
-/* Returns the VM that the request's running attempt must leave, or NULL. */
+/*
+ * Returns the leaving VM on which the request's stream runs, borrowed, or NULL
+ * if it need not move.
+ */
 static upstream_t *drain_leaving_upstream(const entry_t *entry,
 					  const request_t *request)
 {
@@ -62,7 +71,7 @@
 
 /*
  * Returns the VM from which an attempt on TARGET should import the request's KV
- * cache, or NULL if there is none, or computing anew is quicker.
+ * cache, borrowed, or NULL if there is none or recomputing is quicker.
  */
 const upstream_t *drain_export_source(const entry_t *entry,
 				      const request_t *request,
@@ -86,7 +95,10 @@
 	return source;
 }
 
-/* Fills HASHES for the prompt and the text so far; returns how many. */
+/*
+ * Fills HASHES, of PREFIX_BLOCKS_MAX, with the prefixes of the prompt and the
+ * generated text. Returns their number.
+ */
 size_t drain_hash_prefixes(const request_t *request, uint64_t *hashes)
 {
 	gsize len;
@@ -102,9 +114,10 @@
 }
 
 /*
- * Chooses where the stream goes on, with its KV cache if that is quicker. Only
- * an export that would else be lost is worth leaving the pace: a stream that
- * resumes from its text can do so as well when its VM has gone.
+ * Chooses the target of a stream that must move, with its KV cache if that is
+ * quicker; NULL if there is none now. Only a KV export that would otherwise be
+ * lost justifies exceeding the start limit: a stream that resumes from its text
+ * can do so just as well after its VM has gone.
  */
 static upstream_t *drain_choose_target(entry_t *entry, const request_t *request,
 				       const upstream_t *source)
@@ -136,7 +149,10 @@
 	return move_choose(entry->upstreams, &entry->move_costs, &query);
 }
 
-/* Fills QUERY for a stream whose attempt broke. */
+/*
+ * Fills QUERY for a stream whose attempt failed. PREFIXES is the query's
+ * storage, of PREFIX_BLOCKS_MAX.
+ */
 static void drain_resume_query(const entry_t *entry, const request_t *request,
 			       move_query_t *query, uint64_t *prefixes)
 {
@@ -151,10 +167,10 @@
 }
 
 /*
- * Sends a stream whose attempt broke to where it goes on soonest. When a zone
- * dies without a word, all its streams come here at once; beyond the pace of
- * set-ups they wait a moment. Returns false if no upstream has room, and leaves
- * the request as it is.
+ * Resumes a stream whose attempt failed on the upstream where it continues
+ * soonest. When a zone fails without notice, all its streams arrive here at
+ * once; those beyond the start limit wait a moment. Returns false, and leaves
+ * the request as it is, if no upstream has capacity.
  */
 bool drain_resume(entry_t *entry, request_t *request)
 {
@@ -184,6 +200,7 @@
 	return true;
 }
 
+/* Orders requests by descending context, then by age of their attempt. */
 static gint compare_context_tokens(gconstpointer a, gconstpointer b)
 {
 	const request_t *left = *(request_t *const *)a;
@@ -196,7 +213,10 @@
 	return left->attempt < right->attempt ? -1 : 1;
 }
 
-/* Returns the streams that must leave their VM, most to lose first. */
+/*
+ * Returns the streams that must leave their VM, those with the most context
+ * first. The caller owns the array.
+ */
 static GPtrArray *drain_collect_streams(entry_t *entry)
 {
 	GPtrArray *streams = g_ptr_array_new();
@@ -221,9 +241,9 @@
 }
 
 /*
- * Moves one stream, if there is room for it elsewhere. If there is none it goes
- * on where it is: each token it still gets need not be computed later. Once the
- * VM is gone it is taken for broken.
+ * Moves one stream if there is a target for it. Otherwise it continues where it
+ * is, since each token it still gets need not be recomputed; once its VM has
+ * gone the attempt counts as failed. Returns false if it was not moved.
  */
 static bool drain_move_stream(entry_t *entry, request_t *request)
 {
@@ -241,11 +261,14 @@
 	return true;
 }
 
-/* Moves the streams that have to leave, as far as targets have room now. */
+/*
+ * Moves the streams that must leave their VM, as far as targets have capacity
+ * now.
+ */
 void drain_check(entry_t *entry)
 {
 	GPtrArray *streams = drain_collect_streams(entry);
-	const char *full_model = NULL; /* no room for this model at present */
+	const char *full_model = NULL; /* model without a target now */
 
 	for (guint i = 0; i < streams->len; i++) {
 		request_t *request = g_ptr_array_index(streams, i);
--- a/core/handover.c
+++ b/core/handover.c
@@ -1,6 +1,6 @@
 /*
- * Gives what can't end in time to other entries when this entry's VM is
- * reclaimed. handover-notes.md has the whole protocol.
+ * Hands requests that can't finish in time over to other entries when this
+ * entry's VM is reclaimed. handover-notes.md describes the whole protocol.
  */
 #include <string.h>
 
@@ -8,22 +8,24 @@
 #include "core/queue.h"
 
 /*
- * When this much of the notice is left, models' answers under way are given
- * away: room for three peers in turn and for the last bytes to the caller.
- * Earlier would move answers that could still end here.
+ * The time before the VM goes at which models' answers in flight are handed
+ * over: enough for three peers in turn and for the last bytes to the caller. An
+ * earlier handover would move answers that could still finish here.
  */
 #define HANDOVER_LEAD (2 * PD_SEC)
 /*
- * A plain service's call can't be moved once it is sent, so it is waited for
- * until this little is left; then its caller is told, while there is time.
+ * A service's call can't be moved once it is sent, so it may run until this
+ * little time is left; then its caller is refused, while that is still
+ * possible.
  */
 #define REFUSE_LEAD (300 * PD_MSEC)
 #define OFFER_TIMEOUT (400 * PD_MSEC)
 #define OFFERS_MAX 3
 
 /*
- * Of an answer that is itself held for a caller, only what that caller has is
- * given on: the next holder could not tell the bounds of the tokens between.
+ * Fills HANDOVER from the request. Of an answer that was itself handed over to
+ * this entry, only what its caller has is included: the next holder could not
+ * tell the boundaries of the later tokens.
  */
 static void handover_fill(const entry_t *entry, const request_t *request,
 			  handover_t *handover)
@@ -46,9 +48,9 @@
 }
 
 /*
- * Ends a request here. Its caller is told to come back even if no peer took it:
- * the entry it comes to then runs it anew and leaves out what the caller has,
- * while silence would end in a broken connection.
+ * Ends a request in this entry. Its caller is told to reconnect even if no peer
+ * has accepted it: the entry that it then reaches runs the request anew and
+ * omits what the caller has, while silence would end in a broken connection.
  */
 static void handover_end(entry_t *entry, request_t *request)
 {
@@ -89,8 +91,9 @@
 }
 
 /*
- * Stops a model's answer here and offers it to a peer. The attempt is dropped
- * first, so that the caller gets no token of which the peer does not know.
+ * Stops generating a model's answer and offers it to a peer. The attempt is
+ * cancelled first, so that the caller gets no token that the peer does not know
+ * of.
  */
 static void handover_begin(entry_t *entry, request_t *request)
 {
@@ -101,6 +104,7 @@
 	handover_offer(entry, request);
 }
 
+/* Hands one request over, or refuses it, if that is due. */
 static void handover_check(entry_t *entry, request_t *request)
 {
 	pd_time_t left = entry->leaves_at - entry->now;
@@ -111,7 +115,7 @@
 		return;
 	}
 	if (request->state == REQUEST_FINDING)
-		return; /* it is found or runs in a moment */
+		return; /* it is found or dispatched in a moment */
 	if (request->state != REQUEST_MOVING)
 		handover_begin(entry, request);
 	else if (entry->now - request->requested_at >= OFFER_TIMEOUT)
@@ -119,9 +123,10 @@
 }
 
 /*
- * Moves on what is under way once this entry's VM is about to go. Peers hear of
- * the notice at once, so that none gives its own requests to this entry, as all
- * of an availability zone's may be told at the same time.
+ * Hands over the requests in flight when this entry's VM is about to go. Peers
+ * are told of the notice at once, so that none hands its own requests over to
+ * this entry, as all entries of an availability zone may get a notice at the
+ * same time.
  */
 void handover_run(entry_t *entry)
 {
@@ -146,7 +151,7 @@
 	g_ptr_array_unref(all);
 }
 
-/* A peer has a request; its caller may go there. */
+/* Handles a peer's acknowledgement of a request: its caller may go there. */
 void handover_handle_ack(entry_t *entry, const char *request_id)
 {
 	GHashTableIter it;
--- a/core/move.c
+++ b/core/move.c
@@ -1,7 +1,8 @@
 /*
- * The policy of moves. A stream that will end in the time left stays, because
- * moving it would cost for nothing. The others move from the notice on, one
- * after the other, so that no target has to set up many of them at once.
+ * The policy of moves. A stream that will finish in the remaining time stays,
+ * because moving it would cost a prefill for nothing. The others move as soon
+ * as the notice arrives, a few at a time, so that no target has to set up many
+ * of them at once.
  */
 #include "core/move.h"
 
@@ -10,41 +11,44 @@
 #include "core/prefix.h"
 
 #define RECOMPUTE_COST_INITIAL \
-	300.0 /* microseconds a token, until one is seen */
+	300.0 /* microseconds a token, before any start */
 #define TRANSFER_COST_INITIAL 30.0
-#define EWMA_WEIGHT 0.2 /* weight of the latest start in the average */
-#define SAMPLE_TOKENS_MIN \
-	16 /* fewer say more of the network than of the engine */
-/* An answer may come slower than it came so far; so much is added. */
+#define EWMA_WEIGHT 0.2 /* of the latest start */
+#define SAMPLE_TOKENS_MIN 16 /* with fewer, network latency dominates */
+/* Factor on the remaining time of a stream, which may become slower. */
 #define FINISH_MARGIN_NUM 5
 #define FINISH_MARGIN_DEN 4
-/* Time kept free before the VM goes: the last chance to move. */
+/* Time before the VM goes at which a stream must move at the latest. */
 #define MOVE_RESERVE (1 * PD_SEC)
-/* A KV export must end with this much to spare. */
+/* A KV export must finish this long before the VM goes. */
 #define EXPORT_RESERVE (100 * PD_MSEC)
 /*
- * After a notice every stream of a VM, and in a wave of a whole zone, looks for
- * a new place at the same moment. If all went to the best target, each would
- * wait for the prefill of the others there, and streams that already run there
- * would stall. So this entry sets up this many at once on one target.
+ * After a notice all streams of a VM, and in a wave those of a whole zone, look
+ * for a new upstream at the same time. If all went to the best target, each
+ * would wait for the prefill of the others there, and streams that already run
+ * there would stall. So this entry sets up at most this many at once on one
+ * target.
  */
 #define CONCURRENT_STARTS_MAX 2
 #define CROSS_ZONE_COST 1000.0 /* microseconds */
 /*
- * An upstream that refused or broke an attempt a moment ago looks idle, and by
- * its load would be tried first by every stream that looks for a place.
+ * An upstream that recently rejected or failed an attempt looks idle, and by
+ * its load each stream that moves would try it first.
  */
 #define RECENT_FAILURE_COST 10e6 /* microseconds */
 #define RECENT_FAILURE_TIME (5 * PD_SEC)
 
-/* Sets costs that are plausible before any start was seen. */
+/* Sets the initial costs, before any start was seen. */
 void move_costs_init(move_costs_t *costs)
 {
 	costs->recompute = RECOMPUTE_COST_INITIAL;
 	costs->transfer = TRANSFER_COST_INITIAL;
 }
 
-/* Takes a start that set up TOKENS tokens, by import or not, and TOOK so long. */
+/*
+ * Updates the costs from a start that set up TOKENS tokens in ELAPSED, by a KV
+ * import if IMPORTED.
+ */
 void move_costs_record_start(move_costs_t *costs, bool imported,
 			     unsigned int tokens, pd_time_t elapsed)
 {
@@ -55,7 +59,7 @@
 	*cost += EWMA_WEIGHT * ((double)elapsed / tokens - *cost);
 }
 
-/* Says whether the stream will have ended before the VM goes. */
+/* Returns whether the stream will finish before the VM goes. */
 bool move_stream_will_finish(const move_stream_t *stream, pd_time_t time_left)
 {
 	pd_time_t needed = (pd_time_t)stream->remaining_tokens * stream->token_gap *
@@ -64,15 +68,18 @@
 	return needed <= time_left;
 }
 
-/* Says whether a stream must move now, however busy the targets' starts are. */
+/*
+ * Returns whether a stream must move now, regardless of CONCURRENT_STARTS_MAX.
+ */
 bool move_is_due(pd_time_t time_left)
 {
 	return time_left <= MOVE_RESERVE;
 }
 
 /*
- * Says whether the KV cache should be exported: in time, and quicker than
- * computing anew what a target that has CACHED tokens of it lacks.
+ * Returns whether the KV cache should be imported: the export finishes in time,
+ * and is quicker than recomputing the part that the target, with CACHED tokens
+ * of it, lacks.
  */
 bool move_should_import(const move_costs_t *costs, const move_stream_t *stream,
 			unsigned int cached, pd_time_t time_left)
@@ -85,7 +92,7 @@
 	       export <= (double)(time_left - EXPORT_RESERVE);
 }
 
-/* Returns how many tokens the upstream must compute for the query. */
+/* Returns how many tokens the upstream must compute for the stream. */
 static unsigned int move_uncached_tokens(const upstream_t *upstream,
 					 const move_query_t *query)
 {
@@ -98,6 +105,10 @@
 	return query->context_tokens - MIN(cached, query->context_tokens);
 }
 
+/*
+ * Returns the estimated time until the stream continues on the upstream, in
+ * microseconds.
+ */
 static double move_cost(const move_costs_t *costs, const upstream_t *upstream,
 			const move_query_t *query)
 {
@@ -118,12 +129,13 @@
 	return cost;
 }
 
-/* Says whether the upstream sets up few enough streams of this entry. */
+/* Returns whether this entry may start another stream on the upstream. */
 bool move_has_start_capacity(const upstream_t *upstream)
 {
 	return upstream->starting < CONCURRENT_STARTS_MAX;
 }
 
+/* Returns whether the upstream can take the stream now. */
 static bool move_is_candidate(const upstream_t *upstream, const move_query_t *query)
 {
 	if (upstream->vm.role != VM_MODEL || !upstream_is_usable(upstream) ||
@@ -137,8 +149,8 @@
 }
 
 /*
- * Returns the upstream on which the stream goes on soonest, borrowed, or NULL
- * if none has room for it now.
+ * Returns the upstream on which the stream continues soonest, borrowed, or NULL
+ * if none can take it now.
  */
 upstream_t *move_choose(upstreams_t *upstreams, const move_costs_t *costs,
 			const move_query_t *query)
--- a/core/move.h
+++ b/core/move.h
@@ -1,6 +1,6 @@
 /*
- * Which streams leave a VM that was told to leave, when, and where to. Private
- * to core/.
+ * The policy of moving streams off a leaving VM: which ones, when, and where
+ * to. Private to core/.
  */
 #ifndef PISTACHIO_MOVE_H
 #define PISTACHIO_MOVE_H
@@ -10,28 +10,28 @@
 #include "core/upstreams.h"
 #include "ports/clock.h"
 
-/* What setting up one token costs an engine; learnt from how starts went. */
+/* What setting up one token of context costs an engine, learned from starts. */
 typedef struct move_costs {
 	double recompute; /* microseconds a token */
-	double transfer; /* microseconds a token, of an imported KV cache */
+	double transfer; /* import of a KV cache, microseconds a token */
 } move_costs_t;
 
-/* How far a stream is, as the policy sees it. */
+/* The progress of a stream. */
 typedef struct move_stream {
-	unsigned int remaining_tokens; /* tokens it may still generate */
-	unsigned int context_tokens; /* tokens computed for it so far, with the prompt */
-	pd_time_t token_gap; /* between its tokens */
+	unsigned int remaining_tokens; /* that it may still generate */
+	unsigned int context_tokens; /* prompt and generated text */
+	pd_time_t token_gap; /* mean time between tokens */
 } move_stream_t;
 
-/* What is looked for in a target. */
+/* The criteria for the target of a move. */
 typedef struct move_query {
-	const char *avoid; /* VM that is left, or on which an attempt broke */
+	const char *avoid; /* VM to leave, or on which an attempt failed */
 	pd_time_t now;
 	const char *serves;
-	bool imports_kv; /* the KV cache comes along */
-	bool ignores_start_limit; /* the pace of moves no longer matters */
+	bool imports_kv; /* the KV cache is imported */
+	bool ignores_start_limit; /* CONCURRENT_STARTS_MAX does not apply */
 	const char *zone; /* of this entry */
-	const uint64_t *prefixes; /* of the prompt and the text so far */
+	const uint64_t *prefixes; /* of the prompt and the generated text */
 	size_t prefix_count;
 	unsigned int context_tokens;
 } move_query_t;
--- a/core/resume.c
+++ b/core/resume.c
@@ -1,6 +1,6 @@
 /*
- * A caller comes back for the rest of an answer: asks the few entries that may
- * hold it, goes on from what they have, or runs the request anew.
+ * A caller reconnects for the rest of an answer: asks the few entries that may
+ * hold it, and continues from what they have, or else runs the request anew.
  */
 #include <string.h>
 
@@ -8,13 +8,16 @@
 
 #define RETRY_AFTER_LONG (5 * PD_SEC)
 /*
- * The entry that gave a request away chose among the first three of its own
- * ranking, which leaves itself out; the fourth makes up for that.
+ * The entry that handed the request over chose among the first three of its own
+ * ranking, which excludes itself; the fourth makes up for that.
  */
 #define FIND_FANOUT 4
 #define FIND_TIMEOUT (500 * PD_MSEC)
 
-/* Sends a request out; its caller's tokens are left out if it starts anew. */
+/*
+ * Dispatches a request. If it starts anew, the tokens that its caller already
+ * has are not sent again.
+ */
 static void resume_dispatch(entry_t *entry, request_t *request)
 {
 	if (request->state == REQUEST_FINDING)
@@ -24,7 +27,10 @@
 		request_fail(entry, request, REASON_NO_UPSTREAM, RETRY_AFTER_LONG);
 }
 
-/* Gives the caller what was held for it, as one event, and goes on. */
+/*
+ * Sends the caller the retained text that it lacks as one event, and continues
+ * or ends the request.
+ */
 static void resume_with_found(entry_t *entry, request_t *request,
 			      const peer_msg_t *found)
 {
@@ -51,8 +57,8 @@
 }
 
 /*
- * Says whether a message holds this request's answer. Another account's is not
- * given out, whoever guesses its id.
+ * Returns whether a message holds this request's answer. The answer of another
+ * account is not sent, even to a caller that knows its id.
  */
 static bool resume_matches(const request_t *request, const peer_msg_t *found)
 {
@@ -63,6 +69,10 @@
 	       !strcmp(held->account, request->account);
 }
 
+/*
+ * Asks the entries that may hold the answer of EVENT_ID; dispatches the request
+ * if there are none.
+ */
 static void resume_query_peers(entry_t *entry, request_t *request,
 			       const char *event_id)
 {
@@ -86,7 +96,10 @@
 	g_ptr_array_unref(rank);
 }
 
-/* Looks for the rest of the answer RESUME_ID, here and then at peers. */
+/*
+ * Looks for the rest of the answer RESUME_ID, in this entry and then at its
+ * peers.
+ */
 void resume_start(entry_t *entry, request_t *request, const char *resume_id)
 {
 	char *event_id = g_strdup_printf("%s/%" G_GUINT64_FORMAT, resume_id,
@@ -102,7 +115,7 @@
 	g_free(event_id);
 }
 
-/* Takes a peer's answer to a search; one that comes late is ignored. */
+/* Handles a peer's reply to a search. Ignores late ones. */
 void resume_handle_found(entry_t *entry, const peer_msg_t *msg)
 {
 	request_t *request = g_hash_table_lookup(entry->finding, &msg->sequence);
@@ -115,7 +128,10 @@
 		resume_dispatch(entry, request);
 }
 
-/* Runs anew what no peer has answered for in time; a holder may be dead. */
+/*
+ * Dispatches the requests for which no peer has replied in time; the holder may
+ * be dead.
+ */
 void resume_run(entry_t *entry)
 {
 	GPtrArray *late = g_ptr_array_new();
--- a/tests/unit/test_handover.c
+++ b/tests/unit/test_handover.c
@@ -1,4 +1,6 @@
-/* How one entry ends: planned stops, and hand-over when its VM is reclaimed. */
+/*
+ * How an entry ends: planned stops, and the handover when its VM is reclaimed.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -26,6 +28,7 @@
 	return 0;
 }
 
+/* Takes the next dispatch and checks its offset; returns its attempt. */
 static attempt_id_t expect_dispatch(drive_t *drive, uint64_t offset)
 {
 	action_t *action = drive_take(drive, ACTION_DISPATCH);
@@ -38,7 +41,9 @@
 	return attempt;
 }
 
-/* Answers every read and write of claims the same way. */
+/*
+ * Replies to all reads with status READ, and to all writes with status WRITE.
+ */
 static void reply_to_store_actions(drive_t *drive, store_status_t read,
 				   store_status_t write)
 {
@@ -54,7 +59,9 @@
 	}
 }
 
-/* Ticks for that long with the store down; returns whether the entry stopped. */
+/*
+ * Ticks for up to LIMIT with the store down; returns whether the entry stopped.
+ */
 static bool is_stopped_within(drive_t *drive, pd_time_t limit)
 {
 	for (pd_time_t t = 0; t < limit; t += PD_SEC) {
@@ -67,10 +74,10 @@
 }
 
 /*
- * The store goes down while a station call runs, and operators stop the entry.
- * The call's answer can't be recorded. An entry that waited for the store would
- * block the replacement as long as the outage lasts; one that left at once
- * would lose the record to a blip.
+ * The store goes down while a call with a claim runs, and operators stop the
+ * entry. The call's answer can't be recorded. An entry that waited for the
+ * store would block its replacement as long as the outage lasts; one that
+ * exited at once would lose the record to a short outage.
  */
 static void test_stop_completes_while_store_is_down(void **state)
 {
@@ -92,7 +99,7 @@
 	assert_int_equal(drive_count(drive, ACTION_DISPATCH), 0);
 }
 
-/* Makes the entry know PEERS others, at ports 1 and up. */
+/* Adds PEERS peers, at ports 1 and up. */
 static void add_peers(drive_t *drive, unsigned int peers)
 {
 	for (unsigned int i = 1; i <= peers; i++) {
@@ -107,11 +114,14 @@
 		drive_event(drive, &event);
 		g_free(id);
 	}
-	/* They say nothing, so the entry serves without having heard them. */
+	/*
+	 * They send nothing, so the entry serves without a message from them.
+	 */
 	drive_tick(drive, 3 * PD_SEC);
 	drive_clear(drive);
 }
 
+/* Gives the entry the notice that its VM is reclaimed. */
 static void reclaim(drive_t *drive, pd_time_t notice)
 {
 	event_t stop = { .kind = EVENT_STOP };
@@ -120,7 +130,10 @@
 	drive_event(drive, &stop);
 }
 
-/* Takes the next message of that kind; returns the port it goes to, 0: none. */
+/*
+ * Takes the next message of that kind; returns the port that it is sent to, 0
+ * if there is none.
+ */
 static uint16_t take_message(drive_t *drive, peer_msg_kind_t kind)
 {
 	action_t *action;
@@ -135,9 +148,10 @@
 }
 
 /*
- * An availability zone is reclaimed at once. An entry that kept its notice to
- * itself would be given the requests of others that go with it, and be sent
- * callers by the balancer to the end.
+ * All VMs of an availability zone are reclaimed at once. If an entry did not
+ * announce its notice, other entries that are reclaimed with it would hand
+ * their requests over to it, and the load balancer would send it callers to the
+ * end.
  */
 static void test_notice_takes_effect_at_once(void **state)
 {
@@ -157,9 +171,10 @@
 }
 
 /*
- * The peer that should take an answer is dead or leaves too, and says nothing.
- * The next ones are offered_to; when none answers the caller is still notified where it
- * stands, since the VM's end would break its connection without a word.
+ * The peer that should take an answer is dead or leaving too, and does not
+ * reply. The next ones are asked. When none replies the caller is still told
+ * its offset, since otherwise its connection would break without notice when
+ * the VM goes.
  */
 static void test_unresponsive_peers_are_skipped(void **state)
 {
@@ -190,7 +205,7 @@
 	assert_int_equal(entry_in_flight(drive->entry), 0);
 }
 
-/* A long notice must not move an answer that ends in time where it is. */
+/* A long notice must not move an answer that finishes in time. */
 static void test_long_notice_lets_answers_finish(void **state)
 {
 	drive_t *drive = *state;
--- a/tests/unit/test_move.c
+++ b/tests/unit/test_move.c
@@ -1,6 +1,6 @@
 /*
- * Moves of streams from VMs that were told to leave: who stays, who goes first,
- * where to, and that accepted requests wait when there is nowhere to go.
+ * Moves of streams off leaving VMs: which ones stay, which move first, where
+ * to, and that accepted requests wait when there is no target.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -28,7 +28,9 @@
 	return 0;
 }
 
-/* Reports an engine's load, and its notice if LEAVES_IN is not 0. */
+/*
+ * Sends an engine's load report, with a reclaim notice if LEAVES_IN is not 0.
+ */
 static void report_load(drive_t *drive, const char *vm_id, pd_time_t leaves_in,
 			const cache_event_t *cache, size_t cache_count)
 {
@@ -43,6 +45,7 @@
 	drive_event(drive, &event);
 }
 
+/* Sends a model request with a prompt of that size; returns the caller's id. */
 static caller_id_t send_request(drive_t *drive, size_t prompt_bytes,
 				unsigned int tokens)
 {
@@ -62,7 +65,7 @@
 	return drive->next_caller;
 }
 
-/* Reports that the engine holds the whole prompt of BODY_BYTES. */
+/* Reports that the engine has the whole prompt of BODY_BYTES cached. */
 static void report_cached_prompt(drive_t *drive, const char *vm_id)
 {
 	char *prompt = g_strnfill(BODY_BYTES, 'p');
@@ -75,6 +78,7 @@
 	g_free(prompt);
 }
 
+/* Takes the next dispatch, owned by the caller. */
 static action_t *expect_dispatch(drive_t *drive)
 {
 	action_t *action = drive_take(drive, ACTION_DISPATCH);
@@ -83,6 +87,7 @@
 	return action;
 }
 
+/* Starts a dispatched stream and sends its first token. */
 static void start_stream(drive_t *drive, const action_t *dispatch)
 {
 	drive_upstream(drive, UPSTREAM_STARTED, dispatch->dispatch.attempt, 0,
@@ -92,8 +97,8 @@
 }
 
 /*
- * A VM has five seconds left and a stream on it ten tokens, half a second's
- * worth. Moving it would have its prompt computed twice for nothing.
+ * A VM has five seconds left, and a stream on it needs half a second for its
+ * ten tokens. If it were moved, its prompt would be computed twice for nothing.
  */
 static void test_stream_that_finishes_in_time_stays(void **state)
 {
@@ -112,8 +117,8 @@
 }
 
 /*
- * The second token of a short answer comes half a second late. At that pace it
- * would not end in time, but one gap says nothing of the others.
+ * The second token of a short answer is half a second late. At that rate the
+ * answer would not finish in time, but one gap does not predict the others.
  */
 static void test_single_late_token_causes_no_move(void **state)
 {
@@ -133,8 +138,8 @@
 }
 
 /*
- * The stream will not end in time, so it goes on elsewhere while its engine can
- * still export its KV cache, and not only when the engine is gone.
+ * The stream will not finish in time, so it is moved while its engine can still
+ * export its KV cache, not only when the engine is gone.
  */
 static void test_long_stream_moves_with_its_kv_cache(void **state)
 {
@@ -157,8 +162,8 @@
 }
 
 /*
- * With 50 ms left an export would be cut off half way, so the stream resumes
- * from prompt and text instead.
+ * With 50 ms left an export would be cut off, so the stream resumes from prompt
+ * and text instead.
  */
 static void test_no_export_without_enough_time(void **state)
 {
@@ -179,8 +184,8 @@
 }
 
 /*
- * Three engines could take the stream and one holds its prompt. Going elsewhere
- * would compute a thousand tokens again while the caller waits.
+ * Three engines could take the stream and one has its prompt cached. Elsewhere
+ * a thousand tokens would be computed again while the caller waits.
  */
 static void test_move_prefers_cached_prefix(void **state)
 {
@@ -204,9 +209,10 @@
 }
 
 /*
- * Three streams with one document must leave, and one engine holds it. The third
- * goes on where it is for the moment that the engine needs for the first two;
- * sent to an idle engine at once, it would compute the whole document again.
+ * Three streams with the same document must leave, and one engine has it
+ * cached. The third stream stays until that engine has started the first two;
+ * sent to an idle engine at once, it would need the whole document computed
+ * again.
  */
 static void test_move_waits_for_cached_prefix(void **state)
 {
@@ -238,8 +244,8 @@
 
 /*
  * Eight streams must leave one VM and one engine is left. If all were sent at
- * once each would wait for the prefill of seven others; the one that has most
- * computed already goes first, and the others go on until it is their turn.
+ * once, each would wait for the prefill of seven others. The stream with the
+ * longest context goes first, and the others continue until it is their turn.
  */
 static void test_moves_are_limited_longest_first(void **state)
 {
@@ -269,8 +275,9 @@
 }
 
 /*
- * The whole zone goes and no replacement starts. The caller was accepted, so it
- * waits; when an engine turns up at last the answer goes on where it was.
+ * The whole zone is reclaimed and no replacement starts. The request was
+ * accepted, so it waits; when an engine appears, the answer continues where it
+ * was.
  */
 static void test_accepted_stream_waits_for_upstream(void **state)
 {
@@ -296,9 +303,9 @@
 }
 
 /*
- * In a wave the engines that remain are full and refuse what entries send them
- * by an old report. A request that counts such refusals as failures is failed
- * within milliseconds though engines come free a moment later.
+ * In a wave of reclaims the remaining engines are full and reject attempts that
+ * entries send by an old report. If rejections counted as failures, the request
+ * would fail within milliseconds, though slots are freed a moment later.
  */
 static void test_rejections_by_busy_engines_fail_no_request(void **state)
 {
@@ -323,8 +330,8 @@
 }
 
 /*
- * A zone dies without a word and hundreds of streams break at once, more than
- * the retry budget has. They were accepted, so they go on later, spread out.
+ * A zone fails without notice and more streams break at once than the retry
+ * budget allows. They were accepted, so they are resumed later, spread out.
  */
 static void test_streams_beyond_retry_budget_are_delayed(void **state)
 {
@@ -350,7 +357,9 @@
 	for (int i = 0; i < 400; i++) {
 		while ((action = drive_take(drive, ACTION_DISPATCH))) {
 			start_stream(drive, action);
-			/* Ends it, or its silence would move it again. */
+			/*
+			 * Ends it; as a stalled stream it would be moved again.
+			 */
 			drive_upstream(drive, UPSTREAM_END,
 				       action->dispatch.attempt, 0, true);
 			action_destroy(action);
@@ -365,8 +374,8 @@
 }
 
 /*
- * One of two engines that are left refuses every attempt; idle as it is it looks
- * the better one. A stream must not go back and forth but try the other.
+ * One of the two remaining engines fails all attempts; being idle it looks the
+ * better one. A stream must try the other one instead of alternating.
  */
 static void test_failed_engine_is_tried_last(void **state)
 {
@@ -387,9 +396,9 @@
 }
 
 /*
- * A long prompt takes an engine ten seconds to set up, and nothing is heard
- * meanwhile. Taken for a silent connection it would be sent again and again,
- * and never answered.
+ * An engine needs ten seconds for the prefill of a long prompt and sends
+ * nothing meanwhile. Taken for a stalled connection, the request would be
+ * resent again and again and never be answered.
  */
 static void test_long_prefill_is_not_a_stall(void **state)
 {
@@ -404,7 +413,10 @@
 	action_destroy(action);
 }
 
-/* Tokens that a resumed attempt computes anew are counted, a first one's not. */
+/*
+ * Tokens that a resumed attempt recomputes are counted, those of a first one
+ * are not.
+ */
 static void test_recomputed_tokens_are_counted(void **state)
 {
 	drive_t *drive = *state;
@@ -430,8 +442,8 @@
 }
 
 /*
- * A caller hangs up in the middle of its answer. Its engine must be told, and
- * the slot be free for another at once.
+ * A caller disconnects in the middle of its answer. Its attempt must be
+ * cancelled, and the slot be free for another request at once.
  */
 static void test_disconnect_frees_slot(void **state)
 {
@@ -443,7 +455,7 @@
 	disconnect.caller = send_request(drive, 64, 100);
 	action = expect_dispatch(drive);
 	start_stream(drive, action);
-	/* Urgent, as other work would be refused for the wait ahead. */
+	/* Urgent, as other requests would be refused for the predicted wait. */
 	drive_urgent_request(drive, "m");
 	assert_int_equal(drive_count(drive, ACTION_DISPATCH), 0);
 	drive_event(drive, &disconnect);
