--- a/tests/property/test_adopt.cc
+++ b/tests/property/test_adopt.cc
@@ -20,9 +20,9 @@
 constexpr pd_time_t kStep = 100 * PD_MSEC;
 
 /* Tokens differ in length, so that a wrong bound shows. */
-std::string token(uint64_t place)
+std::string token_text(uint64_t offset)
 {
-	return std::string(1 + place % 3, 'a' + static_cast<char>(place % 26));
+	return std::string(1 + offset % 3, 'a' + static_cast<char>(offset % 26));
 }
 
 struct Reader {
@@ -36,9 +36,9 @@
 /* One entry with an engine that answers as it is asked, token by token. */
 struct Node {
 	drive_t *drive;
-	std::vector<action_t *> sent;
+	std::vector<action_t *> sent_messages;
 	attempt_id_t attempt = 0;
-	uint64_t place = 0;
+	uint64_t next_offset = 0;
 	bool running = false;
 	unsigned int generated = 0;
 
@@ -57,12 +57,12 @@
 	Node &operator=(const Node &) = delete;
 	~Node()
 	{
-		for (action_t *action : sent)
+		for (action_t *action : sent_messages)
 			action_destroy(action);
 		drive_destroy(drive);
 	}
 
-	void knows(const char *id)
+	void add_peer(const char *id)
 	{
 		member_info_t info = {};
 		event_t event = {};
@@ -77,7 +77,7 @@
 		drive_event(drive, &event);
 	}
 
-	void look(Reader *reader)
+	void handle_actions(Reader *reader)
 	{
 		list_node_t *node;
 
@@ -85,19 +85,19 @@
 			action_t *action = LIST_ENTRY(node, action_t, node);
 
 			if (action->kind == ACTION_PEER_SEND) {
-				sent.push_back(action);
+				sent_messages.push_back(action);
 				continue;
 			}
-			look_at(action, reader);
+			handle_action(action, reader);
 			action_destroy(action);
 		}
 	}
 
-	void look_at(const action_t *action, Reader *reader)
+	void handle_action(const action_t *action, Reader *reader)
 	{
 		if (action->kind == ACTION_DISPATCH) {
 			attempt = action->dispatch.attempt;
-			place = action->dispatch.offset;
+			next_offset = action->dispatch.offset;
 			running = true;
 		} else if (action->kind == ACTION_CANCEL) {
 			running = running && attempt != action->attempt;
@@ -115,54 +115,55 @@
 		}
 	}
 
-	void run(unsigned int tokens, Reader *reader)
+	void generate(unsigned int tokens, Reader *reader)
 	{
 		for (unsigned int i = 0; i < tokens && running; i++) {
 			event_t event = {};
-			std::string text = token(place);
+			std::string text = token_text(next_offset);
 
 			event.kind = EVENT_UPSTREAM;
-			event.upstream.kind = place < kTokens ? UPSTREAM_TOKEN
-							      : UPSTREAM_END;
+			event.upstream.kind = next_offset < kTokens
+						      ? UPSTREAM_TOKEN
+						      : UPSTREAM_END;
 			event.upstream.attempt = attempt;
-			event.upstream.offset = place++;
+			event.upstream.offset = next_offset++;
 			event.upstream.data = text.data();
 			event.upstream.len = text.size();
 			running = event.upstream.kind == UPSTREAM_TOKEN;
 			generated += running;
 			drive_event(drive, &event);
-			look(reader);
+			handle_actions(reader);
 		}
 	}
 
 	/* Hands the messages of that kind that FROM sent to this entry. */
-	bool take(Node &from, peer_msg_kind_t kind, bool lost, Reader *reader)
+	bool deliver(Node &from, peer_msg_kind_t kind, bool lost, Reader *reader)
 	{
-		bool any = false;
+		bool found = false;
 
-		for (action_t *action : from.sent) {
+		for (action_t *action : from.sent_messages) {
 			event_t event = {};
 
 			if (action->peer.msg->kind != kind)
 				continue;
-			any = true;
+			found = true;
 			event.kind = EVENT_PEER_MSG;
 			event.peer = action->peer.msg;
 			if (!lost)
 				drive_event(drive, &event);
 		}
-		look(reader);
-		return any;
+		handle_actions(reader);
+		return found;
 	}
 
-	void forget()
+	void discard_sent_messages()
 	{
-		for (action_t *action : sent)
+		for (action_t *action : sent_messages)
 			action_destroy(action);
-		sent.clear();
+		sent_messages.clear();
 	}
 
-	void ask(const Reader &reader, const char *key_hash)
+	void send_request(const Reader &reader, const char *key_hash)
 	{
 		GBytes *body = g_bytes_new_static("prompt", 6);
 		event_t event = {};
@@ -190,14 +191,14 @@
 		stop.kind = EVENT_STOP;
 		entry_set_reclaim_time(drive->entry, drive->now + kNotice);
 		drive_event(drive, &stop);
-		wait(kStep, reader);
+		run_for(kStep, reader);
 	}
 
-	void wait(pd_time_t limit, Reader *reader)
+	void run_for(pd_time_t limit, Reader *reader)
 	{
 		for (pd_time_t t = 0; t < limit; t += kStep) {
 			drive_tick(drive, kStep);
-			look(reader);
+			handle_actions(reader);
 		}
 	}
 };
@@ -207,24 +208,24 @@
 };
 
 /* Moves the reader from one entry over a holder to the next. */
-void hop(Node &from, Node &holder, Node &to, unsigned int held,
-	 const Losses &losses, Reader *reader)
+void hand_over(Node &from, Node &holder, Node &to, unsigned int holder_tokens,
+	       const Losses &losses, Reader *reader)
 {
-	from.forget();
+	from.discard_sent_messages();
 	from.reclaim(reader);
-	holder.take(from, PEER_HANDOVER, losses.offer, nullptr);
-	from.take(holder, PEER_HANDOVER_ACK, losses.ack, reader);
-	from.wait(2 * PD_SEC, reader);
+	holder.deliver(from, PEER_HANDOVER, losses.offer, nullptr);
+	from.deliver(holder, PEER_HANDOVER_ACK, losses.ack, reader);
+	from.run_for(2 * PD_SEC, reader);
 	if (reader->ended)
 		return;
 	RC_ASSERT(reader->moved);
 	reader->moved = false;
-	holder.run(held, nullptr);
-	to.ask(*reader, DRIVE_KEY_HASH);
-	to.look(reader);
-	holder.take(to, PEER_FIND, losses.find, nullptr);
-	to.take(holder, PEER_FOUND, losses.found, reader);
-	to.wait(PD_SEC, reader);
+	holder.generate(holder_tokens, nullptr);
+	to.send_request(*reader, DRIVE_KEY_HASH);
+	to.handle_actions(reader);
+	holder.deliver(to, PEER_FIND, losses.find, nullptr);
+	to.deliver(holder, PEER_FOUND, losses.found, reader);
+	to.run_for(PD_SEC, reader);
 }
 
 std::string whole()
@@ -232,7 +233,7 @@
 	std::string text;
 
 	for (uint64_t i = 0; i < kTokens; i++)
-		text += token(i);
+		text += token_text(i);
 	return text;
 }
 
@@ -245,26 +246,26 @@
 	Reader reader;
 
 	nodes.push_back(std::make_unique<Node>(1));
-	nodes[0]->ask(reader, DRIVE_KEY_HASH);
-	nodes[0]->look(&reader);
+	nodes[0]->send_request(reader, DRIVE_KEY_HASH);
+	nodes[0]->handle_actions(&reader);
 	for (int i = 0; i < hops && !reader.ended; i++) {
 		auto size = static_cast<unsigned int>(nodes.size());
 		Losses losses = {};
 
 		nodes.push_back(std::make_unique<Node>(size + 1));
 		nodes.push_back(std::make_unique<Node>(size + 2));
-		nodes[size - 1]->knows("entry-holder");
-		nodes[size + 1]->knows("entry-holder");
-		nodes[size - 1]->run(*rc::gen::inRange(0U, 20U), &reader);
+		nodes[size - 1]->add_peer("entry-holder");
+		nodes[size + 1]->add_peer("entry-holder");
+		nodes[size - 1]->generate(*rc::gen::inRange(0U, 20U), &reader);
 		if (lossy)
 			losses = { *rc::gen::arbitrary<bool>(),
 				   *rc::gen::arbitrary<bool>(),
 				   *rc::gen::arbitrary<bool>(),
 				   *rc::gen::arbitrary<bool>() };
-		hop(*nodes[size - 1], *nodes[size], *nodes[size + 1],
-		    *rc::gen::inRange(0U, 50U), losses, &reader);
+		hand_over(*nodes[size - 1], *nodes[size], *nodes[size + 1],
+			  *rc::gen::inRange(0U, 50U), losses, &reader);
 	}
-	nodes.back()->run(kTokens + 1, &reader);
+	nodes.back()->generate(kTokens + 1, &reader);
 	RC_ASSERT(reader.ended);
 	RC_ASSERT(reader.text == whole());
 	for (const auto &node : nodes)
@@ -294,23 +295,23 @@
 		Reader reader;
 		Reader other;
 
-		from.knows("entry-holder");
-		to.knows("entry-holder");
-		from.ask(reader, DRIVE_KEY_HASH);
-		from.look(&reader);
-		from.run(*rc::gen::inRange(1U, 20U), &reader);
+		from.add_peer("entry-holder");
+		to.add_peer("entry-holder");
+		from.send_request(reader, DRIVE_KEY_HASH);
+		from.handle_actions(&reader);
+		from.generate(*rc::gen::inRange(1U, 20U), &reader);
 		from.reclaim(&reader);
-		holder.take(from, PEER_HANDOVER, false, nullptr);
-		from.take(holder, PEER_HANDOVER_ACK, false, &reader);
+		holder.deliver(from, PEER_HANDOVER, false, nullptr);
+		from.deliver(holder, PEER_HANDOVER_ACK, false, &reader);
 		RC_ASSERT(reader.moved);
-		holder.run(*rc::gen::inRange(1U, 50U), nullptr);
+		holder.generate(*rc::gen::inRange(1U, 50U), nullptr);
 		other.id = reader.id;
 		other.offset = reader.offset;
-		to.ask(other, DRIVE_URGENT_KEY_HASH);
-		to.look(&other);
-		holder.take(to, PEER_FIND, false, nullptr);
-		to.take(holder, PEER_FOUND, false, &other);
-		to.wait(PD_SEC, &other);
+		to.send_request(other, DRIVE_URGENT_KEY_HASH);
+		to.handle_actions(&other);
+		holder.deliver(to, PEER_FIND, false, nullptr);
+		to.deliver(holder, PEER_FOUND, false, &other);
+		to.run_for(PD_SEC, &other);
 		RC_ASSERT(other.text.empty());
 		RC_ASSERT(!other.ended);
 	});
--- a/tests/property/test_streams.cc
+++ b/tests/property/test_streams.cc
@@ -18,13 +18,13 @@
 
 #define TOKENS 8 /* that drive_request() asks for */
 #define STEPS 300
-#define LATEST 4
-#define MET_MIN 200
+#define RECENT_ATTEMPTS 4
+#define COVERAGE_MIN 200
 #define VMS_MAX 4
 #define SLOTS 3
 #define DEADLINE (60 * PD_SEC)
 #define NOTICE_MAX_MS 4000
-#define ID_REST (60 * PD_SEC)
+#define ID_REUSE_DELAY (60 * PD_SEC)
 
 namespace
 {
@@ -39,11 +39,11 @@
 }
 
 /* What all tests together have met; a property that meets none shows nothing. */
-struct Met {
+struct Coverage {
 	unsigned int ends = 0;
 	unsigned int resumes = 0;
 	unsigned int refusals = 0;
-} met;
+} coverage;
 
 /* Each place in the answer has a text of its own, so that a mix-up shows. */
 char text_at(uint64_t offset)
@@ -85,7 +85,7 @@
 	Streams() : drive(drive_create("entry-1", "zone-a", 7))
 	{
 		drive_bundle(drive, 1);
-		list(VMS_MAX);
+		list_vms(VMS_MAX);
 	}
 
 	~Streams()
@@ -97,18 +97,18 @@
 	void finish();
 
       private:
-	void list(unsigned int count);
-	void ask();
-	void upstream();
-	void token(Attempt &attempt);
-	void notice();
-	void hang_up();
-	void report();
-	void take_actions();
-	void take(const action_t *action);
+	void list_vms(unsigned int count);
+	void send_request();
+	void send_upstream_event();
+	void send_next_token(Attempt &attempt);
+	void send_notice();
+	void disconnect_caller();
+	void send_report();
+	void handle_actions();
+	void handle_action(const action_t *action);
 	void tick(pd_time_t step);
 	void check_deadlines();
-	Caller &caller_of(const action_t *action);
+	Caller &find_caller(const action_t *action);
 	bool is_leaving(const char *vm_id) const;
 
 	drive_t *drive;
@@ -117,30 +117,30 @@
 	std::map<std::string, pd_time_t> leaving; /* when, by the latest notice */
 };
 
-void Streams::list(unsigned int count)
+void Streams::list_vms(unsigned int count)
 {
 	drive_vms(drive, count, 0, SLOTS);
-	take_actions();
+	handle_actions();
 }
 
-void Streams::ask()
+void Streams::send_request()
 {
 	caller_id_t id = drive->next_caller + 1;
 
 	callers[id].deadline = drive->now + DEADLINE;
 	drive_request(drive, TARGET_MODEL, "m", NULL);
-	take_actions();
+	handle_actions();
 }
 
 /* A token in its place, or one that comes again or too early. */
-void Streams::token(Attempt &attempt)
+void Streams::send_next_token(Attempt &attempt)
 {
-	auto how = pick(0, 12);
+	auto variation = pick(0, 12);
 	uint64_t offset = attempt.next;
 
-	if (how == 0)
+	if (variation == 0)
 		offset = attempt.next + 1;
-	else if (how == 1 && attempt.next > 0)
+	else if (variation == 1 && attempt.next > 0)
 		offset = attempt.next - 1;
 	else
 		attempt.next++;
@@ -149,13 +149,13 @@
 }
 
 /* Something of any attempt that ever was, also of one that was left. */
-void Streams::upstream()
+void Streams::send_upstream_event()
 {
 	if (attempts.empty())
 		return;
 	/* Mostly of one that may still run. */
-	size_t first = pick(0, 4) && attempts.size() > LATEST
-			       ? attempts.size() - LATEST
+	size_t first = pick(0, 4) && attempts.size() > RECENT_ATTEMPTS
+			       ? attempts.size() - RECENT_ATTEMPTS
 			       : 0;
 	auto &attempt = attempts[pick<size_t>(first, attempts.size())];
 
@@ -177,14 +177,14 @@
 		break;
 	default:
 		if (attempt.next < TOKENS)
-			token(attempt);
+			send_next_token(attempt);
 		else
 			drive_upstream(drive, UPSTREAM_END, attempt.id, 0, true);
 	}
-	take_actions();
+	handle_actions();
 }
 
-void Streams::notice()
+void Streams::send_notice()
 {
 	std::string id = "m-" + std::to_string(pick(1, VMS_MAX + 1));
 	event_t event = {};
@@ -196,10 +196,10 @@
 	event.load.leaves_in = pick<pd_time_t>(0, NOTICE_MAX_MS) * PD_MSEC;
 	leaving[id] = MAX(leaving[id], drive->now + event.load.leaves_in);
 	drive_event(drive, &event);
-	take_actions();
+	handle_actions();
 }
 
-void Streams::report()
+void Streams::send_report()
 {
 	std::string id = "m-" + std::to_string(pick(1, VMS_MAX + 1));
 	event_t event = {};
@@ -209,10 +209,10 @@
 	event.load.answered = pick(0, 4) != 0;
 	event.load.running = pick(0u, 2u * SLOTS);
 	drive_event(drive, &event);
-	take_actions();
+	handle_actions();
 }
 
-void Streams::hang_up()
+void Streams::disconnect_caller()
 {
 	if (callers.empty())
 		return;
@@ -222,7 +222,7 @@
 	event.caller = pick<caller_id_t>(1, drive->next_caller + 1);
 	callers[event.caller].gone = true;
 	drive_event(drive, &event);
-	take_actions();
+	handle_actions();
 }
 
 /* An id may be given to a new VM when its old one has been gone for long. */
@@ -230,10 +230,11 @@
 {
 	auto notice = leaving.find(vm_id);
 
-	return notice != leaving.end() && drive->now < notice->second + ID_REST;
+	return notice != leaving.end() &&
+	       drive->now < notice->second + ID_REUSE_DELAY;
 }
 
-Caller &Streams::caller_of(const action_t *action)
+Caller &Streams::find_caller(const action_t *action)
 {
 	Caller &caller =
 		callers[action->kind == ACTION_REFUSE ? action->refuse.caller
@@ -244,18 +245,18 @@
 	return caller;
 }
 
-void Streams::take(const action_t *action)
+void Streams::handle_action(const action_t *action)
 {
 	switch (action->kind) {
 	case ACTION_DISPATCH:
 		RC_ASSERT(!is_leaving(action->dispatch.vm_id));
 		RC_ASSERT(action->dispatch.offset <= TOKENS);
-		met.resumes += action->dispatch.offset > 0;
+		coverage.resumes += action->dispatch.offset > 0;
 		attempts.push_back(
 			{ action->dispatch.attempt, action->dispatch.offset });
 		break;
 	case ACTION_TOKEN: {
-		Caller &caller = caller_of(action);
+		Caller &caller = find_caller(action);
 
 		RC_ASSERT(action->reply.offset == caller.tokens);
 		RC_ASSERT(action->reply.data[0] == text_at(caller.tokens));
@@ -263,26 +264,26 @@
 		break;
 	}
 	case ACTION_END: {
-		Caller &caller = caller_of(action);
+		Caller &caller = find_caller(action);
 
 		RC_ASSERT(caller.tokens == TOKENS);
-		met.ends++;
+		coverage.ends++;
 		caller.ended = true;
 		break;
 	}
 	case ACTION_REFUSE:
-		caller_of(action).ended = true;
-		met.refusals++;
+		find_caller(action).ended = true;
+		coverage.refusals++;
 		break;
 	default:
 		break;
 	}
 }
 
-void Streams::take_actions()
+void Streams::handle_actions()
 {
 	LIST_FOR_EACH (it, &drive->actions)
-		take(LIST_ENTRY(it, action_t, node));
+		handle_action(LIST_ENTRY(it, action_t, node));
 	drive_clear(drive);
 }
 
@@ -299,7 +300,7 @@
 void Streams::tick(pd_time_t step)
 {
 	drive_tick(drive, step);
-	take_actions();
+	handle_actions();
 	check_deadlines();
 }
 
@@ -309,19 +310,19 @@
 	case 0:
 	case 1:
 	case 2:
-		ask();
+		send_request();
 		break;
 	case 3:
-		notice();
+		send_notice();
 		break;
 	case 4:
-		hang_up();
+		disconnect_caller();
 		break;
 	case 5:
-		list(pick(0u, VMS_MAX + 1u));
+		list_vms(pick(0u, VMS_MAX + 1u));
 		break;
 	case 6:
-		report();
+		send_report();
 		break;
 	case 7:
 	case 8:
@@ -329,7 +330,7 @@
 		tick(pick<pd_time_t>(1, 4000) * PD_MSEC);
 		break;
 	default:
-		upstream();
+		send_upstream_event();
 	}
 }
 
@@ -369,8 +370,8 @@
 	}
 
 	void take_dispatch();
-	void tokens(uint64_t count);
-	void reclaim(bool announced);
+	void send_tokens(uint64_t count);
+	void reclaim_vm(bool announced);
 	void finish();
 
       private:
@@ -392,14 +393,14 @@
 	action_destroy(action);
 }
 
-void Reclaims::tokens(uint64_t count)
+void Reclaims::send_tokens(uint64_t count)
 {
 	for (; count > 0 && next < TOKENS; count--)
 		send_token(drive, attempt, next++);
 }
 
 /* The VM goes, said before or not, and its connection breaks or is left. */
-void Reclaims::reclaim(bool announced)
+void Reclaims::reclaim_vm(bool announced)
 {
 	event_t event = {};
 
@@ -420,7 +421,7 @@
 
 void Reclaims::finish()
 {
-	tokens(TOKENS);
+	send_tokens(TOKENS);
 	drive_upstream(drive, UPSTREAM_END, attempt, 0, true);
 	RC_ASSERT(drive_count(drive, ACTION_TOKEN) == TOKENS);
 	RC_ASSERT(drive_count(drive, ACTION_END) == 1);
@@ -439,20 +440,20 @@
 			bool announced = unannounced == 0 || pick(0, 2);
 
 			unannounced -= !announced;
-			reclaims.tokens(pick<uint64_t>(0, 3));
-			reclaims.reclaim(announced);
+			reclaims.send_tokens(pick<uint64_t>(0, 3));
+			reclaims.reclaim_vm(announced);
 			reclaims.take_dispatch();
 		}
 		reclaims.finish();
 	});
 }
 
-bool has_met_enough()
+bool coverage_is_sufficient()
 {
-	printf("met: %u whole answers, %u resumes, %u refusals\n", met.ends,
-	       met.resumes, met.refusals);
-	return met.ends >= MET_MIN && met.resumes >= MET_MIN &&
-	       met.refusals >= MET_MIN;
+	printf("met: %u whole answers, %u resumes, %u refusals\n",
+	       coverage.ends, coverage.resumes, coverage.refusals);
+	return coverage.ends >= COVERAGE_MIN && coverage.resumes >= COVERAGE_MIN &&
+	       coverage.refusals >= COVERAGE_MIN;
 }
 
 } // namespace
@@ -462,5 +463,5 @@
 	bool good = check_streams();
 
 	good = check_reclaims() && good;
-	return good && has_met_enough() ? 0 : 1;
+	return good && coverage_is_sufficient() ? 0 : 1;
 }
