--- a/tests/property/test_adopt.cc
+++ b/tests/property/test_adopt.cc
@@ -1,6 +1,6 @@
 /*
- * An answer wanders from entry to entry, with some of the messages about it
- * lost, and its caller must read every token once and in its place.
+ * An answer is handed over from entry to entry, some of the messages about it
+ * are lost, and its caller must read each token once and in order.
  */
 #include <rapidcheck.h>
 
@@ -19,7 +19,7 @@
 constexpr pd_time_t kNotice = 1900 * PD_MSEC;
 constexpr pd_time_t kStep = 100 * PD_MSEC;
 
-/* Tokens differ in length, so that a wrong bound shows. */
+/* Tokens differ in length, so that a wrong boundary is detected. */
 std::string token_text(uint64_t offset)
 {
 	return std::string(1 + offset % 3, 'a' + static_cast<char>(offset % 26));
@@ -27,13 +27,13 @@
 
 struct Reader {
 	std::string text;
-	std::string id; /* of the request it reads */
-	uint64_t offset = 0; /* tokens it has */
+	std::string id; /* of the request that it reads */
+	uint64_t offset = 0; /* tokens received */
 	bool moved = false;
 	bool ended = false;
 };
 
-/* One entry with an engine that answers as it is asked, token by token. */
+/* One entry with an engine that answers token by token, as the test asks. */
 struct Node {
 	drive_t *drive;
 	std::vector<action_t *> sent_messages;
@@ -49,7 +49,7 @@
 		drive = drive_create(name.c_str(), "zone-a", number);
 		drive_bundle(drive, 1);
 		drive_vms(drive, 2, 0, 4);
-		/* Long enough to serve without having heard a peer. */
+		/* Long enough to serve without a message from a peer. */
 		drive_tick(drive, 3 * PD_SEC);
 		drive_clear(drive);
 	}
@@ -136,7 +136,10 @@
 		}
 	}
 
-	/* Hands the messages of that kind that FROM sent to this entry. */
+	/*
+	 * Delivers the messages of that kind that FROM sent to this entry, or
+	 * loses them; returns whether there were any.
+	 */
 	bool deliver(Node &from, peer_msg_kind_t kind, bool lost, Reader *reader)
 	{
 		bool found = false;
@@ -207,7 +210,10 @@
 	bool offer, ack, find, found;
 };
 
-/* Moves the reader from one entry over a holder to the next. */
+/*
+ * Moves the reader from one entry over a holder to the next, with the given
+ * losses of messages.
+ */
 void hand_over(Node &from, Node &holder, Node &to, unsigned int holder_tokens,
 	       const Losses &losses, Reader *reader)
 {
@@ -237,7 +243,10 @@
 	return text;
 }
 
-/* Runs a random journey; returns how many tokens the engines generated. */
+/*
+ * Hands an answer over a random number of times; returns how many tokens the
+ * engines generated.
+ */
 unsigned int journey(bool lossy)
 {
 	auto hops = *rc::gen::inRange(1, 4);
@@ -285,7 +294,9 @@
 			 [] { journey(true); });
 }
 
-/* Somebody who learns of an id must not read another account's answer. */
+/*
+ * An account that knows a request's id must not read another account's answer.
+ */
 bool check_accounts()
 {
 	return rc::check("an answer goes to its own account only", [] {
--- a/tests/property/test_streams.cc
+++ b/tests/property/test_streams.cc
@@ -1,9 +1,9 @@
 /*
- * One entry's core under anything that upstreams, callers and clocks may do:
- * tokens late, doubled, out of order or skipped, attempts that break or fall
- * silent, refusals, notices, VMs that come and go, time that jumps. Whatever
- * happens a caller gets the tokens 0, 1, 2, ... and nothing else, and hears the
- * end of its request by its deadline.
+ * One entry's core under any behaviour of upstreams, callers and clocks: tokens
+ * that are late, repeated, out of order or skipped, attempts that fail or
+ * stall, refusals, notices, VMs that appear and disappear, time that jumps. A
+ * caller must always get the tokens 0, 1, 2, ... and nothing else, and the end
+ * of its request by its deadline.
  */
 #include <rapidcheck.h>
 
@@ -16,7 +16,7 @@
 #include "tests/harness/drive.h"
 }
 
-#define TOKENS 8 /* that drive_request() asks for */
+#define TOKENS 8 /* requested by drive_request() */
 #define STEPS 300
 #define RECENT_ATTEMPTS 4
 #define COVERAGE_MIN 200
@@ -30,22 +30,29 @@
 {
 
 /*
- * Any of MIN to MAX - 1, alike. rapidcheck's own ranges begin small and grow with
- * the number of tests, which would leave the later cases of a choice untried.
+ * Returns a uniformly distributed value of MIN to MAX - 1. rapidcheck's own
+ * ranges start small and grow with the number of tests, which would leave the
+ * last alternatives of a choice untested.
  */
 template <typename T> T pick(T min, T max)
 {
 	return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<T>(min, max));
 }
 
-/* What all tests together have met; a property that meets none shows nothing. */
+/*
+ * What all cases together have exercised; a property that exercises nothing
+ * proves nothing.
+ */
 struct Coverage {
 	unsigned int ends = 0;
 	unsigned int resumes = 0;
 	unsigned int refusals = 0;
 } coverage;
 
-/* Each place in the answer has a text of its own, so that a mix-up shows. */
+/*
+ * Returns the text of the token at OFFSET. Each offset has its own, so that
+ * mixed-up tokens are detected.
+ */
 char text_at(uint64_t offset)
 {
 	return (char)('a' + offset);
@@ -65,13 +72,16 @@
 	drive_event(drive, &event);
 }
 
-/* What a test knows of one attempt; an upstream may go on after it was left. */
+/*
+ * What a test knows of one attempt; an upstream may continue it after it was
+ * cancelled.
+ */
 struct Attempt {
 	attempt_id_t id;
 	uint64_t next;
 };
 
-/* What a caller has heard. */
+/* What a caller has received. */
 struct Caller {
 	uint64_t tokens = 0;
 	bool ended = false;
@@ -132,7 +142,7 @@
 	handle_actions();
 }
 
-/* A token in its place, or one that comes again or too early. */
+/* Sends the next token, or one that is repeated or too early. */
 void Streams::send_next_token(Attempt &attempt)
 {
 	auto variation = pick(0, 12);
@@ -148,12 +158,12 @@
 		send_token(drive, attempt.id, offset);
 }
 
-/* Something of any attempt that ever was, also of one that was left. */
+/* Sends an event of any attempt so far, including cancelled ones. */
 void Streams::send_upstream_event()
 {
 	if (attempts.empty())
 		return;
-	/* Mostly of one that may still run. */
+	/* Mostly of an attempt that may still run. */
 	size_t first = pick(0, 4) && attempts.size() > RECENT_ATTEMPTS
 			       ? attempts.size() - RECENT_ATTEMPTS
 			       : 0;
@@ -225,7 +235,10 @@
 	handle_actions();
 }
 
-/* An id may be given to a new VM when its old one has been gone for long. */
+/*
+ * Returns whether the VM must not get requests. An id may be reused when its VM
+ * has been gone for long.
+ */
 bool Streams::is_leaving(const char *vm_id) const
 {
 	auto notice = leaving.find(vm_id);
@@ -334,7 +347,7 @@
 	}
 }
 
-/* Nothing more is heard of any upstream: all must end by their deadlines. */
+/* No upstream sends anything more: all requests must end by their deadlines. */
 void Streams::finish()
 {
 	for (int i = 0; i < 2 * DEADLINE / PD_SEC; i++)
@@ -353,7 +366,10 @@
 	});
 }
 
-/* Engines that are reclaimed one after the other under a single request. */
+/*
+ * Engines that are reclaimed one after the other while they serve a single
+ * request.
+ */
 class Reclaims
 {
       public:
@@ -399,7 +415,10 @@
 		send_token(drive, attempt, next++);
 }
 
-/* The VM goes, said before or not, and its connection breaks or is left. */
+/*
+ * Reclaims the VM, with or without notice; its connection breaks or its attempt
+ * is cancelled.
+ */
 void Reclaims::reclaim_vm(bool announced)
 {
 	event_t event = {};
@@ -433,7 +452,7 @@
 	return rc::check("an accepted answer is whole after any reclaims", [] {
 		Reclaims reclaims;
 		auto count = pick(0, 20);
-		int unannounced = 5; /* more in one request means it does harm */
+		int unannounced = 5; /* more failures of one request end it */
 
 		reclaims.take_dispatch();
 		for (int i = 0; i < count; i++) {
