--- a/core/attempt.c
+++ b/core/attempt.c
@@ -92,7 +92,7 @@
 	dispatch_cancel_attempt(entry, request);
 	if (upstream) {
 		upstream->failed_at = entry->now;
-		upstream->refuses_when_full |= event->kind == UPSTREAM_BUSY;
+		upstream->rejects_when_full |= event->kind == UPSTREAM_BUSY;
 	}
 	attempt_retry(entry, request, cause);
 }
--- a/core/prefix_cache.c
+++ b/core/prefix_cache.c
@@ -125,7 +125,7 @@
 }
 
 /* Returns whether adding a prefix of the engine would evict another. */
-static bool is_full(const prefix_cache_t *cache, const char *vm_id)
+static bool engine_is_full(const prefix_cache_t *cache, const char *vm_id)
 {
 	const GArray *list = g_hash_table_lookup(cache->engines, vm_id);
 
@@ -142,7 +142,7 @@
 			       pd_time_t now)
 {
 	for (size_t i = 0; i < count; i++) {
-		if (events[i].held && !is_full(cache, vm_id))
+		if (events[i].held && !engine_is_full(cache, vm_id))
 			prefix_cache_record_send(cache, vm_id, events[i].prefix,
 						 now);
 		else if (!events[i].held)
--- a/core/resume.c
+++ b/core/resume.c
@@ -34,7 +34,7 @@
 static void resume_with_found(entry_t *entry, request_t *request,
 			      const peer_msg_t *found)
 {
-	const handover_t *held = &found->handover;
+	const handover_t *handover = &found->handover;
 	const char *tail;
 	gsize len;
 
@@ -43,12 +43,12 @@
 	if (found->body) {
 		tail = g_bytes_get_data(found->body, &len);
 		/* The event's id is that of the last token in it. */
-		request->offset = held->offset - 1;
+		request->offset = handover->offset - 1;
 		request_reply(entry, request, ACTION_TOKEN, tail, len, 0);
 	}
-	request->offset = held->offset;
-	g_string_assign(request->emitted, held->emitted);
-	if (held->ended) {
+	request->offset = handover->offset;
+	g_string_assign(request->emitted, handover->emitted);
+	if (handover->ended) {
 		request_reply(entry, request, ACTION_END, NULL, 0, 0);
 		request_end(entry, request);
 		return;
@@ -62,11 +62,11 @@
  */
 static bool resume_matches(const request_t *request, const peer_msg_t *found)
 {
-	const handover_t *held = &found->handover;
+	const handover_t *handover = &found->handover;
 
-	return held->request_id && held->account && held->emitted &&
-	       held->offset >= request->resume_offset &&
-	       !strcmp(held->account, request->account);
+	return handover->request_id && handover->account && handover->emitted &&
+	       handover->offset >= request->resume_offset &&
+	       !strcmp(handover->account, request->account);
 }
 
 /*
@@ -134,7 +134,7 @@
  */
 void resume_run(entry_t *entry)
 {
-	GPtrArray *late = g_ptr_array_new();
+	GPtrArray *timed_out = g_ptr_array_new();
 	GHashTableIter it;
 	void *value;
 
@@ -143,9 +143,9 @@
 		request_t *request = value;
 
 		if (entry->now - request->requested_at >= FIND_TIMEOUT)
-			g_ptr_array_add(late, request);
+			g_ptr_array_add(timed_out, request);
 	}
-	for (guint i = 0; i < late->len; i++)
-		resume_dispatch(entry, g_ptr_array_index(late, i));
-	g_ptr_array_unref(late);
+	for (guint i = 0; i < timed_out->len; i++)
+		resume_dispatch(entry, g_ptr_array_index(timed_out, i));
+	g_ptr_array_unref(timed_out);
 }
--- a/core/route.c
+++ b/core/route.c
@@ -53,7 +53,7 @@
 
 	if (priority != PRIORITY_URGENT)
 		return slots - slots / URGENT_RESERVE_DIVISOR;
-	if (slots < BATCHING_SLOTS_MIN || upstream->refuses_when_full)
+	if (slots < BATCHING_SLOTS_MIN || upstream->rejects_when_full)
 		return slots;
 	return 2 * slots;
 }
--- a/core/upstreams.h
+++ b/core/upstreams.h
@@ -24,7 +24,7 @@
 	unsigned int missed_probes; /* consecutive, without an answer */
 	bool probing;
 	pd_time_t probed_at;
-	bool refuses_when_full; /* has rejected an attempt as busy */
+	bool rejects_when_full; /* has rejected an attempt as busy */
 	pd_time_t failed_at; /* time of the last failed attempt; 0 if none */
 	unsigned int running; /* attempts of this entry in flight */
 	unsigned int starting; /* of those, without a response so far */
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -114,7 +114,7 @@
 	drive_vms(drive, 1, 0, SLOTS);
 	report(drive, "m-1", SLOTS);
 	assert_int_equal(choose(drive, PRIORITY_URGENT, 0, &choice), ROUTE_CHOSEN);
-	choice.upstream->refuses_when_full = true;
+	choice.upstream->rejects_when_full = true;
 	route_choice_clear(&choice);
 	for (int i = 0; i < SLOTS; i++)
 		drive_urgent_request(drive, "m");
