--- a/core/attempt.c
+++ b/core/attempt.c
@@ -6,7 +6,7 @@
 #include "core/queue.h"
 #include "core/hash.h"
 
-#define FAILURES_MAX 6
+#define FAILURES_MAX 6 /* lost attempts of one request */
 #define RETRY_AFTER_SHORT (1 * PD_SEC)
 /*
  * An attempt that did not start is retried after a delay that doubles. In a
--- a/core/drain.c
+++ b/core/drain.c
@@ -8,7 +8,7 @@
 #include "core/queue.h"
 #include "core/prefix.h"
 
-#define TOKEN_GAP_DEFAULT (40 * PD_MSEC)
+#define TOKEN_GAP_DEFAULT (40 * PD_MSEC) /* without a target in the bundle */
 /*
  * The weight of the expected gap, in observed gaps. Without it a single late
  * token at the start of an answer makes the stream look slow, and it is moved
@@ -30,10 +30,7 @@
 			      request->offset);
 }
 
-/*
- * Returns the progress of the request's stream, as the policy of moves needs
- * it.
- */
+/* Returns the progress of the request's stream. */
 static move_stream_t drain_describe_stream(const entry_t *entry,
 					   const request_t *request)
 {
--- a/core/entry.h
+++ b/core/entry.h
@@ -10,7 +10,7 @@
 
 typedef struct entry_config {
 	member_info_t self; /* borrowed by entry_create() */
-	unsigned int subset; /* max upstreams per model or service that it sends to */
+	unsigned int subset; /* max upstreams per model or service */
 	uint64_t seed; /* of all random choices */
 } entry_config_t;
 
--- a/core/move.c
+++ b/core/move.c
@@ -36,7 +36,7 @@
  * its load each stream that moves would try it first.
  */
 #define RECENT_FAILURE_COST 10e6 /* microseconds */
-#define RECENT_FAILURE_TIME (5 * PD_SEC)
+#define RECENT_FAILURE_TIME (5 * PD_SEC) /* a failure counts this long */
 
 /* Sets the initial costs, before any start was seen. */
 void move_costs_init(move_costs_t *costs)
--- a/core/route.c
+++ b/core/route.c
@@ -11,14 +11,13 @@
 
 #define CROSS_ZONE_MS 1.0 /* another zone: half a millisecond each way */
 #define RECENT_FAILURE_MS 500.0 /* an attempt failed there recently */
-#define RECENT_FAILURE_TIME (5 * PD_SEC)
+#define RECENT_FAILURE_TIME (5 * PD_SEC) /* a failure counts this long */
 #define RECLAIM_RISK_MS 10.0 /* urgent request on a reclaimable VM */
 #define LOAD_MS 6.0 /* each request in the engine's batch, by its prefill */
 #define PREFILL_MS 150.0 /* prefill of a prefix that is not cached */
 #define LOGGED_CANDIDATES_MAX 6 /* more would obscure the choice in the log */
 #define RANDOM_CHOICES 2 /* besides those that hold the prefix */
-#define URGENT_RESERVE_DIVISOR \
-	8 /* one of so many slots is reserved for urgent requests */
+#define URGENT_RESERVE_DIVISOR 8 /* one slot in eight is for urgent requests */
 /*
  * When a burst begins, reports still show every engine as empty for up to a
  * second; if all of that capacity could be used, all entries would fill it at
--- a/core/upstreams.h
+++ b/core/upstreams.h
@@ -32,7 +32,7 @@
 	double allowance; /* attempts that reports have shown capacity for */
 	double others_load_peak; /* decaying maximum of others_load */
 	pd_time_t reported_at; /* 0 if it never reported */
-	GHashTable *cached_prefixes; /* set of prefix hashes that it probably holds */
+	GHashTable *cached_prefixes; /* hashes that it probably holds */
 } upstream_t;
 
 typedef struct upstreams upstreams_t;
--- a/tests/property/test_admission.cc
+++ b/tests/property/test_admission.cc
@@ -39,6 +39,7 @@
 		drive_destroy(drive);
 	}
 
+	/* Notes the attempts that were dispatched. */
 	void take_dispatches()
 	{
 		while (action_t *action = drive_take(drive, ACTION_DISPATCH)) {
@@ -48,6 +49,7 @@
 		}
 	}
 
+	/* Removes the attempts that were cancelled. */
 	void take_cancels()
 	{
 		while (action_t *action = drive_take(drive, ACTION_CANCEL)) {
@@ -56,6 +58,7 @@
 		}
 	}
 
+	/* Answers all probes with an idle engine. */
 	void answer_probes()
 	{
 		while (action_t *action = drive_take(drive, ACTION_PROBE)) {
@@ -69,6 +72,7 @@
 		}
 	}
 
+	/* Checks that each refusal has a retry time. */
 	void check_refusals()
 	{
 		while (action_t *action = drive_take(drive, ACTION_REFUSE)) {
@@ -77,6 +81,7 @@
 		}
 	}
 
+	/* Handles all actions, and checks queue limits and deadlines. */
 	void check()
 	{
 		entry_t *entry = drive->entry;
@@ -97,6 +102,7 @@
 		}
 	}
 
+	/* Completes a random attempt. */
 	void end_random_attempt()
 	{
 		if (running.empty())
@@ -108,6 +114,7 @@
 		running.erase(at->first);
 	}
 
+	/* Sends the next token of each attempt. */
 	void send_token_to_each()
 	{
 		auto copy = running;
@@ -117,6 +124,7 @@
 				       running[one.first]++, true);
 	}
 
+	/* Performs one random step and checks its outcome. */
 	void step()
 	{
 		bool urgent_waits;
@@ -184,6 +192,7 @@
 		}
 	}
 
+	/* Returns the number of entries that are alive. */
 	unsigned int alive() const
 	{
 		unsigned int count = 0;
@@ -193,6 +202,7 @@
 		return count;
 	}
 
+	/* Sends a request to an entry and counts it if granted. */
 	void send_request(One &one)
 	{
 		pd_time_t retry_after = 0;
@@ -219,6 +229,7 @@
 		peer_msg_destroy(msg);
 	}
 
+	/* Simulates one second: requests, then demand reports. */
 	void run_second()
 	{
 		for (int i = 0; i < 50; i++) {
--- a/tests/property/test_adopt.cc
+++ b/tests/property/test_adopt.cc
@@ -62,6 +62,7 @@
 		drive_destroy(drive);
 	}
 
+	/* Adds a peer of that id to the entry. */
 	void add_peer(const char *id)
 	{
 		member_info_t info = {};
@@ -77,6 +78,7 @@
 		drive_event(drive, &event);
 	}
 
+	/* Handles all actions; keeps the messages to peers. */
 	void handle_actions(Reader *reader)
 	{
 		list_node_t *node;
@@ -93,6 +95,7 @@
 		}
 	}
 
+	/* Updates the engine or the reader by one action. */
 	void handle_action(const action_t *action, Reader *reader)
 	{
 		if (action->kind == ACTION_DISPATCH) {
@@ -115,6 +118,7 @@
 		}
 	}
 
+	/* Lets the engine generate up to that many tokens. */
 	void generate(unsigned int tokens, Reader *reader)
 	{
 		for (unsigned int i = 0; i < tokens && running; i++) {
@@ -159,6 +163,7 @@
 		return found;
 	}
 
+	/* Frees the messages that were sent so far. */
 	void discard_sent_messages()
 	{
 		for (action_t *action : sent_messages)
@@ -166,6 +171,7 @@
 		sent_messages.clear();
 	}
 
+	/* Sends the request of the reader, who may be resuming. */
 	void send_request(const Reader &reader, const char *key_hash)
 	{
 		GBytes *body = g_bytes_new_static("prompt", 6);
@@ -187,6 +193,7 @@
 		g_bytes_unref(body);
 	}
 
+	/* Gives the entry the notice of its reclaim. */
 	void reclaim(Reader *reader)
 	{
 		event_t stop = {};
@@ -197,6 +204,7 @@
 		run_for(kStep, reader);
 	}
 
+	/* Advances the clock by LIMIT in steps. */
 	void run_for(pd_time_t limit, Reader *reader)
 	{
 		for (pd_time_t t = 0; t < limit; t += kStep) {
@@ -234,6 +242,7 @@
 	to.run_for(PD_SEC, reader);
 }
 
+/* Returns the text of the whole answer. */
 std::string whole()
 {
 	std::string text;
--- a/tests/property/test_streams.cc
+++ b/tests/property/test_streams.cc
@@ -58,6 +58,7 @@
 	return (char)('a' + offset);
 }
 
+/* Sends the token at OFFSET with the text of that offset. */
 void send_token(drive_t *drive, attempt_id_t attempt, uint64_t offset)
 {
 	char text = text_at(offset);
@@ -127,12 +128,14 @@
 	std::map<std::string, pd_time_t> leaving; /* when, by the latest notice */
 };
 
+/* Sends a list of COUNT engines. */
 void Streams::list_vms(unsigned int count)
 {
 	drive_vms(drive, count, 0, SLOTS);
 	handle_actions();
 }
 
+/* Sends a request of a new caller. */
 void Streams::send_request()
 {
 	caller_id_t id = drive->next_caller + 1;
@@ -194,6 +197,7 @@
 	handle_actions();
 }
 
+/* Sends the reclaim notice of a random engine. */
 void Streams::send_notice()
 {
 	std::string id = "m-" + std::to_string(pick(1, VMS_MAX + 1));
@@ -209,6 +213,7 @@
 	handle_actions();
 }
 
+/* Sends the load report, or the missed probe, of a random engine. */
 void Streams::send_report()
 {
 	std::string id = "m-" + std::to_string(pick(1, VMS_MAX + 1));
@@ -222,6 +227,7 @@
 	handle_actions();
 }
 
+/* Disconnects a random caller. */
 void Streams::disconnect_caller()
 {
 	if (callers.empty())
@@ -247,6 +253,7 @@
 	       drive->now < notice->second + ID_REUSE_DELAY;
 }
 
+/* Returns the caller of a reply, who must still be waiting for one. */
 Caller &Streams::find_caller(const action_t *action)
 {
 	Caller &caller =
@@ -258,6 +265,7 @@
 	return caller;
 }
 
+/* Checks one action of the entry. */
 void Streams::handle_action(const action_t *action)
 {
 	switch (action->kind) {
@@ -293,6 +301,7 @@
 	}
 }
 
+/* Checks and frees all actions of the entry. */
 void Streams::handle_actions()
 {
 	LIST_FOR_EACH (it, &drive->actions)
@@ -300,6 +309,7 @@
 	drive_clear(drive);
 }
 
+/* Checks that no request has outlived its deadline. */
 void Streams::check_deadlines()
 {
 	for (const auto &item : callers) {
@@ -310,6 +320,7 @@
 	}
 }
 
+/* Advances the clock by STEP and checks the deadlines. */
 void Streams::tick(pd_time_t step)
 {
 	drive_tick(drive, step);
@@ -317,6 +328,7 @@
 	check_deadlines();
 }
 
+/* Performs one random step. */
 void Streams::step()
 {
 	switch (pick(0, 40)) {
@@ -398,6 +410,10 @@
 	std::string vm;
 };
 
+/*
+ * Takes the dispatch of the next attempt, which must resume where the last one
+ * ended.
+ */
 void Reclaims::take_dispatch()
 {
 	action_t *action = drive_take(drive, ACTION_DISPATCH);
@@ -409,6 +425,7 @@
 	action_destroy(action);
 }
 
+/* Sends up to COUNT tokens of the current attempt. */
 void Reclaims::send_tokens(uint64_t count)
 {
 	for (; count > 0 && next < TOKENS; count--)
@@ -438,6 +455,7 @@
 	drive_vms(drive, ++vms, 0, SLOTS);
 }
 
+/* Completes the answer and checks that the caller got all of it. */
 void Reclaims::finish()
 {
 	send_tokens(TOKENS);
@@ -467,6 +485,7 @@
 	});
 }
 
+/* Prints the coverage and returns whether it is sufficient. */
 bool coverage_is_sufficient()
 {
 	printf("met: %u whole answers, %u resumes, %u refusals\n",
