--- a/core/admission.c
+++ b/core/admission.c
@@ -1,6 +1,7 @@
 /*
- * Takes requests in: who may call what, how much, and under which claim. What
- * is refused here has not been sent anywhere, so "not run" is certain.
+ * Admission of requests: authorization, rate limits, queue limits and claims. A
+ * request that is refused here has not been sent anywhere, so "not run" is
+ * certain.
  */
 #include <string.h>
 
@@ -8,13 +9,17 @@
 #include "core/queue.h"
 
 /*
- * The estimate is a mean, and half of the callers wait longer. Refusing from
- * this part of the target on keeps those that are taken within it.
+ * The predicted time to the first token is a mean, which half of the callers
+ * exceed. Refusing requests whose prediction exceeds this fraction of the
+ * target keeps the admitted ones within the target.
  */
-#define MARGIN 0.4
-#define RETRY_SOON (1 * PD_SEC)
-#define RETRY_LATER (5 * PD_SEC)
+#define FIRST_TOKEN_MARGIN 0.4
+#define RETRY_AFTER_SHORT (1 * PD_SEC)
+#define RETRY_AFTER_LONG (5 * PD_SEC)
 
+/*
+ * Records a request of the account and returns this entry's share of its limit.
+ */
 static double admission_share(entry_t *entry, const account_t *account)
 {
 	demand_record_request(entry->demand, account->name, entry->now);
@@ -22,22 +27,25 @@
 			    members_alive(entry->members), entry->now);
 }
 
-/* Returns how urgent a request is: its account's word goes before its target's. */
+/* Returns the priority of a request: the account's overrides the target's. */
 static priority_t admission_priority(const account_t *account, const target_t *target)
 {
 	return account->has_priority ? account->priority : target->priority;
 }
 
-/* Checks rights and limits; returns the target, or NULL after a refusal. */
+/*
+ * Checks authorization and limits. Returns the target, borrowed, or NULL after
+ * a refusal.
+ */
 static const target_t *admission_check(entry_t *entry, const caller_request_t *from)
 {
 	const account_t *account = NULL;
 	const target_t *target;
 	pd_time_t retry_after = 0;
 
-	if (!entry_serves(entry)) {
+	if (!entry_can_serve(entry)) {
 		entry_refuse(entry, from->caller, NULL, REFUSAL_NOT_RUN,
-			     REASON_NOT_READY, RETRY_SOON);
+			     REASON_NOT_READY, RETRY_AFTER_SHORT);
 		return NULL;
 	}
 	if (from->key_hash)
@@ -72,19 +80,20 @@
 	if (entry->queued[admission_priority(account, target)] >=
 	    entry->bundle->queue_limit) {
 		entry_refuse(entry, from->caller, NULL, REFUSAL_NOT_RUN,
-			     REASON_QUEUE_FULL, RETRY_SOON);
+			     REASON_QUEUE_FULL, RETRY_AFTER_SHORT);
 		return NULL;
 	}
 	return target;
 }
 
 /*
- * Refuses a request that was queued if its first token would come too late. Under
- * overload a queue that takes all it has room for makes every caller late, seen
- * as full engines and no answer in time; the caller is better told at once when
- * to come back. Urgent work has nowhere better to go and keeps its place.
+ * Refuses a queued request if its first token is predicted to come too late.
+ * Under overload a queue that accepts requests up to its limit makes every
+ * caller late: engines are full and answers time out. It is better to tell the
+ * caller at once when to retry. Urgent requests have no better alternative and
+ * stay queued.
  */
-static void admission_predict(entry_t *entry, request_t *request)
+static void admission_refuse_if_late(entry_t *entry, request_t *request)
 {
 	pd_time_t target = entry->bundle->first_token_target;
 	pd_time_t expected;
@@ -92,26 +101,26 @@
 	if (request->target.kind != TARGET_MODEL ||
 	    request->priority == PRIORITY_URGENT)
 		return;
-	/* It is in the queue itself, which is not ahead of it. */
+	/* The request itself is counted in the queue. */
 	expected =
 		predict_time_to_first_token(entry->predict, request->target.name,
 					    request->priority,
 					    entry->queued[request->priority] - 1,
 					    queue_slots(entry, request->priority));
-	if (expected > (pd_time_t)((double)target * MARGIN))
-		request_give_up(entry, request, REASON_QUEUE_FULL,
-				MAX(expected - target, RETRY_SOON));
+	if (expected > (pd_time_t)((double)target * FIRST_TOKEN_MARGIN))
+		request_fail(entry, request, REASON_QUEUE_FULL,
+			     MAX(expected - target, RETRY_AFTER_SHORT));
 }
 
-/* Takes a caller's request in, or refuses it at once. */
-void admission_arrive(entry_t *entry, const caller_request_t *from)
+/* Admits a caller's request, or refuses it at once. */
+void admission_handle_request(entry_t *entry, const caller_request_t *from)
 {
 	const target_t *target = admission_check(entry, from);
 	request_t *request;
 
 	if (!target)
 		return;
-	retry_budget_earn(&entry->retries);
+	retry_budget_credit(&entry->retry_budget);
 	request = request_create(entry, from, target);
 	if (request->state == REQUEST_CLAIMING)
 		return;
@@ -120,13 +129,14 @@
 		return;
 	}
 	if (!dispatch_request(entry, request))
-		request_give_up(entry, request, REASON_NO_UPSTREAM, RETRY_LATER);
+		request_fail(entry, request, REASON_NO_UPSTREAM, RETRY_AFTER_LONG);
 	else if (request->state == REQUEST_WAITING)
-		admission_predict(entry, request);
+		admission_refuse_if_late(entry, request);
 }
 
-static void admission_replay(entry_t *entry, request_t *request,
-			     const claim_result_t *result)
+/* Sends the answer that is recorded under the request's claim and ends it. */
+static void admission_send_recorded_answer(entry_t *entry, request_t *request,
+					   const claim_result_t *result)
 {
 	const char *body = result->answer ? result->answer : "";
 	action_t *action;
@@ -140,7 +150,7 @@
 	request_end(entry, request);
 }
 
-/* Ends a request whose claim another attempt holds. */
+/* Refuses and ends a request whose claim was not acquired. */
 static void admission_refuse_claim(entry_t *entry, request_t *request,
 				   refusal_t refusal, refusal_reason_t reason,
 				   pd_time_t retry_after)
@@ -152,20 +162,24 @@
 }
 
 /*
- * Sends out a request that has its claim. The queue may have filled while the
- * claim was written; requests that came meanwhile would all pass the check made
- * on arrival and grow the queue without bound when the store is slow.
+ * Dispatches a request whose claim was acquired. The queue may have filled
+ * while the claim was written; requests that arrived in that time all passed
+ * the check on arrival and would grow the queue without bound when the store is
+ * slow.
  */
-static void admission_go_on(entry_t *entry, request_t *request)
+static void admission_dispatch_claimed(entry_t *entry, request_t *request)
 {
 	if (entry->queued[request->priority] >= entry->bundle->queue_limit)
-		request_give_up(entry, request, REASON_QUEUE_FULL, RETRY_SOON);
+		request_fail(entry, request, REASON_QUEUE_FULL, RETRY_AFTER_SHORT);
 	else if (!dispatch_request(entry, request))
-		request_give_up(entry, request, REASON_NO_UPSTREAM, RETRY_LATER);
+		request_fail(entry, request, REASON_NO_UPSTREAM, RETRY_AFTER_LONG);
 }
 
-/* Goes on with a request whose claim has been settled. */
-void admission_claimed(entry_t *entry, const claim_result_t *result)
+/*
+ * Continues a request whose claim has been resolved. Ignores requests that have
+ * ended.
+ */
+void admission_handle_claim(entry_t *entry, const claim_result_t *result)
 {
 	request_t *request = g_hash_table_lookup(entry->claiming, &result->ticket);
 
@@ -175,14 +189,14 @@
 	request->state = REQUEST_WAITING;
 	switch (result->outcome) {
 	case CLAIM_WON:
-		admission_go_on(entry, request);
+		admission_dispatch_claimed(entry, request);
 		break;
 	case CLAIM_ANSWERED:
-		admission_replay(entry, request, result);
+		admission_send_recorded_answer(entry, request, result);
 		break;
 	case CLAIM_TAKEN:
 		admission_refuse_claim(entry, request, REFUSAL_OUTCOME_UNKNOWN,
-				       REASON_EARLIER_ATTEMPT, RETRY_LATER);
+				       REASON_EARLIER_ATTEMPT, RETRY_AFTER_LONG);
 		break;
 	case CLAIM_MISMATCH:
 		admission_refuse_claim(entry, request, REFUSAL_KEY_REUSED,
@@ -190,17 +204,17 @@
 		break;
 	case CLAIM_UNAVAILABLE:
 		admission_refuse_claim(entry, request, REFUSAL_NOT_RUN,
-				       REASON_STORE_DOWN, RETRY_LATER);
+				       REASON_STORE_DOWN, RETRY_AFTER_LONG);
 		break;
 	}
 }
 
 /*
- * A caller hung up. A model's answer is dropped. A call that may not be
- * repeated runs on once it has been sent, so that its answer is on record when
- * the caller asks again with the same key.
+ * Handles the disconnect of a caller. A model's request ends. A call that is
+ * not repeatable and has been sent continues, so that its answer is recorded
+ * when the caller retries with the same key.
  */
-void admission_caller_gone(entry_t *entry, caller_id_t caller)
+void admission_handle_disconnect(entry_t *entry, caller_id_t caller)
 {
 	request_t *request = g_hash_table_lookup(entry->requests, &caller);
 
@@ -210,7 +224,7 @@
 	if (request->claim_key && request->state != REQUEST_WAITING)
 		return;
 	if (request->claim_key)
-		request_give_up(entry, request, REASON_NONE, 0);
+		request_fail(entry, request, REASON_NONE, 0);
 	else
 		request_end(entry, request);
 }
--- a/core/attempt.c
+++ b/core/attempt.c
@@ -1,38 +1,42 @@
 /*
- * What became of an attempt: tokens, answers and failures come in, and a request
- * whose attempt broke goes on elsewhere, now or after a wait.
+ * The outcome of attempts: handles tokens, answers and failures, and retries
+ * requests whose attempt failed, at once or after a delay.
  */
 #include "core/entry_state.h"
 #include "core/queue.h"
 #include "core/hash.h"
 
-#define FAILURES_MAX 6
-#define RETRY_SOON (1 * PD_SEC)
+#define FAILURES_MAX 6 /* lost attempts of one request */
+#define RETRY_AFTER_SHORT (1 * PD_SEC)
 /*
- * An attempt that did not begin is tried again after a wait that doubles. In a
- * wave the remaining upstreams refuse much; trying on at once would only load
- * them more, and giving up would fail work that was accepted.
+ * An attempt that did not start is retried after a delay that doubles. In a
+ * wave of reclaims the remaining upstreams reject many attempts; immediate
+ * retries would only add to their load, and giving up would fail requests that
+ * were accepted.
  */
 #define BACKOFF_MIN (50 * PD_MSEC)
 #define BACKOFF_DOUBLINGS 4
-/* Without retries left in the budget, a retry waits once to twice this long. */
+/* With an empty retry budget, a retry is delayed by one to two times this. */
 #define BACKOFF_NO_BUDGET (1 * PD_SEC)
 
 /*
- * Leaves a request outside the queue for WAIT, and up to as long again: those
- * that failed together must not all come back together.
+ * Schedules a retry of the request after WAIT plus a jitter of up to the same
+ * time, so that requests that failed together are not all retried together.
  */
 static void attempt_back_off(entry_t *entry, request_t *request, pd_time_t wait)
 {
 	pd_time_t spread = (pd_time_t)(hash_string(request->id) % (uint64_t)wait);
 
 	request->retry_at = entry->now + wait + spread;
-	entry_decide(entry, request->id, "route", "wait",
-		     "tried in vain; it waits before the next attempt", "");
+	entry_log_decision(entry, request->id, "route", "wait",
+			   "tried in vain; it waits before the next attempt", "");
 }
 
-/* Sends a request that has been accepted. With nobody to send to it waits. */
-void attempt_resume(entry_t *entry, request_t *request)
+/*
+ * Dispatches a request that was accepted before. If there is no upstream for
+ * it, it is queued.
+ */
+void attempt_redispatch(entry_t *entry, request_t *request)
 {
 	request->retry_at = 0;
 	if (drain_resume(entry, request))
@@ -42,55 +46,60 @@
 }
 
 /*
- * Tries a request again after its attempt was dropped. What was announced or
- * did not begin costs no retry: no work is multiplied by it, and a wave would
- * use up every retry at once. A call that may not be repeated and may have
- * reached its upstream is never sent again.
+ * Retries a request after its attempt was cancelled. Attempts that did not
+ * start, or whose VM had a reclaim notice, don't use the retry budget: they
+ * don't multiply the load, and a wave of reclaims would use up the budget at
+ * once. A call that is not repeatable and may have reached an upstream is never
+ * resent.
  */
-void attempt_again(entry_t *entry, request_t *request, break_cause_t cause)
+void attempt_retry(entry_t *entry, request_t *request, failure_cause_t cause)
 {
 	if (request->claim_key && request->written) {
-		request_give_up(entry, request, REASON_UPSTREAM_LOST, RETRY_SOON);
+		request_fail(entry, request, REASON_UPSTREAM_LOST,
+			     RETRY_AFTER_SHORT);
 		return;
 	}
-	if (cause == BREAK_NOT_BEGUN && request->busy++ > 0) {
-		unsigned int doublings = MIN(request->busy, BACKOFF_DOUBLINGS);
+	if (cause == FAILURE_NOT_STARTED && request->rejections++ > 0) {
+		unsigned int doublings =
+			MIN(request->rejections, BACKOFF_DOUBLINGS);
 
 		attempt_back_off(entry, request, BACKOFF_MIN << doublings);
 		return;
 	}
-	if (cause == BREAK_LOST && ++request->failures >= FAILURES_MAX) {
-		request_give_up(entry, request, REASON_RETRY_BUDGET, RETRY_SOON);
+	if (cause == FAILURE_LOST && ++request->failures >= FAILURES_MAX) {
+		request_fail(entry, request, REASON_RETRY_BUDGET,
+			     RETRY_AFTER_SHORT);
 		return;
 	}
-	if (cause == BREAK_LOST && !retry_budget_spend(&entry->retries)) {
+	if (cause == FAILURE_LOST && !retry_budget_spend(&entry->retry_budget)) {
 		attempt_back_off(entry, request, BACKOFF_NO_BUDGET);
 		return;
 	}
-	attempt_resume(entry, request);
+	attempt_redispatch(entry, request);
 }
 
-static void attempt_failed(entry_t *entry, request_t *request,
-			   const upstream_event_t *event)
+/* Handles a rejected or failed attempt. */
+static void attempt_handle_failure(entry_t *entry, request_t *request,
+				   const upstream_event_t *event)
 {
 	upstream_t *upstream = upstreams_find(entry->upstreams, request->vm_id);
 	bool written = event->kind == UPSTREAM_FAILED && event->written;
-	break_cause_t cause = written ? BREAK_LOST : BREAK_NOT_BEGUN;
+	failure_cause_t cause = written ? FAILURE_LOST : FAILURE_NOT_STARTED;
 
 	if (written && upstream && upstream->leaving)
-		cause = BREAK_ANNOUNCED;
+		cause = FAILURE_VM_LEAVING;
 	request->attempt_written = written;
-	dispatch_drop_attempt(entry, request);
+	dispatch_cancel_attempt(entry, request);
 	if (upstream) {
 		upstream->failed_at = entry->now;
-		upstream->refuses_when_full |= event->kind == UPSTREAM_BUSY;
+		upstream->rejects_when_full |= event->kind == UPSTREAM_BUSY;
 	}
-	attempt_again(entry, request, cause);
+	attempt_retry(entry, request, cause);
 }
 
-/* Takes the first sign of life of an attempt. */
-static void attempt_started(entry_t *entry, request_t *request,
-			    const upstream_event_t *event)
+/* Handles the first response of an attempt. */
+static void attempt_handle_start(entry_t *entry, request_t *request,
+				 const upstream_event_t *event)
 {
 	upstream_t *upstream = upstreams_find(entry->upstreams, request->vm_id);
 	unsigned int set_up = event->recomputed;
@@ -98,43 +107,43 @@
 	if (request->started)
 		return;
 	request->started = true;
-	request->busy = 0;
+	request->rejections = 0;
 	if (upstream)
-		upstream_started(upstream);
+		upstream_record_start(upstream);
 	if (event->kind != UPSTREAM_STARTED)
 		return;
 	if (request->attempts > 1)
-		entry->recomputed += event->recomputed;
-	/* An import that worked leaves next to nothing to compute. */
-	if (request->imports && set_up == 0)
-		move_costs_learn(&entry->move_costs, true,
-				 (unsigned int)request->offset,
-				 entry->now - request->sent_at);
+		entry->recomputed_tokens += event->recomputed;
+	/* After a successful import hardly any token is recomputed. */
+	if (request->imports_kv && set_up == 0)
+		move_costs_record_start(&entry->move_costs, true,
+					(unsigned int)request->offset,
+					entry->now - request->sent_at);
 	else
-		move_costs_learn(&entry->move_costs, false, set_up,
-				 entry->now - request->sent_at);
+		move_costs_record_start(&entry->move_costs, false, set_up,
+					entry->now - request->sent_at);
 }
 
 /*
- * Passes a token on if it is the next one. An upstream that resumed too early
- * repeats tokens the caller has; they are dropped. One that skipped ahead would
- * leave a hole, so its attempt counts as failed.
+ * Sends a token to the caller if it is the next one. An upstream that resumed
+ * too early repeats tokens that the caller has; they are dropped. One that
+ * skipped tokens would leave a gap, so its attempt counts as failed.
  */
-static void attempt_token(entry_t *entry, request_t *request,
-			  const upstream_event_t *event)
+static void attempt_handle_token(entry_t *entry, request_t *request,
+				 const upstream_event_t *event)
 {
 	upstream_event_t skipped = { .kind = UPSTREAM_FAILED, .written = true };
 
-	request->progress_at = entry->now;
-	attempt_started(entry, request, event);
+	request->last_progress_at = entry->now;
+	attempt_handle_start(entry, request, event);
 	if (event->offset < request->offset)
 		return;
 	if (event->offset > request->offset) {
-		attempt_failed(entry, request, &skipped);
+		attempt_handle_failure(entry, request, &skipped);
 		return;
 	}
-	if (!request->first_at) {
-		request->first_at = entry->now;
+	if (!request->first_token_at) {
+		request->first_token_at = entry->now;
 		predict_record_first_token(entry->predict, request->target.name,
 					   request->priority,
 					   entry->now - request->sent_at);
@@ -143,13 +152,17 @@
 		request_reply(entry, request, ACTION_TOKEN, event->data,
 			      event->len, 0);
 	g_string_append_len(request->emitted, event->data, (gssize)event->len);
-	if (request->held)
-		adopt_token(request->held, event->data, event->len);
+	if (request->adopted)
+		adopted_answer_append(request->adopted, event->data, event->len);
 	request->offset++;
 }
 
-static void attempt_answered(entry_t *entry, request_t *request,
-			     const upstream_event_t *event)
+/*
+ * Sends a complete answer to the caller, records it if there is a claim, and
+ * ends the request.
+ */
+static void attempt_handle_answer(entry_t *entry, request_t *request,
+				  const upstream_event_t *event)
 {
 	if (request->claim_key) {
 		char *body = g_strndup(event->data, event->len);
@@ -163,8 +176,11 @@
 	request_end(entry, request);
 }
 
-/* Takes what an upstream did with an attempt; late news is ignored. */
-void attempt_upstream(entry_t *entry, const upstream_event_t *event)
+/*
+ * Handles an upstream's event about an attempt. Ignores attempts that have
+ * ended.
+ */
+void attempt_handle_event(entry_t *entry, const upstream_event_t *event)
 {
 	request_t *request = g_hash_table_lookup(entry->running, &event->attempt);
 
@@ -175,21 +191,21 @@
 		request->attempt_written = true;
 		break;
 	case UPSTREAM_ALIVE:
-		request->progress_at = entry->now;
+		request->last_progress_at = entry->now;
 		break;
 	case UPSTREAM_STARTED:
-		request->progress_at = entry->now;
-		attempt_started(entry, request, event);
+		request->last_progress_at = entry->now;
+		attempt_handle_start(entry, request, event);
 		break;
 	case UPSTREAM_TOKEN:
-		attempt_token(entry, request, event);
+		attempt_handle_token(entry, request, event);
 		break;
 	case UPSTREAM_ANSWER:
-		attempt_answered(entry, request, event);
+		attempt_handle_answer(entry, request, event);
 		break;
 	case UPSTREAM_END:
-		if (request->held)
-			request->held->ended = true;
+		if (request->adopted)
+			request->adopted->ended = true;
 		predict_record_completion(entry->predict, request->target.name,
 					  request->priority,
 					  entry->now - request->sent_at);
@@ -198,7 +214,7 @@
 		break;
 	case UPSTREAM_BUSY:
 	case UPSTREAM_FAILED:
-		attempt_failed(entry, request, event);
+		attempt_handle_failure(entry, request, event);
 		break;
 	}
 }
--- a/core/queue.c
+++ b/core/queue.c
@@ -1,25 +1,29 @@
 /*
- * The queues of waiting requests, one for each priority. Urgent work goes
- * first; of the rest, batch work gets a share so that it is not starved.
+ * The queues of waiting requests, one for each priority. Urgent requests go
+ * first; of the rest, batch requests get a share so that they are not starved.
  */
 #include "core/queue.h"
 
 #include <string.h>
 
-#define BUSY_MAX 8 /* targets found busy that one pass remembers */
+#define FULL_TARGETS_MAX 8 /* at most recorded in one pass */
 /*
- * A steady stream of normal work would hold batch work back until its deadline.
- * So of each this many sent from the queues below urgent one is a batch request.
+ * A steady stream of normal requests would delay batch requests until their
+ * deadline. So one of this many requests that are dispatched from the queues
+ * below urgent is a batch request.
  */
-#define BATCH_SHARE 8
+#define BATCH_INTERVAL 8
 
-/* The targets that one pass over a queue found with no room. */
-typedef struct busy {
-	const char *names[BUSY_MAX];
+/* The targets for which one pass over a queue found no capacity. */
+typedef struct full_targets {
+	const char *names[FULL_TARGETS_MAX];
 	unsigned int count;
-} busy_t;
+} full_targets_t;
 
-/* Puts a request into the queue of its priority, at its end or its head. */
+/*
+ * Adds a request to the queue of its priority, at the head if FIRST is set,
+ * else at the end.
+ */
 void queue_add(entry_t *entry, request_t *request, bool first)
 {
 	list_node_t *queue = &entry->queues[request->priority];
@@ -29,7 +33,7 @@
 	entry->queued[request->priority]++;
 }
 
-/* Takes a request out of its queue, if it is in one. */
+/* Removes a request from its queue, if it is in one. */
 void queue_remove(entry_t *entry, request_t *request)
 {
 	if (list_empty(&request->node))
@@ -39,8 +43,9 @@
 }
 
 /*
- * Returns how many slots, of those that this entry has in use, work of that
- * priority gets. Batch work gets its share though none of it runs just now.
+ * Returns how many of the slots that this entry has in use are available to
+ * requests of that priority. Batch requests have their share even if none of
+ * them is running now.
  */
 double queue_slots(const entry_t *entry, priority_t priority)
 {
@@ -50,46 +55,51 @@
 	if (priority != PRIORITY_BATCH)
 		return running[priority];
 	share = (double)(running[PRIORITY_NORMAL] + running[PRIORITY_BATCH]) /
-		BATCH_SHARE;
+		BATCH_INTERVAL;
 	return entry->queued[PRIORITY_NORMAL]
 		       ? share
 		       : MAX(running[PRIORITY_BATCH], share);
 }
 
-static bool busy_has(const busy_t *busy, const char *name)
+/*
+ * Returns whether the pass has found no capacity for the target of that NAME.
+ */
+static bool full_targets_contain(const full_targets_t *full_targets,
+				 const char *name)
 {
-	for (unsigned int i = 0; i < busy->count; i++) {
-		if (!strcmp(busy->names[i], name))
+	for (unsigned int i = 0; i < full_targets->count; i++) {
+		if (!strcmp(full_targets->names[i], name))
 			return true;
 	}
 	return false;
 }
 
 /*
- * Sends at most LIMIT requests of a queue; returns how many went. A target that
- * had no room for one request has none for the next of the same priority, so
- * it is asked about once a pass.
+ * Dispatches at most LIMIT requests of a queue; returns how many were
+ * dispatched. A target without capacity for one request has none for the next
+ * one of the same priority, so each target is tried once in a pass.
  */
-static unsigned int queue_pass(entry_t *entry, priority_t priority,
-			       unsigned int limit)
+static unsigned int queue_dispatch(entry_t *entry, priority_t priority,
+				   unsigned int limit)
 {
-	busy_t busy = { .count = 0 };
+	full_targets_t full_targets = { .count = 0 };
 	unsigned int sent = 0;
 
 	LIST_FOR_EACH_SAFE (it, &entry->queues[priority]) {
 		request_t *request = LIST_ENTRY(it, request_t, node);
 
-		if (sent >= limit || busy.count >= BUSY_MAX)
+		if (sent >= limit || full_targets.count >= FULL_TARGETS_MAX)
 			break;
-		if (busy_has(&busy, request->target.name))
+		if (full_targets_contain(&full_targets, request->target.name))
 			continue;
-		switch (dispatch_waiting(entry, request)) {
+		switch (dispatch_queued(entry, request)) {
 		case ROUTE_CHOSEN:
 			sent++;
 			break;
 		case ROUTE_ALL_BUSY:
 		case ROUTE_NONE:
-			busy.names[busy.count++] = request->target.name;
+			full_targets.names[full_targets.count++] =
+				request->target.name;
 			break;
 		}
 	}
@@ -97,30 +107,34 @@
 }
 
 /*
- * Sends out what waits, as far as there is room. A token gives no room, so
- * unless something ended or was heard since the last pass, it does nothing.
+ * Dispatches waiting requests as far as there is capacity. A token frees no
+ * capacity, so this does nothing unless a request ended or a report arrived
+ * since the last call.
  */
 void queue_run(entry_t *entry)
 {
-	if (!entry->room)
+	if (!entry->room_may_exist)
 		return;
-	entry->room = false;
-	queue_pass(entry, PRIORITY_URGENT, G_MAXUINT);
+	entry->room_may_exist = false;
+	queue_dispatch(entry, PRIORITY_URGENT, G_MAXUINT);
 	for (;;) {
 		unsigned int sent = 0;
 
-		if (entry->batch_turn >= BATCH_SHARE - 1) {
-			sent = queue_pass(entry, PRIORITY_BATCH, 1);
-			/* With no room for it, its turn is still to come. */
+		if (entry->normal_since_batch >= BATCH_INTERVAL - 1) {
+			sent = queue_dispatch(entry, PRIORITY_BATCH, 1);
+			/*
+			 * If there is no capacity for it, the batch request
+			 * stays due.
+			 */
 			if (sent)
-				entry->batch_turn = 0;
+				entry->normal_since_batch = 0;
 		}
-		if (!sent && queue_pass(entry, PRIORITY_NORMAL, 1)) {
-			entry->batch_turn++;
+		if (!sent && queue_dispatch(entry, PRIORITY_NORMAL, 1)) {
+			entry->normal_since_batch++;
 			sent = 1;
 		}
 		if (!sent)
 			break;
 	}
-	queue_pass(entry, PRIORITY_BATCH, G_MAXUINT);
+	queue_dispatch(entry, PRIORITY_BATCH, G_MAXUINT);
 }
--- a/core/route.c
+++ b/core/route.c
@@ -1,7 +1,7 @@
 /*
  * Scores upstreams by the expected time to the first token, in milliseconds:
- * the work ahead, the prompt left to compute after the prefix cache, the zone,
- * and the risks. core/route-notes.md has the reasoning and the figures.
+ * the load, the part of the prompt that is not cached, the zone, and the risks.
+ * core/route-notes.md has the reasoning and the measurements.
  */
 #include "core/route.h"
 
@@ -9,70 +9,78 @@
 
 #include "core/prefix.h"
 
-#define ZONE_MS 1.0 /* another zone: half a millisecond more each way */
-#define FAILED_MS 500.0 /* an attempt failed there a moment ago */
-#define FAILED_MEMORY (5 * PD_SEC)
-#define RECLAIM_MS 10.0 /* urgent work on a VM that may vanish */
-#define AHEAD_MS 6.0 /* each request in the batch, by its prompt's work */
-#define PREFIX_MS 150.0 /* computing a prefix that is not cached */
-#define PASSED_OVER_MAX 6 /* named in the log; more would hide the choice */
-#define CHOICES 2 /* drawn at random, besides those that hold the prefix */
-#define RESERVED_PART 8 /* one slot in so many is for urgent work */
+#define CROSS_ZONE_MS 1.0 /* another zone: half a millisecond each way */
+#define RECENT_FAILURE_MS 500.0 /* an attempt failed there recently */
+#define RECENT_FAILURE_TIME (5 * PD_SEC) /* a failure counts this long */
+#define RECLAIM_RISK_MS 10.0 /* urgent request on a reclaimable VM */
+#define LOAD_MS 6.0 /* each request in the engine's batch, by its prefill */
+#define PREFILL_MS 150.0 /* prefill of a prefix that is not cached */
+#define LOGGED_CANDIDATES_MAX 6 /* more would obscure the choice in the log */
+#define RANDOM_CHOICES 2 /* besides those that hold the prefix */
+#define URGENT_RESERVE_DIVISOR 8 /* one slot in eight is for urgent requests */
 /*
- * When a burst begins, reports still call every engine empty for a second; were
- * all of it open, all entries would fill it at once. So each may use at most this
- * many times its fair share.
+ * When a burst begins, reports still show every engine as empty for up to a
+ * second; if all of that capacity could be used, all entries would fill it at
+ * once. So each entry may use at most this many times its fair share.
  */
-#define BORROWED_MAX 2
-#define BATCHING_MIN 8 /* slots; with fewer an engine hardly batches */
+#define FAIR_SHARE_FACTOR 2
+#define BATCHING_SLOTS_MIN 8 /* slots; an engine with fewer hardly batches */
 
-/* What one walk over the subset found. */
-typedef struct route_walk {
+/* The candidates among the subset, and the best of them. */
+typedef struct candidates {
 	upstream_t *best;
 	double best_score;
 	unsigned int usable;
-	unsigned int open; /* of them with room */
-	double fair; /* slots that are this entry's by right */
-	unsigned int running; /* attempts of this entry, all upstreams */
-	GString *passed;
-	unsigned int named;
-} route_walk_t;
+	unsigned int available; /* usable ones with capacity */
+	double fair_share; /* of this entry, in slots of all usable ones */
+	unsigned int running; /* attempts of this entry on all of them */
+	GString *log_text;
+	unsigned int log_count;
+} candidates_t;
 
 /*
- * Returns how many slots of the upstream work of that priority may fill. Urgent
- * work may go beyond the slots: an engine that honours priorities gives it the
- * next one that comes free, sooner than an entry hears of it. One that has
- * refused work for being full is not tried so again.
+ * Returns how many slots of the upstream requests of that priority may use.
+ * Urgent requests may exceed the number of slots: an engine that respects
+ * priorities gives them the next free one, sooner than an entry learns of it.
+ * An engine that has rejected an attempt as full is not overcommitted in this
+ * way.
  */
-static unsigned int route_room(const upstream_t *upstream, priority_t priority)
+static unsigned int route_slots_for_priority(const upstream_t *upstream,
+					     priority_t priority)
 {
 	unsigned int slots = upstream->vm.slots;
 
 	if (priority != PRIORITY_URGENT)
-		return slots - slots / RESERVED_PART;
-	if (slots < BATCHING_MIN || upstream->refuses_when_full)
+		return slots - slots / URGENT_RESERVE_DIVISOR;
+	if (slots < BATCHING_SLOTS_MIN || upstream->rejects_when_full)
 		return slots;
 	return 2 * slots;
 }
 
+/*
+ * Returns the expected time to the first token on the upstream, in
+ * milliseconds.
+ */
 static double route_score(upstreams_t *upstreams, const upstream_t *upstream,
 			  const route_query_t *query, bool cached)
 {
-	double score = upstream_load(upstream) * AHEAD_MS;
+	double score = upstream_load(upstream) * LOAD_MS;
 
 	if (query->prefix && !cached)
-		score += PREFIX_MS;
+		score += PREFILL_MS;
 	if (strcmp(upstream->vm.zone, upstreams_zone(upstreams)))
-		score += ZONE_MS;
-	if (upstream->failed_at && query->now - upstream->failed_at < FAILED_MEMORY)
-		score += FAILED_MS;
+		score += CROSS_ZONE_MS;
+	if (upstream->failed_at &&
+	    query->now - upstream->failed_at < RECENT_FAILURE_TIME)
+		score += RECENT_FAILURE_MS;
 	if (query->avoid && !strcmp(query->avoid, upstream->vm.id))
-		score += FAILED_MS;
+		score += RECENT_FAILURE_MS;
 	if (query->priority == PRIORITY_URGENT && upstream->vm.reclaimable)
-		score += RECLAIM_MS;
+		score += RECLAIM_RISK_MS;
 	return score;
 }
 
+/* Returns whether the upstream serves the target. */
 static bool route_serves(const upstream_t *upstream, const target_t *target)
 {
 	vm_role_t role = target->kind == TARGET_MODEL ? VM_MODEL : VM_SERVICE;
@@ -82,140 +90,156 @@
 }
 
 /*
- * Says whether the upstream has room for work of that priority from this entry:
- * within its fair share, or in what the other entries have left unused for some
- * time. By reports alone all entries would see the same room and fill it
- * together, seen under overload as engines with long queues of their own.
+ * Returns whether the upstream has capacity for a request of that priority from
+ * this entry: within its fair share, or in what the other entries have left
+ * unused for some time. By reports alone all entries would see the same free
+ * capacity and use it together; under overload that gives long queues inside
+ * the engines.
  */
-static bool route_is_open(const upstream_t *upstream,
-			  const route_query_t *query, const route_walk_t *walk)
+static bool route_has_capacity(const upstream_t *upstream,
+			       const route_query_t *query,
+			       const candidates_t *candidates)
 {
-	unsigned int room = route_room(upstream, query->priority);
+	unsigned int slots = route_slots_for_priority(upstream, query->priority);
 
 	if (!route_serves(upstream, query->target) || !upstream_is_usable(upstream))
 		return false;
-	if (walk->running < walk->fair && upstream->running < room / query->sharers)
+	if (candidates->running < candidates->fair_share &&
+	    upstream->running < slots / query->sender_count)
 		return true;
-	return upstream->running < MAX(BORROWED_MAX * room / query->sharers,
-				       upstream->allowance) &&
-	       upstream->running + upstream->others_peak + 1 <= room;
+	return upstream->running <
+		       MAX(FAIR_SHARE_FACTOR * slots / query->sender_count,
+			   upstream->allowance) &&
+	       upstream->running + upstream->others_load_peak + 1 <= slots;
 }
 
 /*
- * Draws which of the open upstreams, by their place in the walk, compete. If
- * every entry took the best of all by reports that are a second old, they would
- * all load the same one until the next report; seen as engines taking turns at
- * long queues. Two choices at random spread the load nearly as well, and no two
- * entries draw the same.
+ * Samples RANDOM_CHOICES of the available upstreams, by their index. If each
+ * entry took the best of all upstreams by reports that are up to a second old,
+ * all would load the same one until the next report, and engines would
+ * alternate between idle and long queues. Two random choices spread the load
+ * nearly as well, and entries sample independently.
  */
-static void route_draw(GRand *rand, unsigned int open, unsigned int *drawn)
+static void route_sample(GRand *rand, unsigned int available, unsigned int *sampled)
 {
-	for (int i = 0; i < CHOICES; i++)
-		drawn[i] = (unsigned int)g_rand_int_range(rand, 0, (gint32)open);
+	for (int i = 0; i < RANDOM_CHOICES; i++)
+		sampled[i] = (unsigned int)g_rand_int_range(rand, 0,
+							    (gint32)available);
 }
 
-static bool route_is_drawn(const unsigned int *drawn, unsigned int place)
+/* Returns whether the upstream of that index was sampled. */
+static bool route_is_sampled(const unsigned int *sampled, unsigned int index)
 {
-	for (int i = 0; i < CHOICES; i++) {
-		if (drawn[i] == place)
+	for (int i = 0; i < RANDOM_CHOICES; i++) {
+		if (sampled[i] == index)
 			return true;
 	}
 	return false;
 }
 
-static void route_compare(route_walk_t *walk, upstream_t *upstream, double score)
+/* Adds a scored upstream; the one with the lowest score becomes the best. */
+static void route_add_candidate(candidates_t *candidates, upstream_t *upstream,
+				double score)
 {
-	if (walk->named++ < PASSED_OVER_MAX)
-		g_string_append_printf(walk->passed, "%s%s=%.2f",
-				       walk->passed->len ? "," : "",
+	if (candidates->log_count++ < LOGGED_CANDIDATES_MAX)
+		g_string_append_printf(candidates->log_text, "%s%s=%.2f",
+				       candidates->log_text->len ? "," : "",
 				       upstream->vm.id, score);
-	if (!walk->best || score < walk->best_score) {
-		walk->best = upstream;
-		walk->best_score = score;
+	if (!candidates->best || score < candidates->best_score) {
+		candidates->best = upstream;
+		candidates->best_score = score;
 	}
 }
 
-static void route_count(upstreams_t *upstreams, const route_query_t *query,
-			route_walk_t *walk)
+/* Counts the usable and available upstreams and this entry's fair share. */
+static void route_count_candidates(upstreams_t *upstreams,
+				   const route_query_t *query,
+				   candidates_t *candidates)
 {
 	LIST_FOR_EACH (it, upstreams_list(upstreams)) {
 		upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 
-		if (!upstream->chosen)
-			break; /* the subset is in front */
+		if (!upstream->in_subset)
+			break; /* the subset is first in the list */
 		if (!route_serves(upstream, query->target) ||
 		    !upstream_is_usable(upstream))
 			continue;
-		walk->usable++;
-		walk->running += upstream->running;
-		walk->fair += route_room(upstream, query->priority) / query->sharers;
+		candidates->usable++;
+		candidates->running += upstream->running;
+		candidates->fair_share +=
+			route_slots_for_priority(upstream, query->priority) /
+			query->sender_count;
 	}
 	LIST_FOR_EACH (it, upstreams_list(upstreams)) {
 		const upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 
-		if (!upstream->chosen)
+		if (!upstream->in_subset)
 			break;
-		walk->open += route_is_open(upstream, query, walk);
+		candidates->available +=
+			route_has_capacity(upstream, query, candidates);
 	}
 }
 
 /*
- * Says whether the upstream probably holds the prompt's prefix: by its own
- * news, or because this entry sent such a prompt there a moment ago.
+ * Returns whether the upstream probably has the prompt's prefix cached: by its
+ * own cache events, or because this entry recently sent such a prompt there.
  */
 static bool route_is_cached(const upstream_t *upstream, const route_query_t *query)
 {
 	if (!query->prefix)
 		return false;
-	return prefix_set_covers(upstream->prefixes, &query->prefix, 1) ||
-	       prefix_cache_holds(query->cache, upstream->vm.id, query->prefix,
-				  query->now);
+	return prefix_set_count_blocks(upstream->cached_prefixes,
+				       &query->prefix, 1) ||
+	       prefix_cache_contains(query->cache, upstream->vm.id,
+				     query->prefix, query->now);
 }
 
-static void route_compete(upstreams_t *upstreams, const route_query_t *query,
-			  route_walk_t *walk)
+/* Scores the sampled upstreams and those that have the prefix cached. */
+static void route_score_candidates(upstreams_t *upstreams,
+				   const route_query_t *query,
+				   candidates_t *candidates)
 {
-	unsigned int drawn[CHOICES];
-	unsigned int place = 0;
+	unsigned int sampled[RANDOM_CHOICES];
+	unsigned int index = 0;
 
-	route_draw(query->rand, walk->open, drawn);
+	route_sample(query->rand, candidates->available, sampled);
 	LIST_FOR_EACH (it, upstreams_list(upstreams)) {
 		upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 		bool cached;
 
-		if (!upstream->chosen)
+		if (!upstream->in_subset)
 			break;
-		if (!route_is_open(upstream, query, walk))
+		if (!route_has_capacity(upstream, query, candidates))
 			continue;
 		cached = route_is_cached(upstream, query);
-		if (cached || route_is_drawn(drawn, place))
-			route_compare(walk, upstream,
-				      route_score(upstreams, upstream, query,
-						  cached));
-		place++;
+		if (cached || route_is_sampled(sampled, index))
+			route_add_candidate(candidates, upstream,
+					    route_score(upstreams, upstream,
+							query, cached));
+		index++;
 	}
 }
 
 /*
  * Chooses an upstream for the query. On ROUTE_CHOSEN the caller owns the
- * strings in CHOICE and frees them by route_choice_clear(); else CHOICE is
- * empty.
+ * strings in CHOICE and frees them with route_choice_clear(); otherwise CHOICE
+ * is empty.
  */
 route_result_t route_choose(upstreams_t *upstreams, const route_query_t *query,
 			    route_choice_t *choice)
 {
-	route_walk_t walk = { 0 };
+	candidates_t candidates = { 0 };
 
 	memset(choice, 0, sizeof(*choice));
-	route_count(upstreams, query, &walk);
-	if (!walk.open)
-		return walk.usable ? ROUTE_ALL_BUSY : ROUTE_NONE;
-	walk.passed = g_string_new(NULL);
-	route_compete(upstreams, query, &walk);
-	choice->upstream = walk.best;
+	route_count_candidates(upstreams, query, &candidates);
+	if (!candidates.available)
+		return candidates.usable ? ROUTE_ALL_BUSY : ROUTE_NONE;
+	candidates.log_text = g_string_new(NULL);
+	route_score_candidates(upstreams, query, &candidates);
+	choice->upstream = candidates.best;
 	choice->reason = g_strdup_printf("lowest score %.2f of %u usable",
-					 walk.best_score, walk.usable);
-	choice->passed_over = g_string_free(walk.passed, FALSE);
+					 candidates.best_score, candidates.usable);
+	choice->passed_over = g_string_free(candidates.log_text, FALSE);
 	return ROUTE_CHOSEN;
 }
 
--- a/tests/property/test_admission.cc
+++ b/tests/property/test_admission.cc
@@ -1,7 +1,8 @@
 /*
- * Admission under random arrivals and ends: urgent work is never passed over,
- * queues are bounded, nothing waits past its deadline, refusals say when to come
- * back, and what entries grant an account together stays near its limit.
+ * Admission under random arrivals and completions: urgent requests are
+ * dispatched first, queues are bounded, nothing waits past its deadline,
+ * refusals have a retry time, and the sum of what the entries grant an account
+ * stays near its limit.
  */
 #include <rapidcheck.h>
 
@@ -18,10 +19,10 @@
 #include "tests/harness/drive.h"
 }
 
-static const unsigned int SLOTS = 3; /* too few to reserve any */
+static const unsigned int SLOTS = 3; /* too few for a reserve */
 static const pd_time_t TICK = 20 * PD_MSEC;
 
-/* An entry before two engines, and what the test knows to run and to wait. */
+/* An entry with two engines, and the attempts that the test knows of. */
 struct Model {
 	drive_t *drive;
 	std::map<attempt_id_t, unsigned int> running; /* token offsets */
@@ -38,7 +39,8 @@
 		drive_destroy(drive);
 	}
 
-	void dispatched()
+	/* Notes the attempts that were dispatched. */
+	void take_dispatches()
 	{
 		while (action_t *action = drive_take(drive, ACTION_DISPATCH)) {
 			running[action->dispatch.attempt] =
@@ -47,7 +49,8 @@
 		}
 	}
 
-	void cancelled()
+	/* Removes the attempts that were cancelled. */
+	void take_cancels()
 	{
 		while (action_t *action = drive_take(drive, ACTION_CANCEL)) {
 			running.erase(action->attempt);
@@ -55,6 +58,7 @@
 		}
 	}
 
+	/* Answers all probes with an idle engine. */
 	void answer_probes()
 	{
 		while (action_t *action = drive_take(drive, ACTION_PROBE)) {
@@ -68,6 +72,7 @@
 		}
 	}
 
+	/* Checks that each refusal has a retry time. */
 	void check_refusals()
 	{
 		while (action_t *action = drive_take(drive, ACTION_REFUSE)) {
@@ -76,13 +81,14 @@
 		}
 	}
 
+	/* Handles all actions, and checks queue limits and deadlines. */
 	void check()
 	{
 		entry_t *entry = drive->entry;
 
 		answer_probes();
-		dispatched();
-		cancelled();
+		take_dispatches();
+		take_cancels();
 		check_refusals();
 		drive_clear(drive);
 		for (int i = 0; i < PRIORITIES; i++) {
@@ -96,7 +102,8 @@
 		}
 	}
 
-	void end_one()
+	/* Completes a random attempt. */
+	void end_random_attempt()
 	{
 		if (running.empty())
 			return;
@@ -107,7 +114,8 @@
 		running.erase(at->first);
 	}
 
-	void token_each()
+	/* Sends the next token of each attempt. */
+	void send_token_to_each()
 	{
 		auto copy = running;
 
@@ -116,6 +124,7 @@
 				       running[one.first]++, true);
 	}
 
+	/* Performs one random step and checks its outcome. */
 	void step()
 	{
 		bool urgent_waits;
@@ -132,20 +141,20 @@
 		case 3:
 			urgent_waits = drive->entry->queued[PRIORITY_URGENT] > 0;
 			lower = drive->entry->running_of[PRIORITY_NORMAL];
-			end_one();
-			/* What ended made room for urgent work first. */
+			end_random_attempt();
+			/* Urgent requests are first to get the freed slot. */
 			if (urgent_waits)
 				RC_ASSERT(drive->entry->running_of[PRIORITY_NORMAL] <=
 					  lower);
 			break;
 		case 4:
-			token_each();
+			send_token_to_each();
 			break;
 		default:
 			drive_tick(drive, TICK * *rc::gen::inRange(1, 100));
 			break;
 		}
-		/* No lower work starts while urgent work waits. */
+		/* No lower priority starts while urgent requests wait. */
 		if (drive->entry->queued[PRIORITY_URGENT] > 0)
 			RC_ASSERT(drive->entry->running_of[PRIORITY_NORMAL] +
 					  drive->entry->running_of[PRIORITY_URGENT] >=
@@ -154,13 +163,13 @@
 	}
 };
 
-/* Entries that share one account's limit and hear of each other now and then. */
+/* Entries that share one account's limit and exchange demand reports. */
 struct Sharers {
 	struct One {
 		demand_t *demand = demand_create();
 		limits_t *limits = limits_create();
 		bool alive = true;
-		double asks = 0; /* a second */
+		double request_rate = 0; /* a second */
 		double due = 0;
 	};
 	std::vector<One> entries;
@@ -183,6 +192,7 @@
 		}
 	}
 
+	/* Returns the number of entries that are alive. */
 	unsigned int alive() const
 	{
 		unsigned int count = 0;
@@ -192,7 +202,8 @@
 		return count;
 	}
 
-	void ask(One &one)
+	/* Sends a request to an entry and counts it if granted. */
+	void send_request(One &one)
 	{
 		pd_time_t retry_after = 0;
 
@@ -205,8 +216,10 @@
 			RC_ASSERT(retry_after > 0);
 	}
 
-	/* As the membership does: a ping a second to one other, and its ack. */
-	void tell(size_t from, size_t to)
+	/*
+	 * Like the membership: a ping a second to one random peer, and its ack.
+	 */
+	void send_ping(size_t from, size_t to)
 	{
 		peer_msg_t *msg = peer_msg_create(PEER_PING);
 
@@ -216,16 +229,17 @@
 		peer_msg_destroy(msg);
 	}
 
-	void second()
+	/* Simulates one second: requests, then demand reports. */
+	void run_second()
 	{
 		for (int i = 0; i < 50; i++) {
 			now += TICK;
 			for (auto &one : entries) {
 				if (!one.alive)
 					continue;
-				for (one.due += one.asks / 50; one.due >= 1;
-				     one.due--)
-					ask(one);
+				for (one.due += one.request_rate / 50;
+				     one.due >= 1; one.due--)
+					send_request(one);
 			}
 		}
 		for (size_t i = 0; i < entries.size(); i++) {
@@ -234,34 +248,34 @@
 
 			if (other == i || !entries[i].alive || !entries[other].alive)
 				continue;
-			tell(i, other);
-			tell(other, i);
+			send_ping(i, other);
+			send_ping(other, i);
 		}
 	}
 };
 
 /*
- * A line terminal's account asks through one entry of six only, because its
- * connections all went there. It must get nearly its whole limit.
+ * All requests of an account arrive at one entry of six, because its
+ * connections were all made there. It must get nearly its whole limit.
  */
 static void one_entry_gets_the_limit()
 {
 	Sharers sharers(6);
 
-	sharers.entries[0].asks = 60;
+	sharers.entries[0].request_rate = 60;
 	for (int i = 0; i < 60; i++)
-		sharers.second();
+		sharers.run_second();
 	sharers.granted = 0;
 	for (int i = 0; i < 20; i++)
-		sharers.second();
+		sharers.run_second();
 	RC_ASSERT(sharers.granted >= 0.9 * 20 * 60);
 }
 
 /*
- * A large account floods, and entries come and go meanwhile. What it gets in
- * sum must stay within its limit, one burst, and the slack that docs state: half
- * of the limit while demand moves, one request for each entry, and the bursts of
- * entries that come back.
+ * A large account sends more than its limit while entries leave and join. The
+ * sum that it is granted must stay within its limit, one burst and the
+ * documented slack: half of the limit while demand moves, one request for each
+ * entry, and the bursts of entries that return.
  */
 static void sum_stays_within_the_limit()
 {
@@ -277,21 +291,21 @@
 			one.alive = !one.alive || sharers.alive() < 2;
 			changes++;
 		}
-		/* The first ten are quiet, and all know it. */
+		/* The first ten seconds are idle, and all entries know it. */
 		if (i % 20 == 10) {
 			for (auto &one : sharers.entries)
-				one.asks = *rc::gen::inRange(0, 120);
+				one.request_rate = *rc::gen::inRange(0, 120);
 		}
-		sharers.second();
+		sharers.run_second();
 	}
 	RC_ASSERT(sharers.granted <=
 		  1.5 * seconds * 60 + 60 + 6 + 60.0 * changes / 6);
 }
 
 /*
- * An account that was quiet floods all entries at once. Each knows only that the
- * others were quiet; were each to grant the whole limit until news came round,
- * the flood would get six times its limit and push others out.
+ * An idle account suddenly sends to all entries. Each entry knows only that the
+ * others were idle; if each granted the whole limit until demand reports
+ * arrived, the account would get six times its limit and displace others.
  */
 static void a_sudden_flood_stays_within_the_limit()
 {
@@ -299,14 +313,14 @@
 	const int seconds = 10;
 
 	for (auto &one : sharers.entries)
-		one.asks = 1;
+		one.request_rate = 1;
 	for (int i = 0; i < seconds; i++)
-		sharers.second();
+		sharers.run_second();
 	sharers.granted = 0;
 	for (auto &one : sharers.entries)
-		one.asks = *rc::gen::inRange(30, 120);
+		one.request_rate = *rc::gen::inRange(30, 120);
 	for (int i = 0; i < seconds; i++)
-		sharers.second();
+		sharers.run_second();
 	RC_ASSERT(sharers.granted <= 1.5 * seconds * 60 + 60 + 6);
 }
 
--- a/tests/property/test_streams.cc
+++ b/tests/property/test_streams.cc
@@ -1,9 +1,9 @@
 /*
- * One entry's core under anything that upstreams, callers and clocks may do:
- * tokens late, doubled, out of order or skipped, attempts that break or fall
- * silent, refusals, notices, VMs that come and go, time that jumps. Whatever
- * happens a caller gets the tokens 0, 1, 2, ... and nothing else, and hears the
- * end of its request by its deadline.
+ * One entry's core under any behaviour of upstreams, callers and clocks: tokens
+ * that are late, repeated, out of order or skipped, attempts that fail or
+ * stall, refusals, notices, VMs that appear and disappear, time that jumps. A
+ * caller must always get the tokens 0, 1, 2, ... and nothing else, and the end
+ * of its request by its deadline.
  */
 #include <rapidcheck.h>
 
@@ -16,41 +16,49 @@
 #include "tests/harness/drive.h"
 }
 
-#define TOKENS 8 /* that drive_request() asks for */
+#define TOKENS 8 /* requested by drive_request() */
 #define STEPS 300
-#define LATEST 4
-#define MET_MIN 200
+#define RECENT_ATTEMPTS 4
+#define COVERAGE_MIN 200
 #define VMS_MAX 4
 #define SLOTS 3
 #define DEADLINE (60 * PD_SEC)
 #define NOTICE_MAX_MS 4000
-#define ID_REST (60 * PD_SEC)
+#define ID_REUSE_DELAY (60 * PD_SEC)
 
 namespace
 {
 
 /*
- * Any of MIN to MAX - 1, alike. rapidcheck's own ranges begin small and grow with
- * the number of tests, which would leave the later cases of a choice untried.
+ * Returns a uniformly distributed value of MIN to MAX - 1. rapidcheck's own
+ * ranges start small and grow with the number of tests, which would leave the
+ * last alternatives of a choice untested.
  */
 template <typename T> T pick(T min, T max)
 {
 	return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<T>(min, max));
 }
 
-/* What all tests together have met; a property that meets none shows nothing. */
-struct Met {
+/*
+ * What all cases together have exercised; a property that exercises nothing
+ * proves nothing.
+ */
+struct Coverage {
 	unsigned int ends = 0;
 	unsigned int resumes = 0;
 	unsigned int refusals = 0;
-} met;
+} coverage;
 
-/* Each place in the answer has a text of its own, so that a mix-up shows. */
+/*
+ * Returns the text of the token at OFFSET. Each offset has its own, so that
+ * mixed-up tokens are detected.
+ */
 char text_at(uint64_t offset)
 {
 	return (char)('a' + offset);
 }
 
+/* Sends the token at OFFSET with the text of that offset. */
 void send_token(drive_t *drive, attempt_id_t attempt, uint64_t offset)
 {
 	char text = text_at(offset);
@@ -65,13 +73,16 @@
 	drive_event(drive, &event);
 }
 
-/* What a test knows of one attempt; an upstream may go on after it was left. */
+/*
+ * What a test knows of one attempt; an upstream may continue it after it was
+ * cancelled.
+ */
 struct Attempt {
 	attempt_id_t id;
 	uint64_t next;
 };
 
-/* What a caller has heard. */
+/* What a caller has received. */
 struct Caller {
 	uint64_t tokens = 0;
 	bool ended = false;
@@ -85,7 +96,7 @@
 	Streams() : drive(drive_create("entry-1", "zone-a", 7))
 	{
 		drive_bundle(drive, 1);
-		list(VMS_MAX);
+		list_vms(VMS_MAX);
 	}
 
 	~Streams()
@@ -97,18 +108,18 @@
 	void finish();
 
       private:
-	void list(unsigned int count);
-	void ask();
-	void upstream();
-	void token(Attempt &attempt);
-	void notice();
-	void hang_up();
-	void report();
-	void take_actions();
-	void take(const action_t *action);
+	void list_vms(unsigned int count);
+	void send_request();
+	void send_upstream_event();
+	void send_next_token(Attempt &attempt);
+	void send_notice();
+	void disconnect_caller();
+	void send_report();
+	void handle_actions();
+	void handle_action(const action_t *action);
 	void tick(pd_time_t step);
 	void check_deadlines();
-	Caller &caller_of(const action_t *action);
+	Caller &find_caller(const action_t *action);
 	bool is_leaving(const char *vm_id) const;
 
 	drive_t *drive;
@@ -117,30 +128,32 @@
 	std::map<std::string, pd_time_t> leaving; /* when, by the latest notice */
 };
 
-void Streams::list(unsigned int count)
+/* Sends a list of COUNT engines. */
+void Streams::list_vms(unsigned int count)
 {
 	drive_vms(drive, count, 0, SLOTS);
-	take_actions();
+	handle_actions();
 }
 
-void Streams::ask()
+/* Sends a request of a new caller. */
+void Streams::send_request()
 {
 	caller_id_t id = drive->next_caller + 1;
 
 	callers[id].deadline = drive->now + DEADLINE;
 	drive_request(drive, TARGET_MODEL, "m", NULL);
-	take_actions();
+	handle_actions();
 }
 
-/* A token in its place, or one that comes again or too early. */
-void Streams::token(Attempt &attempt)
+/* Sends the next token, or one that is repeated or too early. */
+void Streams::send_next_token(Attempt &attempt)
 {
-	auto how = pick(0, 12);
+	auto variation = pick(0, 12);
 	uint64_t offset = attempt.next;
 
-	if (how == 0)
+	if (variation == 0)
 		offset = attempt.next + 1;
-	else if (how == 1 && attempt.next > 0)
+	else if (variation == 1 && attempt.next > 0)
 		offset = attempt.next - 1;
 	else
 		attempt.next++;
@@ -148,14 +161,14 @@
 		send_token(drive, attempt.id, offset);
 }
 
-/* Something of any attempt that ever was, also of one that was left. */
-void Streams::upstream()
+/* Sends an event of any attempt so far, including cancelled ones. */
+void Streams::send_upstream_event()
 {
 	if (attempts.empty())
 		return;
-	/* Mostly of one that may still run. */
-	size_t first = pick(0, 4) && attempts.size() > LATEST
-			       ? attempts.size() - LATEST
+	/* Mostly of an attempt that may still run. */
+	size_t first = pick(0, 4) && attempts.size() > RECENT_ATTEMPTS
+			       ? attempts.size() - RECENT_ATTEMPTS
 			       : 0;
 	auto &attempt = attempts[pick<size_t>(first, attempts.size())];
 
@@ -177,14 +190,15 @@
 		break;
 	default:
 		if (attempt.next < TOKENS)
-			token(attempt);
+			send_next_token(attempt);
 		else
 			drive_upstream(drive, UPSTREAM_END, attempt.id, 0, true);
 	}
-	take_actions();
+	handle_actions();
 }
 
-void Streams::notice()
+/* Sends the reclaim notice of a random engine. */
+void Streams::send_notice()
 {
 	std::string id = "m-" + std::to_string(pick(1, VMS_MAX + 1));
 	event_t event = {};
@@ -196,10 +210,11 @@
 	event.load.leaves_in = pick<pd_time_t>(0, NOTICE_MAX_MS) * PD_MSEC;
 	leaving[id] = MAX(leaving[id], drive->now + event.load.leaves_in);
 	drive_event(drive, &event);
-	take_actions();
+	handle_actions();
 }
 
-void Streams::report()
+/* Sends the load report, or the missed probe, of a random engine. */
+void Streams::send_report()
 {
 	std::string id = "m-" + std::to_string(pick(1, VMS_MAX + 1));
 	event_t event = {};
@@ -209,10 +224,11 @@
 	event.load.answered = pick(0, 4) != 0;
 	event.load.running = pick(0u, 2u * SLOTS);
 	drive_event(drive, &event);
-	take_actions();
+	handle_actions();
 }
 
-void Streams::hang_up()
+/* Disconnects a random caller. */
+void Streams::disconnect_caller()
 {
 	if (callers.empty())
 		return;
@@ -222,18 +238,23 @@
 	event.caller = pick<caller_id_t>(1, drive->next_caller + 1);
 	callers[event.caller].gone = true;
 	drive_event(drive, &event);
-	take_actions();
+	handle_actions();
 }
 
-/* An id may be given to a new VM when its old one has been gone for long. */
+/*
+ * Returns whether the VM must not get requests. An id may be reused when its VM
+ * has been gone for long.
+ */
 bool Streams::is_leaving(const char *vm_id) const
 {
 	auto notice = leaving.find(vm_id);
 
-	return notice != leaving.end() && drive->now < notice->second + ID_REST;
+	return notice != leaving.end() &&
+	       drive->now < notice->second + ID_REUSE_DELAY;
 }
 
-Caller &Streams::caller_of(const action_t *action)
+/* Returns the caller of a reply, who must still be waiting for one. */
+Caller &Streams::find_caller(const action_t *action)
 {
 	Caller &caller =
 		callers[action->kind == ACTION_REFUSE ? action->refuse.caller
@@ -244,18 +265,19 @@
 	return caller;
 }
 
-void Streams::take(const action_t *action)
+/* Checks one action of the entry. */
+void Streams::handle_action(const action_t *action)
 {
 	switch (action->kind) {
 	case ACTION_DISPATCH:
 		RC_ASSERT(!is_leaving(action->dispatch.vm_id));
 		RC_ASSERT(action->dispatch.offset <= TOKENS);
-		met.resumes += action->dispatch.offset > 0;
+		coverage.resumes += action->dispatch.offset > 0;
 		attempts.push_back(
 			{ action->dispatch.attempt, action->dispatch.offset });
 		break;
 	case ACTION_TOKEN: {
-		Caller &caller = caller_of(action);
+		Caller &caller = find_caller(action);
 
 		RC_ASSERT(action->reply.offset == caller.tokens);
 		RC_ASSERT(action->reply.data[0] == text_at(caller.tokens));
@@ -263,29 +285,31 @@
 		break;
 	}
 	case ACTION_END: {
-		Caller &caller = caller_of(action);
+		Caller &caller = find_caller(action);
 
 		RC_ASSERT(caller.tokens == TOKENS);
-		met.ends++;
+		coverage.ends++;
 		caller.ended = true;
 		break;
 	}
 	case ACTION_REFUSE:
-		caller_of(action).ended = true;
-		met.refusals++;
+		find_caller(action).ended = true;
+		coverage.refusals++;
 		break;
 	default:
 		break;
 	}
 }
 
-void Streams::take_actions()
+/* Checks and frees all actions of the entry. */
+void Streams::handle_actions()
 {
 	LIST_FOR_EACH (it, &drive->actions)
-		take(LIST_ENTRY(it, action_t, node));
+		handle_action(LIST_ENTRY(it, action_t, node));
 	drive_clear(drive);
 }
 
+/* Checks that no request has outlived its deadline. */
 void Streams::check_deadlines()
 {
 	for (const auto &item : callers) {
@@ -296,32 +320,34 @@
 	}
 }
 
+/* Advances the clock by STEP and checks the deadlines. */
 void Streams::tick(pd_time_t step)
 {
 	drive_tick(drive, step);
-	take_actions();
+	handle_actions();
 	check_deadlines();
 }
 
+/* Performs one random step. */
 void Streams::step()
 {
 	switch (pick(0, 40)) {
 	case 0:
 	case 1:
 	case 2:
-		ask();
+		send_request();
 		break;
 	case 3:
-		notice();
+		send_notice();
 		break;
 	case 4:
-		hang_up();
+		disconnect_caller();
 		break;
 	case 5:
-		list(pick(0u, VMS_MAX + 1u));
+		list_vms(pick(0u, VMS_MAX + 1u));
 		break;
 	case 6:
-		report();
+		send_report();
 		break;
 	case 7:
 	case 8:
@@ -329,11 +355,11 @@
 		tick(pick<pd_time_t>(1, 4000) * PD_MSEC);
 		break;
 	default:
-		upstream();
+		send_upstream_event();
 	}
 }
 
-/* Nothing more is heard of any upstream: all must end by their deadlines. */
+/* No upstream sends anything more: all requests must end by their deadlines. */
 void Streams::finish()
 {
 	for (int i = 0; i < 2 * DEADLINE / PD_SEC; i++)
@@ -352,7 +378,10 @@
 	});
 }
 
-/* Engines that are reclaimed one after the other under a single request. */
+/*
+ * Engines that are reclaimed one after the other while they serve a single
+ * request.
+ */
 class Reclaims
 {
       public:
@@ -369,8 +398,8 @@
 	}
 
 	void take_dispatch();
-	void tokens(uint64_t count);
-	void reclaim(bool announced);
+	void send_tokens(uint64_t count);
+	void reclaim_vm(bool announced);
 	void finish();
 
       private:
@@ -381,6 +410,10 @@
 	std::string vm;
 };
 
+/*
+ * Takes the dispatch of the next attempt, which must resume where the last one
+ * ended.
+ */
 void Reclaims::take_dispatch()
 {
 	action_t *action = drive_take(drive, ACTION_DISPATCH);
@@ -392,14 +425,18 @@
 	action_destroy(action);
 }
 
-void Reclaims::tokens(uint64_t count)
+/* Sends up to COUNT tokens of the current attempt. */
+void Reclaims::send_tokens(uint64_t count)
 {
 	for (; count > 0 && next < TOKENS; count--)
 		send_token(drive, attempt, next++);
 }
 
-/* The VM goes, said before or not, and its connection breaks or is left. */
-void Reclaims::reclaim(bool announced)
+/*
+ * Reclaims the VM, with or without notice; its connection breaks or its attempt
+ * is cancelled.
+ */
+void Reclaims::reclaim_vm(bool announced)
 {
 	event_t event = {};
 
@@ -418,9 +455,10 @@
 	drive_vms(drive, ++vms, 0, SLOTS);
 }
 
+/* Completes the answer and checks that the caller got all of it. */
 void Reclaims::finish()
 {
-	tokens(TOKENS);
+	send_tokens(TOKENS);
 	drive_upstream(drive, UPSTREAM_END, attempt, 0, true);
 	RC_ASSERT(drive_count(drive, ACTION_TOKEN) == TOKENS);
 	RC_ASSERT(drive_count(drive, ACTION_END) == 1);
@@ -432,27 +470,28 @@
 	return rc::check("an accepted answer is whole after any reclaims", [] {
 		Reclaims reclaims;
 		auto count = pick(0, 20);
-		int unannounced = 5; /* more in one request means it does harm */
+		int unannounced = 5; /* more failures of one request end it */
 
 		reclaims.take_dispatch();
 		for (int i = 0; i < count; i++) {
 			bool announced = unannounced == 0 || pick(0, 2);
 
 			unannounced -= !announced;
-			reclaims.tokens(pick<uint64_t>(0, 3));
-			reclaims.reclaim(announced);
+			reclaims.send_tokens(pick<uint64_t>(0, 3));
+			reclaims.reclaim_vm(announced);
 			reclaims.take_dispatch();
 		}
 		reclaims.finish();
 	});
 }
 
-bool has_met_enough()
+/* Prints the coverage and returns whether it is sufficient. */
+bool coverage_is_sufficient()
 {
-	printf("met: %u whole answers, %u resumes, %u refusals\n", met.ends,
-	       met.resumes, met.refusals);
-	return met.ends >= MET_MIN && met.resumes >= MET_MIN &&
-	       met.refusals >= MET_MIN;
+	printf("met: %u whole answers, %u resumes, %u refusals\n",
+	       coverage.ends, coverage.resumes, coverage.refusals);
+	return coverage.ends >= COVERAGE_MIN && coverage.resumes >= COVERAGE_MIN &&
+	       coverage.refusals >= COVERAGE_MIN;
 }
 
 } // namespace
@@ -462,5 +501,5 @@
 	bool good = check_streams();
 
 	good = check_reclaims() && good;
-	return good && has_met_enough() ? 0 : 1;
+	return good && coverage_is_sufficient() ? 0 : 1;
 }
--- a/tests/unit/test_route.c
+++ b/tests/unit/test_route.c
@@ -1,4 +1,4 @@
-/* The choice of an upstream, and the estimate of load that it goes by. */
+/* The choice of an upstream, and the load estimate that it uses. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -29,6 +29,7 @@
 	return 0;
 }
 
+/* Chooses an upstream for model "m" as the only sender. */
 static route_result_t choose(drive_t *drive, priority_t priority,
 			     uint64_t prefix, route_choice_t *choice)
 {
@@ -38,12 +39,13 @@
 				.prefix = prefix,
 				.cache = drive->entry->prefixes,
 				.rand = drive->entry->rand,
-				.sharers = 1,
+				.sender_count = 1,
 				.now = drive->now };
 
 	return route_choose(drive->entry->upstreams, &query, choice);
 }
 
+/* Sends a load report of RUNNING requests. */
 static void report(drive_t *drive, const char *vm_id, unsigned int running)
 {
 	event_t event = {
@@ -54,11 +56,11 @@
 	drive_event(drive, &event);
 }
 
-static void test_an_engine_with_the_prefix_is_chosen(void **state)
+static void test_engine_with_cached_prefix_is_chosen(void **state)
 {
 	drive_t *drive = *state;
 
-	prefix_cache_sent(drive->entry->prefixes, "m-3", 7, drive->now);
+	prefix_cache_record_send(drive->entry->prefixes, "m-3", 7, drive->now);
 	for (int i = 0; i < 20; i++) {
 		route_choice_t choice;
 
@@ -70,10 +72,11 @@
 }
 
 /*
- * Reports lag, so a moment's low figure must not make an engine look empty: all
- * entries would send there together, and its callers would wait in a long queue.
+ * Reports lag, so a single low one must not make an engine look empty: all
+ * entries would send there together, and their callers would wait in a long
+ * queue.
  */
-static void test_one_report_moves_the_estimate_little(void **state)
+static void test_single_report_changes_load_estimate_little(void **state)
 {
 	drive_t *drive = *state;
 	upstream_t *upstream = upstreams_find(drive->entry->upstreams, "m-1");
@@ -85,8 +88,8 @@
 	assert_true(upstream_load(upstream) > 11);
 }
 
-/* Office work fills the engines; a line terminal must still find a slot. */
-static void test_slots_are_kept_for_urgent_work(void **state)
+/* Normal requests fill the engines; an urgent one must still find a slot. */
+static void test_slots_are_reserved_for_urgent_requests(void **state)
 {
 	drive_t *drive = *state;
 	route_choice_t choice;
@@ -100,10 +103,10 @@
 }
 
 /*
- * An engine refuses work beyond its slots. Urgent calls that were sent there
- * again and again would use up their attempts and be refused.
+ * An engine rejects attempts beyond its slots. Urgent requests that were sent
+ * there repeatedly would use up their attempts and be refused.
  */
-static void test_an_engine_that_refuses_is_not_overfilled(void **state)
+static void test_rejecting_engine_is_not_overcommitted(void **state)
 {
 	drive_t *drive = *state;
 	route_choice_t choice;
@@ -111,7 +114,7 @@
 	drive_vms(drive, 1, 0, SLOTS);
 	report(drive, "m-1", SLOTS);
 	assert_int_equal(choose(drive, PRIORITY_URGENT, 0, &choice), ROUTE_CHOSEN);
-	choice.upstream->refuses_when_full = true;
+	choice.upstream->rejects_when_full = true;
 	route_choice_clear(&choice);
 	for (int i = 0; i < SLOTS; i++)
 		drive_urgent_request(drive, "m");
@@ -120,10 +123,10 @@
 }
 
 /*
- * The balancer sends one entry of six all the calls. Held to its share, or twice
- * it, the entry would refuse callers while engines idle.
+ * The load balancer sends all calls to one entry of six. Limited to its share,
+ * or twice that, the entry would refuse callers while engines are idle.
  */
-static void test_room_that_reports_show_may_be_used(void **state)
+static void test_free_capacity_beyond_share_is_used(void **state)
 {
 	drive_t *drive = *state;
 	upstream_t *upstream = upstreams_find(drive->entry->upstreams, "m-1");
@@ -132,7 +135,7 @@
 				.priority = PRIORITY_NORMAL,
 				.cache = drive->entry->prefixes,
 				.rand = drive->entry->rand,
-				.sharers = 6,
+				.sender_count = 6,
 				.now = drive->now };
 	route_choice_t choice;
 
@@ -140,7 +143,7 @@
 	for (int second = 0; second < 6; second++) {
 		while (route_choose(drive->entry->upstreams, &query, &choice) ==
 		       ROUTE_CHOSEN) {
-			upstream_sent(choice.upstream);
+			upstream_record_send(choice.upstream);
 			route_choice_clear(&choice);
 		}
 		assert_true(upstream->running <= SLOTS);
@@ -151,8 +154,10 @@
 	assert_int_equal(upstream->running, SLOTS - SLOTS / 8);
 }
 
-/* At 790 upstreams a choice must not walk them all: the subset is in front. */
-static void test_the_subset_is_in_front(void **state)
+/*
+ * With 790 upstreams a choice must not walk them all, so the subset is first.
+ */
+static void test_subset_is_first_in_list(void **state)
 {
 	drive_t *drive = *state;
 	bool chosen = true;
@@ -162,8 +167,8 @@
 	LIST_FOR_EACH (it, upstreams_list(drive->entry->upstreams)) {
 		const upstream_t *upstream = LIST_ENTRY(it, upstream_t, node);
 
-		assert_true(chosen || !upstream->chosen);
-		chosen = upstream->chosen;
+		assert_true(chosen || !upstream->in_subset);
+		chosen = upstream->in_subset;
 		subset += chosen;
 	}
 	assert_int_equal(subset, 24);
@@ -172,17 +177,17 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(test_an_engine_with_the_prefix_is_chosen,
+		cmocka_unit_test_setup_teardown(test_engine_with_cached_prefix_is_chosen,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_one_report_moves_the_estimate_little,
+		cmocka_unit_test_setup_teardown(test_single_report_changes_load_estimate_little,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_slots_are_kept_for_urgent_work,
+		cmocka_unit_test_setup_teardown(test_slots_are_reserved_for_urgent_requests,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_an_engine_that_refuses_is_not_overfilled,
+		cmocka_unit_test_setup_teardown(test_rejecting_engine_is_not_overcommitted,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_room_that_reports_show_may_be_used,
+		cmocka_unit_test_setup_teardown(test_free_capacity_beyond_share_is_used,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_the_subset_is_in_front,
+		cmocka_unit_test_setup_teardown(test_subset_is_first_in_list,
 						setup, teardown),
 	};
 
