--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -362,7 +362,7 @@
 			 "read failed status=%d", reply->status);
 		return false;
 	}
-	page = wire_page_read(reply->body, reply->len, &err);
+	page = wire_page_parse(reply->body, reply->len, &err);
 	if (!page) {
 		log_error(LOG_COMPONENT, "read", &err);
 		return false;
@@ -439,7 +439,7 @@
 	char *text = NULL;
 
 	if (end == WRITE_DONE || end == WRITE_CONFLICT) {
-		text = wire_record_read(reply->body, reply->len, &revision, &err);
+		text = wire_record_parse(reply->body, reply->len, &revision, &err);
 		if (!text)
 			log_error(LOG_COMPONENT, object->name, &err);
 	} else {
@@ -486,7 +486,7 @@
 	number = object_writer_begin(object->writer, digest, now);
 	path = wire_object_path(object->kind, revision ? object->name : NULL);
 	spec = object_spec(object, text, now);
-	body = wire_record_write(object->name, spec, revision);
+	body = wire_record_format(object->name, spec, revision);
 	http1_client_call(object->checkpoint->gateway->store,
 			  &(http1_ask_t){
 				  .method = revision ? "PUT" : "POST",
--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -73,8 +73,8 @@
 	pd_error_t err;
 
 	if (answer.status == STORE_OK) {
-		record = wire_lease_read(reply->body, reply->len,
-					 &answer.version, &err);
+		record = wire_lease_parse(reply->body, reply->len,
+					  &answer.version, &err);
 		if (!record) {
 			log_error(LOG_COMPONENT, "lease", &err);
 			answer.status = STORE_UNKNOWN;
@@ -96,8 +96,8 @@
 	bool write = action->kind == PLACER_LEASE_WRITE;
 	bool create = write && !action->lease.version;
 	char *path = wire_object_path(WIRE_LEASES, create ? NULL : LEASE_NAME);
-	char *body = write ? wire_lease_write(LEASE_NAME, action->lease.record,
-					      action->lease.version)
+	char *body = write ? wire_lease_format(LEASE_NAME, action->lease.record,
+					       action->lease.version)
 			   : NULL;
 	http1_ask_t ask = {
 		.method = create  ? "POST"
@@ -223,8 +223,8 @@
 		.ctx = ctx,
 	};
 
-	wire_duty_headers(headers, duties->gateway->settings->node_id,
-			  duties->fencing_token);
+	wire_append_duty_headers(headers, duties->gateway->settings->node_id,
+				 duties->fencing_token);
 	ask.headers = headers->str;
 	http1_client_call(duties->gateway->cloud, &ask);
 	g_string_free(headers, TRUE);
--- a/adapters/gateway/duties_scale.c
+++ b/adapters/gateway/duties_scale.c
@@ -130,8 +130,8 @@
 {
 	const scale_basis_t *basis =
 		scale_plan_basis(get_plan(order->duties, order->service));
-	char *body = wire_scale_write(order->service, order->zone,
-				      order->target, order->reclaimable);
+	char *body = wire_scale_format(order->service, order->zone,
+				       order->target, order->reclaimable);
 
 	order->in_flight = true;
 	order->requested = order->target;
--- a/adapters/gateway/duties_usage.c
+++ b/adapters/gateway/duties_usage.c
@@ -99,7 +99,7 @@
 
 	usage_each_sum(duties->gateway->usage, window, add_count, counts);
 	add_all_lost(duties, window, counts);
-	report = wire_usage_write(window, counts);
+	report = wire_usage_format(window, counts);
 	duties_note_set_report(note, window, report);
 	duties_add_needs(duties, note);
 	text = duties_note_format(note);
--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -66,7 +66,7 @@
 	for (size_t i = 0; i < wire_page_count(page); i++) {
 		char *text;
 
-		if (wire_page_is_gone(page, i))
+		if (wire_page_is_removed(page, i))
 			continue;
 		text = wire_page_spec(page, i);
 		if (text)
@@ -105,7 +105,7 @@
 	bool changed = false;
 	pd_error_t err;
 
-	if (wire_page_is_gone(page, i)) {
+	if (wire_page_is_removed(page, i)) {
 		if (!*id)
 			return;
 		/*
@@ -117,7 +117,7 @@
 		changed = forward_upstreams_remove(gateway->upstreams, id,
 						   wire_page_object_revision(page, i),
 						   gateway_now());
-	} else if (wire_page_upstream(page, i, &listing, &err) < 0) {
+	} else if (wire_page_parse_upstream(page, i, &listing, &err) < 0) {
 		log_invalid_entry(feed, id, &err);
 		/* The entry has replaced the valid one of the same name. */
 		if (forward_upstreams_find(gateway->upstreams, id))
@@ -268,7 +268,7 @@
 		feed_handle_failure(feed, reply->status);
 		return;
 	}
-	page = wire_page_read(reply->body, reply->len, &err);
+	page = wire_page_parse(reply->body, reply->len, &err);
 	if (!page) {
 		log_error(LOG_COMPONENT, feed->name, &err);
 		feed_handle_failure(feed, reply->status);
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -141,7 +141,7 @@
 bool gateway_apply_config(gateway_t *gateway, const char *text, const char *source)
 {
 	pd_error_t err;
-	forward_config_t *config = wire_config_read(text, strlen(text), &err);
+	forward_config_t *config = wire_config_parse(text, strlen(text), &err);
 
 	if (!config) {
 		log_error(LOG_COMPONENT, "configuration", &err);
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -48,8 +48,8 @@
 
 	request->gateway = gateway;
 	request->caller = caller;
-	request->call = wire_call_read(head->method, head->target,
-				       head->headers, head->header_count);
+	request->call = wire_call_parse(head->method, head->target,
+					head->headers, head->header_count);
 	request->has_body = head->has_body;
 	request->body = g_byte_array_new();
 	request->response_headers = g_string_new(NULL);
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -18,7 +18,8 @@
 {
 	g_string_truncate(request->response_headers, 0);
 	for (size_t i = 0; i < head->header_count; i++) {
-		if (wire_answer_passes(head->headers, head->header_count, i))
+		if (wire_response_header_is_forwarded(head->headers,
+						      head->header_count, i))
 			g_string_append_printf(request->response_headers,
 					       "%s: %s\r\n", head->headers[i].name,
 					       head->headers[i].value);
@@ -38,9 +39,9 @@
 static void on_head(void *ctx, const http1_head_t *head)
 {
 	gateway_request_t *request = ctx;
-	wire_answer_t answer;
+	wire_response_t answer;
 
-	wire_answer_read(head->headers, head->header_count, &answer);
+	wire_response_parse(head->headers, head->header_count, &answer);
 	/*
 	 * An upstream may respond twice to a request. The second response
 	 * arrives in place of the next request's, and its caller would get the
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -68,19 +68,19 @@
 	GString *head = g_string_sized_new(512);
 	const forward_call_t *call = request->call;
 	pd_time_t now = gateway_now();
-	wire_send_t send = {
+	wire_attempt_t send = {
 		.time_left = request->deadline - now,
 		.account = request->account ? request->account->name : NULL,
 		.upstream_id = request->upstream->id,
 		.resume_after = call->resume_after,
-		.urgency = request->route->has_prompt ? request->rank : -1,
+		.priority = request->route->has_prompt ? request->rank : -1,
 		.body_len = request->body->len,
 		.has_body = request->has_body,
 	};
 
 	if (request->events && request->events->last_id)
 		send.resume_after = request->events->last_id;
-	wire_call_write(head, call, &send);
+	wire_call_format(head, call, &send);
 	request->sent_at = now;
 	request->deliveries++;
 	if (request->state != REQUEST_STREAMING)
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -120,7 +120,7 @@
 
 	g_string_printf(out, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\n", status,
 			http1_reason(status));
-	wire_refusal_headers(out, request->call, retry_after);
+	wire_append_error_headers(out, request->call, retry_after);
 	if (!caller_keeps_alive(caller))
 		g_string_append(out, "Connection: close\r\n");
 	g_string_append(out, "\r\n");
--- a/tests/property/test_gateway_decoders.cc
+++ b/tests/property/test_gateway_decoders.cc
@@ -154,7 +154,7 @@
 		auto bytes = mutated(config_text);
 		pd_error_t err;
 		forward_config_t *config =
-			wire_config_read(bytes.data(), bytes.size(), &err);
+			wire_config_parse(bytes.data(), bytes.size(), &err);
 
 		if (!config)
 			return;
@@ -171,14 +171,14 @@
 						       std::string(watch_text)));
 		pd_error_t err;
 		wire_page_t *page =
-			wire_page_read(bytes.data(), bytes.size(), &err);
+			wire_page_parse(bytes.data(), bytes.size(), &err);
 		forward_registration_t listing;
 
 		for (size_t i = 0; page && i < wire_page_count(page); i++) {
 			RC_ASSERT(wire_page_name(page, i) != nullptr);
-			if (wire_page_is_gone(page, i))
+			if (wire_page_is_removed(page, i))
 				continue;
-			if (wire_page_upstream(page, i, &listing, &err) == 0)
+			if (wire_page_parse_upstream(page, i, &listing, &err) == 0)
 				RC_ASSERT(listing.stage <= FORWARD_GONE);
 			g_free(wire_page_spec(page, i));
 		}
@@ -194,8 +194,8 @@
 		uint64_t revision = 0;
 		pd_error_t err;
 
-		lease_record_destroy(wire_lease_read(bytes.data(), bytes.size(),
-						     &revision, &err));
+		lease_record_destroy(wire_lease_parse(bytes.data(), bytes.size(),
+						      &revision, &err));
 	});
 }
 
@@ -222,8 +222,8 @@
 				     "\"leader\":\"g5\"}}");
 		uint64_t revision = 0;
 		pd_error_t err;
-		char *text = wire_record_read(bytes.data(), bytes.size(),
-					      &revision, &err);
+		char *text = wire_record_parse(bytes.data(), bytes.size(),
+					       &revision, &err);
 		checkpoint_record_t *record =
 			text ? checkpoint_record_parse(text, &err) : nullptr;
 
@@ -348,12 +348,12 @@
 		auto name = *rc::gen::elementOf(names);
 		auto value = mutated("1f:800,2a:10,timeout=3, close");
 		header_t header = { name.c_str(), value.c_str() };
-		forward_call_t *call = wire_call_read("GET", "/", &header, 1);
-		wire_answer_t answer;
+		forward_call_t *call = wire_call_parse("GET", "/", &header, 1);
+		wire_response_t answer;
 
 		RC_ASSERT(call->part_count <= PROMPT_PARTS_MAX);
-		wire_answer_read(&header, 1, &answer);
-		wire_answer_passes(&header, 1, 0);
+		wire_response_parse(&header, 1, &answer);
+		wire_response_header_is_forwarded(&header, 1, 0);
 		forward_call_destroy(call);
 	});
 }
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -10,16 +10,16 @@
 
 #include "platform/wire.h"
 
-static forward_call_t *read_call(const header_t *headers, size_t count)
+static forward_call_t *parse_call(const header_t *headers, size_t count)
 {
-	return wire_call_read("POST", "/a/b?c", headers, count);
+	return wire_call_parse("POST", "/a/b?c", headers, count);
 }
 
 /*
  * A caller sets headers that are the system's: it would run in another
  * account's name, reserve memory of engines, or have its key shown to them.
  */
-static void test_headers_of_the_system_are_dropped(void **state)
+static void test_reserved_headers_are_dropped(void **state)
 {
 	const header_t headers[] = {
 		{ "Host", "h" },
@@ -35,7 +35,7 @@
 		{ "X-Mine", "1" },
 		{ "X-Other", "2" },
 	};
-	forward_call_t *call = read_call(headers, G_N_ELEMENTS(headers));
+	forward_call_t *call = parse_call(headers, G_N_ELEMENTS(headers));
 
 	(void)state;
 	assert_string_equal(call->headers->str, "Host: h\r\nX-Other: 2\r\n");
@@ -43,7 +43,7 @@
 	forward_call_destroy(call);
 }
 
-static void test_a_call_is_read(void **state)
+static void test_call_is_parsed(void **state)
 {
 	const header_t headers[] = {
 		{ "Host", "h" },
@@ -53,7 +53,7 @@
 		{ "X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410" },
 		{ "Last-Event-Id", "12" },
 	};
-	forward_call_t *call = read_call(headers, G_N_ELEMENTS(headers));
+	forward_call_t *call = parse_call(headers, G_N_ELEMENTS(headers));
 
 	(void)state;
 	assert_string_equal(call->id, "9c41");
@@ -68,7 +68,7 @@
 }
 
 /* Whatever a caller writes there, nothing is read beyond its end. */
-static void test_bad_prompt_parts_are_left_out(void **state)
+static void test_invalid_prompt_parts_are_ignored(void **state)
 {
 	static const char *const bad[] = { "",	    ",",   ":",	     "zz:1",
 					   "1:",    "1:x", "1",	     "1:2,",
@@ -77,28 +77,28 @@
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
 		const header_t header = { "X-Prompt-Prefix", bad[i] };
-		forward_call_t *call = read_call(&header, 1);
+		forward_call_t *call = parse_call(&header, 1);
 
 		assert_true(call->part_count <= 1);
 		forward_call_destroy(call);
 	}
 }
 
-static void test_a_call_is_written(void **state)
+static void test_call_is_formatted(void **state)
 {
 	const header_t headers[] = { { "Host", "h" }, { "X-Attempt-Id", "9" } };
-	forward_call_t *call = read_call(headers, G_N_ELEMENTS(headers));
-	const wire_send_t send = { .time_left = 1200 * PD_MSEC,
-				   .account = "mill",
-				   .upstream_id = "i-1",
-				   .resume_after = "7",
-				   .urgency = 2,
-				   .body_len = 3,
-				   .has_body = true };
+	forward_call_t *call = parse_call(headers, G_N_ELEMENTS(headers));
+	const wire_attempt_t attempt = { .time_left = 1200 * PD_MSEC,
+					 .account = "mill",
+					 .upstream_id = "i-1",
+					 .resume_after = "7",
+					 .priority = 2,
+					 .body_len = 3,
+					 .has_body = true };
 	GString *out = g_string_new(NULL);
 
 	(void)state;
-	wire_call_write(out, call, &send);
+	wire_call_format(out, call, &attempt);
 	assert_string_equal(out->str, "POST /a/b?c HTTP/1.1\r\n"
 				      "Host: h\r\n"
 				      "X-Attempt-Id: 9\r\n"
@@ -128,11 +128,11 @@
 	"\"unit\":\"tokens\",\"plainTokens\":200,\"ratePerS\":10,"
 	"\"burst\":20}]}";
 
-static void test_a_configuration_is_read(void **state)
+static void test_configuration_is_parsed(void **state)
 {
 	pd_error_t err;
 	forward_config_t *config =
-		wire_config_read(config_text, strlen(config_text), &err);
+		wire_config_parse(config_text, strlen(config_text), &err);
 	const forward_route_t *route;
 	const forward_service_t *service;
 	const forward_account_t *account;
@@ -158,12 +158,12 @@
 }
 
 /* A kind that is not known must not be repeated. */
-static void test_an_unknown_kind_is_not_repeated(void **state)
+static void test_unknown_route_kind_is_unsafe(void **state)
 {
 	static const char text[] = "{\"version\":1,\"routes\":[{\"host\":\"h\","
 				   "\"pathPrefix\":\"/\",\"kind\":\"new\"}]}";
 	pd_error_t err;
-	forward_config_t *config = wire_config_read(text, strlen(text), &err);
+	forward_config_t *config = wire_config_parse(text, strlen(text), &err);
 
 	(void)state;
 	assert_int_equal(forward_config_route(config, "h", "/")->kind,
@@ -172,18 +172,18 @@
 }
 
 /* What is cut off or of other types is refused or left out, and never crashes. */
-static void test_a_cut_configuration_is_refused(void **state)
+static void test_truncated_configuration_is_rejected(void **state)
 {
 	(void)state;
 	for (size_t len = 0; len < strlen(config_text); len++) {
 		pd_error_t err;
 
-		assert_null(wire_config_read(config_text, len, &err));
+		assert_null(wire_config_parse(config_text, len, &err));
 		assert_int_equal(err.kind, PD_ERROR_INPUT);
 	}
 }
 
-static void test_a_list_and_a_watch_are_read(void **state)
+static void test_list_and_watch_are_parsed(void **state)
 {
 	static const char list[] =
 		"{\"items\":[{\"metadata\":{\"name\":\"i-1\",\"revision\":4},"
@@ -193,21 +193,21 @@
 	static const char watch[] =
 		"{\"events\":[{\"tombstone\":true,\"object\":{\"metadata\":"
 		"{\"name\":\"i-1\",\"revision\":4}}}],\"asOf\":12}";
-	forward_registration_t listing;
+	forward_registration_t registration;
 	pd_error_t err;
-	wire_page_t *page = wire_page_read(list, strlen(list), &err);
+	wire_page_t *page = wire_page_parse(list, strlen(list), &err);
 
 	(void)state;
 	assert_int_equal(wire_page_revision(page), 9);
 	assert_true(wire_page_has_more(page));
-	assert_int_equal(wire_page_upstream(page, 0, &listing, &err), 0);
-	assert_string_equal(listing.address, "10.0.0.9");
-	assert_int_equal(listing.port, 80);
-	assert_int_equal(listing.stage, FORWARD_DRAINING);
-	assert_true(listing.reclaimable);
+	assert_int_equal(wire_page_parse_upstream(page, 0, &registration, &err), 0);
+	assert_string_equal(registration.address, "10.0.0.9");
+	assert_int_equal(registration.port, 80);
+	assert_int_equal(registration.stage, FORWARD_DRAINING);
+	assert_true(registration.reclaimable);
 	wire_page_destroy(page);
-	page = wire_page_read(watch, strlen(watch), &err);
-	assert_true(wire_page_is_gone(page, 0));
+	page = wire_page_parse(watch, strlen(watch), &err);
+	assert_true(wire_page_is_removed(page, 0));
 	/* What came back between the two must not count as older than this. */
 	assert_int_equal(wire_page_object_revision(page, 0), 4);
 	assert_int_equal(wire_page_revision(page), 12);
@@ -215,38 +215,38 @@
 	wire_page_destroy(page);
 }
 
-#define SOUND(name)                                                       \
+#define VALID_ENTRY(name)                                                 \
 	"{\"metadata\":{\"name\":\"" name "\",\"revision\":4},\"spec\":{" \
 	"\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"a\","   \
 	"\"slots\":6,\"state\":\"ready\",\"born\":1775915655123}}"
 
-/* Reads a page of a sound entry, one with a spec, and another sound one. */
-static int read_between(const char *spec, size_t len,
-			forward_registration_t *between, pd_error_t *err)
+/* Reads a page of a valid entry, one with a spec, and another valid one. */
+static int parse_middle_entry(const char *spec, size_t len,
+			      forward_registration_t *middle, pd_error_t *err)
 {
-	static const char head[] = "{\"items\":[" SOUND(
+	static const char head[] = "{\"items\":[" VALID_ENTRY(
 		"i-1") ",{\"metadata\":"
 		       "{\"name\":\"i-2\",\"revision\":5},\"spec\":";
-	static const char tail[] = "}," SOUND("i-3") "],\"asOf\":9}";
+	static const char tail[] = "}," VALID_ENTRY("i-3") "],\"asOf\":9}";
 	GString *text = g_string_new(head);
-	forward_registration_t sound;
+	forward_registration_t valid;
 	wire_page_t *page;
 	int rc;
 
 	g_string_append_len(text, spec, (gssize)len);
 	g_string_append(text, tail);
-	page = wire_page_read(text->str, text->len, err);
+	page = wire_page_parse(text->str, text->len, err);
 	assert_non_null(page);
 	assert_int_equal(wire_page_revision(page), 9);
 	assert_int_equal(wire_page_count(page), 3);
 	for (size_t i = 0; i < 3; i += 2) {
-		assert_int_equal(wire_page_upstream(page, i, &sound, err), 0);
-		assert_int_equal(sound.slots, 6);
-		assert_int_equal(sound.revision, 4);
-		assert_int_equal(sound.start_time_ms, 1775915655123);
+		assert_int_equal(wire_page_parse_upstream(page, i, &valid, err), 0);
+		assert_int_equal(valid.slots, 6);
+		assert_int_equal(valid.revision, 4);
+		assert_int_equal(valid.start_time_ms, 1775915655123);
 	}
-	assert_string_equal(sound.id, "i-3");
-	rc = wire_page_upstream(page, 1, between, err);
+	assert_string_equal(valid.id, "i-3");
+	rc = wire_page_parse_upstream(page, 1, middle, err);
 	wire_page_destroy(page);
 	g_string_free(text, TRUE);
 	return rc;
@@ -257,9 +257,9 @@
  * or of other types, or the state is none that is known. Sent requests, nobody
  * would answer them; and the entries beside it must hold.
  */
-static void test_a_spoiled_entry_names_no_upstream(void **state)
+static void test_invalid_registration_is_rejected(void **state)
 {
-	static const char *const spoiled[] = {
+	static const char *const invalid[] = {
 		"null",
 		"7",
 		"\"x\"",
@@ -284,13 +284,13 @@
 		"{\"service\":\"s\",\"address\":\"1.2.3.4:5\",\"zone\":\"a\","
 		"\"slots\":1,\"state\":\"ready\",\"born\":0.5}",
 	};
-	forward_registration_t listing;
+	forward_registration_t registration;
 	pd_error_t err;
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(spoiled); i++) {
-		assert_int_equal(read_between(spoiled[i], strlen(spoiled[i]),
-					      &listing, &err),
+	for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++) {
+		assert_int_equal(parse_middle_entry(invalid[i], strlen(invalid[i]),
+						    &registration, &err),
 				 -1);
 		assert_int_equal(err.kind, PD_ERROR_INPUT);
 	}
@@ -301,14 +301,14 @@
  * all bounds. The JSON library refuses a page with one such string as a whole;
  * a gateway would then know of no upstream, and refuse every caller.
  */
-static void test_bytes_that_are_no_text_hide_no_other_entry(void **state)
+static void test_invalid_text_affects_only_its_entry(void **state)
 {
 	static const char *const bytes[] = {
 		"\xff\xfe", "\xc3",	      "\xed\xa0\x80",
 		"\\ud800",  "\\udc00\\ud800", "\\u0000x",
 		"a\x01z",   "a\nz",	      "\\\\\xf8",
 	};
-	forward_registration_t listing;
+	forward_registration_t registration;
 	pd_error_t err;
 
 	(void)state;
@@ -318,28 +318,29 @@
 					     "\"slots\":1,\"state\":\"tired\"}",
 					     bytes[i]);
 
-		assert_int_equal(read_between(spec, strlen(spec), &listing, &err),
+		assert_int_equal(parse_middle_entry(spec, strlen(spec),
+						    &registration, &err),
 				 -1);
 		g_free(spec);
 	}
-	assert_int_equal(read_between("\"\0\"", 3, &listing, &err), -1);
-	assert_int_equal(read_between("{\"slots\":99999999999999999999}", 30,
-				      &listing, &err),
+	assert_int_equal(parse_middle_entry("\"\0\"", 3, &registration, &err), -1);
+	assert_int_equal(parse_middle_entry("{\"slots\":99999999999999999999}",
+					    30, &registration, &err),
 			 -1);
-	assert_int_equal(read_between("{\"slots\":1,\"slots\":2}", 21, &listing,
-				      &err),
+	assert_int_equal(parse_middle_entry("{\"slots\":1,\"slots\":2}", 21,
+					    &registration, &err),
 			 -1);
 }
 
 /* A name cut at a NUL is that of another upstream, which must not be removed. */
-static void test_a_name_with_a_nul_is_no_name(void **state)
+static void test_name_with_nul_is_empty(void **state)
 {
 	static const char text[] =
 		"{\"events\":[{\"tombstone\":true,\"object\":"
 		"{\"metadata\":{\"name\":\"i-1\\u0000x\","
 		"\"revision\":4}}}],\"asOf\":12}";
 	pd_error_t err;
-	wire_page_t *page = wire_page_read(text, strlen(text), &err);
+	wire_page_t *page = wire_page_parse(text, strlen(text), &err);
 
 	(void)state;
 	assert_non_null(page);
@@ -347,7 +348,7 @@
 	wire_page_destroy(page);
 }
 
-static void test_a_lease_survives_the_round_trip(void **state)
+static void test_lease_round_trip(void **state)
 {
 	lease_record_t *record = lease_record_create();
 	lease_record_t *read;
@@ -360,8 +361,8 @@
 	record->fence = 12;
 	record->renewals = 3;
 	record->note = g_strdup("7 {\"a\":1}");
-	text = wire_lease_write("duties", record, 42);
-	read = wire_lease_read(text, strlen(text), &revision, &err);
+	text = wire_lease_format("duties", record, 42);
+	read = wire_lease_parse(text, strlen(text), &revision, &err);
 	assert_int_equal(revision, 42);
 	assert_string_equal(read->holder, "e1");
 	assert_int_equal(read->fence, 12);
@@ -375,7 +376,7 @@
  * A report that is sent twice must be the same bytes; a hash table's order is
  * not the same in every process.
  */
-static void test_a_usage_report_has_one_form(void **state)
+static void test_usage_report_is_deterministic(void **state)
 {
 	GHashTable *counts = g_hash_table_new(g_str_hash, g_str_equal);
 	uint64_t one = 1;
@@ -385,7 +386,7 @@
 	(void)state;
 	g_hash_table_insert(counts, (char *)"b", &two);
 	g_hash_table_insert(counts, (char *)"a", &one);
-	text = wire_usage_write(7, counts);
+	text = wire_usage_format(7, counts);
 	assert_string_equal(text,
 			    "{\"counts\":{\"a\":1,\"b\":2},\"windowId\":7}");
 	g_free(text);
@@ -395,19 +396,19 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_headers_of_the_system_are_dropped),
-		cmocka_unit_test(test_a_call_is_read),
-		cmocka_unit_test(test_bad_prompt_parts_are_left_out),
-		cmocka_unit_test(test_a_call_is_written),
-		cmocka_unit_test(test_a_configuration_is_read),
-		cmocka_unit_test(test_an_unknown_kind_is_not_repeated),
-		cmocka_unit_test(test_a_cut_configuration_is_refused),
-		cmocka_unit_test(test_a_list_and_a_watch_are_read),
-		cmocka_unit_test(test_a_spoiled_entry_names_no_upstream),
-		cmocka_unit_test(test_bytes_that_are_no_text_hide_no_other_entry),
-		cmocka_unit_test(test_a_name_with_a_nul_is_no_name),
-		cmocka_unit_test(test_a_lease_survives_the_round_trip),
-		cmocka_unit_test(test_a_usage_report_has_one_form),
+		cmocka_unit_test(test_reserved_headers_are_dropped),
+		cmocka_unit_test(test_call_is_parsed),
+		cmocka_unit_test(test_invalid_prompt_parts_are_ignored),
+		cmocka_unit_test(test_call_is_formatted),
+		cmocka_unit_test(test_configuration_is_parsed),
+		cmocka_unit_test(test_unknown_route_kind_is_unsafe),
+		cmocka_unit_test(test_truncated_configuration_is_rejected),
+		cmocka_unit_test(test_list_and_watch_are_parsed),
+		cmocka_unit_test(test_invalid_registration_is_rejected),
+		cmocka_unit_test(test_invalid_text_affects_only_its_entry),
+		cmocka_unit_test(test_name_with_nul_is_empty),
+		cmocka_unit_test(test_lease_round_trip),
+		cmocka_unit_test(test_usage_report_is_deterministic),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
