--- a/tests/process/test_platform_input.c
+++ b/tests/process/test_platform_input.c
@@ -1,6 +1,7 @@
 /*
- * Somebody, or a fault, writes nonsense into the platform's objects. Entries
- * must say so, keep what they have in force and go on serving.
+ * Invalid data is written to objects in the platform's store, by a fault or by
+ * another client. Entries must log it, keep their current bundle and go on
+ * serving.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -79,7 +80,7 @@
 	json_decref(status);
 }
 
-static void test_a_pointer_that_is_no_json(void **state)
+static void test_bundle_pointer_is_not_json(void **state)
 {
 	put_object(*state, "bundle/current", "[not json");
 	wait_for_log(*state, "bundle: dropped a pointer: input");
@@ -87,7 +88,7 @@
 	assert_serves(*state);
 }
 
-static void test_a_body_that_nobody_signed(void **state)
+static void test_bundle_body_is_unsigned(void **state)
 {
 	put_object(*state, "bundles/9-forged",
 		   "{\"payload\":\"{\\\"bundle\\\":{\\\"generation\\\":9,"
@@ -100,10 +101,10 @@
 }
 
 /*
- * A claims object can't be read. Whether a call may run can't be known, so it
- * must be refused as not run, and must not run.
+ * Guards against running a call whose claims object can't be parsed: whether it
+ * may run is then unknown, so it must not run and must be refused as not run.
  */
-static void test_claims_that_are_no_claims(void **state)
+static void test_claims_object_is_malformed(void **state)
 {
 	fleet_t *fleet = *state;
 	char key[32];
@@ -129,9 +130,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_pointer_that_is_no_json),
-		cmocka_unit_test(test_a_body_that_nobody_signed),
-		cmocka_unit_test(test_claims_that_are_no_claims),
+		cmocka_unit_test(test_bundle_pointer_is_not_json),
+		cmocka_unit_test(test_bundle_body_is_unsigned),
+		cmocka_unit_test(test_claims_object_is_malformed),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
--- a/tests/unit/test_platform_boundary.c
+++ b/tests/unit/test_platform_boundary.c
@@ -1,4 +1,4 @@
-/* The names of the platform's wire stand in platform/ and nowhere else. */
+/* Checks that only platform/ uses names of the platform's wire format. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,16 +10,16 @@
 
 #define PLATFORM_LINES_MAX 1500
 
-static const char *const rooms[] = { "core",	       "core/forward",
-				     "ports",	       "adapters",
-				     "adapters/http1", "adapters/gateway",
-				     "programs",       "ctl" };
+static const char *const folders[] = { "core",		 "core/forward",
+				       "ports",		 "adapters",
+				       "adapters/http1", "adapters/gateway",
+				       "programs",	 "ctl" };
 
 /*
- * Headers, paths, fields and words that no other room may know. /objects is not
- * among them: the interface of the product's own platform has that path too.
+ * Headers, paths and fields that no other folder may use. /objects is not
+ * included, since the API of the project's own platform has that path too.
  */
-static const char *const names[] = {
+static const char *const platform_names[] = {
 	"X-Attempt-Id",	   "X-Deadline-Ms",   "X-Prompt-Prefix",
 	"X-Response-Seal", "X-Tenant",	      "X-Expect-Instance",
 	"X-Not-Run",	   "X-Token-Count",   "X-Request-Priority",
@@ -36,23 +36,24 @@
 	"coldLeftMs",	   "\"preemptible\"", "\"servers\"",
 };
 
-static void look_into(const char *path)
+static void check_for_platform_names(const char *path)
 {
 	char *text;
 
 	if (!g_file_get_contents(path, &text, NULL, NULL))
 		fail_msg("can't read %s", path);
-	for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
-		if (strstr(text, names[i]))
-			fail_msg("%s knows the platform's %s", path, names[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(platform_names); i++) {
+		if (strstr(text, platform_names[i]))
+			fail_msg("%s uses the platform's %s", path,
+				 platform_names[i]);
 	}
 	g_free(text);
 }
 
-/* Calls LOOK for each source file of a room. */
-static void each_source(const char *room, void (*look)(const char *path))
+/* Calls CHECK for each .c and .h file of a folder. */
+static void for_each_source(const char *folder, void (*check)(const char *path))
 {
-	GDir *dir = g_dir_open(room, 0, NULL);
+	GDir *dir = g_dir_open(folder, 0, NULL);
 	const char *name;
 
 	assert_non_null(dir);
@@ -62,26 +63,26 @@
 		if (!g_str_has_suffix(name, ".c") &&
 		    !g_str_has_suffix(name, ".h"))
 			continue;
-		path = g_build_filename(room, name, NULL);
-		look(path);
+		path = g_build_filename(folder, name, NULL);
+		check(path);
 		g_free(path);
 	}
 	g_dir_close(dir);
 }
 
-static void test_no_other_room_knows_the_wire(void **state)
+static void test_other_folders_lack_platform_names(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(rooms); i++)
-		each_source(rooms[i], look_into);
+	for (size_t i = 0; i < G_N_ELEMENTS(folders); i++)
+		for_each_source(folders[i], check_for_platform_names);
 }
 
 static unsigned int platform_lines;
 
-/* What keeps time, state or connections is no translation. */
-static void look_at_platform(const char *path)
+/* Fails if a file of platform/ uses clocks, connections or stateful modules. */
+static void check_platform_source(const char *path)
 {
-	static const char *const foreign[] = {
+	static const char *const forbidden[] = {
 		"uv.h",		"adapters/http1", "adapters/gateway",
 		"gateway_now",	"clock_gettime",  "g_rand",
 		"core/lease.h", "token_limits.h", "retry_window.h",
@@ -91,29 +92,29 @@
 
 	if (!g_file_get_contents(path, &text, NULL, NULL))
 		fail_msg("can't read %s", path);
-	for (size_t i = 0; i < G_N_ELEMENTS(foreign); i++) {
-		if (strstr(text, foreign[i]))
-			fail_msg("%s is more than translation: %s", path,
-				 foreign[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(forbidden); i++) {
+		if (strstr(text, forbidden[i]))
+			fail_msg("%s uses %s, which platform/ must not", path,
+				 forbidden[i]);
 	}
 	for (const char *at = text; *at; at++)
 		platform_lines += *at == '\n';
 	g_free(text);
 }
 
-static void test_the_platforms_room_only_translates(void **state)
+static void test_platform_folder_only_converts(void **state)
 {
 	(void)state;
 	platform_lines = 0;
-	each_source("platform", look_at_platform);
+	for_each_source("platform", check_platform_source);
 	assert_true(platform_lines < PLATFORM_LINES_MAX);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_no_other_room_knows_the_wire),
-		cmocka_unit_test(test_the_platforms_room_only_translates),
+		cmocka_unit_test(test_other_folders_lack_platform_names),
+		cmocka_unit_test(test_platform_folder_only_converts),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
