--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -1,4 +1,4 @@
-/* What the platform speaks, in the project's types and back. */
+/* Tests of the conversion between the platform's wire format and our types. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -16,8 +16,8 @@
 }
 
 /*
- * A caller sets headers that are the system's: it would run in another
- * account's name, reserve memory of engines, or have its key shown to them.
+ * Guards against a caller that sets reserved headers: its request would run for
+ * another account or reserve engine memory, or its API key would be forwarded.
  */
 static void test_reserved_headers_are_dropped(void **state)
 {
@@ -67,7 +67,7 @@
 	forward_call_destroy(call);
 }
 
-/* Whatever a caller writes there, nothing is read beyond its end. */
+/* Guards against reading beyond the end of a malformed header. */
 static void test_invalid_prompt_parts_are_ignored(void **state)
 {
 	static const char *const bad[] = { "",	    ",",   ":",	     "zz:1",
@@ -157,7 +157,7 @@
 	forward_config_unref(config);
 }
 
-/* A kind that is not known must not be repeated. */
+/* A request on a route of unknown kind must not be retried. */
 static void test_unknown_route_kind_is_unsafe(void **state)
 {
 	static const char text[] = "{\"version\":1,\"routes\":[{\"host\":\"h\","
@@ -171,7 +171,7 @@
 	forward_config_unref(config);
 }
 
-/* What is cut off or of other types is refused or left out, and never crashes. */
+/* Every proper prefix of a configuration is rejected as invalid input. */
 static void test_truncated_configuration_is_rejected(void **state)
 {
 	(void)state;
@@ -208,7 +208,7 @@
 	wire_page_destroy(page);
 	page = wire_page_parse(watch, strlen(watch), &err);
 	assert_true(wire_page_is_removed(page, 0));
-	/* What came back between the two must not count as older than this. */
+	/* A new registration between the two revisions must not look older. */
 	assert_int_equal(wire_page_object_revision(page, 0), 4);
 	assert_int_equal(wire_page_revision(page), 12);
 	assert_string_equal(wire_page_name(page, 0), "i-1");
@@ -220,7 +220,10 @@
 	"\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"a\","   \
 	"\"slots\":6,\"state\":\"ready\",\"born\":1775915655123}}"
 
-/* Reads a page of a valid entry, one with a spec, and another valid one. */
+/*
+ * Parses a page of three registrations, checks the first and last, which are
+ * valid, and returns the result of parsing the middle one, whose spec is SPEC.
+ */
 static int parse_middle_entry(const char *spec, size_t len,
 			      forward_registration_t *middle, pd_error_t *err)
 {
@@ -253,9 +256,9 @@
 }
 
 /*
- * Somebody else writes an entry among those of upstreams: members are missing
- * or of other types, or the state is none that is known. Sent requests, nobody
- * would answer them; and the entries beside it must hold.
+ * Guards against a registration that another client wrote, with members missing,
+ * of other types, or an unknown state: requests sent there would get no response.
+ * The registrations next to it must stay usable.
  */
 static void test_invalid_registration_is_rejected(void **state)
 {
@@ -297,9 +300,9 @@
 }
 
 /*
- * An entry holds bytes that are no text, halves of characters or numbers beyond
- * all bounds. The JSON library refuses a page with one such string as a whole;
- * a gateway would then know of no upstream, and refuse every caller.
+ * A registration has invalid UTF-8, lone surrogates or numbers out of range. The
+ * JSON library rejects a whole page for one such string; a gateway would then
+ * know of no upstream and refuse every request.
  */
 static void test_invalid_text_affects_only_its_entry(void **state)
 {
@@ -332,7 +335,7 @@
 			 -1);
 }
 
-/* A name cut at a NUL is that of another upstream, which must not be removed. */
+/* Truncated at the NUL, the name would remove another upstream. */
 static void test_name_with_nul_is_empty(void **state)
 {
 	static const char text[] =
@@ -373,8 +376,8 @@
 }
 
 /*
- * A report that is sent twice must be the same bytes; a hash table's order is
- * not the same in every process.
+ * A report that is sent twice must be identical, but the order of a hash table
+ * differs between processes.
  */
 static void test_usage_report_is_deterministic(void **state)
 {
