--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -174,7 +174,7 @@
 		log_decision(&action->decision);
 		explain_note(runner->explain, &action->decision);
 		break;
-	case ACTION_BUNDLE_IN_FORCE:
+	case ACTION_BUNDLE_APPLIED:
 		log_line(G_LOG_LEVEL_INFO, "bundle",
 			 "generation %" G_GUINT64_FORMAT " is in force",
 			 action->generation);
@@ -196,7 +196,7 @@
 
 static void on_caller_gone(void *ctx, caller_id_t caller)
 {
-	event_t event = { .kind = EVENT_CALLER_GONE, .caller = caller };
+	event_t event = { .kind = EVENT_CALLER_DISCONNECTED, .caller = caller };
 
 	runner_handle(ctx, &event);
 }
--- a/adapters/explain.c
+++ b/adapters/explain.c
@@ -43,9 +43,9 @@
 	kept = g_new0(kept_t, 1);
 	kept->request_id = g_strdup(decision->request_id);
 	kept->decision = json_pack("{s:s, s:s, s:s, s:s}", "part",
-				   decision->part, "choice", decision->choice,
-				   "reason", decision->reason, "passed_over",
-				   decision->passed_over);
+				   decision->component, "choice",
+				   decision->choice, "reason", decision->reason,
+				   "passed_over", decision->passed_over);
 	list_append(&explain->kept, &kept->node);
 	if (++explain->count <= KEPT_MAX)
 		return;
--- a/adapters/gateway/checkpoint_record.c
+++ b/adapters/gateway/checkpoint_record.c
@@ -115,7 +115,7 @@
 /* Returns a time of day given in ms, or 0 for any other value. */
 static pd_time_t read_time(const json_t *root, const char *key)
 {
-	return pd_time_of_ms(non_negative(json_object_get(root, key)));
+	return pd_time_from_ms(non_negative(json_object_get(root, key)));
 }
 
 /*
--- a/adapters/gateway/flight_pack.c
+++ b/adapters/gateway/flight_pack.c
@@ -48,9 +48,9 @@
 	if (!fields)
 		return NULL;
 	snapshot = inflight_snapshot_create(msgpack_field_number(&fields[0]));
-	snapshot->boot_time = pd_time_of_ms(msgpack_field_number(&fields[1]));
-	snapshot->started_at = pd_time_of_ms(msgpack_field_number(&fields[2]));
-	snapshot->taken_at = pd_time_of_ms(msgpack_field_number(&fields[3]));
+	snapshot->boot_time = pd_time_from_ms(msgpack_field_number(&fields[1]));
+	snapshot->started_at = pd_time_from_ms(msgpack_field_number(&fields[2]));
+	snapshot->taken_at = pd_time_from_ms(msgpack_field_number(&fields[3]));
 	snapshot->window = (int64_t)msgpack_field_number(&fields[4]);
 	for (uint32_t i = HEADER_FIELDS; i + 1 < count; i += CELL_FIELDS) {
 		char *account = msgpack_field_text(&fields[i]);
--- a/adapters/log_glib.c
+++ b/adapters/log_glib.c
@@ -103,7 +103,7 @@
 /* Writes the line of one routing or placement decision. */
 void log_decision(const decision_t *decision)
 {
-	log_line(G_LOG_LEVEL_INFO, decision->part,
+	log_line(G_LOG_LEVEL_INFO, decision->component,
 		 "request=%s choice=%s reason=\"%s\" passed_over=\"%s\"",
 		 decision->request_id, decision->choice, decision->reason,
 		 decision->passed_over);
--- a/adapters/peer_codec.c
+++ b/adapters/peer_codec.c
@@ -51,7 +51,7 @@
 		msgpack_pack_nil(packer);
 }
 
-static void pack_claim(msgpack_packer *packer, const claim_note_t *note)
+static void pack_claim(msgpack_packer *packer, const claim_msg_t *note)
 {
 	if (!note->key) {
 		msgpack_pack_nil(packer);
@@ -118,9 +118,9 @@
 	msgpack_pack_uint64(&packer, msg->sequence);
 	msgpack_pack_uint64(&packer, msg->generation);
 	pack_member(&packer, &msg->from);
-	msgpack_pack_array(&packer, msg->news_count);
-	for (unsigned int i = 0; i < msg->news_count; i++)
-		pack_member(&packer, &msg->news[i]);
+	msgpack_pack_array(&packer, msg->update_count);
+	for (unsigned int i = 0; i < msg->update_count; i++)
+		pack_member(&packer, &msg->updates[i]);
 	msgpack_pack_array(&packer, msg->leaving_count);
 	for (unsigned int i = 0; i < msg->leaving_count; i++) {
 		msgpack_pack_array(&packer, LEAVING_FIELDS);
@@ -128,7 +128,7 @@
 		msgpack_pack_int64(&packer, msg->leaving[i].leaves_in);
 	}
 	pack_demand(&packer, msg);
-	pack_text(&packer, msg->about);
+	pack_text(&packer, msg->subject);
 	pack_claim(&packer, &msg->claim);
 	pack_handover(&packer, &msg->handover);
 	pack_bytes(&packer, msg->body);
@@ -201,12 +201,13 @@
 static int unpack_news(const msgpack_object *object, peer_msg_t *msg,
 		       pd_error_t *err)
 {
-	if (unpack_array(object, 0, PEER_NEWS_MAX, err) < 0)
+	if (unpack_array(object, 0, PEER_MSG_ITEMS_MAX, err) < 0)
 		return -1;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
 		/* Counted first, so that a half-read one is freed too. */
-		msg->news_count++;
-		if (unpack_member(&object->via.array.ptr[i], &msg->news[i], err) < 0)
+		msg->update_count++;
+		if (unpack_member(&object->via.array.ptr[i], &msg->updates[i],
+				  err) < 0)
 			return -1;
 	}
 	return 0;
@@ -215,7 +216,7 @@
 static int unpack_leaving(const msgpack_object *object, peer_msg_t *msg,
 			  pd_error_t *err)
 {
-	if (unpack_array(object, 0, PEER_NEWS_MAX, err) < 0)
+	if (unpack_array(object, 0, PEER_MSG_ITEMS_MAX, err) < 0)
 		return -1;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
 		const msgpack_object *pair = &object->via.array.ptr[i];
@@ -236,7 +237,7 @@
 static int unpack_demand(const msgpack_object *object, peer_msg_t *msg,
 			 pd_error_t *err)
 {
-	if (unpack_array(object, 0, PEER_NEWS_MAX, err) < 0)
+	if (unpack_array(object, 0, PEER_MSG_ITEMS_MAX, err) < 0)
 		return -1;
 	for (uint32_t i = 0; i < object->via.array.size; i++) {
 		const msgpack_object *pair = &object->via.array.ptr[i];
@@ -272,7 +273,7 @@
 	return 0;
 }
 
-static int unpack_claim(const msgpack_object *object, claim_note_t *note,
+static int unpack_claim(const msgpack_object *object, claim_msg_t *note,
 			pd_error_t *err)
 {
 	const msgpack_object *fields;
@@ -363,14 +364,14 @@
 		return pd_error_set(err, PD_ERROR_VERSION,
 				    "peer message: version %" G_GUINT64_FORMAT,
 				    version);
-	if (unpack_uint(&fields[1], PEER_MSG_KINDS - 1, &kind, err) < 0 ||
+	if (unpack_uint(&fields[1], PEER_MSG_KIND_COUNT - 1, &kind, err) < 0 ||
 	    unpack_uint(&fields[2], UINT64_MAX, &msg->sequence, err) < 0 ||
 	    unpack_uint(&fields[3], UINT64_MAX, &msg->generation, err) < 0 ||
 	    unpack_member(&fields[4], &msg->from, err) < 0 ||
 	    unpack_news(&fields[5], msg, err) < 0 ||
 	    unpack_leaving(&fields[6], msg, err) < 0 ||
 	    unpack_demand(&fields[7], msg, err) < 0 ||
-	    unpack_text(&fields[8], &msg->about, err) < 0 ||
+	    unpack_text(&fields[8], &msg->subject, err) < 0 ||
 	    unpack_claim(&fields[9], &msg->claim, err) < 0 ||
 	    unpack_handover(&fields[10], &msg->handover, err) < 0 ||
 	    unpack_bytes(&fields[11], &msg->body, err) < 0)
--- a/adapters/placer_runner.c
+++ b/adapters/placer_runner.c
@@ -120,8 +120,8 @@
 static void on_bought(void *ctx, const platform_answer_t *answer)
 {
 	buy_ask_t *ask = ctx;
-	placer_event_t event = { .kind = PLACER_BOUGHT,
-				 .bought = { ask->tag, answer->status } };
+	placer_event_t event = { .kind = PLACER_PURCHASE_REPLY,
+				 .purchase = { ask->tag, answer->status } };
 
 	log_line(G_LOG_LEVEL_INFO, PART, "purchase %s: %s", ask->tag,
 		 answer->status == STORE_OK	? "taken"
@@ -162,7 +162,7 @@
 	int64_t running = json_integer_or(answer, "running", -1);
 	bool good = !err && ask->status == 200 && running >= 0;
 	placer_event_t event = {
-		.kind = PLACER_ENGINE,
+		.kind = PLACER_ENGINE_REPLY,
 		.engine = { .vm_id = ask->vm_id,
 			    .status = good ? STORE_OK : STORE_UNKNOWN,
 			    .running = good ? (unsigned int)running : 0 },
--- a/adapters/upstream_http.c
+++ b/adapters/upstream_http.c
@@ -95,7 +95,7 @@
 static void attempt_on_written(void *ctx)
 {
 	attempt_t *attempt = ctx;
-	upstream_event_t event = { .kind = UPSTREAM_WRITTEN };
+	upstream_event_t event = { .kind = UPSTREAM_SENDING };
 
 	attempt->written = true;
 	attempt_emit(attempt, &event);
@@ -144,7 +144,7 @@
 	if (attempt->ended)
 		return;
 	if (!strcmp(sse->name, SSE_COMMENT)) {
-		event.kind = UPSTREAM_ALIVE;
+		event.kind = UPSTREAM_QUEUED;
 		attempt_emit(attempt, &event);
 		return;
 	}
@@ -200,7 +200,7 @@
 		event.data = attempt->answer->str;
 		event.len = attempt->answer->len;
 	} else if (attempt->status == STATUS_BUSY) {
-		event.kind = UPSTREAM_BUSY;
+		event.kind = UPSTREAM_REJECTED;
 	}
 	attempt_end(attempt, &event);
 }
--- a/bench/placement_world.c
+++ b/bench/placement_world.c
@@ -136,19 +136,19 @@
 		perform_lease(day, action);
 		break;
 	case PLACER_BUY:
-		event.kind = PLACER_BOUGHT;
-		event.bought.tag = action->buy.intent.tag;
-		event.bought.status =
+		event.kind = PLACER_PURCHASE_REPLY;
+		event.purchase.tag = action->buy.intent.tag;
+		event.purchase.status =
 			cloud_buy(day->cloud, &action->buy.intent, day->second);
-		day->result.bought += event.bought.status == STORE_OK;
-		day->result.refused += event.bought.status != STORE_OK;
+		day->result.bought += event.purchase.status == STORE_OK;
+		day->result.refused += event.purchase.status != STORE_OK;
 		handle(day, &event);
 		break;
 	case PLACER_RELEASE:
 		cloud_release(day->cloud, action->release.vm_id);
 		break;
 	case PLACER_ENGINE_ORDER:
-		event.kind = PLACER_ENGINE;
+		event.kind = PLACER_ENGINE_REPLY;
 		event.engine.vm_id = action->engine.vm_id;
 		event.engine.running =
 			cloud_drain(day->cloud, action->engine.vm_id, day->second);
--- a/core/adopt.c
+++ b/core/adopt.c
@@ -112,7 +112,7 @@
 	if (!g_hash_table_contains(entry->held, from->request_id))
 		adopt_start(entry, from, account, target);
 	ack = peer_msg_create(PEER_HANDOVER_ACK);
-	ack->about = g_strdup(from->request_id);
+	ack->subject = g_strdup(from->request_id);
 	entry_send_peer(entry, &msg->from, ack);
 }
 
@@ -189,9 +189,9 @@
 {
 	peer_msg_t *answer;
 
-	if (!msg->about)
+	if (!msg->subject)
 		return;
-	answer = adopt_answer(entry, msg->about);
+	answer = adopt_answer(entry, msg->subject);
 	answer->sequence = msg->sequence;
 	entry_send_peer(entry, &msg->from, answer);
 }
--- a/core/attempt.c
+++ b/core/attempt.c
@@ -83,7 +83,7 @@
 	dispatch_drop_attempt(entry, request);
 	if (upstream) {
 		upstream->failed_at = entry->now;
-		upstream->refuses_when_full |= event->kind == UPSTREAM_BUSY;
+		upstream->refuses_when_full |= event->kind == UPSTREAM_REJECTED;
 	}
 	attempt_again(entry, request, cause);
 }
@@ -171,10 +171,10 @@
 	if (!request)
 		return;
 	switch (event->kind) {
-	case UPSTREAM_WRITTEN:
+	case UPSTREAM_SENDING:
 		request->attempt_written = true;
 		break;
-	case UPSTREAM_ALIVE:
+	case UPSTREAM_QUEUED:
 		request->progress_at = entry->now;
 		break;
 	case UPSTREAM_STARTED:
@@ -196,7 +196,7 @@
 		request_reply(entry, request, ACTION_END, NULL, 0, 0);
 		request_end(entry, request);
 		break;
-	case UPSTREAM_BUSY:
+	case UPSTREAM_REJECTED:
 	case UPSTREAM_FAILED:
 		attempt_failed(entry, request, event);
 		break;
--- a/core/demand.c
+++ b/core/demand.c
@@ -29,7 +29,7 @@
 
 typedef struct peer_demand {
 	pd_time_t received_at;
-	account_demand_t demand[PEER_NEWS_MAX];
+	account_demand_t demand[PEER_MSG_ITEMS_MAX];
 	unsigned int count;
 } peer_demand_t;
 
@@ -234,10 +234,10 @@
 		rate = (uint32_t)ceil(local->rate);
 		if (rate == 0)
 			continue;
-		if (msg->demand_count < PEER_NEWS_MAX) {
+		if (msg->demand_count < PEER_MSG_ITEMS_MAX) {
 			slot = &msg->demand[msg->demand_count++];
 		} else {
-			for (unsigned int i = 1; i < PEER_NEWS_MAX; i++) {
+			for (unsigned int i = 1; i < PEER_MSG_ITEMS_MAX; i++) {
 				if (msg->demand[i].per_second < slot->per_second)
 					slot = &msg->demand[i];
 			}
--- a/core/entry.c
+++ b/core/entry.c
@@ -111,7 +111,7 @@
 	action_t *action = action_create(ACTION_DECISION);
 
 	action->decision.request_id = g_strdup(request_id);
-	action->decision.part = g_strdup(part);
+	action->decision.component = g_strdup(part);
 	action->decision.choice = g_strdup(choice);
 	action->decision.reason = g_strdup(reason);
 	action->decision.passed_over = g_strdup(passed_over);
@@ -230,7 +230,7 @@
 	claims_set_retention(entry->claims, bundle->claim_retention);
 	members_set_generation(entry->members, bundle->generation);
 	entry_check_peers(entry);
-	action = action_create(ACTION_BUNDLE_IN_FORCE);
+	action = action_create(ACTION_BUNDLE_APPLIED);
 	action->generation = bundle->generation;
 	list_append(entry->actions, &action->node);
 }
@@ -265,8 +265,8 @@
 {
 	if (msg->kind == PEER_HANDOVER)
 		adopt_handover(entry, msg);
-	else if (msg->kind == PEER_HANDOVER_ACK && msg->about)
-		handover_acknowledged(entry, msg->about);
+	else if (msg->kind == PEER_HANDOVER_ACK && msg->subject)
+		handover_acknowledged(entry, msg->subject);
 	else if (msg->kind == PEER_FIND)
 		adopt_find(entry, msg);
 	else if (msg->kind == PEER_FOUND)
@@ -420,7 +420,7 @@
 	case EVENT_REQUEST:
 		admission_arrive(entry, &event->request);
 		break;
-	case EVENT_CALLER_GONE:
+	case EVENT_CALLER_DISCONNECTED:
 		admission_caller_gone(entry, event->caller);
 		break;
 	case EVENT_UPSTREAM:
--- a/core/event.c
+++ b/core/event.c
@@ -3,7 +3,7 @@
 
 #include "ports/placer_event.h"
 
-static const char *const refusal_names[REFUSALS] = {
+static const char *const refusal_names[REFUSAL_COUNT] = {
 	[REFUSAL_UNAUTHENTICATED] = "unauthenticated",
 	[REFUSAL_FORBIDDEN] = "forbidden",
 	[REFUSAL_UNKNOWN_TARGET] = "unknown-target",
@@ -14,14 +14,14 @@
 	[REFUSAL_OUTCOME_UNKNOWN] = "outcome-unknown",
 };
 
-static const int refusal_statuses[REFUSALS] = {
+static const int refusal_statuses[REFUSAL_COUNT] = {
 	[REFUSAL_UNAUTHENTICATED] = 401, [REFUSAL_FORBIDDEN] = 403,
 	[REFUSAL_UNKNOWN_TARGET] = 404,	 [REFUSAL_KEY_REQUIRED] = 400,
 	[REFUSAL_KEY_REUSED] = 422,	 [REFUSAL_OVER_LIMIT] = 429,
 	[REFUSAL_NOT_RUN] = 503,	 [REFUSAL_OUTCOME_UNKNOWN] = 502,
 };
 
-static const char *const reason_names[REASONS] = {
+static const char *const reason_names[REASON_COUNT] = {
 	[REASON_NONE] = "none",
 	[REASON_QUEUE_FULL] = "queue-full",
 	[REASON_NO_UPSTREAM] = "no-upstream",
@@ -37,21 +37,21 @@
 /* Returns the last part of the problem type that a refusal is sent as. */
 const char *refusal_name(refusal_t refusal)
 {
-	g_assert(refusal >= 0 && refusal < REFUSALS);
+	g_assert(refusal >= 0 && refusal < REFUSAL_COUNT);
 	return refusal_names[refusal];
 }
 
 /* Returns the fixed name of a reason. */
 const char *refusal_reason_name(refusal_reason_t reason)
 {
-	g_assert(reason >= 0 && reason < REASONS);
+	g_assert(reason >= 0 && reason < REASON_COUNT);
 	return reason_names[reason];
 }
 
 /* Returns the HTTP status that a refusal is sent with. */
 int refusal_status(refusal_t refusal)
 {
-	g_assert(refusal >= 0 && refusal < REFUSALS);
+	g_assert(refusal >= 0 && refusal < REFUSAL_COUNT);
 	return refusal_statuses[refusal];
 }
 
@@ -73,7 +73,7 @@
 }
 
 /* Frees the strings of NOTE, not NOTE itself. */
-void claim_note_clear(claim_note_t *note)
+void claim_msg_clear(claim_msg_t *note)
 {
 	g_free(note->key);
 	g_free(note->nonce);
@@ -111,14 +111,14 @@
 	if (!msg)
 		return;
 	member_info_clear(&msg->from);
-	for (unsigned int i = 0; i < msg->news_count; i++)
-		member_info_clear(&msg->news[i]);
+	for (unsigned int i = 0; i < msg->update_count; i++)
+		member_info_clear(&msg->updates[i]);
 	for (unsigned int i = 0; i < msg->leaving_count; i++)
 		g_free(msg->leaving[i].vm_id);
 	for (unsigned int i = 0; i < msg->demand_count; i++)
 		g_free(msg->demand[i].account);
-	g_free(msg->about);
-	claim_note_clear(&msg->claim);
+	g_free(msg->subject);
+	claim_msg_clear(&msg->claim);
 	handover_clear(&msg->handover);
 	g_clear_pointer(&msg->body, g_bytes_unref);
 	g_free(msg);
@@ -141,7 +141,7 @@
 void decision_clear(decision_t *decision)
 {
 	g_free(decision->request_id);
-	g_free(decision->part);
+	g_free(decision->component);
 	g_free(decision->choice);
 	g_free(decision->reason);
 	g_free(decision->passed_over);
@@ -191,7 +191,7 @@
 		decision_clear(&action->decision);
 		break;
 	case ACTION_CANCEL:
-	case ACTION_BUNDLE_IN_FORCE:
+	case ACTION_BUNDLE_APPLIED:
 	case ACTION_STOPPED:
 		break;
 	}
--- a/core/handover.c
+++ b/core/handover.c
@@ -82,7 +82,7 @@
 	request->offers++;
 	request->asked_at = entry->now;
 	msg = peer_msg_create(PEER_HANDOVER);
-	msg->about = g_strdup(request->id);
+	msg->subject = g_strdup(request->id);
 	handover_fill(entry, request, &msg->handover);
 	entry_send_peer(entry, to, msg);
 }
--- a/core/members.c
+++ b/core/members.c
@@ -284,7 +284,7 @@
 static void members_ping_for(members_t *members, const peer_msg_t *msg,
 			     pd_time_t now, list_node_t *actions)
 {
-	const member_info_t *about = members_find(members, msg->about);
+	const member_info_t *about = members_find(members, msg->subject);
 	peer_msg_t *ping;
 
 	if (!about)
@@ -307,8 +307,8 @@
 {
 	members_apply_update(members, &msg->from, now);
 	members_mark_alive(members, msg->from.id);
-	for (unsigned int i = 0; i < msg->news_count; i++)
-		members_apply_update(members, &msg->news[i], now);
+	for (unsigned int i = 0; i < msg->update_count; i++)
+		members_apply_update(members, &msg->updates[i], now);
 	switch (msg->kind) {
 	case PEER_PING:
 		if (msg->sequence)
@@ -334,7 +334,7 @@
 	case PEER_HANDOVER_ACK:
 	case PEER_FIND:
 	case PEER_FOUND:
-	case PEER_MSG_KINDS:
+	case PEER_MSG_KIND_COUNT:
 		break;
 	}
 }
--- a/core/members_detect.c
+++ b/core/members_detect.c
@@ -186,7 +186,7 @@
 						     members->sequence,
 						     helper->info.id, now);
 
-		msg->about = g_strdup(members->ping_target);
+		msg->subject = g_strdup(members->ping_target);
 		members_send(&helper->info, msg, actions);
 	}
 	g_ptr_array_unref(helpers);
--- a/core/members_msg.c
+++ b/core/members_msg.c
@@ -13,10 +13,10 @@
 	list_node_t *node;
 
 	list_init(&sent);
-	while (msg->news_count < PEER_NEWS_MAX &&
+	while (msg->update_count < PEER_MSG_ITEMS_MAX &&
 	       (node = list_pop(&members->updates))) {
 		member_t *member = LIST_ENTRY(node, member_t, update_node);
-		member_info_t *update = &msg->news[msg->news_count++];
+		member_info_t *update = &msg->updates[msg->update_count++];
 
 		member_info_copy(update, &member->info);
 		/* Suspicions are local; peers would disseminate them. */
@@ -48,7 +48,7 @@
 	list_node_t *node;
 
 	list_init(&sent);
-	while (msg->leaving_count < PEER_NEWS_MAX &&
+	while (msg->leaving_count < PEER_MSG_ITEMS_MAX &&
 	       (node = list_pop(&members->leaving))) {
 		leaving_t *leaving = LIST_ENTRY(node, leaving_t, node);
 		leaving_info_t *info = &msg->leaving[msg->leaving_count++];
@@ -77,7 +77,7 @@
 
 	if (!member || member->info.state != MEMBER_DEAD)
 		return;
-	member_info_copy(&msg->news[msg->news_count++], &member->info);
+	member_info_copy(&msg->updates[msg->update_count++], &member->info);
 }
 
 /* Returns a message for the member TO, with updates; the caller owns it. */
--- a/core/placer.c
+++ b/core/placer.c
@@ -70,7 +70,7 @@
 	placer_action_t *action = placer_action_create(PLACER_DECISION);
 
 	action->decision.request_id = g_strdup("-");
-	action->decision.part = g_strdup("placement");
+	action->decision.component = g_strdup("placement");
 	action->decision.choice = g_strdup(choice);
 	action->decision.reason = g_strdup(reason);
 	action->decision.passed_over = g_strdup("");
@@ -177,9 +177,9 @@
 		placer->bundle = event->bundle;
 		event->bundle = NULL;
 		break;
-	case PLACER_BOUGHT:
-		orders_handle_purchase_reply(placer, event->bought.tag,
-					     event->bought.status);
+	case PLACER_PURCHASE_REPLY:
+		orders_handle_purchase_reply(placer, event->purchase.tag,
+					     event->purchase.status);
 		break;
 	case PLACER_PRICES:
 		offers_update(placer->offers, event->prices.offers,
@@ -189,7 +189,7 @@
 		placer_add_demand(placer, event->demand.demands,
 				  event->demand.count);
 		break;
-	case PLACER_ENGINE:
+	case PLACER_ENGINE_REPLY:
 		orders_handle_engine_reply(placer, event->engine.vm_id,
 					   event->engine.status,
 					   event->engine.running);
--- a/core/resume.c
+++ b/core/resume.c
@@ -75,7 +75,7 @@
 		peer_msg_t *msg = peer_msg_create(PEER_FIND);
 
 		msg->sequence = request->attempt;
-		msg->about = g_strdup(event_id);
+		msg->subject = g_strdup(event_id);
 		entry_send_peer(entry, g_ptr_array_index(rank, i), msg);
 	}
 	if (rank->len == 0)
--- a/ports/caller.h
+++ b/ports/caller.h
@@ -38,7 +38,7 @@
 	REFUSAL_OVER_LIMIT,
 	REFUSAL_NOT_RUN,
 	REFUSAL_OUTCOME_UNKNOWN,
-	REFUSALS
+	REFUSAL_COUNT
 } refusal_t;
 
 /* Why a request was not run, or its outcome is not known. */
@@ -53,7 +53,7 @@
 	REASON_UPSTREAM_LOST,
 	REASON_RETRY_BUDGET,
 	REASON_EARLIER_ATTEMPT,
-	REASONS
+	REASON_COUNT
 } refusal_reason_t;
 
 const char *refusal_name(refusal_t refusal);
--- a/ports/clock.h
+++ b/ports/clock.h
@@ -17,7 +17,7 @@
 #define PD_TIME_MAX ((uint64_t)1 << 53)
 
 /* Returns a time that another process tells in ms; PD_TIME_MAX at most. */
-static inline pd_time_t pd_time_of_ms(uint64_t ms)
+static inline pd_time_t pd_time_from_ms(uint64_t ms)
 {
 	const uint64_t most = PD_TIME_MAX / (uint64_t)PD_MSEC;
 
--- a/ports/event.h
+++ b/ports/event.h
@@ -18,7 +18,7 @@
 	EVENT_TICK,
 	EVENT_STOP, /* finish what runs, take nothing new */
 	EVENT_REQUEST,
-	EVENT_CALLER_GONE,
+	EVENT_CALLER_DISCONNECTED,
 	EVENT_UPSTREAM,
 	EVENT_LOAD,
 	EVENT_STORE_REPLY,
@@ -67,14 +67,14 @@
 	ACTION_STORE_WRITE,
 	ACTION_PEER_SEND,
 	ACTION_DECISION, /* one log line */
-	ACTION_BUNDLE_IN_FORCE,
+	ACTION_BUNDLE_APPLIED,
 	ACTION_STOPPED /* nothing is in flight any more */
 } action_kind_t;
 
 /* One routing or placement decision, for the log and for `explain`. */
 typedef struct decision {
 	char *request_id;
-	char *part; /* fixed prefix of the part that decided */
+	char *component; /* fixed prefix of the part that decided */
 	char *choice;
 	char *reason;
 	char *passed_over;
--- a/ports/peer.h
+++ b/ports/peer.h
@@ -12,7 +12,8 @@
 #include "ports/clock.h"
 
 #define PEER_PROTOCOL_VERSION 1
-#define PEER_NEWS_MAX 8 /* members, and leaving VMs, one heartbeat carries */
+#define PEER_MSG_ITEMS_MAX \
+	8 /* members, and leaving VMs, one heartbeat carries */
 
 typedef enum member_state {
 	MEMBER_ALIVE,
@@ -41,16 +42,16 @@
 typedef enum peer_msg_kind {
 	PEER_PING,
 	PEER_ACK,
-	PEER_PING_REQ, /* asks a third entry to ping ABOUT */
+	PEER_PING_REQ, /* asks a third entry to ping SUBJECT */
 	PEER_BUNDLE_PULL,
 	PEER_BUNDLE,
 	PEER_CLAIM, /* asks the entry that writes a claims object */
 	PEER_CLAIM_RESULT,
 	PEER_HANDOVER, /* gives a request to another entry */
 	PEER_HANDOVER_ACK,
-	PEER_FIND, /* asks who holds the request ABOUT */
+	PEER_FIND, /* asks who holds the request SUBJECT */
 	PEER_FOUND,
-	PEER_MSG_KINDS
+	PEER_MSG_KIND_COUNT
 } peer_msg_kind_t;
 
 /* What an entry saw of an account lately, for sharing out its limit. */
@@ -60,7 +61,7 @@
 } account_demand_t;
 
 /* A claim asked for, or its outcome. */
-typedef struct claim_note {
+typedef struct claim_msg {
 	uint64_t ticket; /* of the asker */
 	uint8_t operation; /* claim_op_kind_t of core/claims.h */
 	uint8_t outcome; /* claim_outcome_t of core/claims.h */
@@ -69,7 +70,7 @@
 	char *digest;
 	int32_t status;
 	char *answer; /* NULL if none is recorded */
-} claim_note_t;
+} claim_msg_t;
 
 /* One request with all that another entry needs to finish it. */
 typedef struct handover {
@@ -96,22 +97,22 @@
 	uint64_t sequence; /* an ack repeats that of its ping */
 	uint64_t generation; /* of the bundle the sender has in force */
 	member_info_t from;
-	member_info_t news[PEER_NEWS_MAX];
-	unsigned int news_count;
-	leaving_info_t leaving[PEER_NEWS_MAX];
+	member_info_t updates[PEER_MSG_ITEMS_MAX];
+	unsigned int update_count;
+	leaving_info_t leaving[PEER_MSG_ITEMS_MAX];
 	unsigned int leaving_count;
-	account_demand_t demand[PEER_NEWS_MAX];
+	account_demand_t demand[PEER_MSG_ITEMS_MAX];
 	unsigned int demand_count;
 	/* Of a ping request the member's id, of a search the request's. */
-	char *about;
-	claim_note_t claim; /* of PEER_CLAIM and PEER_CLAIM_RESULT */
+	char *subject;
+	claim_msg_t claim; /* of PEER_CLAIM and PEER_CLAIM_RESULT */
 	handover_t handover; /* of PEER_HANDOVER and PEER_FOUND */
 	GBytes *body; /* of a bundle: the signed envelope */
 } peer_msg_t;
 
 peer_msg_t *peer_msg_create(peer_msg_kind_t kind);
 void peer_msg_destroy(peer_msg_t *msg);
-void claim_note_clear(claim_note_t *note);
+void claim_msg_clear(claim_msg_t *note);
 void handover_clear(handover_t *handover);
 void member_info_copy(member_info_t *to, const member_info_t *from);
 void member_info_clear(member_info_t *info);
--- a/ports/placer_event.h
+++ b/ports/placer_event.h
@@ -77,10 +77,10 @@
 	PLACER_LEASE_REPLY,
 	PLACER_VM_LIST,
 	PLACER_BUNDLE,
-	PLACER_BOUGHT, /* the cloud answered, or did not */
+	PLACER_PURCHASE_REPLY, /* the cloud answered, or did not */
 	PLACER_PRICES,
 	PLACER_DEMAND,
-	PLACER_ENGINE /* an engine answered an order, or did not */
+	PLACER_ENGINE_REPLY /* an engine answered an order, or did not */
 } placer_event_kind_t;
 
 typedef struct placer_event {
@@ -96,7 +96,7 @@
 		struct {
 			const char *tag; /* borrowed */
 			store_status_t status; /* DOWN: refused */
-		} bought;
+		} purchase;
 		struct {
 			const offer_t *offers;
 			size_t count;
--- a/ports/upstream.h
+++ b/ports/upstream.h
@@ -37,13 +37,13 @@
 } dispatch_t;
 
 typedef enum upstream_event_kind {
-	UPSTREAM_WRITTEN, /* the first byte may have left this process */
-	UPSTREAM_ALIVE, /* it waits for its turn at the engine */
+	UPSTREAM_SENDING, /* the first byte may have left this process */
+	UPSTREAM_QUEUED, /* it waits for its turn at the engine */
 	UPSTREAM_STARTED, /* the engine has set up the prompt */
 	UPSTREAM_TOKEN, /* one token of a model's answer */
 	UPSTREAM_ANSWER, /* the whole answer of a plain service */
 	UPSTREAM_END, /* the model's answer is whole */
-	UPSTREAM_BUSY, /* refused before it ran: full, leaving, or old fence */
+	UPSTREAM_REJECTED, /* refused before it ran: full, leaving, or old fence */
 	UPSTREAM_FAILED
 } upstream_event_kind_t;
 
--- a/tests/property/test_decoders.cc
+++ b/tests/property/test_decoders.cc
@@ -35,15 +35,15 @@
 	msg->from.address = g_strdup("127.0.0.1");
 	msg->from.peer_port = *rc::gen::arbitrary<uint16_t>();
 	msg->from.incarnation = *rc::gen::arbitrary<uint64_t>();
-	msg->news_count = 1;
-	member_info_copy(&msg->news[0], &msg->from);
+	msg->update_count = 1;
+	member_info_copy(&msg->updates[0], &msg->from);
 	msg->leaving_count = 1;
 	msg->leaving[0].vm_id = g_strdup("vm-1");
 	msg->leaving[0].leaves_in = 5;
 	msg->demand_count = 1;
 	msg->demand[0].account = g_strdup("line");
 	msg->demand[0].per_second = 7;
-	msg->about = g_strdup("entry-2");
+	msg->subject = g_strdup("entry-2");
 	msg->claim.key = g_strdup("k");
 	msg->claim.nonce = g_strdup("n");
 	msg->claim.digest = g_strdup("d");
--- a/tests/property/test_placer.cc
+++ b/tests/property/test_placer.cc
@@ -320,13 +320,13 @@
 		const intent_t *intent = &message.action->buy.intent;
 		bool known = tags.count(intent->tag) > 0;
 
-		message.event.kind = PLACER_BOUGHT;
-		message.event.bought.tag = intent->tag;
-		message.event.bought.status = STORE_OK;
+		message.event.kind = PLACER_PURCHASE_REPLY;
+		message.event.purchase.tag = intent->tag;
+		message.event.purchase.status = STORE_OK;
 		if (known && tags_are_idempotent)
 			return;
 		if (now < refusing_until) {
-			message.event.bought.status = STORE_DOWN;
+			message.event.purchase.status = STORE_DOWN;
 			return;
 		}
 		tags.insert(intent->tag);
@@ -341,7 +341,7 @@
 	{
 		cloud_vm *vm = find(message.action->engine.vm_id);
 
-		message.event.kind = PLACER_ENGINE;
+		message.event.kind = PLACER_ENGINE_REPLY;
 		message.event.engine.vm_id = message.action->engine.vm_id;
 		message.event.engine.status = vm ? STORE_OK : STORE_UNKNOWN;
 		if (!vm)
--- a/tests/property/test_streams.cc
+++ b/tests/property/test_streams.cc
@@ -167,13 +167,13 @@
 		drive_upstream(drive, UPSTREAM_FAILED, attempt.id, 0, false);
 		break;
 	case 2:
-		drive_upstream(drive, UPSTREAM_BUSY, attempt.id, 0, false);
+		drive_upstream(drive, UPSTREAM_REJECTED, attempt.id, 0, false);
 		break;
 	case 3:
 		drive_upstream(drive, UPSTREAM_STARTED, attempt.id, 0, true);
 		break;
 	case 4:
-		drive_upstream(drive, UPSTREAM_WRITTEN, attempt.id, 0, true);
+		drive_upstream(drive, UPSTREAM_SENDING, attempt.id, 0, true);
 		break;
 	default:
 		if (attempt.next < TOKENS)
@@ -218,7 +218,7 @@
 		return;
 	event_t event = {};
 
-	event.kind = EVENT_CALLER_GONE;
+	event.kind = EVENT_CALLER_DISCONNECTED;
 	event.caller = pick<caller_id_t>(1, drive->next_caller + 1);
 	callers[event.caller].gone = true;
 	drive_event(drive, &event);
--- a/tests/unit/test_entry.c
+++ b/tests/unit/test_entry.c
@@ -121,7 +121,7 @@
 	attempt = expect_dispatch(drive, 0);
 	for (int i = 0; i < 10; i++) {
 		drive_tick(drive, 1 * PD_SEC);
-		drive_upstream(drive, UPSTREAM_ALIVE, attempt, 0, true);
+		drive_upstream(drive, UPSTREAM_QUEUED, attempt, 0, true);
 	}
 	assert_int_equal(drive_count(drive, ACTION_CANCEL), 0);
 	drive_tick(drive, 5 * PD_SEC);
@@ -176,7 +176,7 @@
 	drive_t *drive = *state;
 	attempt_id_t attempt = claimed_call(drive, "k");
 
-	drive_upstream(drive, UPSTREAM_WRITTEN, attempt, 0, true);
+	drive_upstream(drive, UPSTREAM_SENDING, attempt, 0, true);
 	drive_upstream(drive, UPSTREAM_FAILED, attempt, 0, true);
 	expect_refusal(drive, REFUSAL_OUTCOME_UNKNOWN, REASON_UPSTREAM_LOST);
 	assert_int_equal(drive_count(drive, ACTION_DISPATCH), 0);
--- a/tests/unit/test_handover.c
+++ b/tests/unit/test_handover.c
@@ -80,7 +80,7 @@
 	drive_request(drive, TARGET_SERVICE, "once", "k");
 	answer_store(drive, STORE_MISSING, STORE_OK);
 	attempt = expect_dispatch(drive, 0);
-	drive_upstream(drive, UPSTREAM_WRITTEN, attempt, 0, true);
+	drive_upstream(drive, UPSTREAM_SENDING, attempt, 0, true);
 	drive_event(drive, &stop);
 	drive_event(drive, &stop);
 	assert_false(stops_within(drive, 5 * PD_SEC));
--- a/tests/unit/test_move.c
+++ b/tests/unit/test_move.c
@@ -310,7 +310,7 @@
 		action_t *action = drive_take(drive, ACTION_DISPATCH);
 
 		if (action) {
-			drive_upstream(drive, UPSTREAM_BUSY,
+			drive_upstream(drive, UPSTREAM_REJECTED,
 				       action->dispatch.attempt, 0, false);
 			action_destroy(action);
 			tries++;
@@ -435,7 +435,7 @@
 static void test_a_hang_up_frees_the_slot(void **state)
 {
 	drive_t *drive = *state;
-	event_t gone = { .kind = EVENT_CALLER_GONE };
+	event_t gone = { .kind = EVENT_CALLER_DISCONNECTED };
 	action_t *action;
 
 	drive_vms(drive, 1, 0, 1);
--- a/tests/unit/test_placer.c
+++ b/tests/unit/test_placer.c
@@ -47,9 +47,9 @@
 {
 	bool refused = fixture->refuse_starts &&
 		       (intent->reclaimable || !strcmp(intent->zone, "a"));
-	placer_event_t event = { .kind = PLACER_BOUGHT,
-				 .bought = { intent->tag,
-					     refused ? STORE_DOWN : STORE_OK } };
+	placer_event_t event = { .kind = PLACER_PURCHASE_REPLY,
+				 .purchase = { intent->tag,
+					       refused ? STORE_DOWN : STORE_OK } };
 	vm_t *vm = &fixture->vms[fixture->count];
 
 	if (refused) {
@@ -205,7 +205,7 @@
 static void test_vm_with_streams_is_not_released(void **state)
 {
 	fixture_t *fixture = *state;
-	placer_event_t event = { .kind = PLACER_ENGINE };
+	placer_event_t event = { .kind = PLACER_ENGINE_REPLY };
 
 	set_workers(fixture, 2);
 	run_seconds(fixture, 30);
