--- a/ports/caller.h
+++ b/ports/caller.h
@@ -1,7 +1,7 @@
 /*
- * What callers ask and what they are told. The refusals are the product's
- * promise: REFUSAL_NOT_RUN is said only where nothing was written to any
- * upstream, and everything else that ends without an answer is
+ * Callers' requests and the errors that they receive. Callers rely on the
+ * meaning of the errors: REFUSAL_NOT_RUN is returned only if nothing was written
+ * to any upstream; any other request that ends without an answer gets
  * REFUSAL_OUTCOME_UNKNOWN.
  */
 #ifndef PISTACHIO_CALLER_PORT_H
@@ -13,20 +13,20 @@
 
 #include "core/bundle.h"
 
-typedef uint64_t caller_id_t; /* one waiting caller, named by the adapter */
+typedef uint64_t caller_id_t; /* of a waiting caller, assigned by the adapter */
 
 typedef struct caller_request {
 	caller_id_t caller;
 	target_kind_t kind;
-	const char *key_hash; /* of the caller's key; NULL if none was given */
+	const char *key_hash; /* of the caller's API key; NULL if none was sent */
 	const char *target;
 	const char *path;
 	const char *idempotency_key; /* NULL if none */
-	GBytes *body; /* borrowed; a prompt or a service's body */
+	GBytes *body; /* borrowed; a prompt or a request body for a service */
 	unsigned int max_tokens;
 	bool stream;
-	const char *resume_id; /* request to take up again, NULL if new */
-	uint64_t resume_offset; /* tokens of it that the caller has */
+	const char *resume_id; /* id of the request to resume; NULL if new */
+	uint64_t resume_offset; /* tokens that the caller already has */
 } caller_request_t;
 
 typedef enum refusal {
@@ -34,14 +34,14 @@
 	REFUSAL_FORBIDDEN,
 	REFUSAL_UNKNOWN_TARGET,
 	REFUSAL_KEY_REQUIRED,
-	REFUSAL_KEY_REUSED, /* the key came before with another body */
+	REFUSAL_KEY_REUSED, /* the key was used before with another body */
 	REFUSAL_OVER_LIMIT,
 	REFUSAL_NOT_RUN,
 	REFUSAL_OUTCOME_UNKNOWN,
 	REFUSAL_COUNT
 } refusal_t;
 
-/* Why a request was not run, or its outcome is not known. */
+/* Why a request was not run, or why its outcome is unknown. */
 typedef enum refusal_reason {
 	REASON_NONE,
 	REASON_QUEUE_FULL,
--- a/ports/clock.h
+++ b/ports/clock.h
@@ -1,7 +1,7 @@
 /*
- * Time as the core sees it. It comes in with each event; the core never asks
- * for it. The runtime's clock is monotonic, so differences are safe and an
- * absolute value means nothing outside the process.
+ * Time in the core. The core never reads a clock: each event carries the time.
+ * The clock is monotonic, so differences are valid, and an absolute value has no
+ * meaning outside the process.
  */
 #ifndef PISTACHIO_CLOCK_H
 #define PISTACHIO_CLOCK_H
@@ -13,15 +13,15 @@
 #define PD_USEC ((pd_time_t)1)
 #define PD_MSEC ((pd_time_t)1000)
 #define PD_SEC ((pd_time_t)1000000)
-/* Times that other processes tell, in microseconds, are a mistake beyond this. */
+/* Greatest valid time from another process, in microseconds. */
 #define PD_TIME_MAX ((uint64_t)1 << 53)
 
-/* Returns a time that another process tells in ms; PD_TIME_MAX at most. */
+/* Converts a time from another process, in ms; returns PD_TIME_MAX at max. */
 static inline pd_time_t pd_time_from_ms(uint64_t ms)
 {
-	const uint64_t most = PD_TIME_MAX / (uint64_t)PD_MSEC;
+	const uint64_t max = PD_TIME_MAX / (uint64_t)PD_MSEC;
 
-	return (pd_time_t)(ms < most ? ms : most) * PD_MSEC;
+	return (pd_time_t)(ms < max ? ms : max) * PD_MSEC;
 }
 
 #endif
--- a/ports/event.h
+++ b/ports/event.h
@@ -1,7 +1,8 @@
 /*
- * The contract between the entry's core and its adapters: an event comes in
- * with the time, and a list of actions comes out. What an event points to is
- * borrowed for the call; what an action points to belongs to the action.
+ * The interface between the entry's core and its adapters: the core takes an
+ * event with the current time and returns a list of actions. Data that an event
+ * points to is borrowed for the call; data that an action points to is owned by
+ * the action.
  */
 #ifndef PISTACHIO_EVENT_H
 #define PISTACHIO_EVENT_H
@@ -16,7 +17,7 @@
 
 typedef enum event_kind {
 	EVENT_TICK,
-	EVENT_STOP, /* finish what runs, take nothing new */
+	EVENT_STOP, /* finish requests in flight, accept no new ones */
 	EVENT_REQUEST,
 	EVENT_CALLER_DISCONNECTED,
 	EVENT_UPSTREAM,
@@ -24,14 +25,14 @@
 	EVENT_STORE_REPLY,
 	EVENT_VM_LIST,
 	EVENT_PEER_MSG,
-	EVENT_PEER_SEEDS, /* entries that the platform lists */
-	EVENT_BUNDLE /* a body whose signature has been checked */
+	EVENT_PEER_SEEDS, /* entries listed by the platform */
+	EVENT_BUNDLE /* a bundle whose signature has been verified */
 } event_kind_t;
 
 typedef struct event {
 	event_kind_t kind;
 	pd_time_t now;
-	int64_t wall; /* seconds; for the retention of claims only */
+	int64_t wall; /* wall-clock time in seconds; only for claim retention */
 	union {
 		caller_request_t request;
 		caller_id_t caller;
@@ -48,7 +49,7 @@
 			size_t count;
 		} seeds;
 		struct {
-			bundle_t *bundle; /* taken over: set to NULL */
+			bundle_t *bundle; /* ownership is taken: set to NULL */
 			GBytes *envelope;
 		} bundle;
 	};
@@ -56,28 +57,28 @@
 
 typedef enum action_kind {
 	ACTION_DISPATCH,
-	ACTION_CANCEL, /* drop an attempt; nothing more is heard of it */
-	ACTION_PROBE, /* ask an upstream for its load */
+	ACTION_CANCEL, /* abort an attempt; no more events follow for it */
+	ACTION_PROBE, /* request an upstream's load */
 	ACTION_TOKEN, /* to a caller */
-	ACTION_ANSWER, /* to a caller: a plain service's answer */
-	ACTION_END, /* to a caller: a model's answer is whole */
-	ACTION_MOVED, /* to a caller: come back, to any entry, with the id */
+	ACTION_ANSWER, /* to a caller: the answer of a plain service */
+	ACTION_END, /* to a caller: a model's answer is complete */
+	ACTION_MOVED, /* to a caller: resume at any entry, with the request id */
 	ACTION_REFUSE, /* to a caller */
 	ACTION_STORE_READ,
 	ACTION_STORE_WRITE,
 	ACTION_PEER_SEND,
-	ACTION_DECISION, /* one log line */
+	ACTION_DECISION, /* log a decision */
 	ACTION_BUNDLE_APPLIED,
-	ACTION_STOPPED /* nothing is in flight any more */
+	ACTION_STOPPED /* no requests are in flight any more */
 } action_kind_t;
 
 /* One routing or placement decision, for the log and for `explain`. */
 typedef struct decision {
 	char *request_id;
-	char *component; /* fixed prefix of the part that decided */
+	char *component; /* the component that decided, for filtering the log */
 	char *choice;
 	char *reason;
-	char *passed_over;
+	char *passed_over; /* the candidates that were not chosen */
 } decision_t;
 
 typedef struct action {
@@ -98,20 +99,20 @@
 			char *data;
 			size_t len;
 			int status;
-			bool replayed; /* recorded by an earlier attempt */
+			bool replayed; /* the recorded answer of an earlier attempt */
 		} reply;
 		struct {
 			caller_id_t caller;
-			char *request_id; /* NULL if none was given out */
+			char *request_id; /* NULL if none was assigned */
 			refusal_t refusal;
 			refusal_reason_t reason;
-			pd_time_t retry_after; /* 0: coming back won't help */
+			pd_time_t retry_after; /* 0: a retry would not help */
 		} refuse;
 		struct {
 			store_op_t op;
 			char *key;
-			uint64_t version; /* that a write replaces; 0: none */
-			claim_table_t *table; /* of a write */
+			uint64_t version; /* expected by a write; 0: no object */
+			claim_table_t *table; /* to be written */
 		} store;
 		struct {
 			char *address;
--- a/ports/peer.h
+++ b/ports/peer.h
@@ -1,6 +1,6 @@
 /*
- * What entries tell each other. One heartbeat carries a bounded number of news
- * items, so its size does not grow with the fleet.
+ * Messages between entries. A message carries a bounded number of items of each
+ * kind, so its size does not grow with the fleet.
  */
 #ifndef PISTACHIO_PEER_PORT_H
 #define PISTACHIO_PEER_PORT_H
@@ -12,17 +12,16 @@
 #include "ports/clock.h"
 
 #define PEER_PROTOCOL_VERSION 1
-#define PEER_MSG_ITEMS_MAX \
-	8 /* members, and leaving VMs, one heartbeat carries */
+#define PEER_MSG_ITEMS_MAX 8 /* of each kind: members, leaving VMs, demand */
 
 typedef enum member_state {
 	MEMBER_ALIVE,
 	MEMBER_SUSPECT,
 	MEMBER_DEAD,
-	MEMBER_LEFT /* stopped as planned */
+	MEMBER_LEFT /* stopped on request */
 } member_state_t;
 
-/* Where an entry can be reached, and the latest news of it. */
+/* An entry's addresses and the latest known state of it. */
 typedef struct member_info {
 	char *id;
 	char *zone;
@@ -33,36 +32,36 @@
 	member_state_t state;
 } member_info_t;
 
-/* A VM that has been told to leave. */
+/* A VM that has received a reclaim notice. */
 typedef struct leaving_info {
 	char *vm_id;
-	pd_time_t leaves_in; /* time left when the message was written */
+	pd_time_t leaves_in; /* time left when the message was encoded */
 } leaving_info_t;
 
 typedef enum peer_msg_kind {
 	PEER_PING,
 	PEER_ACK,
-	PEER_PING_REQ, /* asks a third entry to ping SUBJECT */
+	PEER_PING_REQ, /* requests that the receiver ping SUBJECT */
 	PEER_BUNDLE_PULL,
 	PEER_BUNDLE,
-	PEER_CLAIM, /* asks the entry that writes a claims object */
+	PEER_CLAIM, /* sent to the entry that writes the claims object */
 	PEER_CLAIM_RESULT,
-	PEER_HANDOVER, /* gives a request to another entry */
+	PEER_HANDOVER, /* transfers a request to another entry */
 	PEER_HANDOVER_ACK,
-	PEER_FIND, /* asks who holds the request SUBJECT */
+	PEER_FIND, /* asks which entry has the request SUBJECT */
 	PEER_FOUND,
 	PEER_MSG_KIND_COUNT
 } peer_msg_kind_t;
 
-/* What an entry saw of an account lately, for sharing out its limit. */
+/* The recent demand of an account at one entry, for dividing up its limit. */
 typedef struct account_demand {
 	char *account;
 	uint32_t per_second; /* requests, rounded up */
 } account_demand_t;
 
-/* A claim asked for, or its outcome. */
+/* A claim operation that is requested, or its outcome. */
 typedef struct claim_msg {
-	uint64_t ticket; /* of the asker */
+	uint64_t ticket; /* assigned by the requester */
 	uint8_t operation; /* claim_op_kind_t of core/claims.h */
 	uint8_t outcome; /* claim_outcome_t of core/claims.h */
 	char *key;
@@ -72,30 +71,30 @@
 	char *answer; /* NULL if none is recorded */
 } claim_msg_t;
 
-/* One request with all that another entry needs to finish it. */
+/* A request with all state that another entry needs to complete it. */
 typedef struct handover {
 	char *request_id;
 	char *account; /* name */
 	char *target;
 	char *path;
 	char *idempotency_key; /* NULL if none */
-	char *claim_key; /* NULL if it may be repeated */
+	char *claim_key; /* NULL if the request is repeatable */
 	char *nonce;
 	char *vm_id; /* of the last attempt, NULL if none */
-	char *emitted; /* text so far */
-	uint64_t offset; /* tokens in that text */
+	char *emitted; /* answer text so far */
+	uint64_t offset; /* tokens in EMITTED */
 	uint32_t max_tokens;
 	bool written; /* some attempt may have reached an upstream */
-	bool ended; /* the answer is whole */
+	bool ended; /* the answer is complete */
 	int32_t status; /* of a plain service's answer, if ended */
-	pd_time_t deadline_in; /* time left when the message was written */
+	pd_time_t deadline_in; /* time left when the message was encoded */
 	GBytes *body;
 } handover_t;
 
 typedef struct peer_msg {
 	peer_msg_kind_t kind;
-	uint64_t sequence; /* an ack repeats that of its ping */
-	uint64_t generation; /* of the bundle the sender has in force */
+	uint64_t sequence; /* an ack has that of its ping */
+	uint64_t generation; /* of the sender's current bundle */
 	member_info_t from;
 	member_info_t updates[PEER_MSG_ITEMS_MAX];
 	unsigned int update_count;
@@ -103,11 +102,12 @@
 	unsigned int leaving_count;
 	account_demand_t demand[PEER_MSG_ITEMS_MAX];
 	unsigned int demand_count;
-	/* Of a ping request the member's id, of a search the request's. */
+	/* A member id in PEER_PING_REQ, otherwise a request id. */
 	char *subject;
 	claim_msg_t claim; /* of PEER_CLAIM and PEER_CLAIM_RESULT */
 	handover_t handover; /* of PEER_HANDOVER and PEER_FOUND */
-	GBytes *body; /* of a bundle: the signed envelope */
+	/* PEER_BUNDLE: the signed envelope; PEER_FOUND: text not sent yet. */
+	GBytes *body;
 } peer_msg_t;
 
 peer_msg_t *peer_msg_create(peer_msg_kind_t kind);
--- a/ports/placer_event.h
+++ b/ports/placer_event.h
@@ -1,6 +1,6 @@
 /*
- * The contract between the placer's core and its adapters, in the same manner
- * as the entry's in event.h.
+ * The interface between the placer's core and its adapters. Ownership is as in
+ * event.h.
  */
 #ifndef PISTACHIO_PLACER_EVENT_H
 #define PISTACHIO_PLACER_EVENT_H
@@ -12,42 +12,41 @@
 
 #define INTENTS_MAX 32
 
-/* One way to get a VM, and what it costs. */
+/* A kind of VM that the cloud offers, and its price. */
 typedef struct offer {
 	char *zone;
 	char *machine_class;
 	bool reclaimable;
 	int64_t price; /* per hour, in millionths of the currency */
-	unsigned int slots; /* requests that one VM runs side by side */
+	unsigned int slots; /* concurrent requests that one VM runs */
 } offer_t;
 
 /*
- * What callers ask of one target, summed up over the entries: the requests that
- * would run side by side if none waited, that is the rate of arrivals times the
- * mean time a request runs, and what is needed to serve within a minute what
- * waits. The queue itself is not counted: while VMs start it grows with every
- * second, and counted whole it has far too many bought.
+ * Demand for one target, summed over the entries: the number of requests that
+ * would run concurrently without queueing (arrival rate times mean service
+ * time), plus the capacity that serves the queue within a minute. The queue
+ * length itself is not added: it grows while VMs start, and adding it in full
+ * would buy far too many.
  */
 typedef struct demand {
 	const char *target; /* borrowed */
 	unsigned int requests;
-	unsigned int urgent; /* of these */
+	unsigned int urgent; /* the part of REQUESTS that is urgent */
 } demand_t;
 
 /*
- * The state that an engine is to be in. An order names a state and not a step,
- * so that one that comes twice or late changes nothing that the next one does
- * not put right.
+ * The desired state of an engine. An order names a state, not a transition, so
+ * a duplicate or late order is corrected by the next one.
  */
 typedef enum engine_role { ENGINE_SERVING, ENGINE_DRAINING } engine_role_t;
 
 /*
- * A purchase or a release that was decided; written down before it is ordered,
- * so that whoever acts next goes on with it.
+ * A purchase or release that was decided. It is stored in the lease record
+ * before it is ordered, so that the next lease holder can continue it.
  */
 typedef struct intent {
 	char *tag;
-	char *vm_id; /* to drain and release; NULL: a purchase */
+	char *vm_id; /* the VM to drain and release; NULL: a purchase */
 	char *target;
 	char *zone;
 	char *machine_class;
@@ -57,9 +56,9 @@
 /* The content of the lease object. */
 typedef struct lease_record {
 	char *holder;
-	uint64_t fence; /* grows with each change of holder */
-	uint64_t renewals; /* grows with each write, so a renewal shows */
-	char *note; /* what the holder wrote down before acting; NULL: none */
+	uint64_t fence; /* fencing token: increases when the holder changes */
+	uint64_t renewals; /* increases with each write, to make renewals visible */
+	char *note; /* state that the holder stored before acting; NULL: none */
 	intent_t intents[INTENTS_MAX];
 	unsigned int intent_count;
 } lease_record_t;
@@ -77,10 +76,10 @@
 	PLACER_LEASE_REPLY,
 	PLACER_VM_LIST,
 	PLACER_BUNDLE,
-	PLACER_PURCHASE_REPLY, /* the cloud answered, or did not */
+	PLACER_PURCHASE_REPLY, /* the cloud's reply, or a timeout */
 	PLACER_PRICES,
 	PLACER_DEMAND,
-	PLACER_ENGINE_REPLY /* an engine answered an order, or did not */
+	PLACER_ENGINE_REPLY /* an engine's reply to an order, or a timeout */
 } placer_event_kind_t;
 
 typedef struct placer_event {
@@ -92,10 +91,10 @@
 			const vm_t *vms;
 			size_t count;
 		} vm_list;
-		bundle_t *bundle; /* taken over: set to NULL */
+		bundle_t *bundle; /* ownership is taken: set to NULL */
 		struct {
 			const char *tag; /* borrowed */
-			store_status_t status; /* DOWN: refused */
+			store_status_t status; /* STORE_DOWN: refused */
 		} purchase;
 		struct {
 			const offer_t *offers;
@@ -108,7 +107,7 @@
 		struct {
 			const char *vm_id; /* borrowed */
 			store_status_t status;
-			unsigned int running; /* requests it still has */
+			unsigned int running; /* its requests in flight */
 		} engine;
 	};
 } placer_event_t;
@@ -128,13 +127,13 @@
 	union {
 		struct {
 			store_op_t op;
-			uint64_t version; /* that a write replaces; 0: none */
+			uint64_t version; /* expected by a write; 0: no object */
 			lease_record_t *record;
 		} lease;
 		struct {
 			intent_t intent;
 			uint64_t fence;
-			pd_time_t not_after; /* the lease lapses then */
+			pd_time_t not_after; /* when the lease expires */
 		} buy;
 		struct {
 			char *vm_id;
