--- a/adapters/gateway/caller.c
+++ b/adapters/gateway/caller.c
@@ -67,7 +67,7 @@
 	caller->reading_request = false;
 	if (!caller->request)
 		return;
-	http1_hold(caller->conn);
+	http1_pause(caller->conn);
 	gateway_request_start(caller->request);
 }
 
@@ -99,7 +99,8 @@
 	caller->conn = http1_create(gateway->loop, HTTP1_SERVER, &events, caller);
 	list_append(&gateway->callers, &caller->node);
 	if (gateway->config)
-		http1_limit_head(caller->conn, gateway->config->header_bytes_max);
+		http1_set_head_limit(caller->conn,
+				     gateway->config->header_bytes_max);
 	if (http1_accept(caller->conn, listener) < 0) {
 		http1_close(caller->conn);
 		caller_free(caller);
@@ -205,7 +206,7 @@
 		caller_t *caller = LIST_ENTRY(it, caller_t, node);
 
 		if (caller->request && !caller->reading_request) {
-			if (http1_unsent(caller->conn) > UNSENT_BYTES_MAX) {
+			if (http1_unsent_bytes(caller->conn) > UNSENT_BYTES_MAX) {
 				gateway_request_abandon(caller->request,
 							"answer not read");
 				caller_abort(caller);
--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -402,7 +402,7 @@
 	call->started_at = now;
 	path = wire_list_path(reader->kind, NULL);
 	http1_client_call(reader->checkpoint->gateway->store,
-			  &(http1_ask_t){
+			  &(http1_request_t){
 				  .method = "GET",
 				  .path = path,
 				  .timeout_ms = CALL_TIMEOUT_MS,
@@ -488,7 +488,7 @@
 	spec = object_spec(object, text, now);
 	body = wire_record_format(object->name, spec, revision);
 	http1_client_call(object->checkpoint->gateway->store,
-			  &(http1_ask_t){
+			  &(http1_request_t){
 				  .method = revision ? "PUT" : "POST",
 				  .path = path,
 				  .body = body,
--- a/adapters/gateway/duties.c
+++ b/adapters/gateway/duties.c
@@ -99,7 +99,7 @@
 	char *body = write ? wire_lease_format(LEASE_NAME, action->lease.record,
 					       action->lease.version)
 			   : NULL;
-	http1_ask_t ask = {
+	http1_request_t ask = {
 		.method = create  ? "POST"
 			  : write ? "PUT"
 				  : "GET",
@@ -211,10 +211,10 @@
  * borrowed for the call; ON_REPLY is called with CTX.
  */
 void duties_post(const gateway_duties_t *duties, const char *path,
-		 const char *body, http1_replied_t on_reply, void *ctx)
+		 const char *body, http1_on_reply_t on_reply, void *ctx)
 {
 	GString *headers = g_string_new(NULL);
-	http1_ask_t ask = {
+	http1_request_t ask = {
 		.method = "POST",
 		.path = path,
 		.body = body,
--- a/adapters/gateway/duties_state.h
+++ b/adapters/gateway/duties_state.h
@@ -32,7 +32,7 @@
 const duties_note_t *duties_lease_note(gateway_duties_t *duties);
 void duties_add_needs(gateway_duties_t *duties, duties_note_t *note);
 void duties_post(const gateway_duties_t *duties, const char *path,
-		 const char *body, http1_replied_t on_reply, void *ctx);
+		 const char *body, http1_on_reply_t on_reply, void *ctx);
 void duties_run_usage(gateway_duties_t *duties, pd_time_t now);
 void duties_run_scale(gateway_duties_t *duties, pd_time_t now);
 
--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -289,7 +289,7 @@
 		due->kind == STORE_CALL_LIST
 			? wire_list_path(feed->kind, feed->page_after)
 			: wire_watch_path(feed->kind, feed->revision, due->wait);
-	http1_ask_t ask = {
+	http1_request_t ask = {
 		.method = "GET",
 		.path = path,
 		.timeout_ms = (uint64_t)(due->timeout / PD_MSEC),
--- a/adapters/gateway/health.c
+++ b/adapters/gateway/health.c
@@ -37,7 +37,7 @@
 	char *text =
 		g_strdup_printf("HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\n"
 				"Content-Length: %zu\r\n%s\r\n%s",
-				status, http1_reason(status), strlen(body),
+				status, http1_reason_phrase(status), strlen(body),
 				client->keep_alive ? "" : "Connection: close\r\n",
 				body);
 
--- a/adapters/gateway/reload.c
+++ b/adapters/gateway/reload.c
@@ -47,7 +47,7 @@
 			 "address=%s ignored: expected address:port", address);
 		return;
 	}
-	http1_client_move(client, host, port);
+	http1_client_set_address(client, host, port);
 	g_free(host);
 }
 
--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -77,7 +77,7 @@
 	GString *out = g_string_sized_new(request->response_headers->len + 128);
 
 	g_string_printf(out, "HTTP/1.1 %d %s\r\n", request->status,
-			http1_reason(request->status));
+			http1_reason_phrase(request->status));
 	g_string_append_len(out, request->response_headers->str,
 			    (gssize)request->response_headers->len);
 	if (length < 0)
@@ -229,10 +229,10 @@
 {
 	static const char *const reasons[] = {
 		[HTTP1_END_CLOSED] = "upstream closed",
-		[HTTP1_END_CUT] = "upstream broke off",
+		[HTTP1_END_TRUNCATED] = "upstream broke off",
 		[HTTP1_END_RESET] = "upstream reset",
-		[HTTP1_END_REFUSED] = "upstream refused the connection",
-		[HTTP1_END_PROTOCOL] = "upstream sent no answer",
+		[HTTP1_END_CONNECT_FAILED] = "upstream refused the connection",
+		[HTTP1_END_PROTOCOL_ERROR] = "upstream sent no answer",
 		[HTTP1_END_TOO_LARGE] = "upstream's head too large",
 	};
 	gateway_request_t *request = ctx;
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -119,7 +119,7 @@
 	GString *out = g_string_new(NULL);
 
 	g_string_printf(out, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\n", status,
-			http1_reason(status));
+			http1_reason_phrase(status));
 	wire_append_error_headers(out, request->call, retry_after);
 	if (!caller_keeps_alive(caller))
 		g_string_append(out, "Connection: close\r\n");
--- a/adapters/gateway/upstream_link.c
+++ b/adapters/gateway/upstream_link.c
@@ -162,7 +162,7 @@
 void upstream_link_send(upstream_link_t *link, const GString *head,
 			const GByteArray *body, bool to_head)
 {
-	http1_expect_message(link->conn, to_head);
+	http1_expect_response(link->conn, to_head);
 	if (!body || !body->len) {
 		http1_write(link->conn, head->str, head->len);
 		return;
@@ -178,7 +178,7 @@
 /* Expects one more response, after one that belonged to another request. */
 void upstream_link_expect_response(upstream_link_t *link)
 {
-	http1_expect_message(link->conn, false);
+	http1_expect_response(link->conn, false);
 }
 
 /*
@@ -191,7 +191,7 @@
 	pd_time_t now = gateway_now();
 	pd_time_t idle = IDLE_DEFAULT;
 
-	if (http1_unsent(link->conn) ||
+	if (http1_unsent_bytes(link->conn) ||
 	    !forward_upstream_is_serving(link->upstream) ||
 	    link->upstream_incarnation != link->upstream->incarnation) {
 		upstream_link_close(link);
--- a/adapters/http1/http1.c
+++ b/adapters/http1/http1.c
@@ -12,9 +12,9 @@
 #include <sys/socket.h>
 
 /* One read; all connections share the buffer, as the loop has one thread. */
-#define READ_BYTES (64 * 1024)
-/* Bytes taken in while a message is held back, before reading pauses. */
-#define HELD_MAX (64 * 1024)
+#define READ_BUFFER_BYTES (64 * 1024)
+/* Bytes taken in while a message is paused back, before reading pauses. */
+#define PENDING_BYTES_MAX (64 * 1024)
 #define HEADERS_MAX 128
 /* Heads of answers and of calls to services; callers' limit is configured. */
 #define HEAD_BYTES_MAX (64 * 1024)
@@ -23,32 +23,32 @@
  * the two ends has lost track of it. Probes after a second of silence, a second
  * apart, end it within about three; writes left unacknowledged end it as soon.
  */
-#define PROBE_IDLE_S 1
-#define PROBE_INTERVAL_S 1
-#define PROBE_COUNT 2
-#define UNACKED_MAX_MS 2500
+#define KEEPALIVE_IDLE_S 1
+#define KEEPALIVE_INTERVAL_S 1
+#define KEEPALIVE_PROBES 2
+#define UNACKED_TIMEOUT_MS 2500
 
-typedef struct span {
+typedef struct offsets {
 	size_t name; /* offsets into the head's text */
 	size_t value;
-} span_t;
+} header_offsets_t;
 
 struct http1 {
 	uv_tcp_t tcp;
-	uv_connect_t connecting;
-	uv_shutdown_t ending;
+	uv_connect_t connect_req;
+	uv_shutdown_t shutdown_req;
 	http1_side_t side;
 	http1_events_t events;
 	void *ctx;
 	http_parser parser;
 	GString *text; /* the head's strings, each with its end mark */
-	GArray *spans; /* of span_t */
+	GArray *header_offsets; /* of header_offsets_t */
 	bool in_value;
 	bool in_message; /* a message has begun and not ended */
-	bool expecting; /* a client side: an answer is due */
-	bool no_body; /* the answer due is one to HEAD */
-	bool held; /* the next message is kept back */
-	bool bad; /* the head broke a rule of ours */
+	bool expecting_response; /* a client side: an answer is due */
+	bool response_to_head; /* the answer due is one to HEAD */
+	bool paused; /* the next message is kept back */
+	bool malformed; /* the head broke a rule of ours */
 	bool too_large;
 	bool reading;
 	bool draining;
@@ -56,7 +56,7 @@
 	bool ended; /* on_end was called, or is not wanted */
 	size_t head_bytes;
 	size_t head_max;
-	GByteArray *pending; /* read while held */
+	GByteArray *pending; /* read while paused */
 };
 
 typedef struct pending_write {
@@ -64,27 +64,27 @@
 	char bytes[];
 } pending_write_t;
 
-static char read_buffer[READ_BYTES];
+static char read_buffer[READ_BUFFER_BYTES];
 /* Connections that close once their written bytes are with the kernel. */
 static unsigned int draining_count;
 
-static int parser_message_begin(http_parser *parser);
-static int parser_url(http_parser *parser, const char *at, size_t len);
-static int parser_field(http_parser *parser, const char *at, size_t len);
-static int parser_value(http_parser *parser, const char *at, size_t len);
-static int parser_headers(http_parser *parser);
-static int parser_body(http_parser *parser, const char *at, size_t len);
-static int parser_message(http_parser *parser);
-static void conn_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf);
+static int on_parser_message_begin(http_parser *parser);
+static int on_parser_url(http_parser *parser, const char *at, size_t len);
+static int on_parser_header_field(http_parser *parser, const char *at, size_t len);
+static int on_parser_header_value(http_parser *parser, const char *at, size_t len);
+static int on_parser_headers_complete(http_parser *parser);
+static int on_parser_body(http_parser *parser, const char *at, size_t len);
+static int on_parser_message_complete(http_parser *parser);
+static void on_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf);
 
 static const http_parser_settings parser_settings = {
-	.on_message_begin = parser_message_begin,
-	.on_url = parser_url,
-	.on_header_field = parser_field,
-	.on_header_value = parser_value,
-	.on_headers_complete = parser_headers,
-	.on_body = parser_body,
-	.on_message_complete = parser_message,
+	.on_message_begin = on_parser_message_begin,
+	.on_url = on_parser_url,
+	.on_header_field = on_parser_header_field,
+	.on_header_value = on_parser_header_value,
+	.on_headers_complete = on_parser_headers_complete,
+	.on_body = on_parser_body,
+	.on_message_complete = on_parser_message_complete,
 };
 
 /* Returns a connection that is not yet up. Freed by itself after http1_close(). */
@@ -97,7 +97,8 @@
 	conn->events = *events;
 	conn->ctx = ctx;
 	conn->text = g_string_sized_new(256);
-	conn->spans = g_array_sized_new(FALSE, FALSE, sizeof(span_t), 16);
+	conn->header_offsets =
+		g_array_sized_new(FALSE, FALSE, sizeof(header_offsets_t), 16);
 	conn->head_max = HEAD_BYTES_MAX;
 	http_parser_init(&conn->parser,
 			 side == HTTP1_SERVER ? HTTP_REQUEST : HTTP_RESPONSE);
@@ -108,12 +109,12 @@
 }
 
 /* Sets how many bytes a head may have; longer ones end the connection. */
-void http1_limit_head(http1_t *conn, size_t bytes)
+void http1_set_head_limit(http1_t *conn, size_t bytes)
 {
 	conn->head_max = bytes;
 }
 
-static void conn_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
+static void on_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
 	(void)handle;
 	(void)size;
@@ -125,7 +126,7 @@
 	if (conn->reading || conn->closing)
 		return;
 	conn->reading = true;
-	uv_read_start((uv_stream_t *)&conn->tcp, conn_alloc, conn_read);
+	uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 }
 
 static void conn_set_option(int fd, int level, int option, int value)
@@ -134,7 +135,7 @@
 	(void)setsockopt(fd, level, option, &value, sizeof(value));
 }
 
-static void conn_tune(http1_t *conn)
+static void conn_set_options(http1_t *conn)
 {
 	uv_os_fd_t fd;
 
@@ -142,18 +143,18 @@
 	if (uv_fileno((uv_handle_t *)&conn->tcp, &fd) < 0)
 		return;
 	conn_set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, PROBE_IDLE_S);
-	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, PROBE_INTERVAL_S);
-	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, PROBE_COUNT);
-	conn_set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_MAX_MS);
+	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
+	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
+	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES);
+	conn_set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS);
 }
 
-static void conn_closed(uv_handle_t *handle)
+static void on_closed(uv_handle_t *handle)
 {
 	http1_t *conn = handle->data;
 
 	g_string_free(conn->text, TRUE);
-	g_array_unref(conn->spans);
+	g_array_unref(conn->header_offsets);
 	if (conn->pending)
 		g_byte_array_unref(conn->pending);
 	g_free(conn);
@@ -168,21 +169,21 @@
 	conn->closing = true;
 	if (conn->draining)
 		draining_count--;
-	uv_close((uv_handle_t *)&conn->tcp, conn_closed);
+	uv_close((uv_handle_t *)&conn->tcp, on_closed);
 }
 
 static void conn_end(http1_t *conn, http1_end_t end)
 {
-	bool tell = !conn->ended;
+	bool notify = !conn->ended;
 	http1_events_t events = conn->events;
 	void *ctx = conn->ctx;
 
 	http1_close(conn);
-	if (tell)
+	if (notify)
 		events.on_end(ctx, end);
 }
 
-static void conn_shut(uv_shutdown_t *req, int status)
+static void on_shutdown(uv_shutdown_t *req, int status)
 {
 	(void)status;
 	http1_close(req->handle->data);
@@ -203,8 +204,9 @@
 	if (conn->reading)
 		uv_read_stop((uv_stream_t *)&conn->tcp);
 	conn->reading = false;
-	conn->ending.data = conn;
-	if (uv_shutdown(&conn->ending, (uv_stream_t *)&conn->tcp, conn_shut) < 0)
+	conn->shutdown_req.data = conn;
+	if (uv_shutdown(&conn->shutdown_req, (uv_stream_t *)&conn->tcp,
+			on_shutdown) < 0)
 		http1_close(conn);
 }
 
@@ -219,22 +221,22 @@
 {
 	if (uv_accept(listener, (uv_stream_t *)&conn->tcp) < 0)
 		return -1;
-	conn_tune(conn);
+	conn_set_options(conn);
 	conn_start_reading(conn);
 	return 0;
 }
 
-static void conn_connected(uv_connect_t *req, int status)
+static void on_connect_done(uv_connect_t *req, int status)
 {
 	http1_t *conn = req->handle->data;
 
 	if (conn->closing)
 		return;
 	if (status < 0) {
-		conn_end(conn, HTTP1_END_REFUSED);
+		conn_end(conn, HTTP1_END_CONNECT_FAILED);
 		return;
 	}
-	conn_tune(conn);
+	conn_set_options(conn);
 	conn_start_reading(conn);
 	conn->events.on_connected(conn->ctx);
 }
@@ -246,20 +248,20 @@
 
 	if (uv_ip4_addr(address, port, &addr) < 0)
 		return -1;
-	return uv_tcp_connect(&conn->connecting, &conn->tcp,
-			      (const struct sockaddr *)&addr, conn_connected) < 0
+	return uv_tcp_connect(&conn->connect_req, &conn->tcp,
+			      (const struct sockaddr *)&addr, on_connect_done) < 0
 		       ? -1
 		       : 0;
 }
 
-static void write_done(uv_write_t *req, int status)
+static void on_write_done(uv_write_t *req, int status)
 {
 	http1_t *conn = req->handle->data;
 
 	g_free(req);
 	if (status < 0 && !conn->closing)
-		conn_end(conn, conn->in_message || conn->expecting
-				       ? HTTP1_END_CUT
+		conn_end(conn, conn->in_message || conn->expecting_response
+				       ? HTTP1_END_TRUNCATED
 				       : HTTP1_END_RESET);
 }
 
@@ -281,12 +283,13 @@
 	write = g_malloc(sizeof(*write) + len - (size_t)sent);
 	memcpy(write->bytes, data + sent, len - (size_t)sent);
 	buf = uv_buf_init(write->bytes, (unsigned int)(len - (size_t)sent));
-	if (uv_write(&write->req, (uv_stream_t *)&conn->tcp, &buf, 1, write_done) < 0)
+	if (uv_write(&write->req, (uv_stream_t *)&conn->tcp, &buf, 1,
+		     on_write_done) < 0)
 		g_free(write);
 }
 
 /* Returns how many written bytes the kernel has not taken yet. */
-size_t http1_unsent(const http1_t *conn)
+size_t http1_unsent_bytes(const http1_t *conn)
 {
 	return uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp);
 }
@@ -301,13 +304,13 @@
  * A client side: says that an answer is due, so that one is let in. An answer
  * to HEAD states a length and has no body.
  */
-void http1_expect_message(http1_t *conn, bool to_head)
+void http1_expect_response(http1_t *conn, bool for_head)
 {
-	conn->expecting = true;
-	conn->no_body = to_head;
+	conn->expecting_response = true;
+	conn->response_to_head = for_head;
 }
 
-static void add_text(http1_t *conn, const char *at, size_t len)
+static void append_head_text(http1_t *conn, const char *at, size_t len)
 {
 	g_string_append_len(conn->text, at, (gssize)len);
 	conn->head_bytes += len;
@@ -315,7 +318,7 @@
 		conn->too_large = true;
 }
 
-static int parser_message_begin(http_parser *parser)
+static int on_parser_message_begin(http_parser *parser)
 {
 	http1_t *conn = parser->data;
 
@@ -323,57 +326,58 @@
 	conn->in_value = false;
 	conn->head_bytes = 0;
 	g_string_truncate(conn->text, 0);
-	g_array_set_size(conn->spans, 0);
+	g_array_set_size(conn->header_offsets, 0);
 	/* An answer that nobody asked for belongs to no request. */
-	if (conn->side == HTTP1_CLIENT && !conn->expecting)
+	if (conn->side == HTTP1_CLIENT && !conn->expecting_response)
 		return 1;
 	return 0;
 }
 
-static int parser_url(http_parser *parser, const char *at, size_t len)
+static int on_parser_url(http_parser *parser, const char *at, size_t len)
 {
 	http1_t *conn = parser->data;
 
-	add_text(conn, at, len);
+	append_head_text(conn, at, len);
 	return conn->too_large;
 }
 
-static int parser_field(http_parser *parser, const char *at, size_t len)
+static int on_parser_header_field(http_parser *parser, const char *at, size_t len)
 {
 	http1_t *conn = parser->data;
 
-	if (conn->in_value || !conn->spans->len) {
-		span_t span;
+	if (conn->in_value || !conn->header_offsets->len) {
+		header_offsets_t offsets;
 
 		g_string_append_c(conn->text, '\0');
-		span.name = conn->text->len;
-		span.value = span.name;
-		g_array_append_val(conn->spans, span);
+		offsets.name = conn->text->len;
+		offsets.value = offsets.name;
+		g_array_append_val(conn->header_offsets, offsets);
 		conn->in_value = false;
-		if (conn->spans->len > HEADERS_MAX)
+		if (conn->header_offsets->len > HEADERS_MAX)
 			conn->too_large = true;
 	}
 	/* Blanks before the colon are read by some as part of the name. */
 	if (memchr(at, ' ', len) || memchr(at, '\t', len))
-		conn->bad = true;
-	add_text(conn, at, len);
-	return conn->too_large || conn->bad;
+		conn->malformed = true;
+	append_head_text(conn, at, len);
+	return conn->too_large || conn->malformed;
 }
 
-static int parser_value(http_parser *parser, const char *at, size_t len)
+static int on_parser_header_value(http_parser *parser, const char *at, size_t len)
 {
 	http1_t *conn = parser->data;
 
 	if (!conn->in_value) {
 		g_string_append_c(conn->text, '\0');
-		g_array_index(conn->spans, span_t, conn->spans->len - 1).value =
-			conn->text->len;
+		g_array_index(conn->header_offsets, header_offsets_t,
+			      conn->header_offsets->len - 1)
+			.value = conn->text->len;
 		conn->in_value = true;
 	}
 	if (memchr(at, '\0', len) || memchr(at, '\r', len) || memchr(at, '\n', len))
-		conn->bad = true;
-	add_text(conn, at, len);
-	return conn->too_large || conn->bad;
+		conn->malformed = true;
+	append_head_text(conn, at, len);
+	return conn->too_large || conn->malformed;
 }
 
 /*
@@ -381,18 +385,19 @@
  * coding other than plain chunks, can be read in two ways; what follows such a
  * head could be smuggled past one of the readers, so it is refused.
  */
-static bool head_fill(http1_t *conn, header_t *headers)
+static bool collect_headers(http1_t *conn, header_t *headers)
 {
 	unsigned int lengths = 0;
 	unsigned int codings = 0;
 
-	for (guint i = 0; i < conn->spans->len; i++) {
-		span_t *span = &g_array_index(conn->spans, span_t, i);
+	for (guint i = 0; i < conn->header_offsets->len; i++) {
+		header_offsets_t *offsets = &g_array_index(conn->header_offsets,
+							   header_offsets_t, i);
 
-		headers[i].name = conn->text->str + span->name;
-		headers[i].value = conn->text->str + span->value;
+		headers[i].name = conn->text->str + offsets->name;
+		headers[i].value = conn->text->str + offsets->value;
 		/* A header with an empty value has no value callback. */
-		if (span->value == span->name)
+		if (offsets->value == offsets->name)
 			headers[i].value = "";
 		if (!strcasecmp(headers[i].name, "Content-Length"))
 			lengths++;
@@ -405,7 +410,7 @@
 	return lengths + codings <= 1;
 }
 
-static int parser_headers(http_parser *parser)
+static int on_parser_headers_complete(http_parser *parser)
 {
 	http1_t *conn = parser->data;
 	header_t headers[HEADERS_MAX + 1];
@@ -415,11 +420,11 @@
 	if (conn->side == HTTP1_CLIENT && parser->status_code < 200)
 		return 0;
 	g_string_append_c(conn->text, '\0');
-	if (!head_fill(conn, headers)) {
-		conn->bad = true;
+	if (!collect_headers(conn, headers)) {
+		conn->malformed = true;
 		return -1;
 	}
-	head.header_count = conn->spans->len;
+	head.header_count = conn->header_offsets->len;
 	head.keep_alive = http_should_keep_alive(parser);
 	if (conn->side == HTTP1_SERVER) {
 		head.method = http_method_str(parser->method);
@@ -435,10 +440,10 @@
 	conn->events.on_head(conn->ctx, &head);
 	if (conn->ended)
 		return -1;
-	return conn->no_body ? 1 : 0; /* 1 tells the parser to skip the body */
+	return conn->response_to_head ? 1 : 0; /* 1 tells the parser to skip the body */
 }
 
-static int parser_body(http_parser *parser, const char *at, size_t len)
+static int on_parser_body(http_parser *parser, const char *at, size_t len)
 {
 	http1_t *conn = parser->data;
 
@@ -446,7 +451,7 @@
 	return conn->ended;
 }
 
-static int parser_message(http_parser *parser)
+static int on_parser_message_complete(http_parser *parser)
 {
 	http1_t *conn = parser->data;
 	bool interim = conn->side == HTTP1_CLIENT && parser->status_code < 200;
@@ -454,20 +459,20 @@
 	conn->in_message = false;
 	if (interim)
 		return 0;
-	conn->expecting = false;
+	conn->expecting_response = false;
 	conn->events.on_message(conn->ctx);
 	/* One request at a time: what follows waits until this is answered. */
-	if (conn->held && !conn->ended)
+	if (conn->paused && !conn->ended)
 		http_parser_pause(parser, 1);
 	return conn->ended;
 }
 
-static void conn_keep(http1_t *conn, const char *data, size_t len)
+static void conn_buffer_input(http1_t *conn, const char *data, size_t len)
 {
 	if (!conn->pending)
 		conn->pending = g_byte_array_new();
 	g_byte_array_append(conn->pending, (const guint8 *)data, (guint)len);
-	if (conn->pending->len > HELD_MAX && conn->reading) {
+	if (conn->pending->len > PENDING_BYTES_MAX && conn->reading) {
 		uv_read_stop((uv_stream_t *)&conn->tcp);
 		conn->reading = false;
 	}
@@ -477,11 +482,11 @@
  * Ends a connection whose bytes can't be followed any more. A caller is told
  * why; what comes after the fault is not looked at, as it may be smuggled.
  */
-static void conn_refuse(http1_t *conn, int status, http1_end_t end)
+static void conn_reject(http1_t *conn, int status, http1_end_t end)
 {
 	http1_events_t events = conn->events;
 	void *ctx = conn->ctx;
-	bool tell = !conn->ended;
+	bool notify = !conn->ended;
 	char *answer;
 
 	if (conn->side == HTTP1_CLIENT) {
@@ -490,11 +495,11 @@
 	}
 	answer = g_strdup_printf("HTTP/1.1 %d %s\r\nContent-Length: 0\r\n"
 				 "Connection: close\r\n\r\n",
-				 status, http1_reason(status));
+				 status, http1_reason_phrase(status));
 	http1_write(conn, answer, strlen(answer));
 	g_free(answer);
 	http1_close_when_sent(conn);
-	if (tell)
+	if (notify)
 		events.on_end(ctx, end);
 }
 
@@ -508,9 +513,9 @@
 		return;
 	if (failure == HPE_PAUSED) {
 		http_parser_pause(&conn->parser, 0);
-		if (conn->held) {
+		if (conn->paused) {
 			if (used < len)
-				conn_keep(conn, data + used, len - used);
+				conn_buffer_input(conn, data + used, len - used);
 		} else {
 			/* Answered within the callback: go on at once. */
 			conn_parse(conn, data + used, len - used);
@@ -518,22 +523,22 @@
 		return;
 	}
 	if (conn->too_large || failure == HPE_HEADER_OVERFLOW)
-		conn_refuse(conn, 431, HTTP1_END_TOO_LARGE);
+		conn_reject(conn, 431, HTTP1_END_TOO_LARGE);
 	else if (failure != HPE_OK || conn->parser.upgrade)
-		conn_refuse(conn, 400, HTTP1_END_PROTOCOL);
+		conn_reject(conn, 400, HTTP1_END_PROTOCOL_ERROR);
 }
 
 /* Tells the parser of the end, which completes an answer without a length. */
-static void conn_finish(http1_t *conn, bool reset)
+static void conn_handle_eof(http1_t *conn, bool reset)
 {
-	bool was_idle = !conn->in_message && !conn->expecting;
+	bool was_idle = !conn->in_message && !conn->expecting_response;
 
 	if (!reset && conn->in_message)
 		http_parser_execute(&conn->parser, &parser_settings, NULL, 0);
 	if (conn->ended)
 		return;
-	if (conn->in_message || conn->expecting)
-		conn_end(conn, HTTP1_END_CUT);
+	if (conn->in_message || conn->expecting_response)
+		conn_end(conn, HTTP1_END_TRUNCATED);
 	else
 		conn_end(conn, reset && was_idle ? HTTP1_END_RESET
 						 : HTTP1_END_CLOSED);
@@ -555,24 +560,24 @@
 	return getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &len) < 0 || error;
 }
 
-static void conn_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
+static void on_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
 {
 	http1_t *conn = stream->data;
 
 	if (conn->ended || len == 0)
 		return;
 	if (len < 0)
-		conn_finish(conn, len != UV_EOF || conn_was_reset(conn));
-	else if (conn->held)
-		conn_keep(conn, buf->base, (size_t)len);
+		conn_handle_eof(conn, len != UV_EOF || conn_was_reset(conn));
+	else if (conn->paused)
+		conn_buffer_input(conn, buf->base, (size_t)len);
 	else
 		conn_parse(conn, buf->base, (size_t)len);
 }
 
 /* Keeps the next message back; the end of the connection is still noticed. */
-void http1_hold(http1_t *conn)
+void http1_pause(http1_t *conn)
 {
-	conn->held = true;
+	conn->paused = true;
 }
 
 /* Lets the next message in, and what was read of it meanwhile. */
@@ -580,7 +585,7 @@
 {
 	GByteArray *pending = conn->pending;
 
-	conn->held = false;
+	conn->paused = false;
 	if (conn->ended)
 		return;
 	conn_start_reading(conn);
@@ -592,7 +597,7 @@
 }
 
 /* Returns the usual phrase of a status, or "Status" for an unusual one. */
-const char *http1_reason(int status)
+const char *http1_reason_phrase(int status)
 {
 	switch (status) {
 #define REASON(code, name, text) \
--- a/adapters/http1/http1.h
+++ b/adapters/http1/http1.h
@@ -33,10 +33,10 @@
 /* How a connection ended. */
 typedef enum http1_end {
 	HTTP1_END_CLOSED, /* the peer closed it between two messages */
-	HTTP1_END_CUT, /* closed or reset in the middle of a message */
+	HTTP1_END_TRUNCATED, /* closed or reset in the middle of a message */
 	HTTP1_END_RESET, /* reset between two messages */
-	HTTP1_END_REFUSED, /* it was never up */
-	HTTP1_END_PROTOCOL, /* bytes that are no message */
+	HTTP1_END_CONNECT_FAILED, /* it was never up */
+	HTTP1_END_PROTOCOL_ERROR, /* bytes that are no message */
 	HTTP1_END_TOO_LARGE /* a head over the limit */
 } http1_end_t;
 
@@ -55,16 +55,16 @@
 		      const http1_events_t *events, void *ctx);
 int http1_accept(http1_t *conn, uv_stream_t *listener);
 int http1_connect(http1_t *conn, const char *address, uint16_t port);
-void http1_limit_head(http1_t *conn, size_t bytes);
+void http1_set_head_limit(http1_t *conn, size_t bytes);
 void http1_write(http1_t *conn, const char *data, size_t len);
-size_t http1_unsent(const http1_t *conn);
+size_t http1_unsent_bytes(const http1_t *conn);
 bool http1_in_message(const http1_t *conn);
-void http1_expect_message(http1_t *conn, bool to_head);
-void http1_hold(http1_t *conn);
+void http1_expect_response(http1_t *conn, bool for_head);
+void http1_pause(http1_t *conn);
 void http1_resume(http1_t *conn);
 void http1_close(http1_t *conn);
 void http1_close_when_sent(http1_t *conn);
 bool http1_is_draining(void);
-const char *http1_reason(int status);
+const char *http1_reason_phrase(int status);
 
 #endif
--- a/adapters/http1/http1_call.c
+++ b/adapters/http1/http1_call.c
@@ -10,24 +10,24 @@
  * idle ones after a time that it need not tell, and a call that crosses such a
  * close is lost. Half of the shortest usual timeout.
  */
-#define KEEP_MAX_MS 2500
-#define KEPT_MAX 4
-#define CONNECT_MAX_MS 1000
+#define IDLE_MAX_MS 2500
+#define IDLE_CHANNELS_MAX 4
+#define CONNECT_TIMEOUT_MS 1000
 
 typedef struct channel {
 	list_node_t node;
 	http1_client_t *client;
 	http1_t *conn;
 	uv_timer_t timer;
-	http1_ask_t ask; /* its strings are not kept */
-	GString *request; /* until the connection is up */
+	http1_request_t request; /* its strings are not kept */
+	GString *request_text; /* until the connection is up */
 	GString *body;
 	int status;
 	bool busy;
 	bool connected;
 	bool sent;
 	bool reusable;
-	uint64_t begun_at;
+	uint64_t started_at;
 	uint64_t idle_since;
 } channel_t;
 
@@ -36,30 +36,30 @@
 	char *address;
 	uint16_t port;
 	list_node_t channels;
-	http1_ended_t on_ended; /* NULL: nobody is told */
-	void *observer;
+	http1_on_done_t on_done; /* NULL: nobody is told */
+	void *on_done_ctx;
 };
 
-static void channel_freed(uv_handle_t *handle)
+static void on_timer_closed(uv_handle_t *handle)
 {
 	channel_t *channel = handle->data;
 
-	g_string_free(channel->request, TRUE);
+	g_string_free(channel->request_text, TRUE);
 	g_string_free(channel->body, TRUE);
 	g_free(channel);
 }
 
-static void channel_drop(channel_t *channel)
+static void channel_close(channel_t *channel)
 {
 	list_remove(&channel->node);
 	if (channel->conn)
 		http1_close(channel->conn);
 	channel->conn = NULL;
 	if (!uv_is_closing((uv_handle_t *)&channel->timer))
-		uv_close((uv_handle_t *)&channel->timer, channel_freed);
+		uv_close((uv_handle_t *)&channel->timer, on_timer_closed);
 }
 
-static unsigned int idle_channels(const http1_client_t *client)
+static unsigned int count_idle_channels(const http1_client_t *client)
 {
 	unsigned int count = 0;
 
@@ -68,42 +68,43 @@
 	return count;
 }
 
-static void channel_reply(channel_t *channel, int status)
+static void channel_end_call(channel_t *channel, int status)
 {
-	const http1_ask_t ask = channel->ask;
+	const http1_request_t request = channel->request;
 	http1_reply_t reply = {
 		.status = status,
 		.sent = channel->sent,
 		.body = channel->body->str,
 		.len = channel->body->len,
 	};
-	bool keep = status && channel->reusable &&
-		    idle_channels(channel->client) < KEPT_MAX;
+	bool reuse = status && channel->reusable &&
+		     count_idle_channels(channel->client) < IDLE_CHANNELS_MAX;
 
 	uv_timer_stop(&channel->timer);
 	channel->busy = false;
 	channel->idle_since = uv_now(channel->client->loop);
-	if (channel->client->on_ended)
-		channel->client->on_ended(channel->client->observer, status,
-					  channel->idle_since - channel->begun_at);
+	if (channel->client->on_done)
+		channel->client->on_done(channel->client->on_done_ctx, status,
+					 channel->idle_since - channel->started_at);
 	/* A connection whose answer did not come gives no more answers. */
-	if (!keep)
+	if (!reuse)
 		list_remove(&channel->node);
-	ask.on_reply(ask.ctx, &reply);
-	if (!keep)
-		channel_drop(channel);
+	request.on_reply(request.ctx, &reply);
+	if (!reuse)
+		channel_close(channel);
 }
 
 static void on_timeout(uv_timer_t *timer)
 {
-	channel_reply(timer->data, 0);
+	channel_end_call(timer->data, 0);
 }
 
 static void channel_send(channel_t *channel)
 {
 	channel->sent = true;
-	http1_expect_message(channel->conn, false);
-	http1_write(channel->conn, channel->request->str, channel->request->len);
+	http1_expect_response(channel->conn, false);
+	http1_write(channel->conn, channel->request_text->str,
+		    channel->request_text->len);
 }
 
 static void on_connected(void *ctx)
@@ -111,7 +112,7 @@
 	channel_t *channel = ctx;
 
 	channel->connected = true;
-	uv_timer_start(&channel->timer, on_timeout, channel->ask.timeout_ms, 0);
+	uv_timer_start(&channel->timer, on_timeout, channel->request.timeout_ms, 0);
 	channel_send(channel);
 }
 
@@ -134,7 +135,7 @@
 {
 	channel_t *channel = ctx;
 
-	channel_reply(channel, channel->status);
+	channel_end_call(channel, channel->status);
 }
 
 static void on_end(void *ctx, http1_end_t end)
@@ -144,9 +145,9 @@
 	(void)end;
 	channel->conn = NULL;
 	if (channel->busy)
-		channel_reply(channel, 0);
+		channel_end_call(channel, 0);
 	else
-		channel_drop(channel);
+		channel_close(channel);
 }
 
 static channel_t *channel_open(http1_client_t *client)
@@ -156,7 +157,7 @@
 	channel_t *channel = g_new0(channel_t, 1);
 
 	channel->client = client;
-	channel->request = g_string_new(NULL);
+	channel->request_text = g_string_new(NULL);
 	channel->body = g_string_new(NULL);
 	channel->conn = http1_create(client->loop, HTTP1_CLIENT, &events, channel);
 	uv_timer_init(client->loop, &channel->timer);
@@ -166,7 +167,7 @@
 }
 
 /* Returns a kept connection that is young enough, or NULL. */
-static channel_t *channel_kept(http1_client_t *client)
+static channel_t *find_idle_channel(http1_client_t *client)
 {
 	uint64_t now = uv_now(client->loop);
 
@@ -175,9 +176,9 @@
 
 		if (channel->busy)
 			continue;
-		if (now - channel->idle_since < KEEP_MAX_MS)
+		if (now - channel->idle_since < IDLE_MAX_MS)
 			return channel;
-		channel_drop(channel);
+		channel_close(channel);
 	}
 	return NULL;
 }
@@ -201,44 +202,46 @@
 	if (!client)
 		return;
 	LIST_FOR_EACH_SAFE (it, &client->channels)
-		channel_drop(LIST_ENTRY(it, channel_t, node));
+		channel_close(LIST_ENTRY(it, channel_t, node));
 	g_free(client->address);
 	g_free(client);
 }
 
-static void channel_compose(channel_t *channel, const http1_ask_t *ask)
+static void channel_format_request(channel_t *channel, const http1_request_t *request)
 {
 	const http1_client_t *client = channel->client;
 
-	g_string_printf(channel->request, "%s %s HTTP/1.1\r\nHost: %s:%u\r\n%s",
-			ask->method, ask->path, client->address, client->port,
-			ask->headers ? ask->headers : "");
-	if (ask->body)
-		g_string_append_printf(channel->request,
+	g_string_printf(channel->request_text,
+			"%s %s HTTP/1.1\r\nHost: %s:%u\r\n%s", request->method,
+			request->path, client->address, client->port,
+			request->headers ? request->headers : "");
+	if (request->body)
+		g_string_append_printf(channel->request_text,
 				       "Content-Type: application/json\r\n"
 				       "Content-Length: %zu\r\n",
-				       strlen(ask->body));
-	g_string_append(channel->request, "\r\n");
-	if (ask->body)
-		g_string_append(channel->request, ask->body);
+				       strlen(request->body));
+	g_string_append(channel->request_text, "\r\n");
+	if (request->body)
+		g_string_append(channel->request_text, request->body);
 }
 
 /* Has the end of each call told; CTX is borrowed. */
-void http1_client_observe(http1_client_t *client, http1_ended_t on_ended, void *ctx)
+void http1_client_observe(http1_client_t *client, http1_on_done_t on_done, void *ctx)
 {
-	client->on_ended = on_ended;
-	client->observer = ctx;
+	client->on_done = on_done;
+	client->on_done_ctx = ctx;
 }
 
 /* Has calls from now on go to another address; those under way end as they are. */
-void http1_client_move(http1_client_t *client, const char *address, uint16_t port)
+void http1_client_set_address(http1_client_t *client, const char *address,
+			      uint16_t port)
 {
 	LIST_FOR_EACH_SAFE (it, &client->channels) {
 		channel_t *channel = LIST_ENTRY(it, channel_t, node);
 
 		channel->reusable = false;
 		if (!channel->busy)
-			channel_drop(channel);
+			channel_close(channel);
 	}
 	g_free(client->address);
 	client->address = g_strdup(address);
@@ -246,26 +249,26 @@
 }
 
 /* Makes a call; the reply comes later, never from within this function. */
-void http1_client_call(http1_client_t *client, const http1_ask_t *ask)
+void http1_client_call(http1_client_t *client, const http1_request_t *request)
 {
-	channel_t *channel = channel_kept(client);
+	channel_t *channel = find_idle_channel(client);
 
 	if (!channel)
 		channel = channel_open(client);
-	channel->ask = *ask;
+	channel->request = *request;
 	channel->busy = true;
 	channel->sent = false;
 	channel->status = 0;
-	channel->begun_at = uv_now(client->loop);
+	channel->started_at = uv_now(client->loop);
 	g_string_truncate(channel->body, 0);
-	channel_compose(channel, ask);
+	channel_format_request(channel, request);
 	if (channel->connected) {
-		uv_timer_start(&channel->timer, on_timeout, ask->timeout_ms, 0);
+		uv_timer_start(&channel->timer, on_timeout, request->timeout_ms, 0);
 		channel_send(channel);
 		return;
 	}
 	uv_timer_start(&channel->timer, on_timeout,
-		       MIN(ask->timeout_ms, CONNECT_MAX_MS), 0);
+		       MIN(request->timeout_ms, CONNECT_TIMEOUT_MS), 0);
 	/* If it can't even be tried, the timer tells. */
 	(void)http1_connect(channel->conn, client->address, client->port);
 }
--- a/adapters/http1/http1_call.h
+++ b/adapters/http1/http1_call.h
@@ -17,26 +17,27 @@
 	size_t len;
 } http1_reply_t;
 
-typedef void (*http1_replied_t)(void *ctx, const http1_reply_t *reply);
+typedef void (*http1_on_reply_t)(void *ctx, const http1_reply_t *reply);
 /* Is told of each call's end before its caller is; ELAPSED_MS since it was made. */
-typedef void (*http1_ended_t)(void *ctx, int status, uint64_t elapsed_ms);
+typedef void (*http1_on_done_t)(void *ctx, int status, uint64_t elapsed_ms);
 
-typedef struct http1_ask {
+typedef struct http1_request {
 	const char *method;
 	const char *path;
 	const char *headers; /* whole lines; NULL: none */
 	const char *body; /* NULL: none */
 	uint64_t timeout_ms;
-	http1_replied_t on_reply; /* once, unless the call is cancelled */
+	http1_on_reply_t on_reply; /* once, unless the call is cancelled */
 	void *ctx;
-} http1_ask_t;
+} http1_request_t;
 
 http1_client_t *http1_client_create(uv_loop_t *loop, const char *address,
 				    uint16_t port);
 void http1_client_destroy(http1_client_t *client);
-void http1_client_observe(http1_client_t *client, http1_ended_t on_ended,
+void http1_client_observe(http1_client_t *client, http1_on_done_t on_done,
 			  void *ctx);
-void http1_client_move(http1_client_t *client, const char *address, uint16_t port);
-void http1_client_call(http1_client_t *client, const http1_ask_t *ask);
+void http1_client_set_address(http1_client_t *client, const char *address,
+			      uint16_t port);
+void http1_client_call(http1_client_t *client, const http1_request_t *request);
 
 #endif
--- a/tests/harness/gateway_rig.c
+++ b/tests/harness/gateway_rig.c
@@ -36,8 +36,8 @@
 {
 	char *text = g_strdup_printf("HTTP/1.1 %d %s\r\nContent-Length: %zu\r\n"
 				     "%s\r\n%s",
-				     status, http1_reason(status), strlen(body),
-				     headers, body);
+				     status, http1_reason_phrase(status),
+				     strlen(body), headers, body);
 
 	visit->busy = false;
 	http1_write(visit->conn, text, strlen(text));
