--- a/adapters/http1/http1.c
+++ b/adapters/http1/http1.c
@@ -1,6 +1,6 @@
 /*
- * HTTP/1.1 connections: the parser library's callbacks gathered into whole
- * heads, writes that never block, and ends that are told apart.
+ * HTTP/1.1 connections: collects the parser's callbacks into complete heads,
+ * writes without blocking and classifies how a connection ended.
  */
 #include "adapters/http1/http1.h"
 
@@ -11,17 +11,17 @@
 #include <strings.h>
 #include <sys/socket.h>
 
-/* One read; all connections share the buffer, as the loop has one thread. */
+/* Per read; all connections share the buffer, as the loop has one thread. */
 #define READ_BUFFER_BYTES (64 * 1024)
-/* Bytes taken in while a message is paused back, before reading pauses. */
+/* Bytes buffered while messages are paused; then reading stops. */
 #define PENDING_BYTES_MAX (64 * 1024)
 #define HEADERS_MAX 128
-/* Heads of answers and of calls to services; callers' limit is configured. */
+/* The default; the limit for callers' requests is configurable. */
 #define HEAD_BYTES_MAX (64 * 1024)
 /*
- * A connection can go silent for good without a reset, when something between
- * the two ends has lost track of it. Probes after a second of silence, a second
- * apart, end it within about three; writes left unacknowledged end it as soon.
+ * A connection can die without a reset, for example when a device on the path
+ * loses its state. TCP keep-alive probes start after one idle second and end such
+ * a connection within about three seconds; unacknowledged writes end it as fast.
  */
 #define KEEPALIVE_IDLE_S 1
 #define KEEPALIVE_INTERVAL_S 1
@@ -29,8 +29,8 @@
 #define UNACKED_TIMEOUT_MS 2500
 
 typedef struct offsets {
-	size_t name; /* offsets into the head's text */
-	size_t value;
+	size_t name; /* in http1_t.text */
+	size_t value; /* equal to NAME if the value is empty */
 } header_offsets_t;
 
 struct http1 {
@@ -41,19 +41,19 @@
 	http1_events_t events;
 	void *ctx;
 	http_parser parser;
-	GString *text; /* the head's strings, each with its end mark */
+	GString *text; /* the head's strings, each NUL-terminated */
 	GArray *header_offsets; /* of header_offsets_t */
 	bool in_value;
 	bool in_message; /* a message has begun and not ended */
-	bool expecting_response; /* a client side: an answer is due */
-	bool response_to_head; /* the answer due is one to HEAD */
-	bool paused; /* the next message is kept back */
-	bool malformed; /* the head broke a rule of ours */
+	bool expecting_response; /* client only */
+	bool response_to_head; /* the expected response is to a HEAD request */
+	bool paused; /* the next message is buffered */
+	bool malformed; /* the head is rejected by this module's checks */
 	bool too_large;
 	bool reading;
 	bool draining;
 	bool closing;
-	bool ended; /* on_end was called, or is not wanted */
+	bool ended; /* on_end was called, or must not be called */
 	size_t head_bytes;
 	size_t head_max;
 	GByteArray *pending; /* read while paused */
@@ -65,7 +65,7 @@
 } pending_write_t;
 
 static char read_buffer[READ_BUFFER_BYTES];
-/* Connections that close once their written bytes are with the kernel. */
+/* Connections that wait for queued writes before they close. */
 static unsigned int draining_count;
 
 static int on_parser_message_begin(http_parser *parser);
@@ -87,7 +87,7 @@
 	.on_message_complete = on_parser_message_complete,
 };
 
-/* Returns a connection that is not yet up. Freed by itself after http1_close(). */
+/* Returns an unconnected connection, which http1_close() frees. EVENTS is copied. */
 http1_t *http1_create(uv_loop_t *loop, http1_side_t side,
 		      const http1_events_t *events, void *ctx)
 {
@@ -108,7 +108,7 @@
 	return conn;
 }
 
-/* Sets how many bytes a head may have; longer ones end the connection. */
+/* Sets the maximum size of a head; a longer one ends the connection. */
 void http1_set_head_limit(http1_t *conn, size_t bytes)
 {
 	conn->head_max = bytes;
@@ -131,7 +131,7 @@
 
 static void conn_set_option(int fd, int level, int option, int value)
 {
-	/* A connection without the option still works; it only ends later. */
+	/* Without the option the connection works, but failures show later. */
 	(void)setsockopt(fd, level, option, &value, sizeof(value));
 }
 
@@ -160,7 +160,7 @@
 	g_free(conn);
 }
 
-/* Closes the connection without an event; twice is harmless. */
+/* Closes and frees the connection without calling on_end; idempotent. */
 void http1_close(http1_t *conn)
 {
 	conn->ended = true;
@@ -190,9 +190,9 @@
 }
 
 /*
- * Closes once all written bytes are with the kernel. Closing at once, with
- * bytes of the caller unread, would reset the connection and could destroy the
- * answer on its way.
+ * Closes the connection after all queued writes have been sent, without calling
+ * on_end. An immediate close with unread input would reset the connection and
+ * could destroy the response in transit.
  */
 void http1_close_when_sent(http1_t *conn)
 {
@@ -210,13 +210,13 @@
 		http1_close(conn);
 }
 
-/* Returns whether a connection still has bytes to send before it closes. */
+/* Returns whether any connection still sends queued writes before it closes. */
 bool http1_is_draining(void)
 {
 	return draining_count > 0;
 }
 
-/* Takes a waiting connection from the listener; -1 if there is none. */
+/* Accepts a connection from LISTENER; returns -1 if there is none. */
 int http1_accept(http1_t *conn, uv_stream_t *listener)
 {
 	if (uv_accept(listener, (uv_stream_t *)&conn->tcp) < 0)
@@ -241,7 +241,10 @@
 	conn->events.on_connected(conn->ctx);
 }
 
-/* Starts to connect; on_connected or on_end follows. -1: it can't be tried. */
+/*
+ * Starts to connect to an IPv4 address; on_connected or on_end follows. Returns
+ * -1, without a callback, if that fails at once.
+ */
 int http1_connect(http1_t *conn, const char *address, uint16_t port)
 {
 	struct sockaddr_in addr;
@@ -265,7 +268,7 @@
 				       : HTTP1_END_RESET);
 }
 
-/* Sends bytes, copying what the kernel does not take at once. */
+/* Sends bytes without blocking; those that the kernel doesn't take are copied. */
 void http1_write(http1_t *conn, const char *data, size_t len)
 {
 	uv_buf_t buf = uv_buf_init((char *)data, (unsigned int)len);
@@ -277,7 +280,7 @@
 	sent = uv_try_write((uv_stream_t *)&conn->tcp, &buf, 1);
 	if (sent == (int)len)
 		return;
-	/* An error shows again at the queued write, outside of the caller. */
+	/* The queued write reports an error again, after this call returned. */
 	if (sent < 0)
 		sent = 0;
 	write = g_malloc(sizeof(*write) + len - (size_t)sent);
@@ -288,21 +291,21 @@
 		g_free(write);
 }
 
-/* Returns how many written bytes the kernel has not taken yet. */
+/* Returns the number of queued bytes that the kernel has not taken yet. */
 size_t http1_unsent_bytes(const http1_t *conn)
 {
 	return uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp);
 }
 
-/* Says whether a message has begun to come in and has not ended. */
+/* Returns whether a message has been received in part. */
 bool http1_in_message(const http1_t *conn)
 {
 	return conn->in_message;
 }
 
 /*
- * A client side: says that an answer is due, so that one is let in. An answer
- * to HEAD states a length and has no body.
+ * Client only: allows one response. A response to HEAD has no body although it
+ * may state a length.
  */
 void http1_expect_response(http1_t *conn, bool for_head)
 {
@@ -327,7 +330,7 @@
 	conn->head_bytes = 0;
 	g_string_truncate(conn->text, 0);
 	g_array_set_size(conn->header_offsets, 0);
-	/* An answer that nobody asked for belongs to no request. */
+	/* An unsolicited response belongs to no request. */
 	if (conn->side == HTTP1_CLIENT && !conn->expecting_response)
 		return 1;
 	return 0;
@@ -356,7 +359,7 @@
 		if (conn->header_offsets->len > HEADERS_MAX)
 			conn->too_large = true;
 	}
-	/* Blanks before the colon are read by some as part of the name. */
+	/* Some parsers take blanks before the colon as part of the name. */
 	if (memchr(at, ' ', len) || memchr(at, '\t', len))
 		conn->malformed = true;
 	append_head_text(conn, at, len);
@@ -381,9 +384,9 @@
 }
 
 /*
- * Fills the list of headers. Two that say how long the body is, or a transfer
- * coding other than plain chunks, can be read in two ways; what follows such a
- * head could be smuggled past one of the readers, so it is refused.
+ * Fills HEADERS; returns false if the framing is ambiguous. With several
+ * Content-Length or Transfer-Encoding headers, or a coding other than chunked,
+ * two parsers may disagree on the body's end, which allows request smuggling.
  */
 static bool collect_headers(http1_t *conn, header_t *headers)
 {
@@ -461,7 +464,7 @@
 		return 0;
 	conn->expecting_response = false;
 	conn->events.on_message(conn->ctx);
-	/* One request at a time: what follows waits until this is answered. */
+	/* Pipelined requests wait until the current one is answered. */
 	if (conn->paused && !conn->ended)
 		http_parser_pause(parser, 1);
 	return conn->ended;
@@ -479,8 +482,8 @@
 }
 
 /*
- * Ends a connection whose bytes can't be followed any more. A caller is told
- * why; what comes after the fault is not looked at, as it may be smuggled.
+ * Ends a connection after a framing error. A server sends an error response
+ * first. Input after the error is ignored, as it may be a smuggled request.
  */
 static void conn_reject(http1_t *conn, int status, http1_end_t end)
 {
@@ -517,7 +520,7 @@
 			if (used < len)
 				conn_buffer_input(conn, data + used, len - used);
 		} else {
-			/* Answered within the callback: go on at once. */
+			/* Resumed within the callback. */
 			conn_parse(conn, data + used, len - used);
 		}
 		return;
@@ -528,7 +531,7 @@
 		conn_reject(conn, 400, HTTP1_END_PROTOCOL_ERROR);
 }
 
-/* Tells the parser of the end, which completes an answer without a length. */
+/* Handles end of file or reset; end of file ends a response without a length. */
 static void conn_handle_eof(http1_t *conn, bool reset)
 {
 	bool was_idle = !conn->in_message && !conn->expecting_response;
@@ -545,9 +548,9 @@
 }
 
 /*
- * A reset that comes right after data can be read as an ordinary end; only the
- * socket's error tells. Taken for the end of an answer without a length, a part
- * of it would be passed on as the whole.
+ * Returns whether the connection was reset. A reset right after data can show as
+ * end of file, and only SO_ERROR reveals it. If it were taken for the end of a
+ * response without a length, a truncated response would be forwarded as complete.
  */
 static bool conn_was_reset(const http1_t *conn)
 {
@@ -574,13 +577,13 @@
 		conn_parse(conn, buf->base, (size_t)len);
 }
 
-/* Keeps the next message back; the end of the connection is still noticed. */
+/* Buffers the next message; the end of the connection is still detected. */
 void http1_pause(http1_t *conn)
 {
 	conn->paused = true;
 }
 
-/* Lets the next message in, and what was read of it meanwhile. */
+/* Resumes messages and handles the input that was buffered. */
 void http1_resume(http1_t *conn)
 {
 	GByteArray *pending = conn->pending;
@@ -596,7 +599,7 @@
 	g_byte_array_unref(pending);
 }
 
-/* Returns the usual phrase of a status, or "Status" for an unusual one. */
+/* Returns the reason phrase of a status code, or "Status" if it is unknown. */
 const char *http1_reason_phrase(int status)
 {
 	switch (status) {
--- a/adapters/http1/http1.h
+++ b/adapters/http1/http1.h
@@ -1,8 +1,8 @@
 /*
- * One HTTP/1.1 connection on libuv, towards either side. The parser library
- * splits the bytes; this module adds what it leaves open: strict framing, bytes
- * that nobody asked for, and how a connection ended. http1-notes.md says which
- * cases a proxy has to tell apart.
+ * An HTTP/1.1 connection on libuv, as server or client. On top of the parser
+ * library it enforces strict framing, rejects unsolicited bytes and reports how
+ * a connection ended. http1-notes.md lists the cases that a proxy must
+ * distinguish.
  */
 #ifndef PISTACHIO_HTTP1_H
 #define PISTACHIO_HTTP1_H
@@ -18,28 +18,29 @@
 
 typedef struct http1 http1_t;
 
-/* The first part of a request or an answer, valid inside the callbacks. */
+/* The head of a request or response, valid during the callback. */
 typedef struct http1_head {
 	const char *method; /* of a request */
 	const char *target; /* of a request: path and query as sent */
-	int status; /* of an answer */
+	int status; /* of a response */
 	bool keep_alive;
 	bool has_body;
-	bool ends_with_connection; /* an answer without a length */
-	const header_t *headers; /* they live as long as the head */
+	bool ends_with_connection; /* a response without a length */
+	const header_t *headers; /* valid as long as the head */
 	size_t header_count;
 } http1_head_t;
 
 /* How a connection ended. */
 typedef enum http1_end {
-	HTTP1_END_CLOSED, /* the peer closed it between two messages */
+	HTTP1_END_CLOSED, /* closed by the other side between two messages */
 	HTTP1_END_TRUNCATED, /* closed or reset in the middle of a message */
 	HTTP1_END_RESET, /* reset between two messages */
-	HTTP1_END_CONNECT_FAILED, /* it was never up */
-	HTTP1_END_PROTOCOL_ERROR, /* bytes that are no message */
-	HTTP1_END_TOO_LARGE /* a head over the limit */
+	HTTP1_END_CONNECT_FAILED, /* never established */
+	HTTP1_END_PROTOCOL_ERROR, /* malformed or unsolicited bytes */
+	HTTP1_END_TOO_LARGE /* the head exceeds the limit */
 } http1_end_t;
 
+/* Callbacks of a connection. */
 typedef struct http1_events {
 	void (*on_connected)(void *ctx);
 	void (*on_head)(void *ctx, const http1_head_t *head);
--- a/adapters/http1/http1_call.c
+++ b/adapters/http1/http1_call.c
@@ -1,4 +1,4 @@
-/* Calls over kept connections, each with its own timer. */
+/* HTTP calls over pooled connections, each with its own timer. */
 #include "adapters/http1/http1_call.h"
 
 #include <string.h>
@@ -6,21 +6,22 @@
 #include "core/list.h"
 
 /*
- * Kept connections are used again within this time only: the other side closes
- * idle ones after a time that it need not tell, and a call that crosses such a
- * close is lost. Half of the shortest usual timeout.
+ * An idle connection is reused only within this time. The server may close idle
+ * connections after a time that it doesn't announce, and a call sent at that
+ * moment is lost. Half of the shortest common idle timeout.
  */
 #define IDLE_MAX_MS 2500
 #define IDLE_CHANNELS_MAX 4
 #define CONNECT_TIMEOUT_MS 1000
 
+/* A pooled connection and the call on it. */
 typedef struct channel {
 	list_node_t node;
 	http1_client_t *client;
 	http1_t *conn;
 	uv_timer_t timer;
-	http1_request_t request; /* its strings are not kept */
-	GString *request_text; /* until the connection is up */
+	http1_request_t request; /* its strings are not valid after the call */
+	GString *request_text;
 	GString *body;
 	int status;
 	bool busy;
@@ -36,7 +37,7 @@
 	char *address;
 	uint16_t port;
 	list_node_t channels;
-	http1_on_done_t on_done; /* NULL: nobody is told */
+	http1_on_done_t on_done; /* NULL: none */
 	void *on_done_ctx;
 };
 
@@ -86,7 +87,7 @@
 	if (channel->client->on_done)
 		channel->client->on_done(channel->client->on_done_ctx, status,
 					 channel->idle_since - channel->started_at);
-	/* A connection whose answer did not come gives no more answers. */
+	/* Without a response, the connection's state is unknown. */
 	if (!reuse)
 		list_remove(&channel->node);
 	request.on_reply(request.ctx, &reply);
@@ -166,7 +167,7 @@
 	return channel;
 }
 
-/* Returns a kept connection that is young enough, or NULL. */
+/* Returns an idle channel that may be reused, or NULL; closes expired ones. */
 static channel_t *find_idle_channel(http1_client_t *client)
 {
 	uint64_t now = uv_now(client->loop);
@@ -183,7 +184,7 @@
 	return NULL;
 }
 
-/* Returns a client without connections; the caller owns it. */
+/* Returns a client without connections, owned by the caller. */
 http1_client_t *http1_client_create(uv_loop_t *loop, const char *address,
 				    uint16_t port)
 {
@@ -196,7 +197,10 @@
 	return client;
 }
 
-/* Closes all connections; calls in flight get no reply. NULL is allowed. */
+/*
+ * Closes all connections and frees the client, which may be NULL. Calls in
+ * flight get no reply.
+ */
 void http1_client_destroy(http1_client_t *client)
 {
 	if (!client)
@@ -225,14 +229,14 @@
 		g_string_append(channel->request_text, request->body);
 }
 
-/* Has the end of each call told; CTX is borrowed. */
+/* Sets a callback for the end of each call; CTX is borrowed. */
 void http1_client_observe(http1_client_t *client, http1_on_done_t on_done, void *ctx)
 {
 	client->on_done = on_done;
 	client->on_done_ctx = ctx;
 }
 
-/* Has calls from now on go to another address; those under way end as they are. */
+/* Sets the address for further calls; calls in flight are not affected. */
 void http1_client_set_address(http1_client_t *client, const char *address,
 			      uint16_t port)
 {
@@ -248,7 +252,7 @@
 	client->port = port;
 }
 
-/* Makes a call; the reply comes later, never from within this function. */
+/* Starts a call. on_reply is never called from within this function. */
 void http1_client_call(http1_client_t *client, const http1_request_t *request)
 {
 	channel_t *channel = find_idle_channel(client);
@@ -269,6 +273,6 @@
 	}
 	uv_timer_start(&channel->timer, on_timeout,
 		       MIN(request->timeout_ms, CONNECT_TIMEOUT_MS), 0);
-	/* If it can't even be tried, the timer tells. */
+	/* If connecting fails at once, the timer ends the call. */
 	(void)http1_connect(channel->conn, client->address, client->port);
 }
--- a/adapters/http1/http1_call.h
+++ b/adapters/http1/http1_call.h
@@ -1,6 +1,6 @@
 /*
- * Whole calls to one address: a request, an answer, a timeout. Connections are
- * kept for the next call, as each new one costs time and money.
+ * An HTTP/1.1 client for one address: complete calls with a timeout. Connections
+ * are pooled, since each new one costs time and money.
  */
 #ifndef PISTACHIO_HTTP1_CALL_H
 #define PISTACHIO_HTTP1_CALL_H
@@ -9,22 +9,23 @@
 
 typedef struct http1_client http1_client_t;
 
-/* How a call ended. BODY is borrowed and ends with a zero byte. */
+/* The result of a call. BODY is borrowed and NUL-terminated. */
 typedef struct http1_reply {
-	int status; /* 0: there was no whole answer */
-	bool sent; /* without an answer: it may have been done */
+	int status; /* 0: no complete response */
+	bool sent; /* if STATUS is 0: the request may have been executed */
 	const char *body;
 	size_t len;
 } http1_reply_t;
 
 typedef void (*http1_on_reply_t)(void *ctx, const http1_reply_t *reply);
-/* Is told of each call's end before its caller is; ELAPSED_MS since it was made. */
+/* Called when a call ends, before its on_reply; ELAPSED_MS since its start. */
 typedef void (*http1_on_done_t)(void *ctx, int status, uint64_t elapsed_ms);
 
+/* A request; the strings are needed only during http1_client_call(). */
 typedef struct http1_request {
 	const char *method;
 	const char *path;
-	const char *headers; /* whole lines; NULL: none */
+	const char *headers; /* complete header lines; NULL: none */
 	const char *body; /* NULL: none */
 	uint64_t timeout_ms;
 	http1_on_reply_t on_reply; /* once, unless the call is cancelled */
--- a/tests/unit/test_http1.c
+++ b/tests/unit/test_http1.c
@@ -1,4 +1,4 @@
-/* HTTP/1.1 connections on loopback: what is let in, and how ends are told. */
+/* Tests of HTTP/1.1 connections on loopback: framing, and how they end. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <setjmp.h>
@@ -13,17 +13,16 @@
 
 #include "adapters/http1/http1.h"
 
-#define LOOP_ITERATIONS_MAX \
-	20000 /* of the loop, at most a tenth of a millisecond each */
+#define LOOP_ITERATIONS_MAX 20000 /* up to 0.1 ms each */
 
-/* One end is an http1_t, the other a plain socket that the test writes to. */
+/* One end is an http1_t, the other a plain socket for the test. */
 typedef struct fixture {
 	uv_loop_t loop;
 	uv_tcp_t listener;
-	uv_timer_t wakeup_timer; /* keeps the loop turning */
+	uv_timer_t wakeup_timer; /* wakes the loop */
 	uint16_t port;
 	http1_t *conn;
-	int fd; /* the test's end */
+	int fd; /* the test's socket */
 	GString *body;
 	unsigned int heads;
 	unsigned int messages;
@@ -140,7 +139,7 @@
 		assert_true(condition);                                    \
 	} while (0)
 
-/* Connects the test's socket to a server side and sends it bytes. */
+/* Connects the test's socket to the server and sends LEN bytes. */
 static void connect_to_server(fixture_t *fixture, const char *bytes, size_t len)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET,
@@ -154,7 +153,7 @@
 	assert_int_equal(write(fixture->fd, bytes, len), len);
 }
 
-/* Connects a client side to a socket of the test. */
+/* Connects an http1_t client to the test's socket. */
 static void open_client(fixture_t *fixture)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET };
@@ -203,9 +202,9 @@
 }
 
 /*
- * A request that can be read in two ways hides another one in its body from one
- * of the readers. Each is refused, and nothing after it on that connection is
- * read.
+ * Guards against request smuggling: two parsers may disagree on where an
+ * ambiguous request ends. It is rejected, and nothing after it on the connection
+ * is read.
  */
 static void test_ambiguous_requests_are_rejected(void **state)
 {
@@ -227,7 +226,7 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-		char answer[256] = "";
+		char response[256] = "";
 		fixture_t *fixture;
 
 		setup(state);
@@ -236,8 +235,8 @@
 		WAIT_UNTIL(fixture, fixture->ended);
 		assert_int_equal(fixture->messages, 0);
 		assert_int_equal(fixture->end, HTTP1_END_PROTOCOL_ERROR);
-		assert_true(read(fixture->fd, answer, sizeof(answer) - 1) > 0);
-		assert_non_null(strstr(answer, " 400 "));
+		assert_true(read(fixture->fd, response, sizeof(response) - 1) > 0);
+		assert_non_null(strstr(response, " 400 "));
 		teardown(state);
 	}
 }
@@ -246,7 +245,7 @@
 {
 	fixture_t *fixture = *state;
 	GString *text = g_string_new("GET / HTTP/1.1\r\nA: ");
-	char answer[256] = "";
+	char response[256] = "";
 
 	for (int i = 0; i < 70000; i++)
 		g_string_append_c(text, 'a');
@@ -254,11 +253,11 @@
 	g_string_free(text, TRUE);
 	WAIT_UNTIL(fixture, fixture->ended);
 	assert_int_equal(fixture->end, HTTP1_END_TOO_LARGE);
-	assert_true(read(fixture->fd, answer, sizeof(answer) - 1) > 0);
-	assert_non_null(strstr(answer, " 431 "));
+	assert_true(read(fixture->fd, response, sizeof(response) - 1) > 0);
+	assert_non_null(strstr(response, " 431 "));
 }
 
-/* The second request of a connection waits until the first is answered. */
+/* Pipelined requests wait until messages are resumed. */
 static void test_paused_request_waits(void **state)
 {
 	static const char two[] = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -277,7 +276,7 @@
 	assert_string_equal(fixture->target, "/2");
 }
 
-/* A caller hangs up while its request is in progress. */
+/* A caller disconnects while its request is in progress. */
 static void test_disconnect_is_detected_while_paused(void **state)
 {
 	static const char one[] = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n";
@@ -307,8 +306,8 @@
 }
 
 /*
- * An upstream dies while it sends an answer without a length. Taken for the end
- * of the answer, its caller would be given a part of it as the whole.
+ * Guards against taking the reset of a failed upstream for the end of a response
+ * without a length: the caller would get a truncated response as complete.
  */
 static void test_reset_truncates_response_without_length(void **state)
 {
@@ -324,10 +323,10 @@
 	assert_int_equal(fixture->end, HTTP1_END_TRUNCATED);
 }
 
-/* The end of a connection in the middle of an answer with a length, or chunks. */
+/* The connection ends within a response that has a length or chunks. */
 static void test_truncated_responses_are_reported(void **state)
 {
-	static const char *const cut[] = {
+	static const char *const truncated[] = {
 		"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: "
 		"chunked\r\n\r\n3\r\nabc\r\n",
@@ -335,14 +334,14 @@
 		"",
 	};
 
-	for (size_t i = 0; i < G_N_ELEMENTS(cut); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(truncated); i++) {
 		fixture_t *fixture;
 
 		setup(state);
 		fixture = *state;
 		open_client(fixture);
 		http1_expect_response(fixture->conn, false);
-		send_text(fixture, cut[i]);
+		send_text(fixture, truncated[i]);
 		close(fixture->fd);
 		fixture->fd = 0;
 		WAIT_UNTIL(fixture, fixture->ended);
@@ -353,8 +352,8 @@
 }
 
 /*
- * An upstream sends bytes that nobody asked for on a kept connection. Given to
- * the next request, a caller would get another caller's answer.
+ * Guards against using unsolicited bytes of an idle connection as the response to
+ * the next request, which could give a caller another caller's response.
  */
 static void test_unsolicited_bytes_end_connection(void **state)
 {
