--- a/ctl/ctl.c
+++ b/ctl/ctl.c
@@ -50,7 +50,7 @@
 }
 
 /* Returns the platform that the options name; NULL with ERR set if none. */
-platform_t *ctl_platform(const ctl_options_t *options, pd_error_t *err)
+platform_t *ctl_create_platform(const ctl_options_t *options, pd_error_t *err)
 {
 	const char *colon = options->platform ? strrchr(options->platform, ':')
 					      : NULL;
@@ -75,22 +75,22 @@
 	return platform;
 }
 
-/* Keeps an answer for ctl_wait(); CTX is the ctl_answer_t. */
-void ctl_on_answer(void *ctx, const platform_answer_t *answer)
+/* Keeps a reply for ctl_wait(); CTX is the ctl_reply_t. */
+void ctl_on_reply(void *ctx, const platform_answer_t *reply)
 {
-	ctl_answer_t *kept = ctx;
+	ctl_reply_t *saved = ctx;
 
-	kept->status = answer->status;
-	kept->version = answer->version;
-	kept->body = g_strndup(answer->body ? answer->body : "", answer->len);
-	kept->len = answer->len;
-	kept->done = true;
+	saved->status = reply->status;
+	saved->version = reply->version;
+	saved->body = g_strndup(reply->body ? reply->body : "", reply->len);
+	saved->len = reply->len;
+	saved->done = true;
 }
 
-/* Runs the loop until the answer is there; calls end by their time-outs. */
-void ctl_wait(ctl_answer_t *answer)
+/* Runs the loop until the reply is there; calls end by their time-outs. */
+void ctl_wait(ctl_reply_t *reply)
 {
-	while (!answer->done)
+	while (!reply->done)
 		uv_run(uv_default_loop(), UV_RUN_ONCE);
 }
 
--- a/ctl/ctl.h
+++ b/ctl/ctl.h
@@ -25,13 +25,13 @@
 } ctl_options_t;
 
 /* A call that is waited for. */
-typedef struct ctl_answer {
+typedef struct ctl_reply {
 	store_status_t status;
 	uint64_t version;
 	char *body; /* owned */
 	size_t len;
 	bool done;
-} ctl_answer_t;
+} ctl_reply_t;
 
 /* Commands return an exit code of sysexits.h. */
 int ctl_keygen(const ctl_options_t *options);
@@ -41,13 +41,13 @@
 int ctl_status(const ctl_options_t *options);
 int ctl_explain(const ctl_options_t *options);
 
-GArray *ctl_entries(platform_t *platform, pd_error_t *err);
-json_t *ctl_ask_entry(http_client_t *client, const member_info_t *entry,
-		      const char *path);
+GArray *ctl_list_entries(platform_t *platform, pd_error_t *err);
+json_t *ctl_query_entry(http_client_t *client, const member_info_t *entry,
+			const char *path);
 int ctl_fail(const ctl_options_t *options, const pd_error_t *err);
-platform_t *ctl_platform(const ctl_options_t *options, pd_error_t *err);
-void ctl_on_answer(void *ctx, const platform_answer_t *answer);
-void ctl_wait(ctl_answer_t *answer);
+platform_t *ctl_create_platform(const ctl_options_t *options, pd_error_t *err);
+void ctl_on_reply(void *ctx, const platform_answer_t *reply);
+void ctl_wait(ctl_reply_t *reply);
 char *ctl_read_file(const char *path, pd_error_t *err);
 
 #endif
--- a/ctl/ctl_bundle.c
+++ b/ctl/ctl_bundle.c
@@ -11,10 +11,10 @@
 #include "adapters/signing.h"
 #include "ctl/ctl.h"
 
-#define BUNDLE_SIZE_MAX (1000 * 1000) /* bytes, with the signature */
-#define ENVELOPE_OVERHEAD 256 /* names, signature and braces around it */
+#define BUNDLE_BYTES_MAX (1000 * 1000) /* bytes, with the signature */
+#define ENVELOPE_OVERHEAD_BYTES 256 /* names, signature and braces around it */
 
-#define SECRET_MODE 0600
+#define SECRET_FILE_MODE 0600
 
 static int write_file(const char *path, const char *text, int mode, pd_error_t *err)
 {
@@ -43,7 +43,7 @@
 	int code = EX_OK;
 	pd_error_t err;
 
-	if (write_file(path, key, SECRET_MODE, &err) < 0)
+	if (write_file(path, key, SECRET_FILE_MODE, &err) < 0)
 		code = ctl_fail(options, &err);
 	else
 		printf("wrote %s\n", path);
@@ -72,7 +72,7 @@
 		goto done;
 	}
 	signing_keygen(&public_key, &secret_key);
-	if (write_file(secret_path, secret_key, SECRET_MODE, &err) < 0 ||
+	if (write_file(secret_path, secret_key, SECRET_FILE_MODE, &err) < 0 ||
 	    write_file(public_path, public_key, 0644, &err) < 0)
 		code = ctl_fail(options, &err);
 	else
@@ -116,19 +116,19 @@
 {
 	json_t *payload = json_string(canonical);
 	char *quoted = json_dumps(payload, JSON_ENCODE_ANY);
-	size_t size = strlen(quoted) + ENVELOPE_OVERHEAD;
+	size_t size = strlen(quoted) + ENVELOPE_OVERHEAD_BYTES;
 
 	free(quoted);
 	json_decref(payload);
-	if (size <= BUNDLE_SIZE_MAX)
+	if (size <= BUNDLE_BYTES_MAX)
 		return 0;
 	return pd_error_set(err, PD_ERROR_INPUT,
 			    "%zu bytes when signed; at most %d", size,
-			    BUNDLE_SIZE_MAX);
+			    BUNDLE_BYTES_MAX);
 }
 
 /* Returns the canonical bytes of a faultless bundle, or NULL with CODE set. */
-static char *checked_bundle(const ctl_options_t *options, int *code)
+static char *load_checked_bundle(const ctl_options_t *options, int *code)
 {
 	GPtrArray *faults = bundle_faults_create();
 	pd_error_t err;
@@ -165,7 +165,7 @@
 int ctl_check(const ctl_options_t *options)
 {
 	int code;
-	char *canonical = checked_bundle(options, &code);
+	char *canonical = load_checked_bundle(options, &code);
 
 	if (canonical && options->json)
 		printf("{\"faults\":[]}\n");
@@ -179,9 +179,9 @@
 int ctl_sign(const ctl_options_t *options)
 {
 	int code;
-	char *canonical = checked_bundle(options, &code);
+	char *canonical = load_checked_bundle(options, &code);
 	char *secret = NULL;
-	char *sealed = NULL;
+	char *envelope = NULL;
 	pd_error_t err;
 
 	if (!canonical)
@@ -193,8 +193,8 @@
 	secret = ctl_read_file(options->key_file, &err);
 	if (!secret)
 		goto error;
-	sealed = envelope_seal(canonical, secret, &err);
-	if (!sealed || write_file(options->output, sealed, 0644, &err) < 0)
+	envelope = envelope_seal(canonical, secret, &err);
+	if (!envelope || write_file(options->output, envelope, 0644, &err) < 0)
 		goto error;
 	printf("signed %s as %s\n", options->argument, options->output);
 	goto done;
@@ -203,6 +203,6 @@
 done:
 	g_free(canonical);
 	g_free(secret);
-	g_free(sealed);
+	g_free(envelope);
 	return code;
 }
--- a/ctl/ctl_rollout.c
+++ b/ctl/ctl_rollout.c
@@ -14,10 +14,10 @@
 #include "adapters/signing.h"
 #include "ctl/ctl.h"
 
-#define ROLLOUT_TRIES 5
-#define CARRIED_WAIT_US (5 * G_USEC_PER_SEC)
-#define CARRIED_POLL_US (20 * 1000)
-#define ASK_TIMEOUT (1 * PD_SEC) /* of one entry */
+#define ROLLOUT_ATTEMPTS_MAX 5
+#define DELIVERY_TIMEOUT_US (5 * G_USEC_PER_SEC)
+#define DELIVERY_POLL_US (20 * 1000)
+#define QUERY_TIMEOUT (1 * PD_SEC) /* of one entry */
 
 typedef struct rollout {
 	platform_t *platform;
@@ -37,50 +37,50 @@
 
 static int pointer_read(rollout_t *rollout, pointer_t *pointer, pd_error_t *err)
 {
-	ctl_answer_t answer = { 0 };
+	ctl_reply_t reply = { 0 };
 	const char *object;
 	int64_t generation;
 	json_t *body = NULL;
 	int rc = -1;
 
 	memset(pointer, 0, sizeof(*pointer));
-	platform_read(rollout->platform, BUNDLE_POINTER, ctl_on_answer, &answer);
-	ctl_wait(&answer);
-	if (answer.status == STORE_MISSING) {
-		g_free(answer.body);
+	platform_read(rollout->platform, BUNDLE_POINTER, ctl_on_reply, &reply);
+	ctl_wait(&reply);
+	if (reply.status == STORE_MISSING) {
+		g_free(reply.body);
 		return 0;
 	}
-	if (answer.status != STORE_OK) {
+	if (reply.status != STORE_OK) {
 		pd_error_set(err, PD_ERROR_UNAVAILABLE,
 			     "the platform does not answer");
 		goto error;
 	}
-	body = json_parse(answer.body, answer.len, err);
+	body = json_parse(reply.body, reply.len, err);
 	if (!body || json_read_string(body, "object", &object, err) < 0 ||
 	    json_read_integer(body, "generation", &generation, err) < 0)
 		goto error;
-	pointer->version = answer.version;
+	pointer->version = reply.version;
 	pointer->generation = (uint64_t)generation;
 	pointer->object = g_strdup(object);
 	rc = 0;
 error:
 	json_decref(body);
-	g_free(answer.body);
+	g_free(reply.body);
 	return rc;
 }
 
 static int body_write(rollout_t *rollout, pd_error_t *err)
 {
 	/* Its key holds its hash, so writing it twice changes nothing. */
-	for (int i = 0; i < ROLLOUT_TRIES; i++) {
-		ctl_answer_t answer = { 0 };
+	for (int i = 0; i < ROLLOUT_ATTEMPTS_MAX; i++) {
+		ctl_reply_t reply = { 0 };
 
 		platform_write(rollout->platform, rollout->object,
 			       PLATFORM_ANY_VERSION, rollout->envelope,
-			       strlen(rollout->envelope), ctl_on_answer, &answer);
-		ctl_wait(&answer);
-		g_free(answer.body);
-		if (answer.status == STORE_OK)
+			       strlen(rollout->envelope), ctl_on_reply, &reply);
+		ctl_wait(&reply);
+		g_free(reply.body);
+		if (reply.status == STORE_OK)
 			return 0;
 	}
 	return pd_error_set(err, PD_ERROR_UNAVAILABLE,
@@ -90,22 +90,22 @@
 
 static store_status_t pointer_write(rollout_t *rollout, uint64_t version)
 {
-	ctl_answer_t answer = { 0 };
+	ctl_reply_t reply = { 0 };
 
 	platform_write(rollout->platform, BUNDLE_POINTER, version, rollout->pointer,
-		       strlen(rollout->pointer), ctl_on_answer, &answer);
-	ctl_wait(&answer);
-	g_free(answer.body);
-	return answer.status;
+		       strlen(rollout->pointer), ctl_on_reply, &reply);
+	ctl_wait(&reply);
+	g_free(reply.body);
+	return reply.status;
 }
 
 /*
- * Moves the pointer. A write whose answer was lost may have moved it already,
+ * Moves the pointer. A write whose reply was lost may have moved it already,
  * so each further try reads first and looks for its own body there.
  */
-static int pointer_move(rollout_t *rollout, pd_error_t *err)
+static int pointer_update(rollout_t *rollout, pd_error_t *err)
 {
-	for (int i = 0; i < ROLLOUT_TRIES; i++) {
+	for (int i = 0; i < ROLLOUT_ATTEMPTS_MAX; i++) {
 		pointer_t now;
 
 		if (pointer_read(rollout, &now, err) < 0)
@@ -164,10 +164,10 @@
 	return rc;
 }
 
-static bool entry_has(http_client_t *client, const member_info_t *entry,
-		      uint64_t generation)
+static bool entry_has_generation(http_client_t *client,
+				 const member_info_t *entry, uint64_t generation)
 {
-	json_t *status = ctl_ask_entry(client, entry, "/status");
+	json_t *status = ctl_query_entry(client, entry, "/status");
 	int64_t now = status ? json_integer_or(status, "generation", 0) : 0;
 
 	json_decref(status);
@@ -180,34 +180,34 @@
  * and no entry had read the body, it would be in force nowhere until the store
  * is back; once one has it, the others get it from there.
  */
-static bool rollout_is_carried(const rollout_t *rollout, const GArray *entries)
+static bool rollout_is_delivered(const rollout_t *rollout, const GArray *entries)
 {
-	http_client_t *client = http_client_create(uv_default_loop(), ASK_TIMEOUT);
-	gint64 end = g_get_monotonic_time() + CARRIED_WAIT_US;
-	bool carried = entries->len == 0;
-
-	while (!carried && g_get_monotonic_time() < end) {
-		for (guint i = 0; i < entries->len && !carried; i++)
-			carried = entry_has(client,
-					    &g_array_index(entries,
-							   member_info_t, i),
-					    rollout->generation);
-		if (!carried)
-			g_usleep(CARRIED_POLL_US);
+	http_client_t *client =
+		http_client_create(uv_default_loop(), QUERY_TIMEOUT);
+	gint64 end = g_get_monotonic_time() + DELIVERY_TIMEOUT_US;
+	bool delivered = entries->len == 0;
+
+	while (!delivered && g_get_monotonic_time() < end) {
+		for (guint i = 0; i < entries->len && !delivered; i++)
+			delivered = entry_has_generation(
+				client, &g_array_index(entries, member_info_t, i),
+				rollout->generation);
+		if (!delivered)
+			g_usleep(DELIVERY_POLL_US);
 	}
-	return carried;
+	return delivered;
 }
 
 static void print_accepted(const ctl_options_t *options,
-			   const rollout_t *rollout, bool carried)
+			   const rollout_t *rollout, bool delivered)
 {
 	if (options->json)
 		printf("{\"accepted\":%" G_GUINT64_FORMAT ",\"carried\":%s}\n",
-		       rollout->generation, carried ? "true" : "false");
+		       rollout->generation, delivered ? "true" : "false");
 	else
 		printf("generation %" G_GUINT64_FORMAT " is accepted%s\n",
 		       rollout->generation,
-		       carried ? "" : "; no entry has it yet, look at status");
+		       delivered ? "" : "; no entry has it yet, look at status");
 }
 
 /*
@@ -216,14 +216,13 @@
  */
 static void body_delete_replaced(const rollout_t *rollout)
 {
-	ctl_answer_t answer = { 0 };
+	ctl_reply_t reply = { 0 };
 
 	if (!rollout->replaced)
 		return;
-	platform_delete(rollout->platform, rollout->replaced, ctl_on_answer,
-			&answer);
-	ctl_wait(&answer);
-	g_free(answer.body);
+	platform_delete(rollout->platform, rollout->replaced, ctl_on_reply, &reply);
+	ctl_wait(&reply);
+	g_free(reply.body);
 }
 
 /* Puts a signed bundle in force everywhere. */
@@ -234,16 +233,16 @@
 	pd_error_t err;
 	int code = EX_OK;
 
-	rollout.platform = ctl_platform(options, &err);
+	rollout.platform = ctl_create_platform(options, &err);
 	if (!rollout.platform || rollout_prepare(&rollout, options, &err) < 0 ||
 	    body_write(&rollout, &err) < 0)
 		code = ctl_fail(options, &err);
-	else if (!(entries = ctl_entries(rollout.platform, &err)) ||
-		 pointer_move(&rollout, &err) < 0)
+	else if (!(entries = ctl_list_entries(rollout.platform, &err)) ||
+		 pointer_update(&rollout, &err) < 0)
 		code = ctl_fail(options, &err);
 	else
 		print_accepted(options, &rollout,
-			       rollout_is_carried(&rollout, entries));
+			       rollout_is_delivered(&rollout, entries));
 	if (code == EX_OK)
 		body_delete_replaced(&rollout);
 	if (entries)
--- a/ctl/ctl_status.c
+++ b/ctl/ctl_status.c
@@ -12,68 +12,68 @@
 #include "adapters/platform_json.h"
 #include "ctl/ctl.h"
 
-#define ASK_TIMEOUT (2 * PD_SEC)
+#define QUERY_TIMEOUT (2 * PD_SEC)
 
 /* One question to one entry. */
-typedef struct ask {
+typedef struct query {
 	GString *body;
 	int status;
 	bool done;
-} ask_t;
+} query_t;
 
-static void ask_on_head(void *ctx, http_call_t *call, int status)
+static void query_on_head(void *ctx, http_call_t *call, int status)
 {
-	ask_t *ask = ctx;
+	query_t *query = ctx;
 
 	(void)call;
-	ask->status = status;
+	query->status = status;
 }
 
-static void ask_on_body(void *ctx, const char *data, size_t len)
+static void query_on_body(void *ctx, const char *data, size_t len)
 {
-	ask_t *ask = ctx;
+	query_t *query = ctx;
 
-	g_string_append_len(ask->body, data, (gssize)len);
+	g_string_append_len(query->body, data, (gssize)len);
 }
 
-static void ask_on_done(void *ctx, const pd_error_t *err)
+static void query_on_done(void *ctx, const pd_error_t *err)
 {
-	ask_t *ask = ctx;
+	query_t *query = ctx;
 
 	if (err)
-		ask->status = 0;
-	ask->done = true;
+		query->status = 0;
+	query->done = true;
 }
 
-static void ask_start(ask_t *ask, http_client_t *client,
-		      const member_info_t *entry, const char *path)
+static void query_start(query_t *query, http_client_t *client,
+			const member_info_t *entry, const char *path)
 {
 	static const http_call_handlers_t handlers = {
-		.on_head = ask_on_head,
-		.on_body = ask_on_body,
-		.on_done = ask_on_done,
+		.on_head = query_on_head,
+		.on_body = query_on_body,
+		.on_done = query_on_done,
 	};
 	const http_request_t request = { .address = entry->address,
 					 .port = entry->http_port,
 					 .method = "GET",
 					 .path = path };
 
-	ask->body = g_string_new(NULL);
-	http_call_start(client, &request, &handlers, ask);
+	query->body = g_string_new(NULL);
+	http_call_start(client, &request, &handlers, query);
 }
 
-/* Waits for the answer; returns its JSON, or NULL if there was none. */
-static json_t *ask_finish(ask_t *ask)
+/* Waits for the reply; returns its JSON, or NULL if there was none. */
+static json_t *query_finish(query_t *query)
 {
-	json_t *answer = NULL;
+	json_t *reply = NULL;
 	pd_error_t err;
 
-	while (!ask->done)
+	while (!query->done)
 		uv_run(uv_default_loop(), UV_RUN_ONCE);
-	if (ask->status == 200)
-		answer = json_parse(ask->body->str, ask->body->len, &err);
-	g_string_free(ask->body, TRUE);
-	return answer;
+	if (query->status == 200)
+		reply = json_parse(query->body->str, query->body->len, &err);
+	g_string_free(query->body, TRUE);
+	return reply;
 }
 
 static void entry_clear(void *data)
@@ -82,24 +82,24 @@
 }
 
 /* Returns the entries that the platform lists, as member_info_t. */
-GArray *ctl_entries(platform_t *platform, pd_error_t *err)
+GArray *ctl_list_entries(platform_t *platform, pd_error_t *err)
 {
 	GArray *entries = g_array_new(FALSE, TRUE, sizeof(member_info_t));
-	ctl_answer_t answer = { 0 };
+	ctl_reply_t reply = { 0 };
 	json_t *list = NULL;
 	json_t *items;
 	json_t *item;
 	size_t i;
 
 	g_array_set_clear_func(entries, entry_clear);
-	platform_list(platform, "entries/", ctl_on_answer, &answer);
-	ctl_wait(&answer);
-	if (answer.status != STORE_OK) {
+	platform_list(platform, "entries/", ctl_on_reply, &reply);
+	ctl_wait(&reply);
+	if (reply.status != STORE_OK) {
 		pd_error_set(err, PD_ERROR_UNAVAILABLE,
 			     "the platform does not answer");
 		goto error;
 	}
-	list = json_parse(answer.body, answer.len, err);
+	list = json_parse(reply.body, reply.len, err);
 	if (!list || json_read_array(list, "objects", &items, err) < 0)
 		goto error;
 	json_array_foreach(items, i, item)
@@ -111,11 +111,11 @@
 			g_array_append_val(entries, info);
 	}
 	json_decref(list);
-	g_free(answer.body);
+	g_free(reply.body);
 	return entries;
 error:
 	json_decref(list);
-	g_free(answer.body);
+	g_free(reply.body);
 	g_array_unref(entries);
 	return NULL;
 }
@@ -149,24 +149,24 @@
 int ctl_status(const ctl_options_t *options)
 {
 	pd_error_t err;
-	platform_t *platform = ctl_platform(options, &err);
-	GArray *entries = platform ? ctl_entries(platform, &err) : NULL;
+	platform_t *platform = ctl_create_platform(options, &err);
+	GArray *entries = platform ? ctl_list_entries(platform, &err) : NULL;
 	http_client_t *client;
 	json_t *report;
-	ask_t *asks;
+	query_t *queries;
 
 	if (!entries)
 		return ctl_fail(options, &err);
-	client = http_client_create(uv_default_loop(), ASK_TIMEOUT);
+	client = http_client_create(uv_default_loop(), QUERY_TIMEOUT);
 	report = json_array();
-	asks = g_new0(ask_t, entries->len);
+	queries = g_new0(query_t, entries->len);
 	for (guint i = 0; i < entries->len; i++)
-		ask_start(&asks[i], client,
-			  &g_array_index(entries, member_info_t, i), "/status");
+		query_start(&queries[i], client,
+			    &g_array_index(entries, member_info_t, i), "/status");
 	for (guint i = 0; i < entries->len; i++) {
 		const member_info_t *entry =
 			&g_array_index(entries, member_info_t, i);
-		json_t *status = ask_finish(&asks[i]);
+		json_t *status = query_finish(&queries[i]);
 
 		if (!options->json)
 			print_status(entry, status);
@@ -178,18 +178,18 @@
 	if (options->json)
 		print_json(report);
 	json_decref(report);
-	g_free(asks);
+	g_free(queries);
 	g_array_unref(entries);
 	return EX_OK;
 }
 
-static void print_explanation(const json_t *answer)
+static void print_explanation(const json_t *reply)
 {
-	json_t *decisions = json_object_get(answer, "decisions");
+	json_t *decisions = json_object_get(reply, "decisions");
 	json_t *decision;
 	size_t i;
 
-	printf("request %s\n", json_string_or(answer, "request_id", "?"));
+	printf("request %s\n", json_string_or(reply, "request_id", "?"));
 	json_array_foreach(decisions, i, decision)
 		printf("  %zu. %s chose %s: %s; passed over: %s\n", i + 1,
 		       json_string_or(decision, "part", "?"),
@@ -198,14 +198,14 @@
 		       json_string_or(decision, "passed_over", ""));
 }
 
-/* Returns an entry's JSON answer, or NULL if it gave none. */
-json_t *ctl_ask_entry(http_client_t *client, const member_info_t *entry,
-		      const char *path)
+/* Returns an entry's JSON reply, or NULL if it gave none. */
+json_t *ctl_query_entry(http_client_t *client, const member_info_t *entry,
+			const char *path)
 {
-	ask_t ask = { 0 };
+	query_t query = { 0 };
 
-	ask_start(&ask, client, entry, path);
-	return ask_finish(&ask);
+	query_start(&query, client, entry, path);
+	return query_finish(&query);
 }
 
 /*
@@ -215,36 +215,36 @@
 int ctl_explain(const ctl_options_t *options)
 {
 	pd_error_t err;
-	platform_t *platform = ctl_platform(options, &err);
-	GArray *entries = platform ? ctl_entries(platform, &err) : NULL;
-	json_t *answer = NULL;
+	platform_t *platform = ctl_create_platform(options, &err);
+	GArray *entries = platform ? ctl_list_entries(platform, &err) : NULL;
+	json_t *reply = NULL;
 	char *path;
 
 	if (!entries)
 		return ctl_fail(options, &err);
 	path = g_strconcat("/explain/", options->argument, NULL);
-	for (guint i = 0; i < entries->len && !answer; i++) {
+	for (guint i = 0; i < entries->len && !reply; i++) {
 		const member_info_t *entry =
 			&g_array_index(entries, member_info_t, i);
 
 		if (options->argument &&
 		    g_str_has_prefix(options->argument, entry->id))
-			answer = ctl_ask_entry(http_client_create(uv_default_loop(),
-								  ASK_TIMEOUT),
-					       entry, path);
+			reply = ctl_query_entry(http_client_create(uv_default_loop(),
+								   QUERY_TIMEOUT),
+						entry, path);
 	}
 	g_free(path);
 	g_array_unref(entries);
-	if (!answer) {
+	if (!reply) {
 		pd_error_set(&err, PD_ERROR_NOT_FOUND,
 			     "no entry remembers request %s",
 			     options->argument ? options->argument : "");
 		return ctl_fail(options, &err);
 	}
 	if (options->json)
-		print_json(answer);
+		print_json(reply);
 	else
-		print_explanation(answer);
-	json_decref(answer);
+		print_explanation(reply);
+	json_decref(reply);
 	return EX_OK;
 }
--- a/programs/cli.c
+++ b/programs/cli.c
@@ -13,7 +13,7 @@
  * them. Ends the process with EX_CONFIG and one line if they are at fault, and
  * with EX_OK after --check if they are not.
  */
-settings_t *cli_settings(int argc, char **argv, const char *doc)
+settings_t *cli_load_settings(int argc, char **argv, const char *doc)
 {
 	options_t options = options_read(argc, argv, doc);
 	settings_t *settings;
--- a/programs/cli.h
+++ b/programs/cli.h
@@ -4,6 +4,6 @@
 
 #include "adapters/settings.h"
 
-settings_t *cli_settings(int argc, char **argv, const char *doc);
+settings_t *cli_load_settings(int argc, char **argv, const char *doc);
 
 #endif
--- a/programs/pistachio_entry.c
+++ b/programs/pistachio_entry.c
@@ -25,7 +25,8 @@
 int main(int argc, char **argv)
 {
 	settings_t *settings =
-		cli_settings(argc, argv, "Take callers' requests and route them.");
+		cli_load_settings(argc, argv,
+				  "Take callers' requests and route them.");
 	uv_loop_t *loop = uv_default_loop();
 	uv_signal_t terminate;
 	uv_signal_t interrupt;
--- a/tests/process/test_ctl.c
+++ b/tests/process/test_ctl.c
@@ -28,14 +28,14 @@
 	return 0;
 }
 
-static bool has_ended(void *ctx)
+static bool process_has_ended(void *ctx)
 {
 	return process_ended(ctx);
 }
 
 /* Runs a program to its end; returns its exit code and what it printed. */
-static int run(fleet_t *fleet, const char *program, const char *const *args,
-	       char **printed)
+static int run_program(fleet_t *fleet, const char *program,
+		       const char *const *args, char **printed)
 {
 	const char *dir = g_getenv("B");
 	char *path = g_build_filename(dir ? dir : "build/release", program, NULL);
@@ -48,7 +48,7 @@
 	for (int i = 0; args[i] && i < 10; i++)
 		argv[i + 1] = args[i];
 	process = process_start(fleet->dir, "run", argv);
-	fleet_wait(fleet, has_ended, process, "a program's end");
+	fleet_wait(fleet, process_has_ended, process, "a program's end");
 	assert_true(WIFEXITED(process->status));
 	code = WEXITSTATUS(process->status);
 	log = process_log(process);
@@ -67,14 +67,14 @@
 		       const char *const *args, int code, const char *text)
 {
 	char *printed;
-	int got = run(fleet, program, args, &printed);
+	int got = run_program(fleet, program, args, &printed);
 
 	if (got != code || !strstr(printed, text))
 		fail_msg("%s: exit %d, printed: %s", program, got, printed);
 	g_free(printed);
 }
 
-static void test_programs_describe_themselves(void **state)
+static void test_programs_have_help_and_version(void **state)
 {
 	static const char *const programs[] = { "pistachio-entry",
 						"pistachio-placer",
@@ -92,7 +92,7 @@
  * An operator mistypes a key in a settings file. The program must say where
  * and start nothing, or half a fleet would run on defaults nobody chose.
  */
-static void test_bad_settings_exit_78(void **state)
+static void test_invalid_settings_exit_78(void **state)
 {
 	fleet_t *fleet = *state;
 	char *path = g_build_filename(fleet->dir, "bad.toml", NULL);
@@ -122,7 +122,7 @@
 	char *printed;
 	json_t *report;
 
-	assert_int_equal(run(fleet, "pistachioctl", args, &printed), EX_OK);
+	assert_int_equal(run_program(fleet, "pistachioctl", args, &printed), EX_OK);
 	report = json_loads(printed, 0, NULL);
 	assert_int_equal(json_array_size(report), 2);
 	json_decref(report);
@@ -130,7 +130,7 @@
 	g_free(platform);
 }
 
-static void test_explain_names_the_choice(void **state)
+static void test_explain_shows_chosen_upstream(void **state)
 {
 	fleet_t *fleet = *state;
 	char *platform = g_strdup_printf("127.0.0.1:%d", fleet->platform.port);
@@ -151,7 +151,7 @@
  * Two operators sign the same generation and roll out one after the other. The
  * second must hear of the conflict, not believe that its bundle is in force.
  */
-static void test_a_lower_generation_is_a_conflict(void **state)
+static void test_lower_generation_conflicts(void **state)
 {
 	fleet_t *fleet = *state;
 	char *platform = g_strdup_printf("127.0.0.1:%d", fleet->platform.port);
@@ -174,11 +174,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_programs_describe_themselves),
-		cmocka_unit_test(test_bad_settings_exit_78),
+		cmocka_unit_test(test_programs_have_help_and_version),
+		cmocka_unit_test(test_invalid_settings_exit_78),
 		cmocka_unit_test(test_status_shows_every_entry),
-		cmocka_unit_test(test_explain_names_the_choice),
-		cmocka_unit_test(test_a_lower_generation_is_a_conflict),
+		cmocka_unit_test(test_explain_shows_chosen_upstream),
+		cmocka_unit_test(test_lower_generation_conflicts),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
