--- a/ctl/ctl.c
+++ b/ctl/ctl.c
@@ -1,4 +1,4 @@
-/* What the operators' commands share: errors, files, waiting for answers. */
+/* Functions shared by the commands: errors, files and store calls. */
 #include "ctl/ctl.h"
 
 #include <glib.h>
@@ -9,7 +9,7 @@
 #include <sysexits.h>
 #include <uv.h>
 
-/* Returns the exit code that tells a script what kind of failure it was. */
+/* Returns the exit code for a kind of error. */
 static int error_exit(pd_error_kind_t kind)
 {
 	switch (kind) {
@@ -31,7 +31,7 @@
 	}
 }
 
-/* Prints the error, as JSON if asked for; returns the exit code. */
+/* Prints an error, as JSON to stdout with --json; returns the exit code. */
 int ctl_fail(const ctl_options_t *options, const pd_error_t *err)
 {
 	json_t *object;
@@ -49,7 +49,7 @@
 	return error_exit(err->kind);
 }
 
-/* Returns the platform that the options name; NULL with ERR set if none. */
+/* Returns a client for --platform; NULL with ERR set if that is invalid. */
 platform_t *ctl_create_platform(const ctl_options_t *options, pd_error_t *err)
 {
 	const char *colon = options->platform ? strrchr(options->platform, ':')
@@ -75,7 +75,7 @@
 	return platform;
 }
 
-/* Keeps a reply for ctl_wait(); CTX is the ctl_reply_t. */
+/* Store callback: copies the reply to the ctl_reply_t at CTX. */
 void ctl_on_reply(void *ctx, const platform_answer_t *reply)
 {
 	ctl_reply_t *saved = ctx;
@@ -87,14 +87,14 @@
 	saved->done = true;
 }
 
-/* Runs the loop until the reply is there; calls end by their time-outs. */
+/* Runs the event loop until the call ends, at the latest by its timeout. */
 void ctl_wait(ctl_reply_t *reply)
 {
 	while (!reply->done)
 		uv_run(uv_default_loop(), UV_RUN_ONCE);
 }
 
-/* Returns a file's text, owned by the caller; NULL with ERR set if none. */
+/* Returns a file's contents, owned by the caller; NULL with ERR set on failure. */
 char *ctl_read_file(const char *path, pd_error_t *err)
 {
 	char *text = NULL;
--- a/ctl/ctl.h
+++ b/ctl/ctl.h
@@ -1,4 +1,4 @@
-/* The operators' tool: its options and its commands. */
+/* Options, commands and shared functions of pistachioctl. */
 #ifndef PISTACHIO_CTL_H
 #define PISTACHIO_CTL_H
 
@@ -15,16 +15,16 @@
 
 typedef struct ctl_options {
 	const char *command;
-	const char *argument; /* a bundle file or a request id */
+	const char *argument; /* a file or request id; NULL: none */
 	const char *platform; /* address:port */
 	const char *key_file;
 	const char *output;
-	bool account; /* keygen: an account key */
-	bool peers; /* keygen: a key that entries share */
+	bool account; /* keygen: create an account's API key */
+	bool peers; /* keygen: create the key that entries share */
 	bool json;
 } ctl_options_t;
 
-/* A call that is waited for. */
+/* The reply to a store call that ctl_wait() waits for. */
 typedef struct ctl_reply {
 	store_status_t status;
 	uint64_t version;
--- a/ctl/ctl_bundle.c
+++ b/ctl/ctl_bundle.c
@@ -1,4 +1,4 @@
-/* Commands that need no platform: keygen, check and sign. */
+/* Commands that work without the platform: keygen, check and sign. */
 #include <glib.h>
 #include <glib/gstdio.h>
 #include <jansson.h>
@@ -12,7 +12,8 @@
 #include "ctl/ctl.h"
 
 #define BUNDLE_BYTES_MAX (1000 * 1000) /* bytes, with the signature */
-#define ENVELOPE_OVERHEAD_BYTES 256 /* names, signature and braces around it */
+#define ENVELOPE_OVERHEAD_BYTES \
+	256 /* bytes of JSON syntax, names and signature */
 
 #define SECRET_FILE_MODE 0600
 
@@ -24,6 +25,7 @@
 	return 0;
 }
 
+/* Prints a new account key and its hash. */
 static void keygen_account(void)
 {
 	char *key = signing_random_key();
@@ -34,7 +36,7 @@
 	g_free(hash);
 }
 
-/* Writes PREFIX.key with a key that entries share. */
+/* Writes a new key that entries share to PREFIX.key; returns the exit code. */
 static int keygen_peers(const ctl_options_t *options)
 {
 	const char *prefix = options->output ? options->output : "peers";
@@ -52,7 +54,7 @@
 	return code;
 }
 
-/* Makes an account key, a key for entries, or the pair that operators sign with. */
+/* Creates an account key, a key for entries or an operator's key pair. */
 int ctl_keygen(const ctl_options_t *options)
 {
 	const char *prefix = options->output ? options->output : "operator";
@@ -109,8 +111,8 @@
 }
 
 /*
- * The store holds values of up to a megabyte. A larger bundle would pass the
- * check, be signed, and fail only when it is rolled out.
+ * Returns -1 with ERR set if a bundle exceeds the store's limit of one megabyte
+ * for a value. It could be signed, and would fail only at the rollout.
  */
 static int check_size(const char *canonical, pd_error_t *err)
 {
@@ -127,7 +129,10 @@
 			    BUNDLE_BYTES_MAX);
 }
 
-/* Returns the canonical bytes of a faultless bundle, or NULL with CODE set. */
+/*
+ * Returns the canonical text of a valid bundle, owned by the caller; otherwise
+ * reports the errors and returns NULL with CODE set to the exit code.
+ */
 static char *load_checked_bundle(const ctl_options_t *options, int *code)
 {
 	GPtrArray *faults = bundle_faults_create();
@@ -161,7 +166,7 @@
 	return canonical;
 }
 
-/* Reports every fault of a bundle at once. */
+/* Checks a bundle and reports all its errors. */
 int ctl_check(const ctl_options_t *options)
 {
 	int code;
@@ -175,7 +180,7 @@
 	return code;
 }
 
-/* Signs a faultless bundle. */
+/* Checks and signs a bundle. */
 int ctl_sign(const ctl_options_t *options)
 {
 	int code;
--- a/ctl/ctl_rollout.c
+++ b/ctl/ctl_rollout.c
@@ -1,6 +1,7 @@
 /*
- * The rollout: one conditional write of the pointer decides which bundle is
- * accepted. Of operators who race, one wins and the others get a conflict.
+ * Rollout of a bundle. A conditional write of the bundle pointer decides which
+ * bundle is accepted; of concurrent rollouts one succeeds, and the others end
+ * with a conflict.
  */
 #include <glib.h>
 #include <jansson.h>
@@ -23,18 +24,19 @@
 	platform_t *platform;
 	char *envelope;
 	uint64_t generation;
-	char *object; /* key of the body */
-	char *pointer; /* what the pointer is to say */
-	char *replaced; /* key of the body that it named before, or NULL */
+	char *object; /* key of the new body */
+	char *pointer; /* new contents of the pointer */
+	char *replaced; /* key of the previous body, or NULL */
 } rollout_t;
 
-/* What the pointer said when it was read. */
+/* The contents of the bundle pointer. */
 typedef struct pointer {
-	uint64_t version; /* 0: there is none */
+	uint64_t version; /* 0: the pointer does not exist */
 	uint64_t generation;
 	char *object;
 } pointer_t;
 
+/* Reads the pointer; returns -1 with ERR set on failure. */
 static int pointer_read(rollout_t *rollout, pointer_t *pointer, pd_error_t *err)
 {
 	ctl_reply_t reply = { 0 };
@@ -71,7 +73,7 @@
 
 static int body_write(rollout_t *rollout, pd_error_t *err)
 {
-	/* Its key holds its hash, so writing it twice changes nothing. */
+	/* The key contains the body's hash, so the write is idempotent. */
 	for (int i = 0; i < ROLLOUT_ATTEMPTS_MAX; i++) {
 		ctl_reply_t reply = { 0 };
 
@@ -100,8 +102,9 @@
 }
 
 /*
- * Moves the pointer. A write whose reply was lost may have moved it already,
- * so each further try reads first and looks for its own body there.
+ * Updates the pointer; returns -1 with ERR set on failure. A write whose reply was
+ * lost may have taken effect, so each attempt first reads the pointer and
+ * succeeds if it already names the new body.
  */
 static int pointer_update(rollout_t *rollout, pd_error_t *err)
 {
@@ -132,6 +135,7 @@
 	return -1;
 }
 
+/* Reads and verifies the signed bundle; returns -1 with ERR set on failure. */
 static int rollout_prepare(rollout_t *rollout, const ctl_options_t *options,
 			   pd_error_t *err)
 {
@@ -164,6 +168,7 @@
 	return rc;
 }
 
+/* Returns whether an entry runs a bundle of at least GENERATION. */
 static bool entry_has_generation(http_client_t *client,
 				 const member_info_t *entry, uint64_t generation)
 {
@@ -175,10 +180,10 @@
 }
 
 /*
- * Waits until one entry has the bundle; false if none has it in time. The store
- * may go down right after it accepted a bundle. If the operator then went home
- * and no entry had read the body, it would be in force nowhere until the store
- * is back; once one has it, the others get it from there.
+ * Waits until an entry has the bundle; returns false on timeout. The store may
+ * fail right after it accepted a bundle. If no entry had read the body by then,
+ * the bundle would take effect nowhere until the store recovers; once one entry
+ * has it, the others get it from that entry.
  */
 static bool rollout_is_delivered(const rollout_t *rollout, const GArray *entries)
 {
@@ -211,8 +216,8 @@
 }
 
 /*
- * Deletes the body that the pointer named before. With a thousand rollouts a day
- * old bodies would fill the store; what is worth keeping is with the operators.
+ * Deletes the previous body. With a thousand rollouts a day old bodies would fill
+ * the store; operators archive the bundles that they want to keep.
  */
 static void body_delete_replaced(const rollout_t *rollout)
 {
@@ -225,7 +230,7 @@
 	g_free(reply.body);
 }
 
-/* Puts a signed bundle in force everywhere. */
+/* Rolls out a signed bundle. */
 int ctl_rollout(const ctl_options_t *options)
 {
 	rollout_t rollout = { 0 };
--- a/ctl/ctl_status.c
+++ b/ctl/ctl_status.c
@@ -1,4 +1,4 @@
-/* Commands that only look: status and explain. */
+/* Read-only commands: status and explain. */
 #include <glib.h>
 #include <jansson.h>
 #include <stdio.h>
@@ -14,7 +14,7 @@
 
 #define QUERY_TIMEOUT (2 * PD_SEC)
 
-/* One question to one entry. */
+/* An HTTP request to an entry. */
 typedef struct query {
 	GString *body;
 	int status;
@@ -62,7 +62,7 @@
 	http_call_start(client, &request, &handlers, query);
 }
 
-/* Waits for the reply; returns its JSON, or NULL if there was none. */
+/* Waits for the reply; returns its JSON, or NULL on failure. Frees the body. */
 static json_t *query_finish(query_t *query)
 {
 	json_t *reply = NULL;
@@ -81,7 +81,10 @@
 	member_info_clear(data);
 }
 
-/* Returns the entries that the platform lists, as member_info_t. */
+/*
+ * Returns the entries listed by the platform, an array of member_info_t owned by
+ * the caller; NULL with ERR set on failure.
+ */
 GArray *ctl_list_entries(platform_t *platform, pd_error_t *err)
 {
 	GArray *entries = g_array_new(FALSE, TRUE, sizeof(member_info_t));
@@ -143,8 +146,9 @@
 }
 
 /*
- * Shows each entry: ready or not, its bundle, its load, whom it sees. All are
- * asked at once, so that entries which are gone cost one time-out together.
+ * Shows each entry's readiness, bundle generation, load and number of live
+ * members. The queries run concurrently, so that all unreachable entries together
+ * cost one timeout.
  */
 int ctl_status(const ctl_options_t *options)
 {
@@ -198,7 +202,7 @@
 		       json_string_or(decision, "passed_over", ""));
 }
 
-/* Returns an entry's JSON reply, or NULL if it gave none. */
+/* Returns an entry's JSON reply, owned by the caller; NULL on failure. */
 json_t *ctl_query_entry(http_client_t *client, const member_info_t *entry,
 			const char *path)
 {
@@ -209,8 +213,8 @@
 }
 
 /*
- * Shows the decisions about one request. Its id begins with that of the entry
- * which took it, so that one entry is asked and not the fleet.
+ * Shows the decisions about a request. Its id begins with that of the entry that
+ * accepted it, so only that entry is queried.
  */
 int ctl_explain(const ctl_options_t *options)
 {
--- a/programs/cli.c
+++ b/programs/cli.c
@@ -1,4 +1,4 @@
-/* Reads the settings file of a serving program. */
+/* Settings and logging of the entry and the placer. */
 #include "programs/cli.h"
 
 #include <stdio.h>
@@ -9,9 +9,9 @@
 #include "programs/options.h"
 
 /*
- * Returns the checked settings, owned by the caller, with logging set up by
- * them. Ends the process with EX_CONFIG and one line if they are at fault, and
- * with EX_OK after --check if they are not.
+ * Returns the settings that the command line names, owned by the caller, and
+ * initializes logging. Exits with EX_CONFIG and an error message if they are
+ * invalid, and with EX_OK if they are valid and --check was given.
  */
 settings_t *cli_load_settings(int argc, char **argv, const char *doc)
 {
--- a/programs/cli.h
+++ b/programs/cli.h
@@ -1,4 +1,4 @@
-/* Settings and logging of the entry and the placer, by their command line. */
+/* Settings and logging of the entry and the placer. */
 #ifndef PISTACHIO_CLI_H
 #define PISTACHIO_CLI_H
 
--- a/programs/options.c
+++ b/programs/options.c
@@ -1,4 +1,4 @@
-/* The options that all serving programs have. */
+/* Command-line options shared by the servers. */
 #include "programs/options.h"
 
 #include <argp.h>
@@ -26,7 +26,7 @@
 	}
 }
 
-/* Reads the command line; ends the process with EX_USAGE if it is at fault. */
+/* Parses the command line; exits with EX_USAGE if it is invalid. */
 options_t options_read(int argc, char **argv, const char *doc)
 {
 	static const struct argp_option table[] = {
--- a/programs/options.h
+++ b/programs/options.h
@@ -1,4 +1,4 @@
-/* The command line that the serving programs share. */
+/* Command-line options shared by the servers. */
 #ifndef PISTACHIO_OPTIONS_H
 #define PISTACHIO_OPTIONS_H
 
@@ -8,7 +8,7 @@
 
 typedef struct options {
 	const char *settings; /* path of the settings file */
-	bool check; /* only check the settings */
+	bool check; /* check the settings and exit */
 } options_t;
 
 options_t options_read(int argc, char **argv, const char *doc);
--- a/programs/pistachio_entry.c
+++ b/programs/pistachio_entry.c
@@ -1,4 +1,4 @@
-/* pistachio-entry: takes callers' requests and routes them to upstreams. */
+/* pistachio-entry: accepts callers' requests and routes them to upstreams. */
 #include <signal.h>
 #include <stdio.h>
 #include <sysexits.h>
--- a/programs/pistachio_gateway.c
+++ b/programs/pistachio_gateway.c
@@ -1,4 +1,4 @@
-/* pistachio-gateway: forwards callers' requests on the users' platform. */
+/* pistachio-gateway: forwards callers' requests to upstreams of the platform. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/programs/pistachio_placer.c
+++ b/programs/pistachio_placer.c
@@ -1,4 +1,4 @@
-/* pistachio-placer: keeps the VMs that the bundle asks for, under a lease. */
+/* pistachio-placer: buys and releases VMs for the bundle, under a lease. */
 #include <signal.h>
 #include <stdio.h>
 #include <sysexits.h>
--- a/programs/pistachioctl.c
+++ b/programs/pistachioctl.c
@@ -1,4 +1,4 @@
-/* pistachioctl: check, sign and roll out bundles; look at what is running. */
+/* pistachioctl: checks, signs and rolls out bundles; shows the fleet's status. */
 #include <argp.h>
 #include <signal.h>
 #include <string.h>
--- a/tests/process/test_ctl.c
+++ b/tests/process/test_ctl.c
@@ -1,4 +1,4 @@
-/* The operators' tool and the programs' command lines, as a shell sees them. */
+/* Tests of pistachioctl and of the programs' command lines. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -33,7 +33,10 @@
 	return process_ended(ctx);
 }
 
-/* Runs a program to its end; returns its exit code and what it printed. */
+/*
+ * Runs a program until it exits; returns its exit code and sets PRINTED to its
+ * output, owned by the caller.
+ */
 static int run_program(fleet_t *fleet, const char *program,
 		       const char *const *args, char **printed)
 {
@@ -89,8 +92,8 @@
 }
 
 /*
- * An operator mistypes a key in a settings file. The program must say where
- * and start nothing, or half a fleet would run on defaults nobody chose.
+ * Guards against starting with a misspelled settings key, which would silently
+ * run a part of the fleet on defaults. The program must report where it is.
  */
 static void test_invalid_settings_exit_78(void **state)
 {
@@ -148,8 +151,8 @@
 }
 
 /*
- * Two operators sign the same generation and roll out one after the other. The
- * second must hear of the conflict, not believe that its bundle is in force.
+ * Guards against a rollout that seems to succeed although a newer generation is
+ * already accepted. The operator must get a conflict.
  */
 static void test_lower_generation_conflicts(void **state)
 {
