--- a/tests/unit/test_build_packages.c
+++ b/tests/unit/test_build_packages.c
@@ -64,8 +64,10 @@
 	return 0;
 }
 
-/* Runs the check on the project; returns true if it passed. REPORT gets what it
- * printed, to be freed by the caller. */
+/*
+ * Runs the check on the project; returns whether it passed and sets REPORT to its
+ * output, owned by the caller.
+ */
 static bool project_check(const project_t *project, char **report)
 {
 	char *argv[] = { "tools/check-build-packages", project->root, NULL };
@@ -91,7 +93,7 @@
 	g_free(report);
 }
 
-/* A build that uses only what is listed must pass, or the check says nothing. */
+/* Guards against a check that also rejects builds which use listed packages only. */
 static void test_listed_packages_pass(void **state)
 {
 	char *report;
@@ -104,7 +106,7 @@
 	g_free(report);
 }
 
-/* Guards against flags that pkg-config has only where an unlisted package is. */
+/* Guards against a pkg-config query for an unlisted package. */
 static void test_unlisted_pkg_config_fails(void **state)
 {
 	project_write(*state, "Makefile",
@@ -114,7 +116,7 @@
 	assert_check_names(*state, "libsodium");
 }
 
-/* Guards against an unlisted header that the compiler finds by itself. */
+/* Guards against an unlisted header in the compiler's default search path. */
 static void test_unlisted_header_fails(void **state)
 {
 	project_write(*state, "main.c", "#include <sodium.h>\n" MAIN);
@@ -122,7 +124,7 @@
 	assert_check_names(*state, "/usr/include/sodium.h\tlibsodium-dev");
 }
 
-/* Guards against an unlisted library that the linker finds by itself. */
+/* Guards against an unlisted library in the linker's default search path. */
 static void test_unlisted_library_fails(void **state)
 {
 	project_write(*state, "Makefile",
@@ -130,7 +132,7 @@
 	assert_check_names(*state, "libsodium");
 }
 
-/* Guards against an unlisted tool whose absence the build passes over. */
+/* Guards against an unlisted tool whose absence the build ignores. */
 static void test_unlisted_tool_fails(void **state)
 {
 	project_write(*state, "Makefile",
@@ -139,7 +141,7 @@
 	assert_check_names(*state, "clang-format");
 }
 
-/* Guards against lists of headers that mix where many compilers run at once. */
+/* Guards against header lists that are interleaved by concurrent compilers. */
 static void test_parallel_compilers_pass(void **state)
 {
 	char *report;
@@ -155,14 +157,14 @@
 	g_free(report);
 }
 
-/* Guards against a check that passes because it followed no compiler. */
+/* Guards against a check that passes because it saw no compiler run. */
 static void test_build_without_compiler_fails(void **state)
 {
 	project_write(*state, "Makefile", RULE);
 	assert_check_names(*state, "nothing was checked");
 }
 
-/* Guards against a make that goes on without the flags of a missing package. */
+/* Guards against a make that continues without the flags of a missing package. */
 static void test_missing_package_stops_make(void **state)
 {
 	char *argv[] = { "make", "-s", "gateway", NULL, NULL };
