--- a/adapters/http1/http1.c
+++ b/adapters/http1/http1.c
@@ -443,7 +443,7 @@
 	conn->events.on_head(conn->ctx, &head);
 	if (conn->ended)
 		return -1;
-	return conn->response_to_head ? 1 : 0; /* 1 tells the parser to skip the body */
+	return conn->response_to_head ? 1 : 0; /* 1: skip the body */
 }
 
 static int on_parser_body(http_parser *parser, const char *at, size_t len)
