--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -18,7 +18,8 @@
 {
 	g_string_truncate(request->response_headers, 0);
 	for (size_t i = 0; i < head->header_count; i++) {
-		if (wire_answer_passes(head->headers, head->header_count, i))
+		if (wire_response_header_is_forwarded(head->headers,
+						      head->header_count, i))
 			g_string_append_printf(request->response_headers,
 					       "%s: %s\r\n", head->headers[i].name,
 					       head->headers[i].value);
@@ -38,9 +39,9 @@
 static void on_head(void *ctx, const http1_head_t *head)
 {
 	gateway_request_t *request = ctx;
-	wire_answer_t answer;
+	wire_response_t answer;
 
-	wire_answer_read(head->headers, head->header_count, &answer);
+	wire_response_parse(head->headers, head->header_count, &answer);
 	/*
 	 * An upstream may respond twice to a request. The second response
 	 * arrives in place of the next request's, and its caller would get the
@@ -76,7 +77,7 @@
 	GString *out = g_string_sized_new(request->response_headers->len + 128);
 
 	g_string_printf(out, "HTTP/1.1 %d %s\r\n", request->status,
-			http1_reason(request->status));
+			http1_reason_phrase(request->status));
 	g_string_append_len(out, request->response_headers->str,
 			    (gssize)request->response_headers->len);
 	if (length < 0)
@@ -228,10 +229,10 @@
 {
 	static const char *const reasons[] = {
 		[HTTP1_END_CLOSED] = "upstream closed",
-		[HTTP1_END_CUT] = "upstream broke off",
+		[HTTP1_END_TRUNCATED] = "upstream broke off",
 		[HTTP1_END_RESET] = "upstream reset",
-		[HTTP1_END_REFUSED] = "upstream refused the connection",
-		[HTTP1_END_PROTOCOL] = "upstream sent no answer",
+		[HTTP1_END_CONNECT_FAILED] = "upstream refused the connection",
+		[HTTP1_END_PROTOCOL_ERROR] = "upstream sent no answer",
 		[HTTP1_END_TOO_LARGE] = "upstream's head too large",
 	};
 	gateway_request_t *request = ctx;
--- a/adapters/http1/http1.c
+++ b/adapters/http1/http1.c
@@ -1,6 +1,6 @@
 /*
- * HTTP/1.1 connections: the parser library's callbacks gathered into whole
- * heads, writes that never block, and ends that are told apart.
+ * HTTP/1.1 connections: collects the parser's callbacks into complete heads,
+ * writes without blocking and classifies how a connection ended.
  */
 #include "adapters/http1/http1.h"
 
@@ -11,52 +11,52 @@
 #include <strings.h>
 #include <sys/socket.h>
 
-/* One read; all connections share the buffer, as the loop has one thread. */
-#define READ_BYTES (64 * 1024)
-/* Bytes taken in while a message is held back, before reading pauses. */
-#define HELD_MAX (64 * 1024)
+/* Per read; all connections share the buffer, as the loop has one thread. */
+#define READ_BUFFER_BYTES (64 * 1024)
+/* Bytes buffered while messages are paused; then reading stops. */
+#define PENDING_BYTES_MAX (64 * 1024)
 #define HEADERS_MAX 128
-/* Heads of answers and of calls to services; callers' limit is configured. */
+/* The default; the limit for callers' requests is configurable. */
 #define HEAD_BYTES_MAX (64 * 1024)
 /*
- * A connection can go silent for good without a reset, when something between
- * the two ends has lost track of it. Probes after a second of silence, a second
- * apart, end it within about three; writes left unacknowledged end it as soon.
+ * A connection can die without a reset, for example when a device on the path
+ * loses its state. TCP keep-alive probes start after one idle second and end such
+ * a connection within about three seconds; unacknowledged writes end it as fast.
  */
-#define PROBE_IDLE_S 1
-#define PROBE_INTERVAL_S 1
-#define PROBE_COUNT 2
-#define UNACKED_MAX_MS 2500
+#define KEEPALIVE_IDLE_S 1
+#define KEEPALIVE_INTERVAL_S 1
+#define KEEPALIVE_PROBES 2
+#define UNACKED_TIMEOUT_MS 2500
 
-typedef struct span {
-	size_t name; /* offsets into the head's text */
-	size_t value;
-} span_t;
+typedef struct offsets {
+	size_t name; /* in http1_t.text */
+	size_t value; /* equal to NAME if the value is empty */
+} header_offsets_t;
 
 struct http1 {
 	uv_tcp_t tcp;
-	uv_connect_t connecting;
-	uv_shutdown_t ending;
+	uv_connect_t connect_req;
+	uv_shutdown_t shutdown_req;
 	http1_side_t side;
 	http1_events_t events;
 	void *ctx;
 	http_parser parser;
-	GString *text; /* the head's strings, each with its end mark */
-	GArray *spans; /* of span_t */
+	GString *text; /* the head's strings, each NUL-terminated */
+	GArray *header_offsets; /* of header_offsets_t */
 	bool in_value;
 	bool in_message; /* a message has begun and not ended */
-	bool expecting; /* a client side: an answer is due */
-	bool no_body; /* the answer due is one to HEAD */
-	bool held; /* the next message is kept back */
-	bool bad; /* the head broke a rule of ours */
+	bool expecting_response; /* client only */
+	bool response_to_head; /* the expected response is to a HEAD request */
+	bool paused; /* the next message is buffered */
+	bool malformed; /* the head is rejected by this module's checks */
 	bool too_large;
 	bool reading;
 	bool draining;
 	bool closing;
-	bool ended; /* on_end was called, or is not wanted */
+	bool ended; /* on_end was called, or must not be called */
 	size_t head_bytes;
 	size_t head_max;
-	GByteArray *pending; /* read while held */
+	GByteArray *pending; /* read while paused */
 };
 
 typedef struct pending_write {
@@ -64,30 +64,30 @@
 	char bytes[];
 } pending_write_t;
 
-static char read_buffer[READ_BYTES];
-/* Connections that close once their written bytes are with the kernel. */
+static char read_buffer[READ_BUFFER_BYTES];
+/* Connections that wait for queued writes before they close. */
 static unsigned int draining_count;
 
-static int parser_message_begin(http_parser *parser);
-static int parser_url(http_parser *parser, const char *at, size_t len);
-static int parser_field(http_parser *parser, const char *at, size_t len);
-static int parser_value(http_parser *parser, const char *at, size_t len);
-static int parser_headers(http_parser *parser);
-static int parser_body(http_parser *parser, const char *at, size_t len);
-static int parser_message(http_parser *parser);
-static void conn_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf);
+static int on_parser_message_begin(http_parser *parser);
+static int on_parser_url(http_parser *parser, const char *at, size_t len);
+static int on_parser_header_field(http_parser *parser, const char *at, size_t len);
+static int on_parser_header_value(http_parser *parser, const char *at, size_t len);
+static int on_parser_headers_complete(http_parser *parser);
+static int on_parser_body(http_parser *parser, const char *at, size_t len);
+static int on_parser_message_complete(http_parser *parser);
+static void on_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf);
 
 static const http_parser_settings parser_settings = {
-	.on_message_begin = parser_message_begin,
-	.on_url = parser_url,
-	.on_header_field = parser_field,
-	.on_header_value = parser_value,
-	.on_headers_complete = parser_headers,
-	.on_body = parser_body,
-	.on_message_complete = parser_message,
+	.on_message_begin = on_parser_message_begin,
+	.on_url = on_parser_url,
+	.on_header_field = on_parser_header_field,
+	.on_header_value = on_parser_header_value,
+	.on_headers_complete = on_parser_headers_complete,
+	.on_body = on_parser_body,
+	.on_message_complete = on_parser_message_complete,
 };
 
-/* Returns a connection that is not yet up. Freed by itself after http1_close(). */
+/* Returns an unconnected connection, which http1_close() frees. EVENTS is copied. */
 http1_t *http1_create(uv_loop_t *loop, http1_side_t side,
 		      const http1_events_t *events, void *ctx)
 {
@@ -97,7 +97,8 @@
 	conn->events = *events;
 	conn->ctx = ctx;
 	conn->text = g_string_sized_new(256);
-	conn->spans = g_array_sized_new(FALSE, FALSE, sizeof(span_t), 16);
+	conn->header_offsets =
+		g_array_sized_new(FALSE, FALSE, sizeof(header_offsets_t), 16);
 	conn->head_max = HEAD_BYTES_MAX;
 	http_parser_init(&conn->parser,
 			 side == HTTP1_SERVER ? HTTP_REQUEST : HTTP_RESPONSE);
@@ -107,13 +108,13 @@
 	return conn;
 }
 
-/* Sets how many bytes a head may have; longer ones end the connection. */
-void http1_limit_head(http1_t *conn, size_t bytes)
+/* Sets the maximum size of a head; a longer one ends the connection. */
+void http1_set_head_limit(http1_t *conn, size_t bytes)
 {
 	conn->head_max = bytes;
 }
 
-static void conn_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
+static void on_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
 	(void)handle;
 	(void)size;
@@ -125,16 +126,16 @@
 	if (conn->reading || conn->closing)
 		return;
 	conn->reading = true;
-	uv_read_start((uv_stream_t *)&conn->tcp, conn_alloc, conn_read);
+	uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 }
 
 static void conn_set_option(int fd, int level, int option, int value)
 {
-	/* A connection without the option still works; it only ends later. */
+	/* Without the option the connection works, but failures show later. */
 	(void)setsockopt(fd, level, option, &value, sizeof(value));
 }
 
-static void conn_tune(http1_t *conn)
+static void conn_set_options(http1_t *conn)
 {
 	uv_os_fd_t fd;
 
@@ -142,24 +143,24 @@
 	if (uv_fileno((uv_handle_t *)&conn->tcp, &fd) < 0)
 		return;
 	conn_set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, PROBE_IDLE_S);
-	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, PROBE_INTERVAL_S);
-	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, PROBE_COUNT);
-	conn_set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_MAX_MS);
+	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
+	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
+	conn_set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES);
+	conn_set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS);
 }
 
-static void conn_closed(uv_handle_t *handle)
+static void on_closed(uv_handle_t *handle)
 {
 	http1_t *conn = handle->data;
 
 	g_string_free(conn->text, TRUE);
-	g_array_unref(conn->spans);
+	g_array_unref(conn->header_offsets);
 	if (conn->pending)
 		g_byte_array_unref(conn->pending);
 	g_free(conn);
 }
 
-/* Closes the connection without an event; twice is harmless. */
+/* Closes and frees the connection without calling on_end; idempotent. */
 void http1_close(http1_t *conn)
 {
 	conn->ended = true;
@@ -168,30 +169,30 @@
 	conn->closing = true;
 	if (conn->draining)
 		draining_count--;
-	uv_close((uv_handle_t *)&conn->tcp, conn_closed);
+	uv_close((uv_handle_t *)&conn->tcp, on_closed);
 }
 
 static void conn_end(http1_t *conn, http1_end_t end)
 {
-	bool tell = !conn->ended;
+	bool notify = !conn->ended;
 	http1_events_t events = conn->events;
 	void *ctx = conn->ctx;
 
 	http1_close(conn);
-	if (tell)
+	if (notify)
 		events.on_end(ctx, end);
 }
 
-static void conn_shut(uv_shutdown_t *req, int status)
+static void on_shutdown(uv_shutdown_t *req, int status)
 {
 	(void)status;
 	http1_close(req->handle->data);
 }
 
 /*
- * Closes once all written bytes are with the kernel. Closing at once, with
- * bytes of the caller unread, would reset the connection and could destroy the
- * answer on its way.
+ * Closes the connection after all queued writes have been sent, without calling
+ * on_end. An immediate close with unread input would reset the connection and
+ * could destroy the response in transit.
  */
 void http1_close_when_sent(http1_t *conn)
 {
@@ -203,67 +204,71 @@
 	if (conn->reading)
 		uv_read_stop((uv_stream_t *)&conn->tcp);
 	conn->reading = false;
-	conn->ending.data = conn;
-	if (uv_shutdown(&conn->ending, (uv_stream_t *)&conn->tcp, conn_shut) < 0)
+	conn->shutdown_req.data = conn;
+	if (uv_shutdown(&conn->shutdown_req, (uv_stream_t *)&conn->tcp,
+			on_shutdown) < 0)
 		http1_close(conn);
 }
 
-/* Returns whether a connection still has bytes to send before it closes. */
+/* Returns whether any connection still sends queued writes before it closes. */
 bool http1_is_draining(void)
 {
 	return draining_count > 0;
 }
 
-/* Takes a waiting connection from the listener; -1 if there is none. */
+/* Accepts a connection from LISTENER; returns -1 if there is none. */
 int http1_accept(http1_t *conn, uv_stream_t *listener)
 {
 	if (uv_accept(listener, (uv_stream_t *)&conn->tcp) < 0)
 		return -1;
-	conn_tune(conn);
+	conn_set_options(conn);
 	conn_start_reading(conn);
 	return 0;
 }
 
-static void conn_connected(uv_connect_t *req, int status)
+static void on_connect_done(uv_connect_t *req, int status)
 {
 	http1_t *conn = req->handle->data;
 
 	if (conn->closing)
 		return;
 	if (status < 0) {
-		conn_end(conn, HTTP1_END_REFUSED);
+		conn_end(conn, HTTP1_END_CONNECT_FAILED);
 		return;
 	}
-	conn_tune(conn);
+	conn_set_options(conn);
 	conn_start_reading(conn);
 	conn->events.on_connected(conn->ctx);
 }
 
-/* Starts to connect; on_connected or on_end follows. -1: it can't be tried. */
+/*
+ * Starts to connect to an IPv4 address; on_connected or on_end follows. Returns
+ * -1, without a callback, if that fails at once.
+ */
 int http1_connect(http1_t *conn, const char *address, uint16_t port)
 {
 	struct sockaddr_in addr;
 
 	if (uv_ip4_addr(address, port, &addr) < 0)
 		return -1;
-	return uv_tcp_connect(&conn->connecting, &conn->tcp,
-			      (const struct sockaddr *)&addr, conn_connected) < 0
+	return uv_tcp_connect(&conn->connect_req, &conn->tcp,
+			      (const struct sockaddr *)&addr, on_connect_done) < 0
 		       ? -1
 		       : 0;
 }
 
-static void write_done(uv_write_t *req, int status)
+static void on_write_done(uv_write_t *req, int status)
 {
 	http1_t *conn = req->handle->data;
 
 	g_free(req);
 	if (status < 0 && !conn->closing)
-		conn_end(conn, conn->in_message || conn->expecting
-				       ? HTTP1_END_CUT
+		conn_end(conn, conn->in_message || conn->expecting_response
+				       ? HTTP1_END_TRUNCATED
 				       : HTTP1_END_RESET);
 }
 
-/* Sends bytes, copying what the kernel does not take at once. */
+/* Sends bytes without blocking; those that the kernel doesn't take are copied. */
 void http1_write(http1_t *conn, const char *data, size_t len)
 {
 	uv_buf_t buf = uv_buf_init((char *)data, (unsigned int)len);
@@ -275,39 +280,40 @@
 	sent = uv_try_write((uv_stream_t *)&conn->tcp, &buf, 1);
 	if (sent == (int)len)
 		return;
-	/* An error shows again at the queued write, outside of the caller. */
+	/* The queued write reports an error again, after this call returned. */
 	if (sent < 0)
 		sent = 0;
 	write = g_malloc(sizeof(*write) + len - (size_t)sent);
 	memcpy(write->bytes, data + sent, len - (size_t)sent);
 	buf = uv_buf_init(write->bytes, (unsigned int)(len - (size_t)sent));
-	if (uv_write(&write->req, (uv_stream_t *)&conn->tcp, &buf, 1, write_done) < 0)
+	if (uv_write(&write->req, (uv_stream_t *)&conn->tcp, &buf, 1,
+		     on_write_done) < 0)
 		g_free(write);
 }
 
-/* Returns how many written bytes the kernel has not taken yet. */
-size_t http1_unsent(const http1_t *conn)
+/* Returns the number of queued bytes that the kernel has not taken yet. */
+size_t http1_unsent_bytes(const http1_t *conn)
 {
 	return uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp);
 }
 
-/* Says whether a message has begun to come in and has not ended. */
+/* Returns whether a message has been received in part. */
 bool http1_in_message(const http1_t *conn)
 {
 	return conn->in_message;
 }
 
 /*
- * A client side: says that an answer is due, so that one is let in. An answer
- * to HEAD states a length and has no body.
+ * Client only: allows one response. A response to HEAD has no body although it
+ * may state a length.
  */
-void http1_expect_message(http1_t *conn, bool to_head)
+void http1_expect_response(http1_t *conn, bool for_head)
 {
-	conn->expecting = true;
-	conn->no_body = to_head;
+	conn->expecting_response = true;
+	conn->response_to_head = for_head;
 }
 
-static void add_text(http1_t *conn, const char *at, size_t len)
+static void append_head_text(http1_t *conn, const char *at, size_t len)
 {
 	g_string_append_len(conn->text, at, (gssize)len);
 	conn->head_bytes += len;
@@ -315,7 +321,7 @@
 		conn->too_large = true;
 }
 
-static int parser_message_begin(http_parser *parser)
+static int on_parser_message_begin(http_parser *parser)
 {
 	http1_t *conn = parser->data;
 
@@ -323,76 +329,78 @@
 	conn->in_value = false;
 	conn->head_bytes = 0;
 	g_string_truncate(conn->text, 0);
-	g_array_set_size(conn->spans, 0);
-	/* An answer that nobody asked for belongs to no request. */
-	if (conn->side == HTTP1_CLIENT && !conn->expecting)
+	g_array_set_size(conn->header_offsets, 0);
+	/* An unsolicited response belongs to no request. */
+	if (conn->side == HTTP1_CLIENT && !conn->expecting_response)
 		return 1;
 	return 0;
 }
 
-static int parser_url(http_parser *parser, const char *at, size_t len)
+static int on_parser_url(http_parser *parser, const char *at, size_t len)
 {
 	http1_t *conn = parser->data;
 
-	add_text(conn, at, len);
+	append_head_text(conn, at, len);
 	return conn->too_large;
 }
 
-static int parser_field(http_parser *parser, const char *at, size_t len)
+static int on_parser_header_field(http_parser *parser, const char *at, size_t len)
 {
 	http1_t *conn = parser->data;
 
-	if (conn->in_value || !conn->spans->len) {
-		span_t span;
+	if (conn->in_value || !conn->header_offsets->len) {
+		header_offsets_t offsets;
 
 		g_string_append_c(conn->text, '\0');
-		span.name = conn->text->len;
-		span.value = span.name;
-		g_array_append_val(conn->spans, span);
+		offsets.name = conn->text->len;
+		offsets.value = offsets.name;
+		g_array_append_val(conn->header_offsets, offsets);
 		conn->in_value = false;
-		if (conn->spans->len > HEADERS_MAX)
+		if (conn->header_offsets->len > HEADERS_MAX)
 			conn->too_large = true;
 	}
-	/* Blanks before the colon are read by some as part of the name. */
+	/* Some parsers take blanks before the colon as part of the name. */
 	if (memchr(at, ' ', len) || memchr(at, '\t', len))
-		conn->bad = true;
-	add_text(conn, at, len);
-	return conn->too_large || conn->bad;
+		conn->malformed = true;
+	append_head_text(conn, at, len);
+	return conn->too_large || conn->malformed;
 }
 
-static int parser_value(http_parser *parser, const char *at, size_t len)
+static int on_parser_header_value(http_parser *parser, const char *at, size_t len)
 {
 	http1_t *conn = parser->data;
 
 	if (!conn->in_value) {
 		g_string_append_c(conn->text, '\0');
-		g_array_index(conn->spans, span_t, conn->spans->len - 1).value =
-			conn->text->len;
+		g_array_index(conn->header_offsets, header_offsets_t,
+			      conn->header_offsets->len - 1)
+			.value = conn->text->len;
 		conn->in_value = true;
 	}
 	if (memchr(at, '\0', len) || memchr(at, '\r', len) || memchr(at, '\n', len))
-		conn->bad = true;
-	add_text(conn, at, len);
-	return conn->too_large || conn->bad;
+		conn->malformed = true;
+	append_head_text(conn, at, len);
+	return conn->too_large || conn->malformed;
 }
 
 /*
- * Fills the list of headers. Two that say how long the body is, or a transfer
- * coding other than plain chunks, can be read in two ways; what follows such a
- * head could be smuggled past one of the readers, so it is refused.
+ * Fills HEADERS; returns false if the framing is ambiguous. With several
+ * Content-Length or Transfer-Encoding headers, or a coding other than chunked,
+ * two parsers may disagree on the body's end, which allows request smuggling.
  */
-static bool head_fill(http1_t *conn, header_t *headers)
+static bool collect_headers(http1_t *conn, header_t *headers)
 {
 	unsigned int lengths = 0;
 	unsigned int codings = 0;
 
-	for (guint i = 0; i < conn->spans->len; i++) {
-		span_t *span = &g_array_index(conn->spans, span_t, i);
+	for (guint i = 0; i < conn->header_offsets->len; i++) {
+		header_offsets_t *offsets = &g_array_index(conn->header_offsets,
+							   header_offsets_t, i);
 
-		headers[i].name = conn->text->str + span->name;
-		headers[i].value = conn->text->str + span->value;
+		headers[i].name = conn->text->str + offsets->name;
+		headers[i].value = conn->text->str + offsets->value;
 		/* A header with an empty value has no value callback. */
-		if (span->value == span->name)
+		if (offsets->value == offsets->name)
 			headers[i].value = "";
 		if (!strcasecmp(headers[i].name, "Content-Length"))
 			lengths++;
@@ -405,7 +413,7 @@
 	return lengths + codings <= 1;
 }
 
-static int parser_headers(http_parser *parser)
+static int on_parser_headers_complete(http_parser *parser)
 {
 	http1_t *conn = parser->data;
 	header_t headers[HEADERS_MAX + 1];
@@ -415,11 +423,11 @@
 	if (conn->side == HTTP1_CLIENT && parser->status_code < 200)
 		return 0;
 	g_string_append_c(conn->text, '\0');
-	if (!head_fill(conn, headers)) {
-		conn->bad = true;
+	if (!collect_headers(conn, headers)) {
+		conn->malformed = true;
 		return -1;
 	}
-	head.header_count = conn->spans->len;
+	head.header_count = conn->header_offsets->len;
 	head.keep_alive = http_should_keep_alive(parser);
 	if (conn->side == HTTP1_SERVER) {
 		head.method = http_method_str(parser->method);
@@ -435,10 +443,10 @@
 	conn->events.on_head(conn->ctx, &head);
 	if (conn->ended)
 		return -1;
-	return conn->no_body ? 1 : 0; /* 1 tells the parser to skip the body */
+	return conn->response_to_head ? 1 : 0; /* 1: skip the body */
 }
 
-static int parser_body(http_parser *parser, const char *at, size_t len)
+static int on_parser_body(http_parser *parser, const char *at, size_t len)
 {
 	http1_t *conn = parser->data;
 
@@ -446,7 +454,7 @@
 	return conn->ended;
 }
 
-static int parser_message(http_parser *parser)
+static int on_parser_message_complete(http_parser *parser)
 {
 	http1_t *conn = parser->data;
 	bool interim = conn->side == HTTP1_CLIENT && parser->status_code < 200;
@@ -454,34 +462,34 @@
 	conn->in_message = false;
 	if (interim)
 		return 0;
-	conn->expecting = false;
+	conn->expecting_response = false;
 	conn->events.on_message(conn->ctx);
-	/* One request at a time: what follows waits until this is answered. */
-	if (conn->held && !conn->ended)
+	/* Pipelined requests wait until the current one is answered. */
+	if (conn->paused && !conn->ended)
 		http_parser_pause(parser, 1);
 	return conn->ended;
 }
 
-static void conn_keep(http1_t *conn, const char *data, size_t len)
+static void conn_buffer_input(http1_t *conn, const char *data, size_t len)
 {
 	if (!conn->pending)
 		conn->pending = g_byte_array_new();
 	g_byte_array_append(conn->pending, (const guint8 *)data, (guint)len);
-	if (conn->pending->len > HELD_MAX && conn->reading) {
+	if (conn->pending->len > PENDING_BYTES_MAX && conn->reading) {
 		uv_read_stop((uv_stream_t *)&conn->tcp);
 		conn->reading = false;
 	}
 }
 
 /*
- * Ends a connection whose bytes can't be followed any more. A caller is told
- * why; what comes after the fault is not looked at, as it may be smuggled.
+ * Ends a connection after a framing error. A server sends an error response
+ * first. Input after the error is ignored, as it may be a smuggled request.
  */
-static void conn_refuse(http1_t *conn, int status, http1_end_t end)
+static void conn_reject(http1_t *conn, int status, http1_end_t end)
 {
 	http1_events_t events = conn->events;
 	void *ctx = conn->ctx;
-	bool tell = !conn->ended;
+	bool notify = !conn->ended;
 	char *answer;
 
 	if (conn->side == HTTP1_CLIENT) {
@@ -490,11 +498,11 @@
 	}
 	answer = g_strdup_printf("HTTP/1.1 %d %s\r\nContent-Length: 0\r\n"
 				 "Connection: close\r\n\r\n",
-				 status, http1_reason(status));
+				 status, http1_reason_phrase(status));
 	http1_write(conn, answer, strlen(answer));
 	g_free(answer);
 	http1_close_when_sent(conn);
-	if (tell)
+	if (notify)
 		events.on_end(ctx, end);
 }
 
@@ -508,41 +516,41 @@
 		return;
 	if (failure == HPE_PAUSED) {
 		http_parser_pause(&conn->parser, 0);
-		if (conn->held) {
+		if (conn->paused) {
 			if (used < len)
-				conn_keep(conn, data + used, len - used);
+				conn_buffer_input(conn, data + used, len - used);
 		} else {
-			/* Answered within the callback: go on at once. */
+			/* Resumed within the callback. */
 			conn_parse(conn, data + used, len - used);
 		}
 		return;
 	}
 	if (conn->too_large || failure == HPE_HEADER_OVERFLOW)
-		conn_refuse(conn, 431, HTTP1_END_TOO_LARGE);
+		conn_reject(conn, 431, HTTP1_END_TOO_LARGE);
 	else if (failure != HPE_OK || conn->parser.upgrade)
-		conn_refuse(conn, 400, HTTP1_END_PROTOCOL);
+		conn_reject(conn, 400, HTTP1_END_PROTOCOL_ERROR);
 }
 
-/* Tells the parser of the end, which completes an answer without a length. */
-static void conn_finish(http1_t *conn, bool reset)
+/* Handles end of file or reset; end of file ends a response without a length. */
+static void conn_handle_eof(http1_t *conn, bool reset)
 {
-	bool was_idle = !conn->in_message && !conn->expecting;
+	bool was_idle = !conn->in_message && !conn->expecting_response;
 
 	if (!reset && conn->in_message)
 		http_parser_execute(&conn->parser, &parser_settings, NULL, 0);
 	if (conn->ended)
 		return;
-	if (conn->in_message || conn->expecting)
-		conn_end(conn, HTTP1_END_CUT);
+	if (conn->in_message || conn->expecting_response)
+		conn_end(conn, HTTP1_END_TRUNCATED);
 	else
 		conn_end(conn, reset && was_idle ? HTTP1_END_RESET
 						 : HTTP1_END_CLOSED);
 }
 
 /*
- * A reset that comes right after data can be read as an ordinary end; only the
- * socket's error tells. Taken for the end of an answer without a length, a part
- * of it would be passed on as the whole.
+ * Returns whether the connection was reset. A reset right after data can show as
+ * end of file, and only SO_ERROR reveals it. If it were taken for the end of a
+ * response without a length, a truncated response would be forwarded as complete.
  */
 static bool conn_was_reset(const http1_t *conn)
 {
@@ -555,32 +563,32 @@
 	return getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &len) < 0 || error;
 }
 
-static void conn_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
+static void on_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
 {
 	http1_t *conn = stream->data;
 
 	if (conn->ended || len == 0)
 		return;
 	if (len < 0)
-		conn_finish(conn, len != UV_EOF || conn_was_reset(conn));
-	else if (conn->held)
-		conn_keep(conn, buf->base, (size_t)len);
+		conn_handle_eof(conn, len != UV_EOF || conn_was_reset(conn));
+	else if (conn->paused)
+		conn_buffer_input(conn, buf->base, (size_t)len);
 	else
 		conn_parse(conn, buf->base, (size_t)len);
 }
 
-/* Keeps the next message back; the end of the connection is still noticed. */
-void http1_hold(http1_t *conn)
+/* Buffers the next message; the end of the connection is still detected. */
+void http1_pause(http1_t *conn)
 {
-	conn->held = true;
+	conn->paused = true;
 }
 
-/* Lets the next message in, and what was read of it meanwhile. */
+/* Resumes messages and handles the input that was buffered. */
 void http1_resume(http1_t *conn)
 {
 	GByteArray *pending = conn->pending;
 
-	conn->held = false;
+	conn->paused = false;
 	if (conn->ended)
 		return;
 	conn_start_reading(conn);
@@ -591,8 +599,8 @@
 	g_byte_array_unref(pending);
 }
 
-/* Returns the usual phrase of a status, or "Status" for an unusual one. */
-const char *http1_reason(int status)
+/* Returns the reason phrase of a status code, or "Status" if it is unknown. */
+const char *http1_reason_phrase(int status)
 {
 	switch (status) {
 #define REASON(code, name, text) \
--- a/adapters/http1/http1_call.c
+++ b/adapters/http1/http1_call.c
@@ -1,4 +1,4 @@
-/* Calls over kept connections, each with its own timer. */
+/* HTTP calls over pooled connections, each with its own timer. */
 #include "adapters/http1/http1_call.h"
 
 #include <string.h>
@@ -6,28 +6,29 @@
 #include "core/list.h"
 
 /*
- * Kept connections are used again within this time only: the other side closes
- * idle ones after a time that it need not tell, and a call that crosses such a
- * close is lost. Half of the shortest usual timeout.
+ * An idle connection is reused only within this time. The server may close idle
+ * connections after a time that it doesn't announce, and a call sent at that
+ * moment is lost. Half of the shortest common idle timeout.
  */
-#define KEEP_MAX_MS 2500
-#define KEPT_MAX 4
-#define CONNECT_MAX_MS 1000
+#define IDLE_MAX_MS 2500
+#define IDLE_CHANNELS_MAX 4
+#define CONNECT_TIMEOUT_MS 1000
 
+/* A pooled connection and the call on it. */
 typedef struct channel {
 	list_node_t node;
 	http1_client_t *client;
 	http1_t *conn;
 	uv_timer_t timer;
-	http1_ask_t ask; /* its strings are not kept */
-	GString *request; /* until the connection is up */
+	http1_request_t request; /* its strings are not valid after the call */
+	GString *request_text;
 	GString *body;
 	int status;
 	bool busy;
 	bool connected;
 	bool sent;
 	bool reusable;
-	uint64_t begun_at;
+	uint64_t started_at;
 	uint64_t idle_since;
 } channel_t;
 
@@ -36,30 +37,30 @@
 	char *address;
 	uint16_t port;
 	list_node_t channels;
-	http1_ended_t on_ended; /* NULL: nobody is told */
-	void *observer;
+	http1_on_done_t on_done; /* NULL: none */
+	void *on_done_ctx;
 };
 
-static void channel_freed(uv_handle_t *handle)
+static void on_timer_closed(uv_handle_t *handle)
 {
 	channel_t *channel = handle->data;
 
-	g_string_free(channel->request, TRUE);
+	g_string_free(channel->request_text, TRUE);
 	g_string_free(channel->body, TRUE);
 	g_free(channel);
 }
 
-static void channel_drop(channel_t *channel)
+static void channel_close(channel_t *channel)
 {
 	list_remove(&channel->node);
 	if (channel->conn)
 		http1_close(channel->conn);
 	channel->conn = NULL;
 	if (!uv_is_closing((uv_handle_t *)&channel->timer))
-		uv_close((uv_handle_t *)&channel->timer, channel_freed);
+		uv_close((uv_handle_t *)&channel->timer, on_timer_closed);
 }
 
-static unsigned int idle_channels(const http1_client_t *client)
+static unsigned int count_idle_channels(const http1_client_t *client)
 {
 	unsigned int count = 0;
 
@@ -68,42 +69,43 @@
 	return count;
 }
 
-static void channel_reply(channel_t *channel, int status)
+static void channel_end_call(channel_t *channel, int status)
 {
-	const http1_ask_t ask = channel->ask;
+	const http1_request_t request = channel->request;
 	http1_reply_t reply = {
 		.status = status,
 		.sent = channel->sent,
 		.body = channel->body->str,
 		.len = channel->body->len,
 	};
-	bool keep = status && channel->reusable &&
-		    idle_channels(channel->client) < KEPT_MAX;
+	bool reuse = status && channel->reusable &&
+		     count_idle_channels(channel->client) < IDLE_CHANNELS_MAX;
 
 	uv_timer_stop(&channel->timer);
 	channel->busy = false;
 	channel->idle_since = uv_now(channel->client->loop);
-	if (channel->client->on_ended)
-		channel->client->on_ended(channel->client->observer, status,
-					  channel->idle_since - channel->begun_at);
-	/* A connection whose answer did not come gives no more answers. */
-	if (!keep)
+	if (channel->client->on_done)
+		channel->client->on_done(channel->client->on_done_ctx, status,
+					 channel->idle_since - channel->started_at);
+	/* Without a response, the connection's state is unknown. */
+	if (!reuse)
 		list_remove(&channel->node);
-	ask.on_reply(ask.ctx, &reply);
-	if (!keep)
-		channel_drop(channel);
+	request.on_reply(request.ctx, &reply);
+	if (!reuse)
+		channel_close(channel);
 }
 
 static void on_timeout(uv_timer_t *timer)
 {
-	channel_reply(timer->data, 0);
+	channel_end_call(timer->data, 0);
 }
 
 static void channel_send(channel_t *channel)
 {
 	channel->sent = true;
-	http1_expect_message(channel->conn, false);
-	http1_write(channel->conn, channel->request->str, channel->request->len);
+	http1_expect_response(channel->conn, false);
+	http1_write(channel->conn, channel->request_text->str,
+		    channel->request_text->len);
 }
 
 static void on_connected(void *ctx)
@@ -111,7 +113,7 @@
 	channel_t *channel = ctx;
 
 	channel->connected = true;
-	uv_timer_start(&channel->timer, on_timeout, channel->ask.timeout_ms, 0);
+	uv_timer_start(&channel->timer, on_timeout, channel->request.timeout_ms, 0);
 	channel_send(channel);
 }
 
@@ -134,7 +136,7 @@
 {
 	channel_t *channel = ctx;
 
-	channel_reply(channel, channel->status);
+	channel_end_call(channel, channel->status);
 }
 
 static void on_end(void *ctx, http1_end_t end)
@@ -144,9 +146,9 @@
 	(void)end;
 	channel->conn = NULL;
 	if (channel->busy)
-		channel_reply(channel, 0);
+		channel_end_call(channel, 0);
 	else
-		channel_drop(channel);
+		channel_close(channel);
 }
 
 static channel_t *channel_open(http1_client_t *client)
@@ -156,7 +158,7 @@
 	channel_t *channel = g_new0(channel_t, 1);
 
 	channel->client = client;
-	channel->request = g_string_new(NULL);
+	channel->request_text = g_string_new(NULL);
 	channel->body = g_string_new(NULL);
 	channel->conn = http1_create(client->loop, HTTP1_CLIENT, &events, channel);
 	uv_timer_init(client->loop, &channel->timer);
@@ -165,8 +167,8 @@
 	return channel;
 }
 
-/* Returns a kept connection that is young enough, or NULL. */
-static channel_t *channel_kept(http1_client_t *client)
+/* Returns an idle channel that may be reused, or NULL; closes expired ones. */
+static channel_t *find_idle_channel(http1_client_t *client)
 {
 	uint64_t now = uv_now(client->loop);
 
@@ -175,14 +177,14 @@
 
 		if (channel->busy)
 			continue;
-		if (now - channel->idle_since < KEEP_MAX_MS)
+		if (now - channel->idle_since < IDLE_MAX_MS)
 			return channel;
-		channel_drop(channel);
+		channel_close(channel);
 	}
 	return NULL;
 }
 
-/* Returns a client without connections; the caller owns it. */
+/* Returns a client without connections, owned by the caller. */
 http1_client_t *http1_client_create(uv_loop_t *loop, const char *address,
 				    uint16_t port)
 {
@@ -195,77 +197,82 @@
 	return client;
 }
 
-/* Closes all connections; calls in flight get no reply. NULL is allowed. */
+/*
+ * Closes all connections and frees the client, which may be NULL. Calls in
+ * flight get no reply.
+ */
 void http1_client_destroy(http1_client_t *client)
 {
 	if (!client)
 		return;
 	LIST_FOR_EACH_SAFE (it, &client->channels)
-		channel_drop(LIST_ENTRY(it, channel_t, node));
+		channel_close(LIST_ENTRY(it, channel_t, node));
 	g_free(client->address);
 	g_free(client);
 }
 
-static void channel_compose(channel_t *channel, const http1_ask_t *ask)
+static void channel_format_request(channel_t *channel, const http1_request_t *request)
 {
 	const http1_client_t *client = channel->client;
 
-	g_string_printf(channel->request, "%s %s HTTP/1.1\r\nHost: %s:%u\r\n%s",
-			ask->method, ask->path, client->address, client->port,
-			ask->headers ? ask->headers : "");
-	if (ask->body)
-		g_string_append_printf(channel->request,
+	g_string_printf(channel->request_text,
+			"%s %s HTTP/1.1\r\nHost: %s:%u\r\n%s", request->method,
+			request->path, client->address, client->port,
+			request->headers ? request->headers : "");
+	if (request->body)
+		g_string_append_printf(channel->request_text,
 				       "Content-Type: application/json\r\n"
 				       "Content-Length: %zu\r\n",
-				       strlen(ask->body));
-	g_string_append(channel->request, "\r\n");
-	if (ask->body)
-		g_string_append(channel->request, ask->body);
+				       strlen(request->body));
+	g_string_append(channel->request_text, "\r\n");
+	if (request->body)
+		g_string_append(channel->request_text, request->body);
 }
 
-/* Has the end of each call told; CTX is borrowed. */
-void http1_client_observe(http1_client_t *client, http1_ended_t on_ended, void *ctx)
+/* Sets a callback for the end of each call; CTX is borrowed. */
+void http1_client_observe(http1_client_t *client, http1_on_done_t on_done, void *ctx)
 {
-	client->on_ended = on_ended;
-	client->observer = ctx;
+	client->on_done = on_done;
+	client->on_done_ctx = ctx;
 }
 
-/* Has calls from now on go to another address; those under way end as they are. */
-void http1_client_move(http1_client_t *client, const char *address, uint16_t port)
+/* Sets the address for further calls; calls in flight are not affected. */
+void http1_client_set_address(http1_client_t *client, const char *address,
+			      uint16_t port)
 {
 	LIST_FOR_EACH_SAFE (it, &client->channels) {
 		channel_t *channel = LIST_ENTRY(it, channel_t, node);
 
 		channel->reusable = false;
 		if (!channel->busy)
-			channel_drop(channel);
+			channel_close(channel);
 	}
 	g_free(client->address);
 	client->address = g_strdup(address);
 	client->port = port;
 }
 
-/* Makes a call; the reply comes later, never from within this function. */
-void http1_client_call(http1_client_t *client, const http1_ask_t *ask)
+/* Starts a call. on_reply is never called from within this function. */
+void http1_client_call(http1_client_t *client, const http1_request_t *request)
 {
-	channel_t *channel = channel_kept(client);
+	channel_t *channel = find_idle_channel(client);
 
 	if (!channel)
 		channel = channel_open(client);
-	channel->ask = *ask;
+	channel->request = *request;
 	channel->busy = true;
 	channel->sent = false;
 	channel->status = 0;
-	channel->begun_at = uv_now(client->loop);
+	channel->started_at = uv_now(client->loop);
 	g_string_truncate(channel->body, 0);
-	channel_compose(channel, ask);
+	channel_format_request(channel, request);
 	if (channel->connected) {
-		uv_timer_start(&channel->timer, on_timeout, ask->timeout_ms, 0);
+		uv_timer_start(&channel->timer, on_timeout, request->timeout_ms, 0);
 		channel_send(channel);
 		return;
 	}
 	uv_timer_start(&channel->timer, on_timeout,
-		       MIN(ask->timeout_ms, CONNECT_MAX_MS), 0);
-	/* If it can't even be tried, the timer tells. */
+		       MIN(request->timeout_ms, CONNECT_TIMEOUT_MS), 0);
+	/* If connecting fails at once, the timer ends the call. */
 	(void)http1_connect(channel->conn, client->address, client->port);
 }
--- a/adapters/placer_runner.c
+++ b/adapters/placer_runner.c
@@ -135,8 +135,8 @@
 static void on_purchase_answer(void *ctx, const platform_answer_t *answer)
 {
 	purchase_call_t *call = ctx;
-	placer_event_t event = { .kind = PLACER_BOUGHT,
-				 .bought = { call->tag, answer->status } };
+	placer_event_t event = { .kind = PLACER_PURCHASE_REPLY,
+				 .purchase = { call->tag, answer->status } };
 
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "purchase %s: %s", call->tag,
 		 answer->status == STORE_OK	? "accepted"
@@ -184,7 +184,7 @@
 	int64_t running = json_integer_or(answer, "running", -1);
 	bool valid = !err && call->status == 200 && running >= 0;
 	placer_event_t event = {
-		.kind = PLACER_ENGINE,
+		.kind = PLACER_ENGINE_REPLY,
 		.engine = { .vm_id = call->vm_id,
 			    .status = valid ? STORE_OK : STORE_UNKNOWN,
 			    .running = valid ? (unsigned int)running : 0 },
--- a/adapters/upstream_http.c
+++ b/adapters/upstream_http.c
@@ -98,7 +98,7 @@
 static void attempt_on_written(void *ctx)
 {
 	attempt_t *attempt = ctx;
-	upstream_event_t event = { .kind = UPSTREAM_WRITTEN };
+	upstream_event_t event = { .kind = UPSTREAM_SENDING };
 
 	attempt->written = true;
 	attempt_report_event(attempt, &event);
@@ -150,7 +150,7 @@
 	if (attempt->ended)
 		return;
 	if (!strcmp(sse->name, SSE_COMMENT)) {
-		event.kind = UPSTREAM_ALIVE;
+		event.kind = UPSTREAM_QUEUED;
 		attempt_report_event(attempt, &event);
 		return;
 	}
@@ -211,7 +211,7 @@
 		event.data = attempt->answer->str;
 		event.len = attempt->answer->len;
 	} else if (attempt->status == STATUS_UNAVAILABLE) {
-		event.kind = UPSTREAM_BUSY;
+		event.kind = UPSTREAM_REJECTED;
 	}
 	attempt_report_last_event(attempt, &event);
 }
--- a/core/attempt.c
+++ b/core/attempt.c
@@ -92,7 +92,7 @@
 	dispatch_cancel_attempt(entry, request);
 	if (upstream) {
 		upstream->failed_at = entry->now;
-		upstream->rejects_when_full |= event->kind == UPSTREAM_BUSY;
+		upstream->rejects_when_full |= event->kind == UPSTREAM_REJECTED;
 	}
 	attempt_retry(entry, request, cause);
 }
@@ -187,10 +187,10 @@
 	if (!request)
 		return;
 	switch (event->kind) {
-	case UPSTREAM_WRITTEN:
+	case UPSTREAM_SENDING:
 		request->attempt_written = true;
 		break;
-	case UPSTREAM_ALIVE:
+	case UPSTREAM_QUEUED:
 		request->last_progress_at = entry->now;
 		break;
 	case UPSTREAM_STARTED:
@@ -212,7 +212,7 @@
 		request_reply(entry, request, ACTION_END, NULL, 0, 0);
 		request_end(entry, request);
 		break;
-	case UPSTREAM_BUSY:
+	case UPSTREAM_REJECTED:
 	case UPSTREAM_FAILED:
 		attempt_handle_failure(entry, request, event);
 		break;
--- a/core/entry.c
+++ b/core/entry.c
@@ -119,7 +119,7 @@
 	action_t *action = action_create(ACTION_DECISION);
 
 	action->decision.request_id = g_strdup(request_id);
-	action->decision.part = g_strdup(part);
+	action->decision.component = g_strdup(part);
 	action->decision.choice = g_strdup(choice);
 	action->decision.reason = g_strdup(reason);
 	action->decision.passed_over = g_strdup(passed_over);
@@ -252,7 +252,7 @@
 	claims_set_retention(entry->claims, bundle->claim_retention);
 	members_set_generation(entry->members, bundle->generation);
 	entry_check_peers(entry);
-	action = action_create(ACTION_BUNDLE_IN_FORCE);
+	action = action_create(ACTION_BUNDLE_APPLIED);
 	action->generation = bundle->generation;
 	list_append(entry->actions, &action->node);
 }
@@ -293,8 +293,8 @@
 {
 	if (msg->kind == PEER_HANDOVER)
 		adopt_handover(entry, msg);
-	else if (msg->kind == PEER_HANDOVER_ACK && msg->about)
-		handover_handle_ack(entry, msg->about);
+	else if (msg->kind == PEER_HANDOVER_ACK && msg->subject)
+		handover_handle_ack(entry, msg->subject);
 	else if (msg->kind == PEER_FIND)
 		adopt_handle_find(entry, msg);
 	else if (msg->kind == PEER_FOUND)
@@ -459,7 +459,7 @@
 	case EVENT_REQUEST:
 		admission_handle_request(entry, &event->request);
 		break;
-	case EVENT_CALLER_GONE:
+	case EVENT_CALLER_DISCONNECTED:
 		admission_handle_disconnect(entry, event->caller);
 		break;
 	case EVENT_UPSTREAM:
--- a/ctl/ctl.c
+++ b/ctl/ctl.c
@@ -1,4 +1,4 @@
-/* What the operators' commands share: errors, files, waiting for answers. */
+/* Functions shared by the commands: errors, files and store calls. */
 #include "ctl/ctl.h"
 
 #include <glib.h>
@@ -9,7 +9,7 @@
 #include <sysexits.h>
 #include <uv.h>
 
-/* Returns the exit code that tells a script what kind of failure it was. */
+/* Returns the exit code for a kind of error. */
 static int error_exit(pd_error_kind_t kind)
 {
 	switch (kind) {
@@ -31,7 +31,7 @@
 	}
 }
 
-/* Prints the error, as JSON if asked for; returns the exit code. */
+/* Prints an error, as JSON to stdout with --json; returns the exit code. */
 int ctl_fail(const ctl_options_t *options, const pd_error_t *err)
 {
 	json_t *object;
@@ -49,8 +49,8 @@
 	return error_exit(err->kind);
 }
 
-/* Returns the platform that the options name; NULL with ERR set if none. */
-platform_t *ctl_platform(const ctl_options_t *options, pd_error_t *err)
+/* Returns a client for --platform; NULL with ERR set if that is invalid. */
+platform_t *ctl_create_platform(const ctl_options_t *options, pd_error_t *err)
 {
 	const char *colon = options->platform ? strrchr(options->platform, ':')
 					      : NULL;
@@ -75,26 +75,26 @@
 	return platform;
 }
 
-/* Keeps an answer for ctl_wait(); CTX is the ctl_answer_t. */
-void ctl_on_answer(void *ctx, const platform_answer_t *answer)
+/* Store callback: copies the reply to the ctl_reply_t at CTX. */
+void ctl_on_reply(void *ctx, const platform_answer_t *reply)
 {
-	ctl_answer_t *kept = ctx;
+	ctl_reply_t *saved = ctx;
 
-	kept->status = answer->status;
-	kept->version = answer->version;
-	kept->body = g_strndup(answer->body ? answer->body : "", answer->len);
-	kept->len = answer->len;
-	kept->done = true;
+	saved->status = reply->status;
+	saved->version = reply->version;
+	saved->body = g_strndup(reply->body ? reply->body : "", reply->len);
+	saved->len = reply->len;
+	saved->done = true;
 }
 
-/* Runs the loop until the answer is there; calls end by their time-outs. */
-void ctl_wait(ctl_answer_t *answer)
+/* Runs the event loop until the call ends, at the latest by its timeout. */
+void ctl_wait(ctl_reply_t *reply)
 {
-	while (!answer->done)
+	while (!reply->done)
 		uv_run(uv_default_loop(), UV_RUN_ONCE);
 }
 
-/* Returns a file's text, owned by the caller; NULL with ERR set if none. */
+/* Returns a file's contents, owned by the caller; NULL with ERR set on failure. */
 char *ctl_read_file(const char *path, pd_error_t *err)
 {
 	char *text = NULL;
--- a/ctl/ctl_rollout.c
+++ b/ctl/ctl_rollout.c
@@ -1,6 +1,7 @@
 /*
- * The rollout: one conditional write of the pointer decides which bundle is
- * accepted. Of operators who race, one wins and the others get a conflict.
+ * Rollout of a bundle. A conditional write of the bundle pointer decides which
+ * bundle is accepted; of concurrent rollouts one succeeds, and the others end
+ * with a conflict.
  */
 #include <glib.h>
 #include <jansson.h>
@@ -14,73 +15,74 @@
 #include "adapters/signing.h"
 #include "ctl/ctl.h"
 
-#define ROLLOUT_TRIES 5
-#define CARRIED_WAIT_US (5 * G_USEC_PER_SEC)
-#define CARRIED_POLL_US (20 * 1000)
-#define ASK_TIMEOUT (1 * PD_SEC) /* of one entry */
+#define ROLLOUT_ATTEMPTS_MAX 5
+#define DELIVERY_TIMEOUT_US (5 * G_USEC_PER_SEC)
+#define DELIVERY_POLL_US (20 * 1000)
+#define QUERY_TIMEOUT (1 * PD_SEC) /* of one entry */
 
 typedef struct rollout {
 	platform_t *platform;
 	char *envelope;
 	uint64_t generation;
-	char *object; /* key of the body */
-	char *pointer; /* what the pointer is to say */
-	char *replaced; /* key of the body that it named before, or NULL */
+	char *object; /* key of the new body */
+	char *pointer; /* new contents of the pointer */
+	char *replaced; /* key of the previous body, or NULL */
 } rollout_t;
 
-/* What the pointer said when it was read. */
+/* The contents of the bundle pointer. */
 typedef struct pointer {
-	uint64_t version; /* 0: there is none */
+	uint64_t version; /* 0: the pointer does not exist */
 	uint64_t generation;
 	char *object;
 } pointer_t;
 
+/* Reads the pointer; returns -1 with ERR set on failure. */
 static int pointer_read(rollout_t *rollout, pointer_t *pointer, pd_error_t *err)
 {
-	ctl_answer_t answer = { 0 };
+	ctl_reply_t reply = { 0 };
 	const char *object;
 	int64_t generation;
 	json_t *body = NULL;
 	int rc = -1;
 
 	memset(pointer, 0, sizeof(*pointer));
-	platform_read(rollout->platform, BUNDLE_POINTER, ctl_on_answer, &answer);
-	ctl_wait(&answer);
-	if (answer.status == STORE_MISSING) {
-		g_free(answer.body);
+	platform_read(rollout->platform, BUNDLE_POINTER, ctl_on_reply, &reply);
+	ctl_wait(&reply);
+	if (reply.status == STORE_MISSING) {
+		g_free(reply.body);
 		return 0;
 	}
-	if (answer.status != STORE_OK) {
+	if (reply.status != STORE_OK) {
 		pd_error_set(err, PD_ERROR_UNAVAILABLE,
 			     "the platform does not answer");
 		goto error;
 	}
-	body = json_parse(answer.body, answer.len, err);
+	body = json_parse(reply.body, reply.len, err);
 	if (!body || json_read_string(body, "object", &object, err) < 0 ||
 	    json_read_integer(body, "generation", &generation, err) < 0)
 		goto error;
-	pointer->version = answer.version;
+	pointer->version = reply.version;
 	pointer->generation = (uint64_t)generation;
 	pointer->object = g_strdup(object);
 	rc = 0;
 error:
 	json_decref(body);
-	g_free(answer.body);
+	g_free(reply.body);
 	return rc;
 }
 
 static int body_write(rollout_t *rollout, pd_error_t *err)
 {
-	/* Its key holds its hash, so writing it twice changes nothing. */
-	for (int i = 0; i < ROLLOUT_TRIES; i++) {
-		ctl_answer_t answer = { 0 };
+	/* The key contains the body's hash, so the write is idempotent. */
+	for (int i = 0; i < ROLLOUT_ATTEMPTS_MAX; i++) {
+		ctl_reply_t reply = { 0 };
 
 		platform_write(rollout->platform, rollout->object,
 			       PLATFORM_ANY_VERSION, rollout->envelope,
-			       strlen(rollout->envelope), ctl_on_answer, &answer);
-		ctl_wait(&answer);
-		g_free(answer.body);
-		if (answer.status == STORE_OK)
+			       strlen(rollout->envelope), ctl_on_reply, &reply);
+		ctl_wait(&reply);
+		g_free(reply.body);
+		if (reply.status == STORE_OK)
 			return 0;
 	}
 	return pd_error_set(err, PD_ERROR_UNAVAILABLE,
@@ -90,22 +92,23 @@
 
 static store_status_t pointer_write(rollout_t *rollout, uint64_t version)
 {
-	ctl_answer_t answer = { 0 };
+	ctl_reply_t reply = { 0 };
 
 	platform_write(rollout->platform, BUNDLE_POINTER, version, rollout->pointer,
-		       strlen(rollout->pointer), ctl_on_answer, &answer);
-	ctl_wait(&answer);
-	g_free(answer.body);
-	return answer.status;
+		       strlen(rollout->pointer), ctl_on_reply, &reply);
+	ctl_wait(&reply);
+	g_free(reply.body);
+	return reply.status;
 }
 
 /*
- * Moves the pointer. A write whose answer was lost may have moved it already,
- * so each further try reads first and looks for its own body there.
+ * Updates the pointer; returns -1 with ERR set on failure. A write whose reply was
+ * lost may have taken effect, so each attempt first reads the pointer and
+ * succeeds if it already names the new body.
  */
-static int pointer_move(rollout_t *rollout, pd_error_t *err)
+static int pointer_update(rollout_t *rollout, pd_error_t *err)
 {
-	for (int i = 0; i < ROLLOUT_TRIES; i++) {
+	for (int i = 0; i < ROLLOUT_ATTEMPTS_MAX; i++) {
 		pointer_t now;
 
 		if (pointer_read(rollout, &now, err) < 0)
@@ -132,6 +135,7 @@
 	return -1;
 }
 
+/* Reads and verifies the signed bundle; returns -1 with ERR set on failure. */
 static int rollout_prepare(rollout_t *rollout, const ctl_options_t *options,
 			   pd_error_t *err)
 {
@@ -164,10 +168,11 @@
 	return rc;
 }
 
-static bool entry_has(http_client_t *client, const member_info_t *entry,
-		      uint64_t generation)
+/* Returns whether an entry runs a bundle of at least GENERATION. */
+static bool entry_has_generation(http_client_t *client,
+				 const member_info_t *entry, uint64_t generation)
 {
-	json_t *status = ctl_ask_entry(client, entry, "/status");
+	json_t *status = ctl_query_entry(client, entry, "/status");
 	int64_t now = status ? json_integer_or(status, "generation", 0) : 0;
 
 	json_decref(status);
@@ -175,58 +180,57 @@
 }
 
 /*
- * Waits until one entry has the bundle; false if none has it in time. The store
- * may go down right after it accepted a bundle. If the operator then went home
- * and no entry had read the body, it would be in force nowhere until the store
- * is back; once one has it, the others get it from there.
+ * Waits until an entry has the bundle; returns false on timeout. The store may
+ * fail right after it accepted a bundle. If no entry had read the body by then,
+ * the bundle would take effect nowhere until the store recovers; once one entry
+ * has it, the others get it from that entry.
  */
-static bool rollout_is_carried(const rollout_t *rollout, const GArray *entries)
+static bool rollout_is_delivered(const rollout_t *rollout, const GArray *entries)
 {
-	http_client_t *client = http_client_create(uv_default_loop(), ASK_TIMEOUT);
-	gint64 end = g_get_monotonic_time() + CARRIED_WAIT_US;
-	bool carried = entries->len == 0;
+	http_client_t *client =
+		http_client_create(uv_default_loop(), QUERY_TIMEOUT);
+	gint64 end = g_get_monotonic_time() + DELIVERY_TIMEOUT_US;
+	bool delivered = entries->len == 0;
 
-	while (!carried && g_get_monotonic_time() < end) {
-		for (guint i = 0; i < entries->len && !carried; i++)
-			carried = entry_has(client,
-					    &g_array_index(entries,
-							   member_info_t, i),
-					    rollout->generation);
-		if (!carried)
-			g_usleep(CARRIED_POLL_US);
+	while (!delivered && g_get_monotonic_time() < end) {
+		for (guint i = 0; i < entries->len && !delivered; i++)
+			delivered = entry_has_generation(
+				client, &g_array_index(entries, member_info_t, i),
+				rollout->generation);
+		if (!delivered)
+			g_usleep(DELIVERY_POLL_US);
 	}
-	return carried;
+	return delivered;
 }
 
 static void print_accepted(const ctl_options_t *options,
-			   const rollout_t *rollout, bool carried)
+			   const rollout_t *rollout, bool delivered)
 {
 	if (options->json)
 		printf("{\"accepted\":%" G_GUINT64_FORMAT ",\"carried\":%s}\n",
-		       rollout->generation, carried ? "true" : "false");
+		       rollout->generation, delivered ? "true" : "false");
 	else
 		printf("generation %" G_GUINT64_FORMAT " is accepted%s\n",
 		       rollout->generation,
-		       carried ? "" : "; no entry has it yet, look at status");
+		       delivered ? "" : "; no entry has it yet, look at status");
 }
 
 /*
- * Deletes the body that the pointer named before. With a thousand rollouts a day
- * old bodies would fill the store; what is worth keeping is with the operators.
+ * Deletes the previous body. With a thousand rollouts a day old bodies would fill
+ * the store; operators archive the bundles that they want to keep.
  */
 static void body_delete_replaced(const rollout_t *rollout)
 {
-	ctl_answer_t answer = { 0 };
+	ctl_reply_t reply = { 0 };
 
 	if (!rollout->replaced)
 		return;
-	platform_delete(rollout->platform, rollout->replaced, ctl_on_answer,
-			&answer);
-	ctl_wait(&answer);
-	g_free(answer.body);
+	platform_delete(rollout->platform, rollout->replaced, ctl_on_reply, &reply);
+	ctl_wait(&reply);
+	g_free(reply.body);
 }
 
-/* Puts a signed bundle in force everywhere. */
+/* Rolls out a signed bundle. */
 int ctl_rollout(const ctl_options_t *options)
 {
 	rollout_t rollout = { 0 };
@@ -234,16 +238,16 @@
 	pd_error_t err;
 	int code = EX_OK;
 
-	rollout.platform = ctl_platform(options, &err);
+	rollout.platform = ctl_create_platform(options, &err);
 	if (!rollout.platform || rollout_prepare(&rollout, options, &err) < 0 ||
 	    body_write(&rollout, &err) < 0)
 		code = ctl_fail(options, &err);
-	else if (!(entries = ctl_entries(rollout.platform, &err)) ||
-		 pointer_move(&rollout, &err) < 0)
+	else if (!(entries = ctl_list_entries(rollout.platform, &err)) ||
+		 pointer_update(&rollout, &err) < 0)
 		code = ctl_fail(options, &err);
 	else
 		print_accepted(options, &rollout,
-			       rollout_is_carried(&rollout, entries));
+			       rollout_is_delivered(&rollout, entries));
 	if (code == EX_OK)
 		body_delete_replaced(&rollout);
 	if (entries)
--- a/tests/unit/test_move.c
+++ b/tests/unit/test_move.c
@@ -318,7 +318,7 @@
 		action_t *action = drive_take(drive, ACTION_DISPATCH);
 
 		if (action) {
-			drive_upstream(drive, UPSTREAM_BUSY,
+			drive_upstream(drive, UPSTREAM_REJECTED,
 				       action->dispatch.attempt, 0, false);
 			action_destroy(action);
 			tries++;
@@ -448,7 +448,7 @@
 static void test_disconnect_frees_slot(void **state)
 {
 	drive_t *drive = *state;
-	event_t disconnect = { .kind = EVENT_CALLER_GONE };
+	event_t disconnect = { .kind = EVENT_CALLER_DISCONNECTED };
 	action_t *action;
 
 	drive_vms(drive, 1, 0, 1);
