--- a/adapters/bundle_watch.c
+++ b/adapters/bundle_watch.c
@@ -7,7 +7,7 @@
 #include "adapters/json.h"
 #include "adapters/log_glib.h"
 
-#define PART "bundle"
+#define LOG_COMPONENT "bundle"
 #define RETRY_MS 1000
 /*
  * After an outage of the store all entries would ask again in the same moment,
@@ -61,7 +61,7 @@
 	bundle_t *bundle = envelope_open(data, len, watch->config.public_key, &err);
 
 	if (!bundle) {
-		log_error(PART, "dropped a body", &err);
+		log_error(LOG_COMPONENT, "dropped a body", &err);
 		return false;
 	}
 	watch->config.on_bundle(watch->config.ctx, &bundle, envelope);
@@ -138,7 +138,7 @@
 	pointer = json_parse(answer->body, answer->len, &err);
 	if (!pointer || json_read_string(pointer, "object", &object, &err) < 0 ||
 	    json_read_integer(pointer, "generation", &generation, &err) < 0) {
-		log_error(PART, "dropped a pointer", &err);
+		log_error(LOG_COMPONENT, "dropped a pointer", &err);
 		json_decref(pointer);
 		watch_later(watch);
 		return;
--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -14,7 +14,7 @@
  * that was held up may send a thousand tokens at once, a third of this.
  */
 #define UNREAD_MAX ((size_t)1024 * 1024)
-#define PART "caller"
+#define LOG_COMPONENT "caller"
 #define COMPLETIONS_PATH "/v1/chat/completions"
 #define SERVICES_PREFIX "/v1/services/"
 #define PROBLEM_PREFIX "urn:pistachiodrift:problem:"
@@ -188,7 +188,7 @@
 	g_free(key_hash);
 	return;
 error:
-	log_error(PART, "refused a completion", &err);
+	log_error(LOG_COMPONENT, "refused a completion", &err);
 	reply_problem(exchange, 400, "bad-request", err.context);
 	json_decref(body);
 	g_string_free(prompt, TRUE);
--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -14,7 +14,7 @@
 #include "adapters/vm_watch.h"
 #include "core/hash.h"
 
-#define PART "entry"
+#define LOG_COMPONENT "entry"
 #define TICK_MS 20
 #define FLUSH_MAX (5 * PD_SEC)
 
@@ -116,7 +116,7 @@
 		return;
 	if (!sent && clock_now() - runner->stopped_at < FLUSH_MAX)
 		return;
-	log_line(G_LOG_LEVEL_INFO, PART, "stopped, %s",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stopped, %s",
 		 sent ? "every answer sent" : "some callers took no bytes");
 	uv_stop(runner->loop);
 }
@@ -379,7 +379,7 @@
 		.incarnation = (uint64_t)g_get_real_time(),
 	};
 	runner_start(runner);
-	log_line(G_LOG_LEVEL_INFO, PART,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "%s in zone %s serves callers on port %u, peers on port %u",
 		 runner->self.id, runner->self.zone, runner->self.http_port,
 		 runner->self.peer_port);
@@ -394,7 +394,7 @@
 	if (runner->stopping)
 		return;
 	runner->stopping = true;
-	log_line(G_LOG_LEVEL_INFO, PART, "stopping, %u requests in flight",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stopping, %u requests in flight",
 		 entry_in_flight(runner->entry));
 	runner_handle(runner, &event);
 	caller_http_drain(runner->callers);
--- a/adapters/frame_link.c
+++ b/adapters/frame_link.c
@@ -8,7 +8,7 @@
 #include "core/list.h"
 #include "ports/clock.h"
 
-#define PART "frame-link"
+#define LOG_COMPONENT "frame-link"
 #define LENGTH_BYTES 4
 #define LISTEN_BACKLOG 512
 #define SWEEP_MS 250
@@ -167,7 +167,7 @@
 		memcpy(&length, conn->input->data + used, LENGTH_BYTES);
 		length = GUINT32_FROM_BE(length);
 		if (length > conn->link->config.frame_max) {
-			log_line(G_LOG_LEVEL_WARNING, PART,
+			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 				 "dropped a connection: frame of %u bytes",
 				 length);
 			conn_close(conn);
