--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -13,13 +13,13 @@
  * Bytes of a stream kept for a caller beyond what it is being sent. An upstream
  * that was held up may send a thousand tokens at once, a third of this.
  */
-#define UNREAD_MAX ((size_t)1024 * 1024)
+#define UNSENT_BYTES_MAX ((size_t)1024 * 1024)
 #define LOG_COMPONENT "caller"
 #define COMPLETIONS_PATH "/v1/chat/completions"
 #define SERVICES_PREFIX "/v1/services/"
 #define PROBLEM_PREFIX "urn:pistachiodrift:problem:"
 #define MAX_TOKENS_DEFAULT 256
-#define MAX_TOKENS_MOST 100000
+#define MAX_TOKENS_LIMIT 100000
 #define BEARER "Bearer "
 #define MOVED_STATUS 503
 
@@ -167,9 +167,9 @@
 	    compose_prompt(body, prompt, &err) < 0)
 		goto error;
 	max_tokens = json_integer_or(body, "max_tokens", MAX_TOKENS_DEFAULT);
-	if (max_tokens < 1 || max_tokens > MAX_TOKENS_MOST) {
+	if (max_tokens < 1 || max_tokens > MAX_TOKENS_LIMIT) {
 		pd_error_set(&err, PD_ERROR_INPUT,
-			     "max_tokens: expected 1 to %d", MAX_TOKENS_MOST);
+			     "max_tokens: expected 1 to %d", MAX_TOKENS_LIMIT);
 		goto error;
 	}
 	request.resume_id = resume_id;
@@ -384,7 +384,7 @@
 	caller_send_event(caller, event_id, NULL, chunk);
 	g_free(event_id);
 	json_decref(chunk);
-	if (http_exchange_pending(caller->exchange) > UNREAD_MAX)
+	if (http_exchange_pending(caller->exchange) > UNSENT_BYTES_MAX)
 		caller_drop_slow(caller);
 }
 
