--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -68,7 +68,7 @@
 	caller->exchange = exchange;
 	caller->answer = g_string_new(NULL);
 	g_hash_table_insert(http->callers, &caller->id, caller);
-	http_exchange_on_gone(exchange, caller_on_gone, caller);
+	http_exchange_on_disconnect(exchange, caller_on_gone, caller);
 	return caller;
 }
 
--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -353,8 +353,8 @@
  * Calls GONE if the caller hangs up before the end was given. After that call
  * the exchange must not be touched.
  */
-void http_exchange_on_gone(http_exchange_t *exchange, void (*gone)(void *ctx),
-			   void *ctx)
+void http_exchange_on_disconnect(http_exchange_t *exchange,
+				 void (*gone)(void *ctx), void *ctx)
 {
 	exchange->gone = gone;
 	exchange->gone_ctx = ctx;
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -401,7 +401,7 @@
 	}
 	priority_parse(json_string_or(body, "priority", "normal"), &priority);
 	stream = stream_create(engine, exchange, body);
-	http_exchange_on_gone(exchange, stream_gone, stream);
+	http_exchange_on_disconnect(exchange, stream_gone, stream);
 	http_exchange_begin(exchange, 200, &type, 1);
 	/* A caller learns only from the head that its request was taken. */
 	http_exchange_send(exchange, ":\n\n", 3);
@@ -436,7 +436,7 @@
 	export_t *export = ctx;
 
 	if (export->exchange) {
-		http_exchange_on_gone(export->exchange, NULL, NULL);
+		http_exchange_on_disconnect(export->exchange, NULL, NULL);
 		standin_json(export->exchange, 200,
 			     json_pack("{s:i}", "tokens", (int)export->tokens));
 	}
@@ -456,7 +456,7 @@
 	export = g_new0(export_t, 1);
 	export->exchange = exchange;
 	export->tokens = GPOINTER_TO_UINT(tokens);
-	http_exchange_on_gone(exchange, export_gone, export);
+	http_exchange_on_disconnect(exchange, export_gone, export);
 	standin_after(engine->loop,
 		      (uint64_t)(export->tokens * engine->transfer_us / 1000),
 		      export_done, export);
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -174,7 +174,7 @@
 	waiter->after = g_ascii_strtoull(after, NULL, 10);
 	waiter->until_ms =
 		uv_now(platform->loop) + g_ascii_strtoull(wait, NULL, 10);
-	http_exchange_on_gone(exchange, waiter_gone, waiter);
+	http_exchange_on_disconnect(exchange, waiter_gone, waiter);
 	list_append(&platform->waiters, &waiter->node);
 }
 
@@ -282,7 +282,7 @@
 	char *etag = g_strdup_printf("\"%" G_GUINT64_FORMAT "\"", write->version);
 
 	if (write->exchange) {
-		http_exchange_on_gone(write->exchange, NULL, NULL);
+		http_exchange_on_disconnect(write->exchange, NULL, NULL);
 		standin_text(write->exchange, 200, etag, "{}", 2);
 	}
 	g_free(etag);
@@ -339,7 +339,7 @@
 		http_exchange_cut(exchange);
 		write_free(write);
 	} else if (claims && platform->late_answers_ms) {
-		http_exchange_on_gone(exchange, write_gone, write);
+		http_exchange_on_disconnect(exchange, write_gone, write);
 		standin_after(platform->loop, (uint64_t)platform->late_answers_ms,
 			      write_answer, write);
 	} else {
@@ -640,7 +640,7 @@
 	delayed_t *delayed = ctx;
 
 	if (delayed->exchange) {
-		http_exchange_on_gone(delayed->exchange, NULL, NULL);
+		http_exchange_on_disconnect(delayed->exchange, NULL, NULL);
 		on_objects(delayed->platform, delayed->exchange);
 	}
 	g_free(delayed);
@@ -656,7 +656,7 @@
 
 		delayed->platform = platform;
 		delayed->exchange = exchange;
-		http_exchange_on_gone(exchange, delayed_gone, delayed);
+		http_exchange_on_disconnect(exchange, delayed_gone, delayed);
 		standin_after(platform->loop, (uint64_t)platform->delay_ms,
 			      delayed_run, delayed);
 	} else if (g_str_has_prefix(path, "/objects")) {
--- a/tests/standins/standin_service.c
+++ b/tests/standins/standin_service.c
@@ -79,7 +79,7 @@
 	json_object_set_new(service->runs, call->key, json_integer(call->run));
 	json_array_append_new(service->ran, json_string(id ? id : ""));
 	service->running++;
-	http_exchange_on_gone(exchange, call_gone, call);
+	http_exchange_on_disconnect(exchange, call_gone, call);
 	standin_after(service->loop, service->work_ms, call_done, call);
 }
 
