--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -36,8 +36,8 @@
 	bool closed; /* h2o has been told the end */
 	GString *pending;
 	GString *held; /* what h2o is sending */
-	void (*gone)(void *ctx);
-	void *gone_ctx;
+	void (*on_disconnect)(void *ctx);
+	void *disconnect_ctx;
 };
 
 typedef struct server_handler {
@@ -49,13 +49,13 @@
 static void exchange_dispose(void *data)
 {
 	http_exchange_t *exchange = *(http_exchange_t **)data;
-	void (*gone)(void *ctx) = exchange->gone;
+	void (*on_disconnect)(void *ctx) = exchange->on_disconnect;
 
 	exchange->server->open--;
 	exchange->req = NULL;
-	exchange->gone = NULL;
-	if (!exchange->ended && gone)
-		gone(exchange->gone_ctx);
+	exchange->on_disconnect = NULL;
+	if (!exchange->ended && on_disconnect)
+		on_disconnect(exchange->disconnect_ctx);
 	g_free(exchange->method);
 	g_free(exchange->target);
 	g_free(exchange->path);
@@ -99,13 +99,13 @@
 static void exchange_stop(h2o_generator_t *generator, h2o_req_t *req)
 {
 	http_exchange_t *exchange = (http_exchange_t *)generator;
-	void (*gone)(void *ctx) = exchange->gone;
+	void (*on_disconnect)(void *ctx) = exchange->on_disconnect;
 
 	(void)req;
 	exchange->req = NULL;
-	exchange->gone = NULL;
-	if (!exchange->ended && gone)
-		gone(exchange->gone_ctx);
+	exchange->on_disconnect = NULL;
+	if (!exchange->ended && on_disconnect)
+		on_disconnect(exchange->disconnect_ctx);
 	exchange->ended = true;
 }
 
@@ -354,10 +354,10 @@
  * the exchange must not be touched.
  */
 void http_exchange_on_disconnect(http_exchange_t *exchange,
-				 void (*gone)(void *ctx), void *ctx)
+				 void (*on_disconnect)(void *ctx), void *ctx)
 {
-	exchange->gone = gone;
-	exchange->gone_ctx = ctx;
+	exchange->on_disconnect = on_disconnect;
+	exchange->disconnect_ctx = ctx;
 }
 
 /* Says whether the head of the answer has been given. */
@@ -428,7 +428,7 @@
 void http_exchange_end(http_exchange_t *exchange)
 {
 	exchange->ended = true;
-	exchange->gone = NULL;
+	exchange->on_disconnect = NULL;
 	exchange_flush(exchange);
 }
 
@@ -452,7 +452,7 @@
 void http_exchange_cut(http_exchange_t *exchange)
 {
 	exchange->ended = true;
-	exchange->gone = NULL;
+	exchange->on_disconnect = NULL;
 	exchange->closed = true;
 	if (!exchange->began) {
 		exchange->began = true;
--- a/adapters/http_server.h
+++ b/adapters/http_server.h
@@ -44,7 +44,7 @@
 bool http_exchange_is_local(const http_exchange_t *exchange);
 const char *http_exchange_body(const http_exchange_t *exchange, size_t *len);
 void http_exchange_on_disconnect(http_exchange_t *exchange,
-				 void (*gone)(void *ctx), void *ctx);
+				 void (*on_disconnect)(void *ctx), void *ctx);
 void http_exchange_reply(http_exchange_t *exchange, int status,
 			 const http_header_t *headers, size_t count,
 			 const char *body, size_t len);
