--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -49,14 +49,14 @@
 	g_free(caller);
 }
 
-static void caller_on_gone(void *ctx)
+static void caller_on_disconnect(void *ctx)
 {
 	caller_t *caller = ctx;
 	caller_http_t *http = caller->http;
 	caller_id_t id = caller->id;
 
 	g_hash_table_remove(http->callers, &id);
-	http->config.on_gone(http->config.ctx, id);
+	http->config.on_disconnect(http->config.ctx, id);
 }
 
 static caller_t *caller_create(caller_http_t *http, http_exchange_t *exchange)
@@ -68,7 +68,7 @@
 	caller->exchange = exchange;
 	caller->answer = g_string_new(NULL);
 	g_hash_table_insert(http->callers, &caller->id, caller);
-	http_exchange_on_disconnect(exchange, caller_on_gone, caller);
+	http_exchange_on_disconnect(exchange, caller_on_disconnect, caller);
 	return caller;
 }
 
@@ -231,7 +231,7 @@
 		on_completion(http, exchange);
 	else if (post && g_str_has_prefix(path, SERVICES_PREFIX))
 		on_service(http, exchange);
-	else if (!http->config.on_other(http->config.ctx, exchange))
+	else if (!http->config.on_other_request(http->config.ctx, exchange))
 		reply_problem(exchange, 404, "not-found", "no such resource");
 }
 
@@ -354,7 +354,7 @@
 {
 	http_exchange_t *exchange = caller->exchange;
 
-	caller_on_gone(caller);
+	caller_on_disconnect(caller);
 	http_exchange_abandon(exchange);
 }
 
--- a/adapters/caller_http.h
+++ b/adapters/caller_http.h
@@ -19,9 +19,9 @@
 	uint16_t port;
 	size_t body_max;
 	void (*on_request)(void *ctx, const caller_request_t *request);
-	void (*on_gone)(void *ctx, caller_id_t caller);
+	void (*on_disconnect)(void *ctx, caller_id_t caller);
 	/* Answers what is not a caller's; returns false if it is unknown. */
-	bool (*on_other)(void *ctx, http_exchange_t *exchange);
+	bool (*on_other_request)(void *ctx, http_exchange_t *exchange);
 	void *ctx;
 } caller_http_config_t;
 
--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -194,7 +194,7 @@
 	runner_handle(runner, &event);
 }
 
-static void on_caller_gone(void *ctx, caller_id_t caller)
+static void on_caller_disconnect(void *ctx, caller_id_t caller)
 {
 	event_t event = { .kind = EVENT_CALLER_GONE, .caller = caller };
 
@@ -284,8 +284,8 @@
 		.port = (uint16_t)settings->callers_port,
 		.body_max = (size_t)settings->callers_body_max,
 		.on_request = on_caller_request,
-		.on_gone = on_caller_gone,
-		.on_other = entry_pages_reply,
+		.on_disconnect = on_caller_disconnect,
+		.on_other_request = entry_pages_reply,
 		.ctx = runner,
 	};
 	const peer_link_config_t peers = {
--- a/tests/process/test_slow_reader.c
+++ b/tests/process/test_slow_reader.c
@@ -40,13 +40,13 @@
 	((reader_t *)ctx)->caller = request->caller;
 }
 
-static void on_gone(void *ctx, caller_id_t caller)
+static void on_disconnect(void *ctx, caller_id_t caller)
 {
 	(void)caller;
 	((reader_t *)ctx)->gone = true;
 }
 
-static bool on_other(void *ctx, http_exchange_t *exchange)
+static bool on_other_request(void *ctx, http_exchange_t *exchange)
 {
 	(void)ctx;
 	(void)exchange;
@@ -86,8 +86,8 @@
 	const caller_http_config_t config = { .address = "127.0.0.1",
 					      .body_max = 4096,
 					      .on_request = on_request,
-					      .on_gone = on_gone,
-					      .on_other = on_other,
+					      .on_disconnect = on_disconnect,
+					      .on_other_request = on_other_request,
 					      .ctx = reader };
 	struct sockaddr_in addr;
 	pd_error_t err;
