--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -359,8 +359,9 @@
 }
 
 /* Gives a caller the token at OFFSET of its answer. */
-void caller_http_token(caller_http_t *http, caller_id_t id, const char *request_id,
-		       uint64_t offset, const char *data, size_t len)
+void caller_http_send_token(caller_http_t *http, caller_id_t id,
+			    const char *request_id, uint64_t offset,
+			    const char *data, size_t len)
 {
 	caller_t *caller = caller_find(http, id);
 	json_t *choice;
@@ -475,8 +476,8 @@
  * has; OFFSET is how many tokens those are. The event carries that id itself,
  * as a caller that has no token yet has seen no id.
  */
-void caller_http_moved(caller_http_t *http, caller_id_t id,
-		       const char *request_id, uint64_t offset)
+void caller_http_send_moved(caller_http_t *http, caller_id_t id,
+			    const char *request_id, uint64_t offset)
 {
 	caller_t *caller = caller_find(http, id);
 	char *event_id;
--- a/adapters/caller_http.h
+++ b/adapters/caller_http.h
@@ -32,13 +32,13 @@
 uint16_t caller_http_port(const caller_http_t *http);
 unsigned int caller_http_open(const caller_http_t *http);
 void caller_http_drain(caller_http_t *http);
-void caller_http_token(caller_http_t *http, caller_id_t caller,
-		       const char *request_id, uint64_t offset,
-		       const char *data, size_t len);
+void caller_http_send_token(caller_http_t *http, caller_id_t caller,
+			    const char *request_id, uint64_t offset,
+			    const char *data, size_t len);
 void caller_http_end(caller_http_t *http, caller_id_t caller,
 		     const char *request_id);
-void caller_http_moved(caller_http_t *http, caller_id_t id,
-		       const char *request_id, uint64_t offset);
+void caller_http_send_moved(caller_http_t *http, caller_id_t id,
+			    const char *request_id, uint64_t offset);
 void caller_http_answer(caller_http_t *http, caller_id_t caller,
 			const char *request_id, int status, const char *data,
 			size_t len, bool replayed);
--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -141,9 +141,10 @@
 		break;
 	case ACTION_TOKEN:
 		metrics_add(runner->metrics, "pistachio_tokens_total", 1);
-		caller_http_token(runner->callers, action->reply.caller,
-				  action->reply.request_id, action->reply.offset,
-				  action->reply.data, action->reply.len);
+		caller_http_send_token(runner->callers, action->reply.caller,
+				       action->reply.request_id,
+				       action->reply.offset, action->reply.data,
+				       action->reply.len);
 		break;
 	case ACTION_ANSWER:
 		caller_http_answer(runner->callers, action->reply.caller,
@@ -156,8 +157,9 @@
 				action->reply.request_id);
 		break;
 	case ACTION_MOVED:
-		caller_http_moved(runner->callers, action->reply.caller,
-				  action->reply.request_id, action->reply.offset);
+		caller_http_send_moved(runner->callers, action->reply.caller,
+				       action->reply.request_id,
+				       action->reply.offset);
 		break;
 	case ACTION_REFUSE:
 		perform_refuse(runner, action);
--- a/tests/process/test_slow_reader.c
+++ b/tests/process/test_slow_reader.c
@@ -116,8 +116,8 @@
 	unsigned int given = 0;
 
 	while (given < TOKENS && !reader->gone) {
-		caller_http_token(reader->http, reader->caller, "r-1", given++,
-				  token, TOKEN_BYTES);
+		caller_http_send_token(reader->http, reader->caller, "r-1",
+				       given++, token, TOKEN_BYTES);
 		uv_run(&reader->loop, UV_RUN_NOWAIT);
 	}
 	g_free(token);
