--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -278,9 +278,9 @@
 }
 
 /* Returns how many callers' answers are not yet sent to their end. */
-unsigned int caller_http_open(const caller_http_t *http)
+unsigned int caller_http_open_exchanges(const caller_http_t *http)
 {
-	return http_server_open(http->server);
+	return http_server_open_exchanges(http->server);
 }
 
 /* Ends connections after their answers, so that callers go elsewhere. */
--- a/adapters/caller_http.h
+++ b/adapters/caller_http.h
@@ -30,7 +30,7 @@
 				  pd_error_t *err);
 void caller_http_destroy(caller_http_t *http);
 uint16_t caller_http_port(const caller_http_t *http);
-unsigned int caller_http_open(const caller_http_t *http);
+unsigned int caller_http_open_exchanges(const caller_http_t *http);
 void caller_http_drain(caller_http_t *http);
 void caller_http_send_token(caller_http_t *http, caller_id_t caller,
 			    const char *request_id, uint64_t offset,
--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -110,7 +110,7 @@
  */
 static void runner_check_stopped(entry_runner_t *runner)
 {
-	bool sent = caller_http_open(runner->callers) == 0;
+	bool sent = caller_http_open_exchanges(runner->callers) == 0;
 
 	if (!runner->stopped_at)
 		return;
--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -263,7 +263,7 @@
 }
 
 /* Returns how many answers h2o has not yet sent to their end. */
-unsigned int http_server_open(const http_server_t *server)
+unsigned int http_server_open_exchanges(const http_server_t *server)
 {
 	return server->open;
 }
--- a/adapters/http_server.h
+++ b/adapters/http_server.h
@@ -32,7 +32,7 @@
 				  const http_server_config_t *config,
 				  pd_error_t *err);
 uint16_t http_server_port(const http_server_t *server);
-unsigned int http_server_open(const http_server_t *server);
+unsigned int http_server_open_exchanges(const http_server_t *server);
 void http_server_drain(http_server_t *server);
 void http_server_destroy(http_server_t *server);
 
