--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -355,7 +355,7 @@
 	http_exchange_t *exchange = caller->exchange;
 
 	caller_on_disconnect(caller);
-	http_exchange_abandon(exchange);
+	http_exchange_truncate(exchange);
 }
 
 /* Gives a caller the token at OFFSET of its answer. */
--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -442,14 +442,14 @@
  * Ends the answer after what the peer is being sent, and drops the rest. The
  * exchange must not be touched any more.
  */
-void http_exchange_abandon(http_exchange_t *exchange)
+void http_exchange_truncate(http_exchange_t *exchange)
 {
 	g_string_truncate(exchange->pending, 0);
 	http_exchange_end(exchange);
 }
 
 /* Breaks the connection off, as an upstream that dies would. */
-void http_exchange_cut(http_exchange_t *exchange)
+void http_exchange_abort(http_exchange_t *exchange)
 {
 	exchange->ended = true;
 	exchange->on_disconnect = NULL;
--- a/adapters/http_server.h
+++ b/adapters/http_server.h
@@ -52,9 +52,9 @@
 			 const http_header_t *headers, size_t count);
 void http_exchange_send(http_exchange_t *exchange, const char *data, size_t len);
 void http_exchange_end(http_exchange_t *exchange);
-void http_exchange_cut(http_exchange_t *exchange);
+void http_exchange_abort(http_exchange_t *exchange);
 size_t http_exchange_pending(const http_exchange_t *exchange);
-void http_exchange_abandon(http_exchange_t *exchange);
+void http_exchange_truncate(http_exchange_t *exchange);
 bool http_exchange_began(const http_exchange_t *exchange);
 
 #endif
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -328,7 +328,7 @@
 		reply_status(exchange, 413);
 		write_free(write);
 	} else if (claims && platform->late_writes_ms) {
-		http_exchange_cut(exchange);
+		http_exchange_abort(exchange);
 		standin_after(platform->loop, (uint64_t)platform->late_writes_ms,
 			      write_land, write);
 	} else if (!write_apply(write)) {
@@ -336,7 +336,7 @@
 		write_free(write);
 	} else if (platform->lose_answers > 0) {
 		platform->lose_answers--;
-		http_exchange_cut(exchange);
+		http_exchange_abort(exchange);
 		write_free(write);
 	} else if (claims && platform->late_answers_ms) {
 		http_exchange_on_disconnect(exchange, write_gone, write);
@@ -490,7 +490,7 @@
 
 	if (status == 201 && platform->lose_purchases > 0) {
 		platform->lose_purchases--;
-		http_exchange_cut(exchange);
+		http_exchange_abort(exchange);
 	} else {
 		reply_status(exchange, status);
 	}
