--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -308,7 +308,7 @@
 		{ "x-request-id", request_id },
 	};
 
-	if (!http_exchange_began(caller->exchange))
+	if (!http_exchange_has_begun(caller->exchange))
 		http_exchange_begin(caller->exchange, 200, headers,
 				    G_N_ELEMENTS(headers));
 }
@@ -534,7 +534,7 @@
 	if (!caller)
 		return;
 	problem = refusal_json(request_id, refusal, reason);
-	if (http_exchange_began(caller->exchange)) {
+	if (http_exchange_has_begun(caller->exchange)) {
 		caller_send_event(caller, NULL, "error", problem);
 		caller_finish(caller);
 		json_decref(problem);
--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -361,7 +361,7 @@
 }
 
 /* Says whether the head of the answer has been given. */
-bool http_exchange_began(const http_exchange_t *exchange)
+bool http_exchange_has_begun(const http_exchange_t *exchange)
 {
 	return exchange->began;
 }
--- a/adapters/http_server.h
+++ b/adapters/http_server.h
@@ -55,6 +55,6 @@
 void http_exchange_abort(http_exchange_t *exchange);
 size_t http_exchange_pending(const http_exchange_t *exchange);
 void http_exchange_truncate(http_exchange_t *exchange);
-bool http_exchange_began(const http_exchange_t *exchange);
+bool http_exchange_has_begun(const http_exchange_t *exchange);
 
 #endif
