--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -13,7 +13,7 @@
 	uv_tcp_t listener;
 	bool listening;
 	bool draining;
-	unsigned int open; /* exchanges that h2o still holds */
+	unsigned int open_exchanges; /* exchanges that h2o still holds */
 	h2o_globalconf_t globalconf;
 	h2o_context_t context;
 	h2o_accept_ctx_t accept;
@@ -30,12 +30,12 @@
 	char *path;
 	GHashTable *query;
 	GHashTable *headers;
-	bool began; /* the head has been given to h2o */
+	bool head_sent; /* the head has been given to h2o */
 	bool ended; /* the handler has given all there is */
 	bool sending; /* h2o holds a buffer */
 	bool closed; /* h2o has been told the end */
 	GString *pending;
-	GString *held; /* what h2o is sending */
+	GString *in_transit; /* what h2o is sending */
 	void (*on_disconnect)(void *ctx);
 	void *disconnect_ctx;
 };
@@ -51,7 +51,7 @@
 	http_exchange_t *exchange = *(http_exchange_t **)data;
 	void (*on_disconnect)(void *ctx) = exchange->on_disconnect;
 
-	exchange->server->open--;
+	exchange->server->open_exchanges--;
 	exchange->req = NULL;
 	exchange->on_disconnect = NULL;
 	if (!exchange->ended && on_disconnect)
@@ -62,13 +62,13 @@
 	g_hash_table_unref(exchange->query);
 	g_hash_table_unref(exchange->headers);
 	g_string_free(exchange->pending, TRUE);
-	g_string_free(exchange->held, TRUE);
+	g_string_free(exchange->in_transit, TRUE);
 	g_free(exchange);
 }
 
 static void exchange_flush(http_exchange_t *exchange)
 {
-	GString *held = exchange->held;
+	GString *in_transit = exchange->in_transit;
 	h2o_iovec_t buf;
 	bool final;
 
@@ -76,9 +76,9 @@
 		return;
 	if (exchange->pending->len == 0 && !exchange->ended)
 		return;
-	exchange->held = exchange->pending;
-	exchange->pending = g_string_truncate(held, 0);
-	buf = h2o_iovec_init(exchange->held->str, exchange->held->len);
+	exchange->in_transit = exchange->pending;
+	exchange->pending = g_string_truncate(in_transit, 0);
+	buf = h2o_iovec_init(exchange->in_transit->str, exchange->in_transit->len);
 	final = exchange->ended;
 	exchange->sending = true;
 	exchange->closed = final;
@@ -128,19 +128,20 @@
 static http_exchange_t *exchange_create(http_server_t *server, h2o_req_t *req)
 {
 	http_exchange_t *exchange = g_new0(http_exchange_t, 1);
-	http_exchange_t **link = h2o_mem_alloc_shared(&req->pool, sizeof(exchange),
-						      exchange_dispose);
+	http_exchange_t **pool_slot = h2o_mem_alloc_shared(&req->pool,
+							   sizeof(exchange),
+							   exchange_dispose);
 	char *raw = g_strndup(req->path.base, req->path.len);
 	char *question = strchr(raw, '?');
 
-	*link = exchange;
+	*pool_slot = exchange;
 	exchange->server = server;
-	server->open++;
+	server->open_exchanges++;
 	exchange->generator.proceed = exchange_proceed;
 	exchange->generator.stop = exchange_stop;
 	exchange->req = req;
 	exchange->pending = g_string_new(NULL);
-	exchange->held = g_string_new(NULL);
+	exchange->in_transit = g_string_new(NULL);
 	exchange->query =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	exchange->headers =
@@ -265,7 +266,7 @@
 /* Returns how many answers h2o has not yet sent to their end. */
 unsigned int http_server_open_exchanges(const http_server_t *server)
 {
-	return server->open;
+	return server->open_exchanges;
 }
 
 /*
@@ -363,7 +364,7 @@
 /* Says whether the head of the answer has been given. */
 bool http_exchange_has_begun(const http_exchange_t *exchange)
 {
-	return exchange->began;
+	return exchange->head_sent;
 }
 
 static const char *reason_phrase(int status)
@@ -401,8 +402,8 @@
 {
 	h2o_req_t *req = exchange->req;
 
-	g_assert(!exchange->began);
-	exchange->began = true;
+	g_assert(!exchange->head_sent);
+	exchange->head_sent = true;
 	req->res.status = status;
 	req->res.reason = reason_phrase(status);
 	for (size_t i = 0; i < count; i++) {
@@ -454,8 +455,8 @@
 	exchange->ended = true;
 	exchange->on_disconnect = NULL;
 	exchange->closed = true;
-	if (!exchange->began) {
-		exchange->began = true;
+	if (!exchange->head_sent) {
+		exchange->head_sent = true;
 		exchange->req->res.status = 500;
 		h2o_start_response(exchange->req, &exchange->generator);
 	}
