--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -133,7 +133,7 @@
  * alone if it has no token yet. Returns the request's id, owned by the caller,
  * and sets OFFSET to the next token's place; NULL if there is no such header.
  */
-static char *resume_point(const http_exchange_t *exchange, uint64_t *offset)
+static char *parse_last_event_id(const http_exchange_t *exchange, uint64_t *offset)
 {
 	const char *last = http_exchange_header(exchange, "last-event-id");
 	const char *slash = last ? strrchr(last, '/') : NULL;
@@ -155,7 +155,7 @@
 		.idempotency_key =
 			http_exchange_header(exchange, "idempotency-key"),
 	};
-	char *resume_id = resume_point(exchange, &request.resume_offset);
+	char *resume_id = parse_last_event_id(exchange, &request.resume_offset);
 	int64_t max_tokens;
 	caller_t *caller;
 	pd_error_t err;
@@ -350,7 +350,7 @@
  * take the entry's memory. The stream ends without its last event, at the end of
  * an event, and the caller may take it up again with Last-Event-ID.
  */
-static void caller_drop_slow(caller_t *caller)
+static void caller_drop_slow_reader(caller_t *caller)
 {
 	http_exchange_t *exchange = caller->exchange;
 
@@ -386,10 +386,10 @@
 	g_free(event_id);
 	json_decref(chunk);
 	if (http_exchange_pending(caller->exchange) > UNSENT_BYTES_MAX)
-		caller_drop_slow(caller);
+		caller_drop_slow_reader(caller);
 }
 
-static void caller_reply_whole(caller_t *caller, const char *request_id)
+static void caller_reply_completion(caller_t *caller, const char *request_id)
 {
 	const http_header_t headers[] = {
 		{ "content-type", "application/json" },
@@ -424,7 +424,7 @@
 	if (!caller)
 		return;
 	if (!caller->stream) {
-		caller_reply_whole(caller, request_id);
+		caller_reply_completion(caller, request_id);
 		return;
 	}
 	caller_begin_stream(caller, request_id);
