--- a/adapters/http_client.c
+++ b/adapters/http_client.c
@@ -161,8 +161,8 @@
 		return NULL;
 	}
 	call->in_callback = true;
-	if (call->handlers.on_written)
-		call->handlers.on_written(call->ctx);
+	if (call->handlers.on_sending)
+		call->handlers.on_sending(call->ctx);
 	call->in_callback = false;
 	if (call->cancelled) {
 		call_done(call, NULL);
--- a/adapters/http_client.h
+++ b/adapters/http_client.h
@@ -34,7 +34,7 @@
  * call is running; CTX may be freed there.
  */
 typedef struct http_call_handlers {
-	void (*on_written)(void *ctx); /* bytes are about to leave */
+	void (*on_sending)(void *ctx); /* bytes are about to leave */
 	void (*on_head)(void *ctx, http_call_t *call, int status);
 	void (*on_body)(void *ctx, const char *data, size_t len);
 	void (*on_done)(void *ctx, const pd_error_t *err); /* NULL: whole */
--- a/adapters/platform_http.c
+++ b/adapters/platform_http.c
@@ -114,7 +114,7 @@
 }
 
 static const http_call_handlers_t platform_handlers = {
-	.on_written = call_on_written,
+	.on_sending = call_on_written,
 	.on_head = call_on_head,
 	.on_body = call_on_body,
 	.on_done = call_on_done,
--- a/adapters/upstream_http.c
+++ b/adapters/upstream_http.c
@@ -206,7 +206,7 @@
 }
 
 static const http_call_handlers_t attempt_handlers = {
-	.on_written = attempt_on_written,
+	.on_sending = attempt_on_written,
 	.on_head = attempt_on_head,
 	.on_body = attempt_on_body,
 	.on_done = attempt_on_done,
