--- a/adapters/http_client.c
+++ b/adapters/http_client.c
@@ -57,7 +57,7 @@
 	g_free(call);
 }
 
-static void call_done(http_call_t *call, const char *errstr)
+static void call_finish(http_call_t *call, const char *errstr)
 {
 	pd_error_t err;
 
@@ -82,12 +82,12 @@
 	h2o_buffer_consume(input, (*input)->size);
 	call->in_callback = false;
 	if (errstr) {
-		call_done(call, errstr == h2o_http1client_error_is_eos ? NULL
-								       : errstr);
+		call_finish(call, errstr == h2o_http1client_error_is_eos ? NULL
+									 : errstr);
 		return 0;
 	}
 	if (call->cancelled) {
-		call_done(call, NULL);
+		call_finish(call, NULL);
 		return -1;
 	}
 	return 0;
@@ -100,13 +100,13 @@
 					    int rlen)
 {
 	http_call_t *call = h2o->data;
-	bool whole = errstr == h2o_http1client_error_is_eos;
+	bool complete = errstr == h2o_http1client_error_is_eos;
 
 	(void)minor_version;
 	(void)msg;
 	(void)rlen;
-	if (errstr && !whole) {
-		call_done(call, errstr);
+	if (errstr && !complete) {
+		call_finish(call, errstr);
 		return NULL;
 	}
 	call->headers =
@@ -121,8 +121,8 @@
 	if (call->handlers.on_head)
 		call->handlers.on_head(call->ctx, call, status);
 	call->in_callback = false;
-	if (whole || call->cancelled) {
-		call_done(call, NULL);
+	if (complete || call->cancelled) {
+		call_finish(call, NULL);
 		return NULL;
 	}
 	return call_on_body;
@@ -133,12 +133,12 @@
 	g_free(timer);
 }
 
-static void call_start_failed(uv_timer_t *timer)
+static void report_start_failure(uv_timer_t *timer)
 {
 	http_call_t *call = timer->data;
 
 	uv_close((uv_handle_t *)timer, timer_closed);
-	call_done(call, "the connection could not be started");
+	call_finish(call, "the connection could not be started");
 }
 
 static h2o_http1client_head_cb call_on_connect(h2o_http1client_t *h2o,
@@ -153,11 +153,11 @@
 		call->timer = g_new0(uv_timer_t, 1);
 		call->timer->data = call;
 		uv_timer_init(h2o->ctx->loop, call->timer);
-		uv_timer_start(call->timer, call_start_failed, 0, 0);
+		uv_timer_start(call->timer, report_start_failure, 0, 0);
 		return NULL;
 	}
 	if (errstr) {
-		call_done(call, errstr);
+		call_finish(call, errstr);
 		return NULL;
 	}
 	call->in_callback = true;
@@ -165,7 +165,7 @@
 		call->handlers.on_sending(call->ctx);
 	call->in_callback = false;
 	if (call->cancelled) {
-		call_done(call, NULL);
+		call_finish(call, NULL);
 		return NULL;
 	}
 	call->iov = h2o_iovec_init(call->bytes->str, call->bytes->len);
@@ -175,7 +175,7 @@
 	return call_on_head;
 }
 
-static GString *call_compose(const http_request_t *request)
+static GString *format_request(const http_request_t *request)
 {
 	GString *bytes = g_string_new(NULL);
 
@@ -207,7 +207,7 @@
 
 	call->handlers = *handlers;
 	call->ctx = ctx;
-	call->bytes = call_compose(request);
+	call->bytes = format_request(request);
 	call->starting = true;
 	h2o_http1client_connect(&call->h2o, call, &client->ctx, host,
 				request->port, 0, call_on_connect);
