--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -18,11 +18,11 @@
 #define TICK_MS 20
 #define FLUSH_MAX (5 * PD_SEC)
 
-typedef struct store_ask {
+typedef struct store_call {
 	entry_runner_t *runner;
 	store_op_t op;
 	bool write;
-} store_ask_t;
+} store_call_t;
 
 static void runner_perform(entry_runner_t *runner, action_t *action);
 
@@ -50,18 +50,18 @@
 	runner->handling = false;
 }
 
-static void on_store_answer(void *ctx, const platform_answer_t *answer)
+static void on_store_reply(void *ctx, const platform_answer_t *answer)
 {
-	store_ask_t *ask = ctx;
-	entry_runner_t *runner = ask->runner;
+	store_call_t *call = ctx;
+	entry_runner_t *runner = call->runner;
 	claim_table_t *table = NULL;
 	pd_error_t err;
 	event_t event = { .kind = EVENT_STORE_REPLY,
-			  .store = { .op = ask->op,
+			  .store = { .op = call->op,
 				     .status = answer->status,
 				     .version = answer->version } };
 
-	if (!ask->write && answer->status == STORE_OK) {
+	if (!call->write && answer->status == STORE_OK) {
 		table = claim_table_decode(answer->body, answer->len, &err);
 		if (!table) {
 			log_error("claims", "dropped an object", &err);
@@ -71,25 +71,25 @@
 	event.store.table = table;
 	runner_handle(runner, &event);
 	claim_table_destroy(table);
-	g_free(ask);
+	g_free(call);
 }
 
 static void perform_store(entry_runner_t *runner, const action_t *action)
 {
-	store_ask_t *ask = g_new0(store_ask_t, 1);
+	store_call_t *call = g_new0(store_call_t, 1);
 	char *body;
 
-	ask->runner = runner;
-	ask->op = action->store.op;
-	ask->write = action->kind == ACTION_STORE_WRITE;
-	if (!ask->write) {
+	call->runner = runner;
+	call->op = action->store.op;
+	call->write = action->kind == ACTION_STORE_WRITE;
+	if (!call->write) {
 		platform_read(runner->platform, action->store.key,
-			      on_store_answer, ask);
+			      on_store_reply, call);
 		return;
 	}
 	body = claim_table_encode(action->store.table);
 	platform_write(runner->platform, action->store.key, action->store.version,
-		       body, strlen(body), on_store_answer, ask);
+		       body, strlen(body), on_store_reply, call);
 	metrics_add(runner->metrics, "pistachio_claim_writes_total", 1);
 	g_free(body);
 }
