--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -16,7 +16,7 @@
 
 #define LOG_COMPONENT "entry"
 #define TICK_MS 20
-#define FLUSH_MAX (5 * PD_SEC)
+#define FLUSH_TIMEOUT (5 * PD_SEC)
 
 typedef struct store_call {
 	entry_runner_t *runner;
@@ -108,13 +108,13 @@
  * in this process; leaving now would cut them off. A caller that has gone
  * silent must not hold the process for ever, so the wait has an end.
  */
-static void runner_check_stopped(entry_runner_t *runner)
+static void runner_finish_stop(entry_runner_t *runner)
 {
 	bool sent = caller_http_open_exchanges(runner->callers) == 0;
 
 	if (!runner->stopped_at)
 		return;
-	if (!sent && clock_now() - runner->stopped_at < FLUSH_MAX)
+	if (!sent && clock_now() - runner->stopped_at < FLUSH_TIMEOUT)
 		return;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stopped, %s",
 		 sent ? "every answer sent" : "some callers took no bytes");
@@ -239,12 +239,12 @@
 	*bundle = event.bundle.bundle;
 }
 
-static uint64_t on_generation_asked(void *ctx)
+static uint64_t get_generation(void *ctx)
 {
 	return entry_generation(((entry_runner_t *)ctx)->entry);
 }
 
-static unsigned int on_members_asked(void *ctx)
+static unsigned int get_members_alive(void *ctx)
 {
 	return entry_members_alive(((entry_runner_t *)ctx)->entry);
 }
@@ -267,11 +267,11 @@
 	event_t event = { .kind = EVENT_TICK };
 
 	runner_handle(timer->data, &event);
-	runner_check_stopped(timer->data);
+	runner_finish_stop(timer->data);
 }
 
-static void runner_timer(entry_runner_t *runner, uv_timer_t *timer,
-			 uv_timer_cb callback, uint64_t period_ms)
+static void runner_start_timer(entry_runner_t *runner, uv_timer_t *timer,
+			       uv_timer_cb callback, uint64_t period_ms)
 {
 	uv_timer_init(runner->loop, timer);
 	timer->data = runner;
@@ -318,8 +318,8 @@
 		.public_key = runner->public_key,
 		.seed = (uint32_t)hash_string(runner->self.id),
 		.waits = true, /* until fellows have been looked for */
-		.generation = on_generation_asked,
-		.members = on_members_asked,
+		.generation = get_generation,
+		.members = get_members_alive,
 		.on_bundle = on_bundle,
 		.ctx = runner,
 	};
@@ -338,7 +338,7 @@
 	runner->entry = entry_create(&config);
 	runner->upstreams = upstream_http_create(runner->loop, &upstreams);
 	runner->bundles = bundle_watch_create(runner->loop, &bundles);
-	runner_timer(runner, &runner->tick, on_tick, TICK_MS);
+	runner_start_timer(runner, &runner->tick, on_tick, TICK_MS);
 	vm_watch_create(runner->loop, &vms);
 	entry_seeds_start(runner);
 }
