--- a/adapters/entry_pages.c
+++ b/adapters/entry_pages.c
@@ -89,7 +89,7 @@
 		return;
 	}
 	reply_text(exchange, 200, "text/plain", "leaving\n");
-	entry_runner_reclaim(runner, leaves_in_ms * PD_MSEC);
+	entry_runner_handle_vm_notice(runner, leaves_in_ms * PD_MSEC);
 }
 
 /* Answers what operators, the balancer and the VM's own agent ask. */
--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -258,7 +258,7 @@
 	for (size_t i = 0; i < count; i++) {
 		if (vms[i].state == VM_LEAVING &&
 		    !strcmp(vms[i].id, runner->self.id))
-			entry_runner_reclaim(runner, vms[i].leaves_in);
+			entry_runner_handle_vm_notice(runner, vms[i].leaves_in);
 	}
 }
 
@@ -407,7 +407,7 @@
  * stop, but what can't end in time goes to a peer. A notice may come twice, by
  * the VM list and from the VM itself.
  */
-void entry_runner_reclaim(entry_runner_t *runner, pd_time_t leaves_in)
+void entry_runner_handle_vm_notice(entry_runner_t *runner, pd_time_t leaves_in)
 {
 	entry_leave_by(runner->entry, clock_now() + leaves_in);
 	entry_runner_stop(runner);
--- a/adapters/entry_runner.h
+++ b/adapters/entry_runner.h
@@ -14,6 +14,6 @@
 entry_runner_t *entry_runner_create(uv_loop_t *loop, const settings_t *settings,
 				    pd_error_t *err);
 void entry_runner_stop(entry_runner_t *runner);
-void entry_runner_reclaim(entry_runner_t *runner, pd_time_t leaves_in);
+void entry_runner_handle_vm_notice(entry_runner_t *runner, pd_time_t leaves_in);
 
 #endif
