--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -112,9 +112,9 @@
 {
 	bool sent = caller_http_open_exchanges(runner->callers) == 0;
 
-	if (!runner->stopped_at)
+	if (!runner->core_stopped_at)
 		return;
-	if (!sent && clock_now() - runner->stopped_at < FLUSH_TIMEOUT)
+	if (!sent && clock_now() - runner->core_stopped_at < FLUSH_TIMEOUT)
 		return;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stopped, %s",
 		 sent ? "every answer sent" : "some callers took no bytes");
@@ -182,7 +182,7 @@
 			 action->generation);
 		break;
 	case ACTION_STOPPED:
-		runner->stopped_at = clock_now();
+		runner->core_stopped_at = clock_now();
 		break;
 	}
 }
--- a/adapters/entry_runner_parts.h
+++ b/adapters/entry_runner_parts.h
@@ -29,10 +29,10 @@
 	uv_timer_t tick;
 	uv_timer_t seeds;
 	bool registered;
-	bool listed_once; /* and registered by then */
+	bool listed_after_registration; /* and registered by then */
 	bool handling;
 	bool stopping;
-	pd_time_t stopped_at; /* 0 until the core is done */
+	pd_time_t core_stopped_at; /* 0 until the core is done */
 	list_node_t actions;
 };
 
--- a/adapters/entry_seeds.c
+++ b/adapters/entry_seeds.c
@@ -145,8 +145,9 @@
 	runner_handle(runner, &event);
 	ping_listed_seeds(runner, seeds);
 	delete_gone(runner, seeds);
-	next = runner->listed_once ? SEEDS_PERIOD_MS : SEEDS_SECOND_MS;
-	runner->listed_once |= runner->registered;
+	next = runner->listed_after_registration ? SEEDS_PERIOD_MS
+						 : SEEDS_SECOND_MS;
+	runner->listed_after_registration |= runner->registered;
 	uv_timer_set_repeat(&runner->seeds,
 			    runner->registered ? next : SEEDS_RETRY_MS);
 	uv_timer_again(&runner->seeds);
