--- a/adapters/entry_pages.c
+++ b/adapters/entry_pages.c
@@ -6,7 +6,7 @@
 #include "adapters/entry_runner_parts.h"
 #include "adapters/json.h"
 
-#define LEAVES_IN_MS_MOST (24 * 3600 * 1000)
+#define LEAVES_IN_MS_MAX (24 * 3600 * 1000)
 
 static void reply_text(http_exchange_t *exchange, int status, const char *type,
 		       const char *text)
@@ -84,7 +84,7 @@
 	notice = json_parse(data, len, &err);
 	leaves_in_ms = notice ? json_integer_or(notice, "leaves_in_ms", -1) : -1;
 	json_decref(notice);
-	if (leaves_in_ms < 0 || leaves_in_ms > LEAVES_IN_MS_MOST) {
+	if (leaves_in_ms < 0 || leaves_in_ms > LEAVES_IN_MS_MAX) {
 		reply_text(exchange, 400, "text/plain", "leaves_in_ms expected\n");
 		return;
 	}
