--- a/adapters/entry_seeds.c
+++ b/adapters/entry_seeds.c
@@ -9,14 +9,14 @@
 #include "core/hash.h"
 
 #define SEEDS_RETRY_MS 1000
-#define LISTED_PINGS 5
+#define LISTED_SEEDS_PINGED_MAX 5
 #define SEED_SEQUENCE 1 /* asks for an answer; no ping of the core has it */
 /*
  * A fleet that starts at once has more to tell than its heartbeats carry: among
  * 48 entries it takes half a minute until the last two know of each other. One
  * more look at the list, when the others have registered, ends that.
  */
-#define SEEDS_SECOND_MS 10000
+#define SEEDS_SECOND_LIST_MS 10000
 /* Rarely: the list grows with the fleet, and gossip carries the rest. */
 #define SEEDS_PERIOD_MS 300000
 
@@ -49,7 +49,7 @@
  * they alone can tell a fresh entry who its fellows are, and their answers show
  * which bundle is in force, which is then pulled from them.
  */
-static void ping_settings_seeds(entry_runner_t *runner)
+static void ping_configured_seeds(entry_runner_t *runner)
 {
 	for (int i = 0; i < SETTINGS_SEEDS_MAX; i++) {
 		const char *seed = runner->settings->peers_seeds[i];
@@ -73,10 +73,10 @@
 {
 	guint first = (guint)hash_string(runner->self.id);
 
-	for (guint i = 0; i < MIN(seeds->len, LISTED_PINGS); i++) {
-		guint at = (first % seeds->len + i) % seeds->len;
+	for (guint i = 0; i < MIN(seeds->len, LISTED_SEEDS_PINGED_MAX); i++) {
+		guint index = (first % seeds->len + i) % seeds->len;
 		const member_info_t *seed =
-			&g_array_index(seeds, member_info_t, at);
+			&g_array_index(seeds, member_info_t, index);
 
 		if (strcmp(seed->id, runner->self.id))
 			ping_seed(runner, seed->address, seed->peer_port);
@@ -94,7 +94,7 @@
  * without this the list that each entry reads would grow for ever. An entry
  * that was thought gone but lives misses its own record and writes it again.
  */
-static void delete_gone(entry_runner_t *runner, const GArray *seeds)
+static void delete_stale_records(entry_runner_t *runner, const GArray *seeds)
 {
 	bool listed = false;
 
@@ -113,7 +113,7 @@
 		runner->registered = false;
 }
 
-static void on_seeds(void *ctx, const platform_answer_t *answer)
+static void on_seed_list(void *ctx, const platform_answer_t *answer)
 {
 	entry_runner_t *runner = ctx;
 	GArray *seeds = g_array_new(FALSE, TRUE, sizeof(member_info_t));
@@ -144,9 +144,9 @@
 	event.seeds.count = seeds->len;
 	runner_handle(runner, &event);
 	ping_listed_seeds(runner, seeds);
-	delete_gone(runner, seeds);
+	delete_stale_records(runner, seeds);
 	next = runner->listed_after_registration ? SEEDS_PERIOD_MS
-						 : SEEDS_SECOND_MS;
+						 : SEEDS_SECOND_LIST_MS;
 	runner->listed_after_registration |= runner->registered;
 	uv_timer_set_repeat(&runner->seeds,
 			    runner->registered ? next : SEEDS_RETRY_MS);
@@ -161,7 +161,7 @@
 	bundle_watch_start(runner->bundles);
 }
 
-static void on_seeds_due(uv_timer_t *timer)
+static void refresh_seeds(uv_timer_t *timer)
 {
 	entry_runner_t *runner = timer->data;
 	char *body;
@@ -176,8 +176,8 @@
 		g_free(key);
 	}
 	if (entry_members_alive(runner->entry) < 2 || !runner->registered)
-		ping_settings_seeds(runner);
-	platform_list(runner->platform, "entries/", on_seeds, runner);
+		ping_configured_seeds(runner);
+	platform_list(runner->platform, "entries/", on_seed_list, runner);
 }
 
 /* Starts looking for fellows, at once and then now and then. */
@@ -185,5 +185,5 @@
 {
 	uv_timer_init(runner->loop, &runner->seeds);
 	runner->seeds.data = runner;
-	uv_timer_start(&runner->seeds, on_seeds_due, 0, SEEDS_RETRY_MS);
+	uv_timer_start(&runner->seeds, refresh_seeds, 0, SEEDS_RETRY_MS);
 }
