--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -174,7 +174,7 @@
 		break;
 	case ACTION_DECISION:
 		log_decision(&action->decision);
-		explain_note(runner->explain, &action->decision);
+		explain_record(runner->explain, &action->decision);
 		break;
 	case ACTION_BUNDLE_IN_FORCE:
 		log_line(G_LOG_LEVEL_INFO, "bundle",
--- a/adapters/explain.c
+++ b/adapters/explain.c
@@ -34,7 +34,7 @@
 }
 
 /* Notes a decision; what it holds is copied. */
-void explain_note(explain_t *explain, const decision_t *decision)
+void explain_record(explain_t *explain, const decision_t *decision)
 {
 	kept_t *kept;
 
--- a/adapters/explain.h
+++ b/adapters/explain.h
@@ -7,7 +7,7 @@
 typedef struct explain explain_t;
 
 explain_t *explain_create(void);
-void explain_note(explain_t *explain, const decision_t *decision);
+void explain_record(explain_t *explain, const decision_t *decision);
 char *explain_json(const explain_t *explain, const char *request_id);
 
 #endif
