--- a/adapters/explain.c
+++ b/adapters/explain.c
@@ -4,13 +4,13 @@
 #include <jansson.h>
 #include <string.h>
 
-#define KEPT_MAX 4096
+#define RECORDS_MAX 4096
 
 typedef struct kept {
 	list_node_t node;
 	char *request_id;
 	json_t *decision;
-} kept_t;
+} record_t;
 
 struct explain {
 	list_node_t kept;
@@ -26,7 +26,7 @@
 	return explain;
 }
 
-static void kept_destroy(kept_t *kept)
+static void record_destroy(record_t *kept)
 {
 	json_decref(kept->decision);
 	g_free(kept->request_id);
@@ -36,21 +36,21 @@
 /* Notes a decision; what it holds is copied. */
 void explain_record(explain_t *explain, const decision_t *decision)
 {
-	kept_t *kept;
+	record_t *kept;
 
 	if (!strcmp(decision->request_id, "-"))
 		return;
-	kept = g_new0(kept_t, 1);
+	kept = g_new0(record_t, 1);
 	kept->request_id = g_strdup(decision->request_id);
 	kept->decision = json_pack("{s:s, s:s, s:s, s:s}", "part",
 				   decision->part, "choice", decision->choice,
 				   "reason", decision->reason, "passed_over",
 				   decision->passed_over);
 	list_append(&explain->kept, &kept->node);
-	if (++explain->count <= KEPT_MAX)
+	if (++explain->count <= RECORDS_MAX)
 		return;
 	explain->count--;
-	kept_destroy(LIST_ENTRY(list_pop(&explain->kept), kept_t, node));
+	record_destroy(LIST_ENTRY(list_pop(&explain->kept), record_t, node));
 }
 
 /* Returns the decisions of a request as JSON, or NULL if there are none. */
@@ -62,7 +62,7 @@
 	char *copy;
 
 	LIST_FOR_EACH (it, &explain->kept) {
-		const kept_t *kept = LIST_ENTRY(it, kept_t, node);
+		const record_t *kept = LIST_ENTRY(it, record_t, node);
 
 		if (!strcmp(kept->request_id, request_id))
 			json_array_append(decisions, kept->decision);
