--- a/adapters/bundle_json.c
+++ b/adapters/bundle_json.c
@@ -406,7 +406,7 @@
 }
 
 /* Returns the signed envelope of a canonical bundle, owned by the caller. */
-char *envelope_seal(const char *canonical, const char *secret_key, pd_error_t *err)
+char *envelope_sign(const char *canonical, const char *secret_key, pd_error_t *err)
 {
 	char *signature =
 		signing_sign(secret_key, canonical, strlen(canonical), err);
--- a/adapters/bundle_json.h
+++ b/adapters/bundle_json.h
@@ -38,7 +38,7 @@
 bundle_t *bundle_decode(const char *json, size_t len, GPtrArray *faults,
 			pd_error_t *err);
 GPtrArray *bundle_faults_create(void);
-char *envelope_seal(const char *canonical, const char *secret_key, pd_error_t *err);
+char *envelope_sign(const char *canonical, const char *secret_key, pd_error_t *err);
 bundle_t *envelope_open(const char *data, size_t len, const char *public_key,
 			pd_error_t *err);
 
--- a/ctl/ctl_bundle.c
+++ b/ctl/ctl_bundle.c
@@ -193,7 +193,7 @@
 	secret = ctl_read_file(options->key_file, &err);
 	if (!secret)
 		goto error;
-	sealed = envelope_seal(canonical, secret, &err);
+	sealed = envelope_sign(canonical, secret, &err);
 	if (!sealed || write_file(options->output, sealed, 0644, &err) < 0)
 		goto error;
 	printf("signed %s as %s\n", options->argument, options->output);
--- a/tests/harness/fleet.c
+++ b/tests/harness/fleet.c
@@ -261,7 +261,7 @@
 	assert_true(g_file_set_contents(toml, text, -1, NULL));
 	canonical = bundle_canonical(toml, &err);
 	assert_non_null(canonical);
-	sealed = envelope_seal(canonical, secret, &err);
+	sealed = envelope_sign(canonical, secret, &err);
 	assert_non_null(sealed);
 	assert_true(g_file_set_contents(path, sealed, -1, NULL));
 	g_free(toml);
--- a/tests/property/test_decoders.cc
+++ b/tests/property/test_decoders.cc
@@ -244,7 +244,7 @@
 
 		if (!public_key)
 			signing_keygen(&public_key, &secret_key);
-		sealed = envelope_seal(payload.c_str(), secret_key, &err);
+		sealed = envelope_sign(payload.c_str(), secret_key, &err);
 		std::string bytes(sealed);
 		std::string damaged = mutated(bytes);
 		bundle = envelope_open(damaged.data(), damaged.size(),
--- a/tests/unit/test_bundle_json.c
+++ b/tests/unit/test_bundle_json.c
@@ -106,7 +106,7 @@
 	assert_int_equal(signing_init(&err), 0);
 	signing_keygen(&public_key, &secret_key);
 	signing_keygen(&other_public, &other_secret);
-	sealed = envelope_seal(good, secret_key, &err);
+	sealed = envelope_sign(good, secret_key, &err);
 	bundle = open_sealed(sealed, public_key, &err);
 	assert_non_null(bundle);
 	bundle_destroy(bundle);
