--- a/adapters/bundle_json.c
+++ b/adapters/bundle_json.c
@@ -129,14 +129,14 @@
 	const json_t *member = json_object_get(object, key);
 	int64_t value = json_integer_value(member);
 
-	if (!member && rule->fallback)
-		return g_ascii_strtoll(rule->fallback, NULL, 10);
-	if (!json_is_integer(member) || value < rule->least || value > rule->most) {
+	if (!member && rule->default_value)
+		return g_ascii_strtoll(rule->default_value, NULL, 10);
+	if (!json_is_integer(member) || value < rule->min || value > rule->max) {
 		reader_fault(reader, key,
 			     "expected an integer from %" G_GINT64_FORMAT
 			     " to %" G_GINT64_FORMAT,
-			     rule->least, rule->most);
-		return rule->least;
+			     rule->min, rule->max);
+		return rule->min;
 	}
 	return value;
 }
@@ -148,7 +148,7 @@
 	const json_t *member = json_object_get(object, key);
 
 	if (!member)
-		return !strcmp(rule->fallback, "true");
+		return !strcmp(rule->default_value, "true");
 	if (!json_is_boolean(member))
 		reader_fault(reader, key, "expected true or false");
 	return json_is_true(member);
@@ -160,8 +160,8 @@
 	const bundle_rule_t *rule = rule_find(reader->section, key);
 	const json_t *member = json_object_get(object, key);
 
-	if (!member && rule->fallback)
-		return rule->fallback;
+	if (!member && rule->default_value)
+		return rule->default_value;
 	if (!json_is_string(member) || !*json_string_value(member)) {
 		reader_fault(reader, key, "expected a non-empty string");
 		return "";
--- a/adapters/bundle_json.h
+++ b/adapters/bundle_json.h
@@ -22,10 +22,10 @@
 	const char *section;
 	const char *key;
 	rule_kind_t kind;
-	int64_t least; /* of an integer */
-	int64_t most;
-	const char *fallback; /* NULL: the key is required */
-	const char *meaning;
+	int64_t min; /* of an integer */
+	int64_t max;
+	const char *default_value; /* NULL: the key is required */
+	const char *description;
 } bundle_rule_t;
 
 typedef struct bundle_fault {
--- a/tests/unit/test_docs.c
+++ b/tests/unit/test_docs.c
@@ -94,11 +94,11 @@
 		char row[512];
 
 		bounds(range, sizeof(range), table[i].kind == RULE_INTEGER,
-		       table[i].least, table[i].most);
+		       table[i].min, table[i].max);
 		snprintf(row, sizeof(row), "| `%s` | `%s` | %s | %s | %s | %s |",
 			 table[i].section, table[i].key, kinds[table[i].kind],
-			 table[i].fallback ? table[i].fallback : "required",
-			 range, table[i].meaning);
+			 table[i].default_value ? table[i].default_value : "required",
+			 range, table[i].description);
 		assert_has_row(page, row);
 	}
 	g_free(page);
