--- a/adapters/bundle_json.c
+++ b/adapters/bundle_json.c
@@ -79,7 +79,7 @@
 	return rules;
 }
 
-static const bundle_rule_t *rule_find(const char *section, const char *key)
+static const bundle_rule_t *find_rule(const char *section, const char *key)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(rules); i++) {
 		if (!strcmp(rules[i].section, section) && !strcmp(rules[i].key, key))
@@ -103,12 +103,12 @@
 	return g_ptr_array_new_with_free_func(fault_free);
 }
 
-static void reader_fault(const reader_t *reader, const char *key,
-			 const char *format, ...)
+static void reader_add_fault(const reader_t *reader, const char *key,
+			     const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
 
-static void reader_fault(const reader_t *reader, const char *key,
-			 const char *format, ...)
+static void reader_add_fault(const reader_t *reader, const char *key,
+			     const char *format, ...)
 {
 	bundle_fault_t *fault = g_new0(bundle_fault_t, 1);
 	va_list args;
@@ -125,17 +125,17 @@
 static int64_t read_integer(const reader_t *reader, const json_t *object,
 			    const char *key)
 {
-	const bundle_rule_t *rule = rule_find(reader->section, key);
+	const bundle_rule_t *rule = find_rule(reader->section, key);
 	const json_t *member = json_object_get(object, key);
 	int64_t value = json_integer_value(member);
 
 	if (!member && rule->default_value)
 		return g_ascii_strtoll(rule->default_value, NULL, 10);
 	if (!json_is_integer(member) || value < rule->min || value > rule->max) {
-		reader_fault(reader, key,
-			     "expected an integer from %" G_GINT64_FORMAT
-			     " to %" G_GINT64_FORMAT,
-			     rule->min, rule->max);
+		reader_add_fault(reader, key,
+				 "expected an integer from %" G_GINT64_FORMAT
+				 " to %" G_GINT64_FORMAT,
+				 rule->min, rule->max);
 		return rule->min;
 	}
 	return value;
@@ -144,26 +144,26 @@
 static bool read_boolean(const reader_t *reader, const json_t *object,
 			 const char *key)
 {
-	const bundle_rule_t *rule = rule_find(reader->section, key);
+	const bundle_rule_t *rule = find_rule(reader->section, key);
 	const json_t *member = json_object_get(object, key);
 
 	if (!member)
 		return !strcmp(rule->default_value, "true");
 	if (!json_is_boolean(member))
-		reader_fault(reader, key, "expected true or false");
+		reader_add_fault(reader, key, "expected true or false");
 	return json_is_true(member);
 }
 
-static const char *read_text(const reader_t *reader, const json_t *object,
-			     const char *key)
+static const char *read_string(const reader_t *reader, const json_t *object,
+			       const char *key)
 {
-	const bundle_rule_t *rule = rule_find(reader->section, key);
+	const bundle_rule_t *rule = find_rule(reader->section, key);
 	const json_t *member = json_object_get(object, key);
 
 	if (!member && rule->default_value)
 		return rule->default_value;
 	if (!json_is_string(member) || !*json_string_value(member)) {
-		reader_fault(reader, key, "expected a non-empty string");
+		reader_add_fault(reader, key, "expected a non-empty string");
 		return "";
 	}
 	return json_string_value(member);
@@ -173,13 +173,13 @@
 static bool read_priority(const reader_t *reader, const json_t *object,
 			  priority_t *priority)
 {
-	const char *name = read_text(reader, object, "priority");
+	const char *name = read_string(reader, object, "priority");
 
 	if (!*name)
 		return false;
 	if (priority_parse(name, priority) < 0)
-		reader_fault(reader, "priority",
-			     "expected urgent, normal or batch");
+		reader_add_fault(reader, "priority",
+				 "expected urgent, normal or batch");
 	return true;
 }
 
@@ -191,8 +191,8 @@
 
 	json_object_foreach(object, key, value)
 	{
-		if (!rule_find(reader->section, key))
-			reader_fault(reader, key, "unknown key");
+		if (!find_rule(reader->section, key))
+			reader_add_fault(reader, key, "unknown key");
 	}
 }
 
@@ -208,10 +208,10 @@
 	target->most_workers =
 		(unsigned int)read_integer(reader, object, "most_workers");
 	if (target->most_workers && target->most_workers < target->workers)
-		reader_fault(reader, "most_workers",
-			     "expected 0 or at least workers");
+		reader_add_fault(reader, "most_workers",
+				 "expected 0 or at least workers");
 	target->machine_class =
-		g_strdup(read_text(reader, object, "machine_class"));
+		g_strdup(read_string(reader, object, "machine_class"));
 	if (kind == TARGET_SERVICE) {
 		target->repeatable = read_boolean(reader, object, "repeatable");
 		target->checks_fencing =
@@ -231,9 +231,9 @@
 	{
 		reader->name = name;
 		if (bundle_target(bundle, name))
-			reader_fault(reader, "", "the name is used twice");
+			reader_add_fault(reader, "", "the name is used twice");
 		else if (!json_is_object(item))
-			reader_fault(reader, "", "expected a table");
+			reader_add_fault(reader, "", "expected a table");
 		else
 			read_target(reader, item, kind, bundle);
 	}
@@ -248,15 +248,15 @@
 	size_t i;
 
 	if (!json_is_array(allowed))
-		reader_fault(reader, "allow", "expected an array of names");
+		reader_add_fault(reader, "allow", "expected an array of names");
 	json_array_foreach(allowed, i, item)
 	{
 		const char *name = json_string_value(item);
 
 		if (!name || !bundle_target(bundle, name))
-			reader_fault(reader, "allow",
-				     "no model or service is called %s",
-				     name ? name : "that");
+			reader_add_fault(reader, "allow",
+					 "no model or service is called %s",
+					 name ? name : "that");
 		else
 			g_ptr_array_add(account->allowed, g_strdup(name));
 	}
@@ -270,16 +270,17 @@
 
 static void read_account(const reader_t *reader, json_t *object, bundle_t *bundle)
 {
-	const char *hash = read_text(reader, object, "key_hash");
+	const char *hash = read_string(reader, object, "key_hash");
 	account_t *account;
 
 	check_keys(reader, object);
 	if (!is_key_hash(hash))
-		reader_fault(reader, "key_hash",
-			     "expected %d lower-case hex digits", KEY_HASH_LEN);
+		reader_add_fault(reader, "key_hash",
+				 "expected %d lower-case hex digits",
+				 KEY_HASH_LEN);
 	else if (bundle_account(bundle, hash))
-		reader_fault(reader, "key_hash",
-			     "another account has the same key");
+		reader_add_fault(reader, "key_hash",
+				 "another account has the same key");
 	account = bundle_add_account(bundle, reader->name, hash);
 	account->requests_per_second =
 		(double)read_integer(reader, object, "requests_per_second");
@@ -298,7 +299,7 @@
 	{
 		reader->name = name;
 		if (!json_is_object(item))
-			reader_fault(reader, "", "expected a table");
+			reader_add_fault(reader, "", "expected a table");
 		else
 			read_account(reader, item, bundle);
 	}
@@ -329,24 +330,24 @@
 		(unsigned int)read_integer(reader, limits, "headroom_percent");
 }
 
-static void read_head(reader_t *reader, json_t *root, bundle_t *bundle)
+static void read_header(reader_t *reader, json_t *root, bundle_t *bundle)
 {
 	static const char *const sections[] = { "bundle",   "limits",
 						"models",   "services",
 						"accounts", NULL };
-	json_t *head = json_object_get(root, "bundle");
+	json_t *header = json_object_get(root, "bundle");
 	const char *key;
 	json_t *value;
 
 	reader->section = "bundle";
-	check_keys(reader, head);
-	bundle->generation = (uint64_t)read_integer(reader, head, "generation");
-	bundle->name = g_strdup(read_text(reader, head, "name"));
+	check_keys(reader, header);
+	bundle->generation = (uint64_t)read_integer(reader, header, "generation");
+	bundle->name = g_strdup(read_string(reader, header, "name"));
 	reader->section = "(top)";
 	json_object_foreach(root, key, value)
 	{
 		if (!g_strv_contains(sections, key))
-			reader_fault(reader, key, "unknown section");
+			reader_add_fault(reader, key, "unknown section");
 	}
 }
 
@@ -365,7 +366,7 @@
 	if (!root)
 		return NULL;
 	bundle = bundle_create();
-	read_head(&reader, root, bundle);
+	read_header(&reader, root, bundle);
 	read_limits(&reader, root, bundle);
 	read_targets(&reader, root, "models", TARGET_MODEL, bundle);
 	read_targets(&reader, root, "services", TARGET_SERVICE, bundle);
