--- a/adapters/bundle_watch.c
+++ b/adapters/bundle_watch.c
@@ -97,8 +97,8 @@
 {
 	unsigned int members = 0;
 
-	if (watch->config.members)
-		members = watch->config.members(watch->config.ctx);
+	if (watch->config.get_member_count)
+		members = watch->config.get_member_count(watch->config.ctx);
 	if (members < 2)
 		return 0;
 	return (uint64_t)g_rand_int_range(watch->rand, 0,
@@ -110,8 +110,8 @@
 {
 	bundle_watch_t *watch = timer->data;
 
-	if (watch->config.generation &&
-	    watch->config.generation(watch->config.ctx) >= watch->generation) {
+	if (watch->config.get_generation &&
+	    watch->config.get_generation(watch->config.ctx) >= watch->generation) {
 		watch->version = watch->pending;
 		watch_start(watch);
 		return;
@@ -178,7 +178,7 @@
 	uv_timer_init(loop, &watch->spread);
 	watch->spread.data = watch;
 	watch->rand = g_rand_new_with_seed(config->seed);
-	if (!config->waits)
+	if (!config->defer_start)
 		bundle_watch_start(watch);
 	return watch;
 }
--- a/adapters/bundle_watch.h
+++ b/adapters/bundle_watch.h
@@ -21,10 +21,10 @@
 	platform_t *platform; /* borrowed */
 	char *public_key; /* borrowed */
 	uint32_t seed; /* of the waits before a body is read */
-	bool waits; /* for bundle_watch_start() */
+	bool defer_start; /* for bundle_watch_start() */
 	/* In force now, and entries that may have a body; NULL: no peers. */
-	uint64_t (*generation)(void *ctx);
-	unsigned int (*members)(void *ctx);
+	uint64_t (*get_generation)(void *ctx);
+	unsigned int (*get_member_count)(void *ctx);
 	/* BUNDLE is taken over if set to NULL. */
 	void (*on_bundle)(void *ctx, bundle_t **bundle, GBytes *envelope);
 	void *ctx;
--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -317,9 +317,9 @@
 		.platform = runner->platform,
 		.public_key = runner->public_key,
 		.seed = (uint32_t)hash_string(runner->self.id),
-		.waits = true, /* until fellows have been looked for */
-		.generation = get_generation,
-		.members = get_members_alive,
+		.defer_start = true, /* until fellows have been looked for */
+		.get_generation = get_generation,
+		.get_member_count = get_members_alive,
 		.on_bundle = on_bundle,
 		.ctx = runner,
 	};
