--- a/adapters/bundle_watch.c
+++ b/adapters/bundle_watch.c
@@ -21,18 +21,18 @@
  * fleet, and mostly has the body from a peer by then: about 10 ms for each
  * member, that is 60 ms today and 3.2 s at 320, of the 7 s that are allowed.
  */
-#define SPREAD_MS_A_MEMBER 10
+#define SPREAD_MS_PER_MEMBER 10
 
 struct bundle_watch {
 	bundle_watch_config_t config;
-	uv_timer_t retry;
-	uv_timer_t spread;
+	uv_timer_t retry_timer;
+	uv_timer_t read_timer;
 	GRand *rand;
 	bool started;
 	uint64_t generation; /* that the pointer names */
-	char *object; /* its body's key */
-	uint64_t version; /* of the pointer whose body was read */
-	uint64_t pending; /* of the pointer whose body is being read */
+	char *object_key; /* its body's key */
+	uint64_t read_version; /* of the pointer whose body was read */
+	uint64_t pending_version; /* of the pointer whose body is being read */
 };
 
 static void watch_start(bundle_watch_t *watch);
@@ -42,11 +42,11 @@
 	watch_start(timer->data);
 }
 
-static void watch_later(bundle_watch_t *watch)
+static void watch_schedule_retry(bundle_watch_t *watch)
 {
 	uint64_t wait = RETRY_MS + (uint64_t)g_random_int_range(0, RETRY_SPREAD_MS);
 
-	uv_timer_start(&watch->retry, watch_retry, wait, 0);
+	uv_timer_start(&watch->retry_timer, watch_retry, wait, 0);
 }
 
 /*
@@ -75,7 +75,7 @@
 	GBytes *envelope;
 
 	if (answer->status != STORE_OK) {
-		watch_later(watch);
+		watch_schedule_retry(watch);
 		return;
 	}
 	/*
@@ -85,10 +85,10 @@
 	 */
 	envelope = g_bytes_new(answer->body, answer->len);
 	if (bundle_watch_offer(watch, envelope)) {
-		watch->version = watch->pending;
+		watch->read_version = watch->pending_version;
 		watch_start(watch);
 	} else {
-		watch_later(watch);
+		watch_schedule_retry(watch);
 	}
 	g_bytes_unref(envelope);
 }
@@ -102,7 +102,7 @@
 	if (members < 2)
 		return 0;
 	return (uint64_t)g_rand_int_range(watch->rand, 0,
-					  (gint32)(members * SPREAD_MS_A_MEMBER));
+					  (gint32)(members * SPREAD_MS_PER_MEMBER));
 }
 
 /* Reads the body that the pointer names, unless a peer has brought it. */
@@ -112,17 +112,18 @@
 
 	if (watch->config.get_generation &&
 	    watch->config.get_generation(watch->config.ctx) >= watch->generation) {
-		watch->version = watch->pending;
+		watch->read_version = watch->pending_version;
 		watch_start(watch);
 		return;
 	}
-	platform_read(watch->config.platform, watch->object, watch_on_body, watch);
+	platform_read(watch->config.platform, watch->object_key, watch_on_body,
+		      watch);
 }
 
 static void watch_on_pointer(void *ctx, const platform_answer_t *answer)
 {
 	bundle_watch_t *watch = ctx;
-	const char *object;
+	const char *object_key;
 	int64_t generation;
 	pd_error_t err;
 	json_t *pointer;
@@ -132,29 +133,30 @@
 		return;
 	}
 	if (answer->status != STORE_OK) {
-		watch_later(watch);
+		watch_schedule_retry(watch);
 		return;
 	}
 	pointer = json_parse(answer->body, answer->len, &err);
-	if (!pointer || json_read_string(pointer, "object", &object, &err) < 0 ||
+	if (!pointer || json_read_string(pointer, "object", &object_key, &err) < 0 ||
 	    json_read_integer(pointer, "generation", &generation, &err) < 0) {
 		log_error(LOG_COMPONENT, "dropped a pointer", &err);
 		json_decref(pointer);
-		watch_later(watch);
+		watch_schedule_retry(watch);
 		return;
 	}
-	watch->pending = answer->version;
+	watch->pending_version = answer->version;
 	watch->generation = (uint64_t)generation;
-	g_free(watch->object);
-	watch->object = g_strdup(object);
+	g_free(watch->object_key);
+	watch->object_key = g_strdup(object_key);
 	json_decref(pointer);
-	uv_timer_start(&watch->spread, watch_read_body, watch_spread_ms(watch), 0);
+	uv_timer_start(&watch->read_timer, watch_read_body,
+		       watch_spread_ms(watch), 0);
 }
 
 static void watch_start(bundle_watch_t *watch)
 {
-	platform_watch(watch->config.platform, BUNDLE_POINTER, watch->version,
-		       watch_on_pointer, watch);
+	platform_watch(watch->config.platform, BUNDLE_POINTER,
+		       watch->read_version, watch_on_pointer, watch);
 }
 
 /* Starts following the pointer; twice is harmless. */
@@ -173,10 +175,10 @@
 	bundle_watch_t *watch = g_new0(bundle_watch_t, 1);
 
 	watch->config = *config;
-	uv_timer_init(loop, &watch->retry);
-	watch->retry.data = watch;
-	uv_timer_init(loop, &watch->spread);
-	watch->spread.data = watch;
+	uv_timer_init(loop, &watch->retry_timer);
+	watch->retry_timer.data = watch;
+	uv_timer_init(loop, &watch->read_timer);
+	watch->read_timer.data = watch;
 	watch->rand = g_rand_new_with_seed(config->seed);
 	if (!config->defer_start)
 		bundle_watch_start(watch);
