--- a/adapters/frame_link.c
+++ b/adapters/frame_link.c
@@ -17,9 +17,9 @@
  * still succeed if something in between has lost track of it, so nothing but
  * the missing answer shows that it is dead.
  */
-#define UNANSWERED_MAX_MS 1000
-#define IDLE_MAX_MS 30000
-#define WAITING_MAX (4 * 1024 * 1024) /* bytes queued on one connection */
+#define ACK_TIMEOUT_MS 1000
+#define IDLE_TIMEOUT_MS 30000
+#define QUEUED_BYTES_MAX (4 * 1024 * 1024) /* bytes queued on one connection */
 
 /* One read; all connections share it, as the loop has one thread. */
 static char read_buffer[64 * 1024];
@@ -33,10 +33,10 @@
 	bool connected;
 	bool closing;
 	GByteArray *input;
-	GByteArray *waiting; /* until the connection is up */
-	unsigned int unanswered;
-	uint64_t unanswered_since; /* loop time, ms */
-	uint64_t used_at;
+	GByteArray *queued; /* until the connection is up */
+	unsigned int unacked;
+	uint64_t unacked_since; /* loop time, ms */
+	uint64_t last_used_at;
 } conn_t;
 
 typedef struct write {
@@ -50,17 +50,17 @@
 	uv_timer_t sweep;
 	frame_link_config_t config;
 	uint16_t port;
-	GHashTable *out; /* key -> conn_t */
+	GHashTable *outgoing; /* key -> conn_t */
 	list_node_t conns;
 	uint64_t bytes; /* sent and received */
 };
 
-static void conn_closed(uv_handle_t *handle)
+static void on_closed(uv_handle_t *handle)
 {
 	conn_t *conn = handle->data;
 
 	g_byte_array_unref(conn->input);
-	g_byte_array_unref(conn->waiting);
+	g_byte_array_unref(conn->queued);
 	g_free(conn->key);
 	g_free(conn);
 }
@@ -71,19 +71,19 @@
 		return;
 	conn->closing = true;
 	if (conn->key)
-		g_hash_table_remove(conn->link->out, conn->key);
+		g_hash_table_remove(conn->link->outgoing, conn->key);
 	list_remove(&conn->node);
-	uv_close((uv_handle_t *)&conn->tcp, conn_closed);
+	uv_close((uv_handle_t *)&conn->tcp, on_closed);
 }
 
 /* Closes a connection on which frames may be lost. */
 static void conn_fail(conn_t *conn)
 {
 	const frame_link_config_t *config = &conn->link->config;
-	bool told = conn->key && !conn->closing && config->on_lost;
+	bool notify = conn->key && !conn->closing && config->on_lost;
 
 	conn_close(conn);
-	if (told)
+	if (notify)
 		config->on_lost(config->ctx, conn->key);
 }
 
@@ -93,15 +93,15 @@
 
 	conn->link = link;
 	conn->input = g_byte_array_new();
-	conn->waiting = g_byte_array_new();
-	conn->used_at = uv_now(link->loop);
+	conn->queued = g_byte_array_new();
+	conn->last_used_at = uv_now(link->loop);
 	uv_tcp_init(link->loop, &conn->tcp);
 	conn->tcp.data = conn;
 	list_append(&link->conns, &conn->node);
 	return conn;
 }
 
-static void write_done(uv_write_t *req, int status)
+static void on_write_done(uv_write_t *req, int status)
 {
 	write_t *write = (write_t *)req;
 
@@ -121,14 +121,14 @@
 	write->bytes = g_bytes_ref(bytes);
 	conn->link->bytes += len;
 	if (uv_write(&write->req, (uv_stream_t *)&conn->tcp, &buf, 1,
-		     write_done) < 0) {
+		     on_write_done) < 0) {
 		g_bytes_unref(write->bytes);
 		g_free(write);
 		conn_fail(conn);
 	}
 }
 
-static GBytes *frame_bytes(const void *data, size_t len)
+static GBytes *encode_frame(const void *data, size_t len)
 {
 	GByteArray *frame = g_byte_array_new();
 	const uint32_t length = GUINT32_TO_BE((uint32_t)len);
@@ -140,31 +140,31 @@
 }
 
 /* Takes one frame; an empty one answers the oldest frame we sent. */
-static void conn_frame(conn_t *conn, const char *data, size_t len)
+static void conn_handle_frame(conn_t *conn, const char *data, size_t len)
 {
-	GBytes *answer;
+	GBytes *ack;
 
 	if (len == 0) {
-		if (conn->unanswered)
-			conn->unanswered--;
-		conn->unanswered_since = uv_now(conn->link->loop);
+		if (conn->unacked)
+			conn->unacked--;
+		conn->unacked_since = uv_now(conn->link->loop);
 		return;
 	}
-	answer = frame_bytes(NULL, 0);
-	conn_write(conn, answer);
-	g_bytes_unref(answer);
+	ack = encode_frame(NULL, 0);
+	conn_write(conn, ack);
+	g_bytes_unref(ack);
 	if (conn->link->config.on_frame(conn->link->config.ctx, data, len) < 0)
 		conn_close(conn);
 }
 
-static void conn_frames(conn_t *conn)
+static void conn_parse_input(conn_t *conn)
 {
-	guint used = 0;
+	guint consumed = 0;
 
-	while (!conn->closing && conn->input->len - used >= LENGTH_BYTES) {
+	while (!conn->closing && conn->input->len - consumed >= LENGTH_BYTES) {
 		uint32_t length;
 
-		memcpy(&length, conn->input->data + used, LENGTH_BYTES);
+		memcpy(&length, conn->input->data + consumed, LENGTH_BYTES);
 		length = GUINT32_FROM_BE(length);
 		if (length > conn->link->config.frame_max) {
 			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
@@ -173,14 +173,15 @@
 			conn_close(conn);
 			return;
 		}
-		if (conn->input->len - used - LENGTH_BYTES < length)
+		if (conn->input->len - consumed - LENGTH_BYTES < length)
 			break;
-		used += LENGTH_BYTES;
-		conn_frame(conn, (const char *)conn->input->data + used, length);
-		used += length;
+		consumed += LENGTH_BYTES;
+		conn_handle_frame(conn, (const char *)conn->input->data + consumed,
+				  length);
+		consumed += length;
 	}
-	if (used)
-		g_byte_array_remove_range(conn->input, 0, used);
+	if (consumed)
+		g_byte_array_remove_range(conn->input, 0, consumed);
 }
 
 static void conn_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
@@ -196,10 +197,10 @@
 
 	if (len > 0) {
 		conn->link->bytes += (uint64_t)len;
-		conn->used_at = uv_now(conn->link->loop);
+		conn->last_used_at = uv_now(conn->link->loop);
 		g_byte_array_append(conn->input, (const guint8 *)buf->base,
 				    (guint)len);
-		conn_frames(conn);
+		conn_parse_input(conn);
 	}
 	if (len < 0)
 		conn_fail(conn);
@@ -229,12 +230,12 @@
 
 	LIST_FOR_EACH_SAFE (it, &link->conns) {
 		conn_t *conn = LIST_ENTRY(it, conn_t, node);
-		bool silent = conn->unanswered &&
-			      now - conn->unanswered_since >= UNANSWERED_MAX_MS;
+		bool ack_overdue = conn->unacked &&
+				   now - conn->unacked_since >= ACK_TIMEOUT_MS;
 
-		if (silent)
+		if (ack_overdue)
 			conn_fail(conn);
-		else if (now - conn->used_at >= IDLE_MAX_MS)
+		else if (now - conn->last_used_at >= IDLE_TIMEOUT_MS)
 			conn_close(conn);
 	}
 }
@@ -271,7 +272,7 @@
 
 	link->loop = loop;
 	link->config = *config;
-	link->out = g_hash_table_new(g_str_hash, g_str_equal);
+	link->outgoing = g_hash_table_new(g_str_hash, g_str_equal);
 	list_init(&link->conns);
 	uv_tcp_init(loop, &link->listener);
 	link->listener.data = link;
@@ -312,7 +313,7 @@
 	return link->bytes;
 }
 
-static void conn_connected(uv_connect_t *connect, int status)
+static void on_connected(uv_connect_t *connect, int status)
 {
 	conn_t *conn = connect->handle->data;
 	GBytes *bytes;
@@ -326,16 +327,16 @@
 	conn->connected = true;
 	uv_tcp_nodelay(&conn->tcp, 1);
 	uv_read_start((uv_stream_t *)&conn->tcp, conn_alloc, conn_read);
-	bytes = g_bytes_new(conn->waiting->data, conn->waiting->len);
-	g_byte_array_set_size(conn->waiting, 0);
+	bytes = g_bytes_new(conn->queued->data, conn->queued->len);
+	g_byte_array_set_size(conn->queued, 0);
 	conn_write(conn, bytes);
 	g_bytes_unref(bytes);
 }
 
-static conn_t *link_conn(frame_link_t *link, const char *address, uint16_t port)
+static conn_t *link_get_conn(frame_link_t *link, const char *address, uint16_t port)
 {
 	char *key = g_strdup_printf("%s:%u", address, port);
-	conn_t *conn = g_hash_table_lookup(link->out, key);
+	conn_t *conn = g_hash_table_lookup(link->outgoing, key);
 	struct sockaddr_in addr;
 
 	if (conn) {
@@ -344,10 +345,10 @@
 	}
 	conn = conn_create(link);
 	conn->key = key;
-	g_hash_table_insert(link->out, conn->key, conn);
+	g_hash_table_insert(link->outgoing, conn->key, conn);
 	if (uv_ip4_addr(address, port, &addr) < 0 ||
 	    uv_tcp_connect(&conn->connect, &conn->tcp,
-			   (const struct sockaddr *)&addr, conn_connected) < 0) {
+			   (const struct sockaddr *)&addr, on_connected) < 0) {
 		conn_close(conn);
 		return NULL;
 	}
@@ -361,22 +362,22 @@
 void frame_link_send(frame_link_t *link, const char *address, uint16_t port,
 		     GBytes *body)
 {
-	conn_t *conn = link_conn(link, address, port);
+	conn_t *conn = link_get_conn(link, address, port);
 	GBytes *frame;
 	gsize len;
 
 	if (!conn)
 		return;
-	frame = frame_bytes(g_bytes_get_data(body, NULL), g_bytes_get_size(body));
-	if (!conn->unanswered)
-		conn->unanswered_since = uv_now(link->loop);
-	conn->unanswered++;
-	conn->used_at = uv_now(link->loop);
+	frame = encode_frame(g_bytes_get_data(body, NULL), g_bytes_get_size(body));
+	if (!conn->unacked)
+		conn->unacked_since = uv_now(link->loop);
+	conn->unacked++;
+	conn->last_used_at = uv_now(link->loop);
 	len = g_bytes_get_size(frame);
 	if (conn->connected)
 		conn_write(conn, frame);
-	else if (conn->waiting->len + len <= WAITING_MAX)
-		g_byte_array_append(conn->waiting,
-				    g_bytes_get_data(frame, NULL), (guint)len);
+	else if (conn->queued->len + len <= QUEUED_BYTES_MAX)
+		g_byte_array_append(conn->queued, g_bytes_get_data(frame, NULL),
+				    (guint)len);
 	g_bytes_unref(frame);
 }
