--- a/adapters/json.c
+++ b/adapters/json.c
@@ -4,23 +4,23 @@
 #include <math.h>
 #include <stdbool.h>
 
-#define JSON_DEPTH_ERROR "not a JSON object"
+#define NOT_AN_OBJECT "not a JSON object"
 /* The largest number up to which a real holds every whole one: 2 to the 53. */
-#define JSON_WHOLE_MAX 9007199254740992.0
+#define REAL_INTEGER_MAX 9007199254740992.0
 
 /* Parses a JSON object; the caller owns it. NULL with ERR set if it is none. */
 json_t *json_parse(const char *data, size_t len, pd_error_t *err)
 {
-	json_error_t at;
-	json_t *value = json_loadb(data, len, JSON_REJECT_DUPLICATES, &at);
+	json_error_t parse_error;
+	json_t *value = json_loadb(data, len, JSON_REJECT_DUPLICATES, &parse_error);
 
 	if (!value) {
-		pd_error_set(err, PD_ERROR_INPUT, "JSON line %d: %s", at.line,
-			     at.text);
+		pd_error_set(err, PD_ERROR_INPUT, "JSON line %d: %s",
+			     parse_error.line, parse_error.text);
 		return NULL;
 	}
 	if (!json_is_object(value)) {
-		pd_error_set(err, PD_ERROR_INPUT, JSON_DEPTH_ERROR);
+		pd_error_set(err, PD_ERROR_INPUT, NOT_AN_OBJECT);
 		json_decref(value);
 		return NULL;
 	}
@@ -41,7 +41,7 @@
 }
 
 /* Reads a whole number. False if it is none. */
-static bool read_whole(const json_t *number, int64_t *value)
+static bool read_integer_value(const json_t *number, int64_t *value)
 {
 	double real;
 
@@ -52,7 +52,7 @@
 	/* A text that was repaired has its whole numbers as reals. */
 	real = json_real_value(number);
 	if (!json_is_real(number) || real != trunc(real) ||
-	    fabs(real) > JSON_WHOLE_MAX)
+	    fabs(real) > REAL_INTEGER_MAX)
 		return false;
 	*value = (int64_t)real;
 	return true;
@@ -62,7 +62,7 @@
 int json_read_integer(const json_t *object, const char *key, int64_t *value,
 		      pd_error_t *err)
 {
-	if (!read_whole(json_object_get(object, key), value))
+	if (!read_integer_value(json_object_get(object, key), value))
 		return pd_error_set(err, PD_ERROR_INPUT,
 				    "%s: expected an integer", key);
 	return 0;
@@ -95,5 +95,7 @@
 {
 	int64_t value;
 
-	return read_whole(json_object_get(object, key), &value) ? value : fallback;
+	return read_integer_value(json_object_get(object, key), &value)
+		       ? value
+		       : fallback;
 }
