--- a/adapters/json_shared.c
+++ b/adapters/json_shared.c
@@ -7,8 +7,8 @@
 #include "adapters/json.h"
 
 /* Stands for what could not be read, in UTF-8 and as an escape. */
-#define UNREADABLE "\xef\xbf\xbd"
-#define UNREADABLE_ESCAPE "\\ufffd"
+#define REPLACEMENT_CHAR "\xef\xbf\xbd"
+#define REPLACEMENT_ESCAPE "\\ufffd"
 #define ESCAPE_LEN 6 /* of a \u escape */
 
 /* Returns the number of a \u escape at TEXT; -1 if there is none. */
@@ -46,7 +46,7 @@
 		return 2 * ESCAPE_LEN;
 	}
 	if (first >= 0xd800 && first < 0xe000)
-		g_string_append(out, UNREADABLE_ESCAPE);
+		g_string_append(out, REPLACEMENT_ESCAPE);
 	else
 		g_string_append_len(out, text, ESCAPE_LEN);
 	return ESCAPE_LEN;
@@ -108,7 +108,7 @@
 	case JSON_STRING:
 		return strlen(json_string_value(value)) ==
 			       json_string_length(value) &&
-		       !strstr(json_string_value(value), UNREADABLE);
+		       !strstr(json_string_value(value), REPLACEMENT_CHAR);
 	case JSON_ARRAY:
 		json_array_foreach(value, i, member)
 		{
@@ -119,7 +119,8 @@
 	case JSON_OBJECT:
 		json_object_foreach((json_t *)value, key, member)
 		{
-			if (strstr(key, UNREADABLE) || !json_is_readable(member))
+			if (strstr(key, REPLACEMENT_CHAR) ||
+			    !json_is_readable(member))
 				return false;
 		}
 		return true;
