--- a/adapters/log_buffer.c
+++ b/adapters/log_buffer.c
@@ -7,17 +7,17 @@
 #include <unistd.h>
 
 /* Lines a second, kept up for long; a request in the usual load writes one. */
-#define LINES_PER_SECOND 400
+#define LINES_PER_S 400
 /* Lines at once after a quiet time. */
 #define LINES_BURST 1200
-#define BUFFER_MAX (256 * 1024)
+#define BUFFER_BYTES_MAX (256 * 1024)
 
 static struct {
 	int fd;
 	GString *text;
-	double allowed;
-	pd_time_t filled_at;
-	unsigned int left_out;
+	double tokens;
+	pd_time_t refilled_at;
+	unsigned int dropped;
 } buffer;
 
 /* Sets the descriptor to write to; it must not block, so it is set not to. */
@@ -27,7 +27,7 @@
 
 	buffer.fd = fd;
 	buffer.text = g_string_new(NULL);
-	buffer.allowed = LINES_BURST;
+	buffer.tokens = LINES_BURST;
 	if (flags >= 0)
 		(void)fcntl(fd, F_SETFL, flags | O_NONBLOCK);
 }
@@ -35,11 +35,11 @@
 /* Adds a line with its line feed, unless there are too many. */
 void log_buffer_add(const char *line, size_t len)
 {
-	if (buffer.allowed < 1 || buffer.text->len + len > BUFFER_MAX) {
-		buffer.left_out++;
+	if (buffer.tokens < 1 || buffer.text->len + len > BUFFER_BYTES_MAX) {
+		buffer.dropped++;
 		return;
 	}
-	buffer.allowed -= 1;
+	buffer.tokens -= 1;
 	g_string_append_len(buffer.text, line, (gssize)len);
 }
 
@@ -48,16 +48,16 @@
 {
 	ssize_t written;
 
-	if (buffer.filled_at)
-		buffer.allowed += LINES_PER_SECOND *
-				  (double)(now - buffer.filled_at) / PD_SEC;
-	buffer.allowed = MIN(buffer.allowed, LINES_BURST);
-	buffer.filled_at = now;
-	if (buffer.left_out && buffer.allowed >= 1) {
+	if (buffer.refilled_at)
+		buffer.tokens += LINES_PER_S *
+				 (double)(now - buffer.refilled_at) / PD_SEC;
+	buffer.tokens = MIN(buffer.tokens, LINES_BURST);
+	buffer.refilled_at = now;
+	if (buffer.dropped && buffer.tokens >= 1) {
 		g_string_append_printf(buffer.text,
 				       "log: left_out=%u reason=too-many\n",
-				       buffer.left_out);
-		buffer.left_out = 0;
+				       buffer.dropped);
+		buffer.dropped = 0;
 	}
 	if (!buffer.text->len)
 		return;
