--- a/adapters/log_glib.c
+++ b/adapters/log_glib.c
@@ -73,13 +73,13 @@
 }
 
 /* Sends all further lines to SINK; NULL: to standard error. */
-void log_to(log_sink_t sink)
+void log_set_sink(log_sink_t sink)
 {
 	log_sink = sink;
 }
 
 /* Writes one line for a part. */
-void log_line(GLogLevelFlags level, const char *part, const char *format, ...)
+void log_line(GLogLevelFlags level, const char *component, const char *format, ...)
 {
 	char *message;
 	va_list args;
@@ -89,14 +89,15 @@
 	va_start(args, format);
 	message = g_strdup_vprintf(format, args);
 	va_end(args);
-	g_log_structured(DOMAIN, level, "PART", part, "MESSAGE", "%s", message);
+	g_log_structured(DOMAIN, level, "PART", component, "MESSAGE", "%s",
+			 message);
 	g_free(message);
 }
 
 /* Writes a warning with an error's kind and context. */
-void log_error(const char *part, const char *what, const pd_error_t *err)
+void log_error(const char *component, const char *what, const pd_error_t *err)
 {
-	log_line(G_LOG_LEVEL_WARNING, part, "%s: %s: %s", what,
+	log_line(G_LOG_LEVEL_WARNING, component, "%s: %s: %s", what,
 		 pd_error_kind_name(err->kind), err->context);
 }
 
--- a/programs/pistachio_gateway.c
+++ b/programs/pistachio_gateway.c
@@ -49,7 +49,7 @@
 	}
 	log_init("info");
 	log_buffer_init(STDOUT_FILENO);
-	log_to(log_buffer_add);
+	log_set_sink(log_buffer_add);
 	gateway = gateway_create(loop, settings, &err);
 	if (!gateway)
 		goto error;
