--- a/adapters/entry_pages.c
+++ b/adapters/entry_pages.c
@@ -20,16 +20,16 @@
 {
 	char *text;
 
-	metrics_gauge(runner->metrics, "pistachio_in_flight",
-		      entry_in_flight(runner->entry));
-	metrics_gauge(runner->metrics, "pistachio_bundle_generation",
-		      (double)entry_generation(runner->entry));
-	metrics_gauge(runner->metrics, "pistachio_upstreams_usable",
-		      entry_upstreams_usable(runner->entry));
-	metrics_gauge(runner->metrics, "pistachio_members_alive",
-		      entry_members_alive(runner->entry));
-	metrics_gauge(runner->metrics, "pistachio_peer_bytes_total",
-		      (double)peer_link_bytes(runner->peers));
+	metrics_set_gauge(runner->metrics, "pistachio_in_flight",
+			  entry_in_flight(runner->entry));
+	metrics_set_gauge(runner->metrics, "pistachio_bundle_generation",
+			  (double)entry_generation(runner->entry));
+	metrics_set_gauge(runner->metrics, "pistachio_upstreams_usable",
+			  entry_upstreams_usable(runner->entry));
+	metrics_set_gauge(runner->metrics, "pistachio_members_alive",
+			  entry_members_alive(runner->entry));
+	metrics_set_gauge(runner->metrics, "pistachio_peer_bytes_total",
+			  (double)peer_link_bytes(runner->peers));
 	text = metrics_text(runner->metrics);
 	reply_text(exchange, 200, "text/plain; version=0.0.4", text);
 	g_free(text);
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -540,17 +540,18 @@
 {
 	metrics_t *metrics = gateway->metrics;
 
-	metrics_gauge(metrics, "gateway_config_version",
-		      gateway->config ? (double)gateway->config->version : 0);
-	metrics_gauge(metrics, "gateway_upstreams_serving", count_serving(gateway));
-	metrics_gauge(metrics, "gateway_peers", gateway_count(gateway) - 1.0);
-	metrics_gauge(metrics, "gateway_store_serves",
-		      fleet_feed_is_store_reachable(gateway->feed));
-	metrics_gauge(metrics, "gateway_requests_open",
-		      count_nodes(&gateway->requests));
-	metrics_gauge(metrics, "gateway_requests_queued", gateway->queued);
-	metrics_gauge(metrics, "gateway_callers_open",
-		      count_nodes(&gateway->callers));
+	metrics_set_gauge(metrics, "gateway_config_version",
+			  gateway->config ? (double)gateway->config->version : 0);
+	metrics_set_gauge(metrics, "gateway_upstreams_serving",
+			  count_serving(gateway));
+	metrics_set_gauge(metrics, "gateway_peers", gateway_count(gateway) - 1.0);
+	metrics_set_gauge(metrics, "gateway_store_serves",
+			  fleet_feed_is_store_reachable(gateway->feed));
+	metrics_set_gauge(metrics, "gateway_requests_open",
+			  count_nodes(&gateway->requests));
+	metrics_set_gauge(metrics, "gateway_requests_queued", gateway->queued);
+	metrics_set_gauge(metrics, "gateway_callers_open",
+			  count_nodes(&gateway->callers));
 }
 
 /*
--- a/adapters/metrics.c
+++ b/adapters/metrics.c
@@ -69,7 +69,7 @@
 }
 
 /* Sets a gauge. */
-void metrics_gauge(metrics_t *metrics, const char *name, double value)
+void metrics_set_gauge(metrics_t *metrics, const char *name, double value)
 {
 	metrics_series(metrics, name)->value = value;
 }
--- a/adapters/metrics.h
+++ b/adapters/metrics.h
@@ -11,7 +11,7 @@
 void metrics_count(metrics_t *metrics, const char *name, const char *label,
 		   const char *value);
 void metrics_add(metrics_t *metrics, const char *name, double amount);
-void metrics_gauge(metrics_t *metrics, const char *name, double value);
+void metrics_set_gauge(metrics_t *metrics, const char *name, double value);
 void metrics_time(metrics_t *metrics, const char *name, const char *label,
 		  const char *value, double ms);
 char *metrics_text(const metrics_t *metrics);
