--- a/adapters/gateway/request_answer.c
+++ b/adapters/gateway/request_answer.c
@@ -133,10 +133,11 @@
 		request->prefill_tokens = 0;
 		forward_upstream_record_success(request->upstream);
 		gateway_request_record_first_event(request);
-		metrics_time(request->gateway->metrics, "gateway_first_event_ms",
-			     "route", request->route->name,
-			     (double)(gateway_now() - request->arrived_at) /
-				     PD_MSEC);
+		metrics_observe_ms(request->gateway->metrics,
+				   "gateway_first_event_ms", "route",
+				   request->route->name,
+				   (double)(gateway_now() - request->arrived_at) /
+					   PD_MSEC);
 	}
 	stream_forward_events(request);
 }
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -82,9 +82,9 @@
 	pd_time_t took = gateway_now() - request->arrived_at;
 
 	metrics_count(metrics, "gateway_requests_total", "outcome", what);
-	metrics_time(metrics, "gateway_request_ms", "route",
-		     request->route ? request->route->name : "none",
-		     (double)took / PD_MSEC);
+	metrics_observe_ms(metrics, "gateway_request_ms", "route",
+			   request->route ? request->route->name : "none",
+			   (double)took / PD_MSEC);
 }
 
 /* Returns the charge to the account if the request has not run. */
--- a/adapters/metrics.c
+++ b/adapters/metrics.c
@@ -79,8 +79,8 @@
 				    800, 1600, 3200, 6400, 12800 };
 
 /* Adds one to the histogram of a time, given in milliseconds. */
-void metrics_time(metrics_t *metrics, const char *name, const char *label,
-		  const char *value, double ms)
+void metrics_observe_ms(metrics_t *metrics, const char *name, const char *label,
+			const char *value, double ms)
 {
 	char full[256];
 
--- a/adapters/metrics.h
+++ b/adapters/metrics.h
@@ -12,8 +12,8 @@
 		   const char *value);
 void metrics_add(metrics_t *metrics, const char *name, double amount);
 void metrics_set_gauge(metrics_t *metrics, const char *name, double value);
-void metrics_time(metrics_t *metrics, const char *name, const char *label,
-		  const char *value, double ms);
+void metrics_observe_ms(metrics_t *metrics, const char *name, const char *label,
+			const char *value, double ms);
 char *metrics_text(const metrics_t *metrics);
 
 #endif
