--- a/adapters/entry_pages.c
+++ b/adapters/entry_pages.c
@@ -30,7 +30,7 @@
 			  entry_members_alive(runner->entry));
 	metrics_set_gauge(runner->metrics, "pistachio_peer_bytes_total",
 			  (double)peer_link_bytes(runner->peers));
-	text = metrics_text(runner->metrics);
+	text = metrics_format(runner->metrics);
 	reply_text(exchange, 200, "text/plain; version=0.0.4", text);
 	g_free(text);
 }
--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -99,8 +99,8 @@
 	caller_http_refuse(runner->callers, action->refuse.caller,
 			   action->refuse.request_id, action->refuse.refusal,
 			   action->refuse.reason, action->refuse.retry_after);
-	metrics_count(runner->metrics, "pistachio_refusals_total", "type",
-		      refusal_name(action->refuse.refusal));
+	metrics_increment(runner->metrics, "pistachio_refusals_total", "type",
+			  refusal_name(action->refuse.refusal));
 }
 
 /*
--- a/adapters/gateway/health.c
+++ b/adapters/gateway/health.c
@@ -58,7 +58,7 @@
 		char *text;
 
 		gateway_update_gauges(client->gateway);
-		text = metrics_text(client->gateway->metrics);
+		text = metrics_format(client->gateway->metrics);
 
 		client_respond(client, 200, text);
 		g_free(text);
--- a/adapters/gateway/request_end.c
+++ b/adapters/gateway/request_end.c
@@ -81,7 +81,7 @@
 	metrics_t *metrics = request->gateway->metrics;
 	pd_time_t took = gateway_now() - request->arrived_at;
 
-	metrics_count(metrics, "gateway_requests_total", "outcome", what);
+	metrics_increment(metrics, "gateway_requests_total", "outcome", what);
 	metrics_observe_ms(metrics, "gateway_request_ms", "route",
 			   request->route ? request->route->name : "none",
 			   (double)took / PD_MSEC);
--- a/adapters/metrics.c
+++ b/adapters/metrics.c
@@ -53,8 +53,8 @@
 }
 
 /* Adds one to a counter with one label. */
-void metrics_count(metrics_t *metrics, const char *name, const char *label,
-		   const char *value)
+void metrics_increment(metrics_t *metrics, const char *name, const char *label,
+		       const char *value)
 {
 	char *full = g_strdup_printf("%s{%s=\"%s\"}", name, label, value);
 
@@ -101,7 +101,7 @@
 }
 
 /* Returns all series as text, owned by the caller. */
-char *metrics_text(const metrics_t *metrics)
+char *metrics_format(const metrics_t *metrics)
 {
 	GString *text = g_string_new(NULL);
 
--- a/adapters/metrics.h
+++ b/adapters/metrics.h
@@ -8,12 +8,12 @@
 
 metrics_t *metrics_create(void);
 void metrics_destroy(metrics_t *metrics);
-void metrics_count(metrics_t *metrics, const char *name, const char *label,
-		   const char *value);
+void metrics_increment(metrics_t *metrics, const char *name, const char *label,
+		       const char *value);
 void metrics_add(metrics_t *metrics, const char *name, double amount);
 void metrics_set_gauge(metrics_t *metrics, const char *name, double value);
 void metrics_observe_ms(metrics_t *metrics, const char *name, const char *label,
 			const char *value, double ms);
-char *metrics_text(const metrics_t *metrics);
+char *metrics_format(const metrics_t *metrics);
 
 #endif
