--- a/adapters/metrics.c
+++ b/adapters/metrics.c
@@ -39,7 +39,7 @@
 	g_free(metrics);
 }
 
-static series_t *metrics_series(metrics_t *metrics, const char *name)
+static series_t *find_or_add_series(metrics_t *metrics, const char *name)
 {
 	series_t *series = g_hash_table_lookup(metrics->by_name, name);
 
@@ -56,48 +56,51 @@
 void metrics_increment(metrics_t *metrics, const char *name, const char *label,
 		       const char *value)
 {
-	char *full = g_strdup_printf("%s{%s=\"%s\"}", name, label, value);
+	char *series_name = g_strdup_printf("%s{%s=\"%s\"}", name, label, value);
 
-	metrics_series(metrics, full)->value += 1;
-	g_free(full);
+	find_or_add_series(metrics, series_name)->value += 1;
+	g_free(series_name);
 }
 
 /* Adds AMOUNT to a counter without labels. */
 void metrics_add(metrics_t *metrics, const char *name, double amount)
 {
-	metrics_series(metrics, name)->value += amount;
+	find_or_add_series(metrics, name)->value += amount;
 }
 
 /* Sets a gauge. */
 void metrics_set_gauge(metrics_t *metrics, const char *name, double value)
 {
-	metrics_series(metrics, name)->value = value;
+	find_or_add_series(metrics, name)->value = value;
 }
 
 /* Upper ends of a histogram's buckets, ms; from a fast call to a long stream. */
-static const double time_ends[] = { 10,	 25,   50,   100,  200,	 400,
-				    800, 1600, 3200, 6400, 12800 };
+static const double bucket_bounds_ms[] = { 10,	25,   50,   100,  200,	400,
+					   800, 1600, 3200, 6400, 12800 };
 
 /* Adds one to the histogram of a time, given in milliseconds. */
 void metrics_observe_ms(metrics_t *metrics, const char *name, const char *label,
 			const char *value, double ms)
 {
-	char full[256];
+	char series_name[256];
 
-	for (gsize i = 0; i < G_N_ELEMENTS(time_ends); i++) {
-		if (ms > time_ends[i])
+	for (gsize i = 0; i < G_N_ELEMENTS(bucket_bounds_ms); i++) {
+		if (ms > bucket_bounds_ms[i])
 			continue;
-		g_snprintf(full, sizeof(full), "%s_bucket{%s=\"%s\",le=\"%g\"}",
-			   name, label, value, time_ends[i]);
-		metrics_series(metrics, full)->value += 1;
+		g_snprintf(series_name, sizeof(series_name),
+			   "%s_bucket{%s=\"%s\",le=\"%g\"}", name, label, value,
+			   bucket_bounds_ms[i]);
+		find_or_add_series(metrics, series_name)->value += 1;
 	}
-	g_snprintf(full, sizeof(full), "%s_bucket{%s=\"%s\",le=\"+Inf\"}", name,
+	g_snprintf(series_name, sizeof(series_name),
+		   "%s_bucket{%s=\"%s\",le=\"+Inf\"}", name, label, value);
+	find_or_add_series(metrics, series_name)->value += 1;
+	g_snprintf(series_name, sizeof(series_name), "%s_count{%s=\"%s\"}",
+		   name, label, value);
+	find_or_add_series(metrics, series_name)->value += 1;
+	g_snprintf(series_name, sizeof(series_name), "%s_sum{%s=\"%s\"}", name,
 		   label, value);
-	metrics_series(metrics, full)->value += 1;
-	g_snprintf(full, sizeof(full), "%s_count{%s=\"%s\"}", name, label, value);
-	metrics_series(metrics, full)->value += 1;
-	g_snprintf(full, sizeof(full), "%s_sum{%s=\"%s\"}", name, label, value);
-	metrics_series(metrics, full)->value += ms;
+	find_or_add_series(metrics, series_name)->value += ms;
 }
 
 /* Returns all series as text, owned by the caller. */
