--- a/tests/unit/test_bundle_json.c
+++ b/tests/unit/test_bundle_json.c
@@ -12,7 +12,7 @@
 
 #define HASH "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
 
-static const char good[] =
+static const char valid_bundle[] =
 	"{\"bundle\":{\"generation\":3,\"name\":\"x\"},"
 	"\"models\":{\"m\":{\"priority\":\"batch\"}},"
 	"\"services\":{\"s\":{\"repeatable\":false,\"priority\":\"urgent\"}},"
@@ -26,10 +26,10 @@
 	return bundle_decode(text, strlen(text), faults, &err);
 }
 
-static void test_a_good_bundle_is_read(void **state)
+static void test_valid_bundle_is_decoded(void **state)
 {
 	GPtrArray *faults = bundle_faults_create();
-	bundle_t *bundle = decode(good, faults);
+	bundle_t *bundle = decode(valid_bundle, faults);
 
 	(void)state;
 	assert_non_null(bundle);
@@ -57,7 +57,7 @@
  * An operator who fixes one fault only to be told of the next loses time in the
  * middle of an incident, so all are told at once.
  */
-static void test_all_faults_are_told_at_once(void **state)
+static void test_all_faults_are_reported(void **state)
 {
 	GPtrArray *faults = bundle_faults_create();
 
@@ -82,16 +82,16 @@
 	g_ptr_array_unref(faults);
 }
 
-static bundle_t *open_sealed(char *sealed, const char *key, pd_error_t *err)
+static bundle_t *open_envelope(char *envelope, const char *key, pd_error_t *err)
 {
-	return envelope_open(sealed, strlen(sealed), key, err);
+	return envelope_open(envelope, strlen(envelope), key, err);
 }
 
 /*
  * Somebody who can write to the platform changes a bundle's body, or signs one
  * with a key of their own. No program may act on it.
  */
-static void test_a_tampered_envelope_is_refused(void **state)
+static void test_tampered_envelope_is_rejected(void **state)
 {
 	char *public_key;
 	char *secret_key;
@@ -99,25 +99,25 @@
 	char *other_secret;
 	bundle_t *bundle;
 	pd_error_t err;
-	char *sealed;
+	char *envelope;
 	char *digit;
 
 	(void)state;
 	assert_int_equal(signing_init(&err), 0);
 	signing_keygen(&public_key, &secret_key);
 	signing_keygen(&other_public, &other_secret);
-	sealed = envelope_sign(good, secret_key, &err);
-	bundle = open_sealed(sealed, public_key, &err);
+	envelope = envelope_sign(valid_bundle, secret_key, &err);
+	bundle = open_envelope(envelope, public_key, &err);
 	assert_non_null(bundle);
 	bundle_destroy(bundle);
-	assert_null(open_sealed(sealed, other_public, &err));
+	assert_null(open_envelope(envelope, other_public, &err));
 	assert_int_equal(err.kind, PD_ERROR_SIGNATURE);
-	digit = strstr(sealed, "generation");
+	digit = strstr(envelope, "generation");
 	digit = strchr(digit, '3');
 	*digit = '9';
-	assert_null(open_sealed(sealed, public_key, &err));
+	assert_null(open_envelope(envelope, public_key, &err));
 	assert_int_equal(err.kind, PD_ERROR_SIGNATURE);
-	g_free(sealed);
+	g_free(envelope);
 	g_free(public_key);
 	g_free(secret_key);
 	g_free(other_public);
@@ -127,9 +127,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_good_bundle_is_read),
-		cmocka_unit_test(test_all_faults_are_told_at_once),
-		cmocka_unit_test(test_a_tampered_envelope_is_refused),
+		cmocka_unit_test(test_valid_bundle_is_decoded),
+		cmocka_unit_test(test_all_faults_are_reported),
+		cmocka_unit_test(test_tampered_envelope_is_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
