--- a/tests/process/test_slow_reader.c
+++ b/tests/process/test_slow_reader.c
@@ -15,7 +15,7 @@
 
 #define TOKEN_BYTES 16384
 #define TOKENS 2000 /* 32 MB in all, more than sockets hold */
-#define RUNS_MAX 100000
+#define LOOP_RUNS_MAX 100000
 
 typedef struct reader {
 	uv_loop_t loop;
@@ -24,9 +24,9 @@
 	uv_connect_t connect;
 	uv_write_t write;
 	caller_id_t caller; /* 0 until the request has come */
-	bool gone; /* the core was told so */
+	bool disconnected; /* the core was told so */
 	GString *body;
-	bool closed;
+	bool stream_ended;
 } reader_t;
 
 static const char request_text[] =
@@ -43,7 +43,7 @@
 static void on_disconnect(void *ctx, caller_id_t caller)
 {
 	(void)caller;
-	((reader_t *)ctx)->gone = true;
+	((reader_t *)ctx)->disconnected = true;
 }
 
 static bool on_other_request(void *ctx, http_exchange_t *exchange)
@@ -78,7 +78,7 @@
 	g_free(buf->base);
 	/* The last chunk of the answer, or the end of the connection. */
 	if (len < 0 || g_str_has_suffix(reader->body->str, "\r\n0\r\n\r\n"))
-		reader->closed = true;
+		reader->stream_ended = true;
 }
 
 static void reader_open(reader_t *reader)
@@ -104,24 +104,24 @@
 	reader->connect.data = reader;
 	uv_tcp_connect(&reader->connect, &reader->tcp,
 		       (const struct sockaddr *)&addr, on_connected);
-	for (int i = 0; i < RUNS_MAX && !reader->caller; i++)
+	for (int i = 0; i < LOOP_RUNS_MAX && !reader->caller; i++)
 		uv_run(&reader->loop, UV_RUN_ONCE);
 	assert_true(reader->caller > 0);
 }
 
 /* Gives tokens until the caller is let go; returns how many were given. */
-static unsigned int give_tokens(reader_t *reader)
+static unsigned int send_tokens(reader_t *reader)
 {
 	char *token = g_strnfill(TOKEN_BYTES, 't');
-	unsigned int given = 0;
+	unsigned int sent = 0;
 
-	while (given < TOKENS && !reader->gone) {
+	while (sent < TOKENS && !reader->disconnected) {
 		caller_http_send_token(reader->http, reader->caller, "r-1",
-				       given++, token, TOKEN_BYTES);
+				       sent++, token, TOKEN_BYTES);
 		uv_run(&reader->loop, UV_RUN_NOWAIT);
 	}
 	g_free(token);
-	return given;
+	return sent;
 }
 
 /*
@@ -130,21 +130,21 @@
  * fills its memory. When the machine wakes up, it reads a stream that stops at
  * the end of an event and has no last one, and can take it up again.
  */
-static void test_a_caller_that_does_not_read_is_let_go(void **state)
+static void test_stalled_reader_is_disconnected(void **state)
 {
 	reader_t *reader = g_new0(reader_t, 1);
-	unsigned int given;
+	unsigned int sent;
 	const char *last;
 
 	(void)state;
 	reader_open(reader);
-	given = give_tokens(reader);
-	assert_true(reader->gone);
-	assert_true(given < TOKENS);
+	sent = send_tokens(reader);
+	assert_true(reader->disconnected);
+	assert_true(sent < TOKENS);
 	uv_read_start((uv_stream_t *)&reader->tcp, on_alloc, on_read);
-	for (int i = 0; i < RUNS_MAX && !reader->closed; i++)
+	for (int i = 0; i < LOOP_RUNS_MAX && !reader->stream_ended; i++)
 		uv_run(&reader->loop, UV_RUN_ONCE);
-	assert_true(reader->closed);
+	assert_true(reader->stream_ended);
 	assert_null(strstr(reader->body->str, "[DONE]"));
 	last = g_strrstr(reader->body->str, "id: r-1/");
 	assert_non_null(last);
@@ -156,7 +156,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_caller_that_does_not_read_is_let_go),
+		cmocka_unit_test(test_stalled_reader_is_disconnected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
