--- a/tests/process/test_fleet.c
+++ b/tests/process/test_fleet.c
@@ -16,7 +16,7 @@
 #define TOKENS 24
 
 /* How often a call is asked for anew before its record must be there. */
-#define ASKS_MAX 100
+#define RETRIES_MAX 100
 
 static int setup(void **state)
 {
@@ -145,7 +145,7 @@
  * A terminal that got no answer asks again with the same key, and the balancer
  * sends it to another entry. The station must see one call.
  */
-static void test_a_key_runs_once_over_entries(void **state)
+static void test_key_runs_once_across_entries(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
@@ -163,7 +163,7 @@
 		 * is unknown, and gives the answer when it is asked again.
 		 */
 		for (int again = 0;
-		     i && call->status == 502 && again < ASKS_MAX; again++) {
+		     i && call->status == 502 && again < RETRIES_MAX; again++) {
 			assert_string_equal(call_problem(call, problem,
 							 sizeof(problem)),
 					    "outcome-unknown");
@@ -189,7 +189,7 @@
 		cmocka_unit_test(test_bad_requests_are_refused),
 		cmocka_unit_test(test_oversized_body_is_refused),
 		cmocka_unit_test(test_oversized_head_is_refused),
-		cmocka_unit_test(test_a_key_runs_once_over_entries),
+		cmocka_unit_test(test_key_runs_once_across_entries),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
