--- a/tests/process/test_caller_input.c
+++ b/tests/process/test_caller_input.c
@@ -16,8 +16,8 @@
 #include "tests/harness/fleet.h"
 
 #define SEED 20261202
-#define RUNS 400
-#define CHANGES_MAX 6
+#define REQUESTS 400
+#define MUTATIONS_MAX 6
 
 static const char sample[] =
 	"POST /v1/chat/completions HTTP/1.1\r\n"
@@ -40,11 +40,11 @@
 	return 0;
 }
 
-static size_t damage(GRand *rand, char *bytes, size_t len)
+static size_t mutate_bytes(GRand *rand, char *bytes, size_t len)
 {
-	int changes = g_rand_int_range(rand, 0, CHANGES_MAX);
+	int mutations = g_rand_int_range(rand, 0, MUTATIONS_MAX);
 
-	for (int i = 0; i < changes; i++)
+	for (int i = 0; i < mutations; i++)
 		bytes[g_rand_int_range(rand, 0, (gint32)len)] =
 			(char)g_rand_int_range(rand, 0, 256);
 	if (g_rand_int_range(rand, 0, 3) == 0)
@@ -53,7 +53,7 @@
 }
 
 /* Sends the bytes and hangs up without reading; the caller is gone. */
-static void send_and_leave(int port, const char *bytes, size_t len)
+static void send_and_close(int port, const char *bytes, size_t len)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET,
 				    .sin_port = htons((uint16_t)port) };
@@ -65,19 +65,19 @@
 	close(fd);
 }
 
-static void test_damaged_requests(void **state)
+static void test_mutated_requests(void **state)
 {
 	fleet_t *fleet = *state;
 	GRand *rand = g_rand_new_with_seed(SEED);
 	call_t *call;
 
-	for (int i = 0; i < RUNS; i++) {
+	for (int i = 0; i < REQUESTS; i++) {
 		char bytes[sizeof(sample)];
 		size_t len;
 
 		memcpy(bytes, sample, sizeof(sample));
-		len = damage(rand, bytes, sizeof(sample) - 1);
-		send_and_leave(fleet->entries[0].port, bytes, len);
+		len = mutate_bytes(rand, bytes, sizeof(sample) - 1);
+		send_and_close(fleet->entries[0].port, bytes, len);
 	}
 	g_rand_free(rand);
 	call = completion_start(fleet, fleet->entries[0].port, "still there", 4,
@@ -91,7 +91,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_damaged_requests),
+		cmocka_unit_test(test_mutated_requests),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
