--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -1,4 +1,6 @@
-/* Turns callers' HTTP requests into core requests, and answers into HTTP. */
+/*
+ * Translates callers' HTTP requests to core requests, and core answers to HTTP.
+ */
 #include "adapters/caller_http.h"
 
 #include <glib.h>
@@ -10,8 +12,8 @@
 #include "adapters/signing.h"
 
 /*
- * Bytes of a stream kept for a caller beyond what it is being sent. An upstream
- * that was held up may send a thousand tokens at once, a third of this.
+ * Bytes of a stream that may be buffered for a caller. An upstream that was
+ * stalled may send a thousand tokens at once, which take a third of this.
  */
 #define UNSENT_BYTES_MAX ((size_t)1024 * 1024)
 #define LOG_COMPONENT "caller"
@@ -34,12 +36,13 @@
 	caller_http_t *http;
 	caller_id_t id;
 	http_exchange_t *exchange;
-	char *model; /* NULL for a plain service */
+	char *model; /* NULL for a service */
 	bool stream;
-	GString *answer; /* of a model, if not streamed */
-	uint64_t tokens;
+	GString *answer; /* text of a completion that is not streamed */
+	uint64_t tokens; /* received so far */
 } caller_t;
 
+/* Frees a caller; its exchange is owned by the server. */
 static void caller_destroy(void *data)
 {
 	caller_t *caller = data;
@@ -49,6 +52,7 @@
 	g_free(caller);
 }
 
+/* Removes a caller whose connection has closed, and reports it. */
 static void caller_on_disconnect(void *ctx)
 {
 	caller_t *caller = ctx;
@@ -59,6 +63,7 @@
 	http->config.on_disconnect(http->config.ctx, id);
 }
 
+/* Returns a caller with a new id for EXCHANGE, owned by the table of callers. */
 static caller_t *caller_create(caller_http_t *http, http_exchange_t *exchange)
 {
 	caller_t *caller = g_new0(caller_t, 1);
@@ -72,6 +77,7 @@
 	return caller;
 }
 
+/* Replies with a problem document; NAME is its title and the end of its type. */
 static void reply_problem(http_exchange_t *exchange, int status,
 			  const char *name, const char *detail)
 {
@@ -92,7 +98,10 @@
 	json_decref(problem);
 }
 
-/* Returns the hash of the caller's key, or NULL if it gave none. */
+/*
+ * Returns the hash of the bearer token, owned by the caller; NULL if there is
+ * none.
+ */
 static char *caller_key_hash(const http_exchange_t *exchange)
 {
 	const char *value = http_exchange_header(exchange, "authorization");
@@ -103,7 +112,10 @@
 	return signing_hash(value, strlen(value));
 }
 
-/* Joins the messages of a chat into the prompt that the engine gets. */
+/*
+ * Appends the messages of a chat to PROMPT, the text that the engine receives.
+ * Returns -1 with ERR set if they are invalid.
+ */
 static int compose_prompt(const json_t *body, GString *prompt, pd_error_t *err)
 {
 	json_t *messages;
@@ -129,9 +141,10 @@
 }
 
 /*
- * The id of the last event that a caller has is REQUEST-ID/OFFSET, or REQUEST-ID
- * alone if it has no token yet. Returns the request's id, owned by the caller,
- * and sets OFFSET to the next token's place; NULL if there is no such header.
+ * Parses the Last-Event-ID header, which is REQUEST-ID/OFFSET, or REQUEST-ID
+ * alone if no token was received. Returns the request's id, owned by the caller,
+ * or NULL if there is no such header; sets OFFSET to the offset of the next
+ * token.
  */
 static char *parse_last_event_id(const http_exchange_t *exchange, uint64_t *offset)
 {
@@ -145,6 +158,7 @@
 	return g_strndup(last, (gsize)(slash - last));
 }
 
+/* Starts a chat completion, or replies with the error in the request. */
 static void on_completion(caller_http_t *http, http_exchange_t *exchange)
 {
 	char *key_hash = caller_key_hash(exchange);
@@ -188,7 +202,7 @@
 	g_free(key_hash);
 	return;
 error:
-	log_error(LOG_COMPONENT, "refused a completion", &err);
+	log_error(LOG_COMPONENT, "completion refused", &err);
 	reply_problem(exchange, 400, "bad-request", err.context);
 	json_decref(body);
 	g_string_free(prompt, TRUE);
@@ -196,6 +210,9 @@
 	g_free(key_hash);
 }
 
+/*
+ * Starts a call of a service; the path names the service and the path within it.
+ */
 static void on_service(caller_http_t *http, http_exchange_t *exchange)
 {
 	const char *rest = http_exchange_target(exchange) + strlen(SERVICES_PREFIX);
@@ -221,6 +238,7 @@
 	g_free(key_hash);
 }
 
+/* Routes an HTTP request by its method and path. */
 static void on_request(void *ctx, http_exchange_t *exchange)
 {
 	caller_http_t *http = ctx;
@@ -235,7 +253,10 @@
 		reply_problem(exchange, 404, "not-found", "no such resource");
 }
 
-/* Starts serving callers. NULL with ERR set if it can't listen. */
+/*
+ * Starts serving callers; CONFIG is copied. Returns NULL with ERR set if the
+ * address can't be listened on. The caller destroys the result.
+ */
 caller_http_t *caller_http_create(uv_loop_t *loop,
 				  const caller_http_config_t *config,
 				  pd_error_t *err)
@@ -261,7 +282,7 @@
 	return NULL;
 }
 
-/* Stops listening; NULL is allowed. */
+/* Stops listening and frees HTTP; NULL is allowed. */
 void caller_http_destroy(caller_http_t *http)
 {
 	if (!http)
@@ -271,35 +292,40 @@
 	g_free(http);
 }
 
-/* Returns the port that callers connect to. */
+/* Returns the TCP port that callers connect to. */
 uint16_t caller_http_port(const caller_http_t *http)
 {
 	return http_server_port(http->server);
 }
 
-/* Returns how many callers' answers are not yet sent to their end. */
+/* Returns the number of requests whose answer has not been sent completely. */
 unsigned int caller_http_open_exchanges(const caller_http_t *http)
 {
 	return http_server_open_exchanges(http->server);
 }
 
-/* Ends connections after their answers, so that callers go elsewhere. */
+/*
+ * Closes each connection after its answer, so that callers reconnect elsewhere.
+ */
 void caller_http_drain(caller_http_t *http)
 {
 	http_server_drain(http->server);
 }
 
+/* Returns the caller with that id, borrowed, or NULL if it has disconnected. */
 static caller_t *caller_find(caller_http_t *http, caller_id_t id)
 {
 	return g_hash_table_lookup(http->callers, &id);
 }
 
+/* Ends the answer and removes the caller. */
 static void caller_finish(caller_t *caller)
 {
 	http_exchange_end(caller->exchange);
 	g_hash_table_remove(caller->http->callers, &caller->id);
 }
 
+/* Sends the headers of an event stream unless they have been sent. */
 static void caller_begin_stream(caller_t *caller, const char *request_id)
 {
 	const http_header_t headers[] = {
@@ -313,6 +339,10 @@
 				    G_N_ELEMENTS(headers));
 }
 
+/*
+ * Returns a completion object of the type OBJECT, owned by the caller; takes
+ * CHOICE.
+ */
 static json_t *completion_json(const caller_t *caller, const char *request_id,
 			       const char *object, json_t *choice)
 {
@@ -328,6 +358,7 @@
 	return body;
 }
 
+/* Sends a server-sent event; ID and NAME may be NULL. */
 static void caller_send_event(caller_t *caller, const char *id,
 			      const char *name, json_t *data)
 {
@@ -345,10 +376,10 @@
 }
 
 /*
- * Lets go of a caller that does not read. An engine is quicker than a stalled
- * reader, so its answer would pile up here, and a few hundred such callers would
- * take the entry's memory. The stream ends without its last event, at the end of
- * an event, and the caller may take it up again with Last-Event-ID.
+ * Disconnects a caller that does not read its stream. The engine would keep
+ * sending, and a few hundred such callers would exhaust the entry's memory. The
+ * stream is truncated after a complete event and has no final one; the caller
+ * may resume it with Last-Event-ID.
  */
 static void caller_drop_slow_reader(caller_t *caller)
 {
@@ -358,7 +389,10 @@
 	http_exchange_truncate(exchange);
 }
 
-/* Gives a caller the token at OFFSET of its answer. */
+/*
+ * Sends a caller the token at OFFSET of its answer, or collects it if the answer
+ * is not streamed. The data is copied.
+ */
 void caller_http_send_token(caller_http_t *http, caller_id_t id,
 			    const char *request_id, uint64_t offset,
 			    const char *data, size_t len)
@@ -389,6 +423,7 @@
 		caller_drop_slow_reader(caller);
 }
 
+/* Replies with the collected answer as one completion. */
 static void caller_reply_completion(caller_t *caller, const char *request_id)
 {
 	const http_header_t headers[] = {
@@ -415,7 +450,7 @@
 	json_decref(body);
 }
 
-/* Tells a caller that its model's answer is whole. */
+/* Completes the answer of a model. */
 void caller_http_end(caller_http_t *http, caller_id_t id, const char *request_id)
 {
 	static const char done[] = "data: [DONE]\n\n";
@@ -432,7 +467,7 @@
 	caller_finish(caller);
 }
 
-/* Gives a caller the answer of a plain service, as it came. */
+/* Replies with the answer of a service, unchanged; DATA is copied. */
 void caller_http_answer(caller_http_t *http, caller_id_t id, const char *request_id,
 			int status, const char *data, size_t len, bool replayed)
 {
@@ -450,7 +485,7 @@
 	g_hash_table_remove(http->callers, &id);
 }
 
-/* A caller that waits for a whole answer gets a status in place of an event. */
+/* Tells a caller without a stream to retry: a status in place of the event. */
 static void caller_reply_moved(caller_t *caller, const char *request_id)
 {
 	const http_header_t headers[] = {
@@ -472,9 +507,9 @@
 }
 
 /*
- * Tells a caller to come back, to any entry, with the id of the last event it
- * has; OFFSET is how many tokens those are. The event carries that id itself,
- * as a caller that has no token yet has seen no id.
+ * Tells a caller to reconnect, to any entry, with the id of the last event that
+ * it received; OFFSET is the number of tokens sent. The event itself carries
+ * that id, because a caller without any token has not seen one.
  */
 void caller_http_send_moved(caller_http_t *http, caller_id_t id,
 			    const char *request_id, uint64_t offset)
@@ -500,6 +535,10 @@
 	g_free(event_id);
 }
 
+/*
+ * Returns the problem document of a refusal, owned by the caller; REQUEST_ID may
+ * be NULL.
+ */
 static json_t *refusal_json(const char *request_id, refusal_t refusal,
 			    refusal_reason_t reason)
 {
@@ -519,8 +558,9 @@
 }
 
 /*
- * Refuses a caller, now. A stream that has begun ends with an error event, as
- * its status has been sent.
+ * Refuses a request. A stream that has begun ends with an error event instead,
+ * as its status has already been sent. RETRY_AFTER is rounded up to seconds; 0
+ * sends none.
  */
 void caller_http_refuse(caller_http_t *http, caller_id_t id,
 			const char *request_id, refusal_t refusal,
--- a/adapters/caller_http.h
+++ b/adapters/caller_http.h
@@ -1,6 +1,6 @@
 /*
- * Callers over HTTP: chat completions for models, plain paths for services,
- * problem documents for refusals. docs/API.md is the callers' page.
+ * The HTTP API for callers: chat completions for models, plain paths for
+ * services, and problem documents for refusals. It is documented in docs/API.md.
  */
 #ifndef PISTACHIO_CALLER_HTTP_H
 #define PISTACHIO_CALLER_HTTP_H
@@ -17,10 +17,10 @@
 typedef struct caller_http_config {
 	const char *address;
 	uint16_t port;
-	size_t body_max;
+	size_t body_max; /* bytes of a request's body */
 	void (*on_request)(void *ctx, const caller_request_t *request);
 	void (*on_disconnect)(void *ctx, caller_id_t caller);
-	/* Answers what is not a caller's; returns false if it is unknown. */
+	/* Handles requests for other paths; returns false if the path is unknown. */
 	bool (*on_other_request)(void *ctx, http_exchange_t *exchange);
 	void *ctx;
 } caller_http_config_t;
