--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -1,7 +1,7 @@
 /*
- * Feeds the entry's core with events and carries out its actions. Events that
- * come up while actions are carried out wait their turn, so the core is never
- * entered twice.
+ * Delivers events to the entry's core and performs the resulting actions.
+ * Actions of events that occur meanwhile are queued, so that performing them
+ * never nests.
  */
 #include "adapters/entry_runner.h"
 
@@ -16,8 +16,10 @@
 
 #define LOG_COMPONENT "entry"
 #define TICK_MS 20
+/* How long a stopped entry waits for callers to receive their answers. */
 #define FLUSH_TIMEOUT (5 * PD_SEC)
 
+/* A call of the platform's store that is in progress. */
 typedef struct store_call {
 	entry_runner_t *runner;
 	store_op_t op;
@@ -27,9 +29,9 @@
 static void runner_perform(entry_runner_t *runner, action_t *action);
 
 /*
- * Hands one event to the core and carries out what follows. An adapter that
- * reports while an action is carried out finds HANDLING set; its event's
- * actions then join the end of the same list.
+ * Delivers one event to the core and performs the resulting actions. If an
+ * adapter reports an event while an action is performed, HANDLING is set, and
+ * the actions of that event are appended to the same list.
  */
 void runner_handle(entry_runner_t *runner, event_t *event)
 {
@@ -50,6 +52,7 @@
 	runner->handling = false;
 }
 
+/* Decodes the reply of the store, delivers it to the core and frees the call. */
 static void on_store_reply(void *ctx, const platform_answer_t *answer)
 {
 	store_call_t *call = ctx;
@@ -74,6 +77,7 @@
 	g_free(call);
 }
 
+/* Reads or writes the claim table that ACTION names. */
 static void perform_store(entry_runner_t *runner, const action_t *action)
 {
 	store_call_t *call = g_new0(store_call_t, 1);
@@ -94,6 +98,7 @@
 	g_free(body);
 }
 
+/* Refuses a request and counts the refusal by type. */
 static void perform_refuse(entry_runner_t *runner, const action_t *action)
 {
 	caller_http_refuse(runner->callers, action->refuse.caller,
@@ -104,9 +109,10 @@
 }
 
 /*
- * The core has nothing in flight, but the last bytes of an answer may still be
- * in this process; leaving now would cut them off. A caller that has gone
- * silent must not hold the process for ever, so the wait has an end.
+ * Stops the loop when the core has stopped and every answer has been sent. The
+ * core has no request in flight then, but the last bytes of an answer may still
+ * be buffered in this process. A caller that does not read must not keep the
+ * process running, so the wait ends after FLUSH_TIMEOUT.
  */
 static void runner_finish_stop(entry_runner_t *runner)
 {
@@ -117,10 +123,11 @@
 	if (!sent && clock_now() - runner->core_stopped_at < FLUSH_TIMEOUT)
 		return;
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stopped, %s",
-		 sent ? "every answer sent" : "some callers took no bytes");
+		 sent ? "every answer sent" : "some answers not fully sent");
 	uv_stop(runner->loop);
 }
 
+/* Performs one action of the core. */
 static void runner_perform(entry_runner_t *runner, action_t *action)
 {
 	switch (action->kind) {
@@ -187,6 +194,7 @@
 	}
 }
 
+/* Delivers a caller's request to the core. */
 static void on_caller_request(void *ctx, const caller_request_t *request)
 {
 	event_t event = { .kind = EVENT_REQUEST, .request = *request };
@@ -196,6 +204,7 @@
 	runner_handle(runner, &event);
 }
 
+/* Reports a disconnected caller to the core. */
 static void on_caller_disconnect(void *ctx, caller_id_t caller)
 {
 	event_t event = { .kind = EVENT_CALLER_GONE, .caller = caller };
@@ -203,6 +212,7 @@
 	runner_handle(ctx, &event);
 }
 
+/* Delivers an event of an attempt to the core and counts recomputed tokens. */
 static void on_upstream_event(void *ctx, const upstream_event_t *upstream)
 {
 	event_t event = { .kind = EVENT_UPSTREAM, .upstream = *upstream };
@@ -214,6 +224,7 @@
 		    (double)(entry_recomputed_tokens(runner->entry) - before));
 }
 
+/* Delivers an upstream's load report to the core. */
 static void on_load(void *ctx, const load_report_t *load)
 {
 	event_t event = { .kind = EVENT_LOAD, .load = *load };
@@ -221,6 +232,10 @@
 	runner_handle(ctx, &event);
 }
 
+/*
+ * Delivers a peer's message to the core, and offers a bundle in it to the bundle
+ * watch.
+ */
 static void on_peer_msg(void *ctx, const peer_msg_t *msg)
 {
 	entry_runner_t *runner = ctx;
@@ -231,6 +246,10 @@
 		bundle_watch_offer(runner->bundles, msg->body);
 }
 
+/*
+ * Delivers a verified bundle to the core, which may take ownership and set it to
+ * NULL.
+ */
 static void on_bundle(void *ctx, bundle_t **bundle, GBytes *envelope)
 {
 	event_t event = { .kind = EVENT_BUNDLE, .bundle = { *bundle, envelope } };
@@ -239,16 +258,22 @@
 	*bundle = event.bundle.bundle;
 }
 
+/* Returns the generation of the bundle in force, 0 if there is none. */
 static uint64_t get_generation(void *ctx)
 {
 	return entry_generation(((entry_runner_t *)ctx)->entry);
 }
 
+/* Returns the number of live entries, this one included. */
 static unsigned int get_members_alive(void *ctx)
 {
 	return entry_members_alive(((entry_runner_t *)ctx)->entry);
 }
 
+/*
+ * Delivers the VM list to the core, and begins to stop if it shows this VM as
+ * leaving.
+ */
 static void on_vm_list(void *ctx, const vm_t *vms, size_t count)
 {
 	event_t event = { .kind = EVENT_VM_LIST, .vm_list = { vms, count } };
@@ -262,6 +287,7 @@
 	}
 }
 
+/* Advances the core, and ends the loop if the entry has stopped. */
 static void on_tick(uv_timer_t *timer)
 {
 	event_t event = { .kind = EVENT_TICK };
@@ -270,6 +296,7 @@
 	runner_finish_stop(timer->data);
 }
 
+/* Starts TIMER at once and then every PERIOD_MS. */
 static void runner_start_timer(entry_runner_t *runner, uv_timer_t *timer,
 			       uv_timer_cb callback, uint64_t period_ms)
 {
@@ -278,6 +305,9 @@
 	uv_timer_start(timer, callback, 0, period_ms);
 }
 
+/*
+ * Starts listening for callers and peers. Returns -1 with ERR set if that fails.
+ */
 static int runner_listen(entry_runner_t *runner, pd_error_t *err)
 {
 	const settings_t *settings = runner->settings;
@@ -305,6 +335,7 @@
 	return runner->peers ? 0 : -1;
 }
 
+/* Creates the core and starts the upstream client, watches and timers. */
 static void runner_start(entry_runner_t *runner)
 {
 	const settings_t *settings = runner->settings;
@@ -317,7 +348,7 @@
 		.platform = runner->platform,
 		.public_key = runner->public_key,
 		.seed = (uint32_t)hash_string(runner->self.id),
-		.defer_start = true, /* until fellows have been looked for */
+		.defer_start = true, /* until entry_seeds.c has looked for peers */
 		.get_generation = get_generation,
 		.get_member_count = get_members_alive,
 		.on_bundle = on_bundle,
@@ -344,9 +375,9 @@
 }
 
 /*
- * Starts an entry on the loop. SETTINGS are borrowed and must outlive it. NULL
- * with ERR set if it can't listen or its key file can't be read; the process
- * then ends, so nothing is taken back.
+ * Starts an entry on the loop. SETTINGS are borrowed and must outlive it.
+ * Returns NULL with ERR set if it can't listen or can't read a key file; nothing
+ * is freed then, as the process ends.
  */
 entry_runner_t *entry_runner_create(uv_loop_t *loop, const settings_t *settings,
 				    pd_error_t *err)
@@ -377,7 +408,7 @@
 		.address = settings->node_address,
 		.peer_port = peer_link_port(runner->peers),
 		.http_port = caller_http_port(runner->callers),
-		/* A later start of the same entry is a later incarnation. */
+		/* Grows with each restart of the same entry. */
 		.incarnation = (uint64_t)g_get_real_time(),
 	};
 	runner_start(runner);
@@ -388,7 +419,10 @@
 	return runner;
 }
 
-/* Begins a planned stop: nothing is cut off; the loop stops when all is done. */
+/*
+ * Begins a graceful stop: requests in flight are completed, and then the loop is
+ * stopped.
+ */
 void entry_runner_stop(entry_runner_t *runner)
 {
 	event_t event = { .kind = EVENT_STOP };
@@ -403,9 +437,9 @@
 }
 
 /*
- * Takes the notice that this entry's VM is reclaimed in LEAVES_IN: as a planned
- * stop, but what can't end in time goes to a peer. A notice may come twice, by
- * the VM list and from the VM itself.
+ * Handles the notice that this entry's VM will be reclaimed in LEAVES_IN: begins
+ * a graceful stop, in which requests that can't complete in time are handed over
+ * to a peer. A notice may arrive twice, with the VM list and from the VM itself.
  */
 void entry_runner_handle_vm_notice(entry_runner_t *runner, pd_time_t leaves_in)
 {
--- a/adapters/entry_runner.h
+++ b/adapters/entry_runner.h
@@ -1,4 +1,4 @@
-/* Wires the entry's core to its adapters on one loop. */
+/* Connects the entry's core to its adapters on one event loop. */
 #ifndef PISTACHIO_ENTRY_RUNNER_H
 #define PISTACHIO_ENTRY_RUNNER_H
 
--- a/adapters/entry_runner_parts.h
+++ b/adapters/entry_runner_parts.h
@@ -1,4 +1,4 @@
-/* What the files of the entry's runner share. Private to them. */
+/* The state that the files of the entry's runner share; private to them. */
 #ifndef PISTACHIO_ENTRY_RUNNER_PARTS_H
 #define PISTACHIO_ENTRY_RUNNER_PARTS_H
 
@@ -28,12 +28,12 @@
 	member_info_t self;
 	uv_timer_t tick;
 	uv_timer_t seeds;
-	bool registered;
-	bool listed_after_registration; /* and registered by then */
-	bool handling;
+	bool registered; /* this entry's record is in the store */
+	bool listed_after_registration; /* the list was read while registered */
+	bool handling; /* actions are being performed */
 	bool stopping;
-	pd_time_t core_stopped_at; /* 0 until the core is done */
-	list_node_t actions;
+	pd_time_t core_stopped_at; /* 0: the core has not stopped */
+	list_node_t actions; /* of action_t, not yet performed */
 };
 
 /* entry_runner.c */
