--- a/adapters/entry_pages.c
+++ b/adapters/entry_pages.c
@@ -1,4 +1,6 @@
-/* What an entry serves to operators, the balancer and its own VM. */
+/*
+ * HTTP endpoints for operators, the load balancer and agents on the entry's VM.
+ */
 #include <stdlib.h>
 #include <string.h>
 #include <sys/types.h>
@@ -8,6 +10,7 @@
 
 #define LEAVES_IN_MS_MAX (24 * 3600 * 1000)
 
+/* Replies with a text of the content type TYPE. */
 static void reply_text(http_exchange_t *exchange, int status, const char *type,
 		       const char *text)
 {
@@ -16,6 +19,7 @@
 	http_exchange_reply(exchange, status, &header, 1, text, strlen(text));
 }
 
+/* Replies with all metrics, after updating the gauges. */
 static void reply_metrics(entry_runner_t *runner, http_exchange_t *exchange)
 {
 	char *text;
@@ -35,6 +39,7 @@
 	g_free(text);
 }
 
+/* Replies with the entry's status as JSON. */
 static void reply_status(entry_runner_t *runner, http_exchange_t *exchange)
 {
 	json_t *status =
@@ -53,6 +58,7 @@
 	json_decref(status);
 }
 
+/* Replies with the recorded decisions of a request; 404 if there are none. */
 static void reply_explain(entry_runner_t *runner, http_exchange_t *exchange,
 			  const char *request_id)
 {
@@ -66,8 +72,9 @@
 }
 
 /*
- * Takes the notice of a reclaim from an agent on this VM. From elsewhere it is
- * refused, as callers reach this port too and could stop an entry by it.
+ * Handles a reclaim notice from an agent on this VM. Requests from elsewhere are
+ * refused, because callers can reach this port and could stop the entry with
+ * one.
  */
 static void reply_reclaim(entry_runner_t *runner, http_exchange_t *exchange)
 {
@@ -92,7 +99,11 @@
 	entry_runner_handle_vm_notice(runner, leaves_in_ms * PD_MSEC);
 }
 
-/* Answers what operators, the balancer and the VM's own agent ask. */
+/*
+ * Replies to a request of an operator, the load balancer or the VM's agent.
+ * Returns false if the path is none of theirs; nothing is sent then. CTX is the
+ * runner.
+ */
 bool entry_pages_reply(void *ctx, http_exchange_t *exchange)
 {
 	static const char explain_prefix[] = "/explain/";
--- a/adapters/entry_seeds.c
+++ b/adapters/entry_seeds.c
@@ -1,4 +1,4 @@
-/* Registers an entry with the platform and finds its fellows there. */
+/* Registers an entry in the platform's store and discovers its peers there. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,16 +10,17 @@
 
 #define SEEDS_RETRY_MS 1000
 #define LISTED_SEEDS_PINGED_MAX 5
-#define SEED_SEQUENCE 1 /* asks for an answer; no ping of the core has it */
+#define SEED_SEQUENCE 1 /* requests a reply; the core never uses this number */
 /*
- * A fleet that starts at once has more to tell than its heartbeats carry: among
- * 48 entries it takes half a minute until the last two know of each other. One
- * more look at the list, when the others have registered, ends that.
+ * When a whole fleet starts, heartbeats alone spread the membership slowly: with
+ * 48 entries it takes half a minute until all of them know each other. Reading
+ * the list once more, when the others have registered, avoids that.
  */
 #define SEEDS_SECOND_LIST_MS 10000
-/* Rarely: the list grows with the fleet, and gossip carries the rest. */
+/* Long, because the list grows with the fleet and gossip spreads changes. */
 #define SEEDS_PERIOD_MS 300000
 
+/* Records whether writing this entry's record succeeded. */
 static void on_registered(void *ctx, const platform_answer_t *answer)
 {
 	entry_runner_t *runner = ctx;
@@ -27,12 +28,13 @@
 	runner->registered = answer->status == STORE_OK;
 }
 
+/* Frees an element of the array of seeds. */
 static void seed_clear(void *data)
 {
 	member_info_clear(data);
 }
 
-/* Asks one entry for an answer, which tells its name and its generation. */
+/* Pings an entry; its reply carries its id and the generation of its bundle. */
 static void ping_seed(entry_runner_t *runner, const char *address, uint16_t port)
 {
 	peer_msg_t *msg = peer_msg_create(PEER_PING);
@@ -45,9 +47,9 @@
 }
 
 /*
- * Pings the entries that the settings name. While the platform's store is down
- * they alone can tell a fresh entry who its fellows are, and their answers show
- * which bundle is in force, which is then pulled from them.
+ * Pings the seeds in the settings. While the platform's store is down, only they
+ * can introduce a new entry to its peers. Their replies show which bundle is in
+ * force, which is then pulled from them.
  */
 static void ping_configured_seeds(entry_runner_t *runner)
 {
@@ -65,9 +67,9 @@
 }
 
 /*
- * Pings a few of the entries that the platform lists. A fresh entry serves once
- * one of them has told its generation; the listed may be dead, and the members'
- * own pings go to one a second.
+ * Pings some of the entries in the platform's list. A new entry serves once one
+ * of them has sent its generation. Several are pinged because listed entries may
+ * be dead, and the core's own pings reach only one member a second.
  */
 static void ping_listed_seeds(entry_runner_t *runner, const GArray *seeds)
 {
@@ -83,16 +85,18 @@
 	}
 }
 
+/* Ignores the outcome: a record that was not deleted is listed again. */
 static void on_deleted(void *ctx, const platform_answer_t *answer)
 {
 	(void)ctx;
-	(void)answer; /* the next list shows it again if it failed */
+	(void)answer;
 }
 
 /*
  * Deletes the records of entries that are gone. VMs are replaced all day, and
- * without this the list that each entry reads would grow for ever. An entry
- * that was thought gone but lives misses its own record and writes it again.
+ * without this the list that each entry reads would grow without bound. A live
+ * entry whose record was deleted by mistake finds it missing and registers
+ * again.
  */
 static void delete_stale_records(entry_runner_t *runner, const GArray *seeds)
 {
@@ -113,6 +117,10 @@
 		runner->registered = false;
 }
 
+/*
+ * Delivers the listed entries to the core, pings some, deletes stale records and
+ * schedules the next read.
+ */
 static void on_seed_list(void *ctx, const platform_answer_t *answer)
 {
 	entry_runner_t *runner = ctx;
@@ -155,12 +163,16 @@
 	json_decref(list);
 	g_array_unref(seeds);
 	/*
-	 * Fellows first: a bundle read before any is known would be served
-	 * without asking them for a later one.
+	 * Only now: with a bundle read before any peer is known, this entry would
+	 * serve without asking them for a later one.
 	 */
 	bundle_watch_start(runner->bundles);
 }
 
+/*
+ * Registers this entry if necessary, pings the configured seeds while it has no
+ * peers, and reads the list of entries.
+ */
 static void refresh_seeds(uv_timer_t *timer)
 {
 	entry_runner_t *runner = timer->data;
@@ -180,7 +192,7 @@
 	platform_list(runner->platform, "entries/", on_seed_list, runner);
 }
 
-/* Starts looking for fellows, at once and then now and then. */
+/* Starts peer discovery: at once, then periodically. */
 void entry_seeds_start(entry_runner_t *runner)
 {
 	uv_timer_init(runner->loop, &runner->seeds);
