--- a/adapters/explain.c
+++ b/adapters/explain.c
@@ -1,4 +1,4 @@
-/* Keeps a bounded number of decisions, dropping the oldest. */
+/* Records a bounded number of decisions and evicts the oldest. */
 #include "adapters/explain.h"
 
 #include <jansson.h>
@@ -6,54 +6,60 @@
 
 #define RECORDS_MAX 4096
 
-typedef struct kept {
+typedef struct record {
 	list_node_t node;
 	char *request_id;
 	json_t *decision;
 } record_t;
 
 struct explain {
-	list_node_t kept;
+	list_node_t records; /* of record_t, oldest first */
 	unsigned int count;
 };
 
-/* Returns an empty record; it lives as long as the process. */
+/* Returns an empty log of decisions; it lives as long as the process. */
 explain_t *explain_create(void)
 {
 	explain_t *explain = g_new0(explain_t, 1);
 
-	list_init(&explain->kept);
+	list_init(&explain->records);
 	return explain;
 }
 
-static void record_destroy(record_t *kept)
+/* Frees a record. */
+static void record_destroy(record_t *record)
 {
-	json_decref(kept->decision);
-	g_free(kept->request_id);
-	g_free(kept);
+	json_decref(record->decision);
+	g_free(record->request_id);
+	g_free(record);
 }
 
-/* Notes a decision; what it holds is copied. */
+/*
+ * Records a decision, which is copied; one without a request ("-") is ignored.
+ */
 void explain_record(explain_t *explain, const decision_t *decision)
 {
-	record_t *kept;
+	record_t *record;
 
 	if (!strcmp(decision->request_id, "-"))
 		return;
-	kept = g_new0(record_t, 1);
-	kept->request_id = g_strdup(decision->request_id);
-	kept->decision = json_pack("{s:s, s:s, s:s, s:s}", "part",
-				   decision->part, "choice", decision->choice,
-				   "reason", decision->reason, "passed_over",
-				   decision->passed_over);
-	list_append(&explain->kept, &kept->node);
+	record = g_new0(record_t, 1);
+	record->request_id = g_strdup(decision->request_id);
+	record->decision = json_pack("{s:s, s:s, s:s, s:s}", "part",
+				     decision->part, "choice", decision->choice,
+				     "reason", decision->reason, "passed_over",
+				     decision->passed_over);
+	list_append(&explain->records, &record->node);
 	if (++explain->count <= RECORDS_MAX)
 		return;
 	explain->count--;
-	record_destroy(LIST_ENTRY(list_pop(&explain->kept), record_t, node));
+	record_destroy(LIST_ENTRY(list_pop(&explain->records), record_t, node));
 }
 
-/* Returns the decisions of a request as JSON, or NULL if there are none. */
+/*
+ * Returns the decisions of a request as JSON, owned by the caller, or NULL if
+ * there are none.
+ */
 char *explain_json(const explain_t *explain, const char *request_id)
 {
 	json_t *decisions = json_array();
@@ -61,11 +67,11 @@
 	char *text;
 	char *copy;
 
-	LIST_FOR_EACH (it, &explain->kept) {
-		const record_t *kept = LIST_ENTRY(it, record_t, node);
+	LIST_FOR_EACH (it, &explain->records) {
+		const record_t *record = LIST_ENTRY(it, record_t, node);
 
-		if (!strcmp(kept->request_id, request_id))
-			json_array_append(decisions, kept->decision);
+		if (!strcmp(record->request_id, request_id))
+			json_array_append(decisions, record->decision);
 	}
 	if (json_array_size(decisions) == 0) {
 		json_decref(decisions);
--- a/adapters/explain.h
+++ b/adapters/explain.h
@@ -1,4 +1,4 @@
-/* The latest decisions by request, for `pistachioctl explain`. */
+/* The latest decisions of each request, for `pistachioctl explain`. */
 #ifndef PISTACHIO_EXPLAIN_H
 #define PISTACHIO_EXPLAIN_H
 
