--- a/adapters/bundle_json.c
+++ b/adapters/bundle_json.c
@@ -1,4 +1,6 @@
-/* Reads bundles with all their faults at once, and seals and opens them. */
+/*
+ * Decodes bundles, reporting all their errors at once; signs and verifies them.
+ */
 #include "adapters/bundle_json.h"
 
 #include <string.h>
@@ -9,14 +11,14 @@
 
 #define KEY_HASH_LEN 64
 
-/* Where in the bundle the reader is, and what it has found wrong so far. */
+/* The position in the bundle, and the errors found so far. */
 typedef struct reader {
-	GPtrArray *faults;
+	GPtrArray *faults; /* of bundle_fault_t, borrowed */
 	const char *section;
 	const char *name; /* of the item in the section, or NULL */
 } reader_t;
 
-/* Every key there is. The docs and all checks go by this table. */
+/* Every key of a bundle; the documentation and all checks use this table. */
 static const bundle_rule_t rules[] = {
 	{ "bundle", "generation", RULE_INTEGER, 1, INT64_MAX, NULL,
 	  "grows with each rollout" },
@@ -72,13 +74,14 @@
 	  "models and services it may call" },
 };
 
-/* Returns the table of all keys and sets COUNT to its length. */
+/* Returns the table of all keys, and sets COUNT to its length. */
 const bundle_rule_t *bundle_rules(size_t *count)
 {
 	*count = G_N_ELEMENTS(rules);
 	return rules;
 }
 
+/* Returns the rule of a key, or NULL if the section has no such key. */
 static const bundle_rule_t *find_rule(const char *section, const char *key)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(rules); i++) {
@@ -88,6 +91,7 @@
 	return NULL;
 }
 
+/* Frees a fault of the array. */
 static void fault_free(void *data)
 {
 	bundle_fault_t *fault = data;
@@ -107,6 +111,7 @@
 			     const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
 
+/* Adds a fault at KEY of the current section and item. */
 static void reader_add_fault(const reader_t *reader, const char *key,
 			     const char *format, ...)
 {
@@ -122,6 +127,10 @@
 	g_ptr_array_add(reader->faults, fault);
 }
 
+/*
+ * Returns an integer member or its default; its minimum with a fault if it is
+ * invalid.
+ */
 static int64_t read_integer(const reader_t *reader, const json_t *object,
 			    const char *key)
 {
@@ -141,6 +150,7 @@
 	return value;
 }
 
+/* Returns a boolean member or its default; adds a fault if it is invalid. */
 static bool read_boolean(const reader_t *reader, const json_t *object,
 			 const char *key)
 {
@@ -154,6 +164,10 @@
 	return json_is_true(member);
 }
 
+/*
+ * Returns a string member or its default, borrowed; "" with a fault if it is
+ * invalid.
+ */
 static const char *read_string(const reader_t *reader, const json_t *object,
 			       const char *key)
 {
@@ -169,7 +183,7 @@
 	return json_string_value(member);
 }
 
-/* Reads a priority; returns false if there is none and none is needed. */
+/* Reads a priority. Returns false if there is none and it may be left out. */
 static bool read_priority(const reader_t *reader, const json_t *object,
 			  priority_t *priority)
 {
@@ -183,7 +197,7 @@
 	return true;
 }
 
-/* Reports every member of OBJECT that its section does not have. */
+/* Adds a fault for every member of OBJECT that is unknown in its section. */
 static void check_keys(const reader_t *reader, json_t *object)
 {
 	const char *key;
@@ -196,6 +210,7 @@
 	}
 }
 
+/* Reads one model or service and adds it to BUNDLE. */
 static void read_target(const reader_t *reader, json_t *object,
 			target_kind_t kind, bundle_t *bundle)
 {
@@ -219,6 +234,7 @@
 	}
 }
 
+/* Reads all models or all services, which share one namespace. */
 static void read_targets(reader_t *reader, json_t *root, const char *section,
 			 target_kind_t kind, bundle_t *bundle)
 {
@@ -240,6 +256,7 @@
 	reader->name = NULL;
 }
 
+/* Reads the names of the models and services that an account may call. */
 static void read_allowed(const reader_t *reader, json_t *object,
 			 account_t *account, const bundle_t *bundle)
 {
@@ -262,12 +279,14 @@
 	}
 }
 
+/* Returns whether TEXT has the form of a key hash. */
 static bool is_key_hash(const char *text)
 {
 	return strlen(text) == KEY_HASH_LEN &&
 	       strspn(text, "0123456789abcdef") == KEY_HASH_LEN;
 }
 
+/* Reads one account and adds it to BUNDLE. */
 static void read_account(const reader_t *reader, json_t *object, bundle_t *bundle)
 {
 	const char *hash = read_string(reader, object, "key_hash");
@@ -289,6 +308,7 @@
 	read_allowed(reader, object, account, bundle);
 }
 
+/* Reads all accounts; the targets must have been read. */
 static void read_accounts(reader_t *reader, json_t *root, bundle_t *bundle)
 {
 	const char *name;
@@ -306,6 +326,7 @@
 	reader->name = NULL;
 }
 
+/* Reads the section of limits. */
 static void read_limits(reader_t *reader, json_t *root, bundle_t *bundle)
 {
 	json_t *limits = json_object_get(root, "limits");
@@ -330,6 +351,7 @@
 		(unsigned int)read_integer(reader, limits, "headroom_percent");
 }
 
+/* Reads the generation and the name, and checks the names of all sections. */
 static void read_header(reader_t *reader, json_t *root, bundle_t *bundle)
 {
 	static const char *const sections[] = { "bundle",   "limits",
@@ -352,8 +374,9 @@
 }
 
 /*
- * Reads a bundle from JSON; the caller owns it. Every fault found is added to
- * FAULTS, and if there is one, NULL is returned with ERR naming the first.
+ * Returns the bundle that JSON holds, owned by the caller. Every fault found is
+ * added to FAULTS; if there is any, or the JSON is malformed, returns NULL with
+ * ERR set to the first.
  */
 bundle_t *bundle_decode(const char *json, size_t len, GPtrArray *faults,
 			pd_error_t *err)
@@ -381,7 +404,10 @@
 	return NULL;
 }
 
-/* Returns the canonical JSON of a bundle written in TOML, owned by caller. */
+/*
+ * Returns the canonical JSON of a bundle written in TOML, owned by the caller,
+ * or NULL with ERR set if the file can't be read or parsed.
+ */
 char *bundle_canonical(const char *toml_path, pd_error_t *err)
 {
 	toml_document_t *document = toml_document_read(toml_path);
@@ -406,7 +432,10 @@
 	return canonical;
 }
 
-/* Returns the signed envelope of a canonical bundle, owned by the caller. */
+/*
+ * Returns a signed envelope of a canonical bundle, owned by the caller, or NULL
+ * with ERR set if the key is invalid.
+ */
 char *envelope_sign(const char *canonical, const char *secret_key, pd_error_t *err)
 {
 	char *signature =
@@ -429,8 +458,9 @@
 }
 
 /*
- * Checks an envelope's signature and reads the bundle in it; the caller owns
- * the bundle. Nothing of an envelope is looked at before its signature holds.
+ * Returns the bundle in an envelope, owned by the caller, or NULL with ERR set
+ * if the signature or the bundle is invalid. The payload is not parsed before
+ * its signature has been verified.
  */
 bundle_t *envelope_open(const char *data, size_t len, const char *public_key,
 			pd_error_t *err)
--- a/adapters/bundle_json.h
+++ b/adapters/bundle_json.h
@@ -1,6 +1,6 @@
 /*
- * Bundles as bytes: operators write TOML, which becomes canonical JSON (sorted
- * keys, no spaces), which is signed and travels in an envelope.
+ * The encoding of bundles: operators write TOML, which is converted to canonical
+ * JSON (sorted keys, no spaces), signed, and distributed in an envelope.
  */
 #ifndef PISTACHIO_BUNDLE_JSON_H
 #define PISTACHIO_BUNDLE_JSON_H
@@ -17,19 +17,20 @@
 	RULE_NAMES
 } rule_kind_t;
 
-/* One key of a bundle, as it is checked and documented. */
+/* The schema of one key; checks and documentation are derived from it. */
 typedef struct bundle_rule {
 	const char *section;
 	const char *key;
 	rule_kind_t kind;
-	int64_t min; /* of an integer */
+	int64_t min; /* range of an integer */
 	int64_t max;
 	const char *default_value; /* NULL: the key is required */
 	const char *description;
 } bundle_rule_t;
 
+/* An error found in a bundle. */
 typedef struct bundle_fault {
-	char *path; /* as in services.station-call.priority */
+	char *path; /* for example services.station-call.priority */
 	char *expected;
 } bundle_fault_t;
 
