--- a/adapters/bundle_watch.c
+++ b/adapters/bundle_watch.c
@@ -1,4 +1,4 @@
-/* Watches the bundle's pointer and reads the bodies it names. */
+/* Watches the pointer to the bundle and reads the bodies that it names. */
 #include "adapters/bundle_watch.h"
 
 #include <string.h>
@@ -10,16 +10,18 @@
 #define LOG_COMPONENT "bundle"
 #define RETRY_MS 1000
 /*
- * After an outage of the store all entries would ask again in the same moment,
- * and the store, just back, would refuse most of them; so each adds up to this.
+ * Random part of the retry delay. Without it, all entries would retry at the
+ * same moment after an outage, and the recovering store would refuse most of
+ * them.
  */
 #define RETRY_SPREAD_MS 1000
 /*
- * All entries see the pointer move at once. If each read the body from the
- * store, a rollout would cost it as many bodies as there are entries, and each
- * entry one more than it needs. So each waits a random time that grows with the
- * fleet, and mostly has the body from a peer by then: about 10 ms for each
- * member, that is 60 ms today and 3.2 s at 320, of the 7 s that are allowed.
+ * All entries see an update of the pointer at once. If each read the body from
+ * the store, the store would serve as many bodies as there are entries, and each
+ * entry would receive one more than it needs. So each waits a random time that
+ * grows with the fleet, and by then has usually received the body from a peer:
+ * up to 10 ms for each member, which is 60 ms with 6 entries and 3.2 s with 320,
+ * of the 7 s that a rollout may take.
  */
 #define SPREAD_MS_PER_MEMBER 10
 
@@ -29,19 +31,21 @@
 	uv_timer_t read_timer;
 	GRand *rand;
 	bool started;
-	uint64_t generation; /* that the pointer names */
-	char *object_key; /* its body's key */
-	uint64_t read_version; /* of the pointer whose body was read */
-	uint64_t pending_version; /* of the pointer whose body is being read */
+	uint64_t generation; /* of the bundle that the pointer names */
+	char *object_key; /* key of that bundle's body */
+	uint64_t read_version; /* of the pointer that has been followed */
+	uint64_t pending_version; /* of the pointer that is being followed */
 };
 
 static void watch_start(bundle_watch_t *watch);
 
+/* Watches the pointer again after a failure. */
 static void watch_retry(uv_timer_t *timer)
 {
 	watch_start(timer->data);
 }
 
+/* Schedules another attempt after a random delay. */
 static void watch_schedule_retry(bundle_watch_t *watch)
 {
 	uint64_t wait = RETRY_MS + (uint64_t)g_random_int_range(0, RETRY_SPREAD_MS);
@@ -50,8 +54,8 @@
 }
 
 /*
- * Checks an envelope, from wherever it came, and hands the bundle on. Returns
- * false if it is not one that operators signed.
+ * Verifies an envelope, whatever its source, and delivers the bundle in it.
+ * Returns false if it is not validly signed by the operators.
  */
 bool bundle_watch_offer(bundle_watch_t *watch, GBytes *envelope)
 {
@@ -69,6 +73,9 @@
 	return true;
 }
 
+/*
+ * Handles the body that was read, and watches the pointer for the next update.
+ */
 static void watch_on_body(void *ctx, const platform_answer_t *answer)
 {
 	bundle_watch_t *watch = ctx;
@@ -79,9 +86,8 @@
 		return;
 	}
 	/*
-	 * A body that came broken is read again. Once the pointer counted as
-	 * followed, this entry would wait for the next rollout, and until then
-	 * serve a bundle that all others have left behind.
+	 * An invalid body is read again. If the pointer were treated as followed,
+	 * this entry would serve an outdated bundle until the next rollout.
 	 */
 	envelope = g_bytes_new(answer->body, answer->len);
 	if (bundle_watch_offer(watch, envelope)) {
@@ -93,6 +99,7 @@
 	g_bytes_unref(envelope);
 }
 
+/* Returns the random delay before a body is read, in milliseconds. */
 static uint64_t watch_spread_ms(bundle_watch_t *watch)
 {
 	unsigned int members = 0;
@@ -105,7 +112,7 @@
 					  (gint32)(members * SPREAD_MS_PER_MEMBER));
 }
 
-/* Reads the body that the pointer names, unless a peer has brought it. */
+/* Reads the body that the pointer names, unless a peer has sent it already. */
 static void watch_read_body(uv_timer_t *timer)
 {
 	bundle_watch_t *watch = timer->data;
@@ -120,6 +127,7 @@
 		      watch);
 }
 
+/* Handles a new value of the pointer, or the end of a watch without one. */
 static void watch_on_pointer(void *ctx, const platform_answer_t *answer)
 {
 	bundle_watch_t *watch = ctx;
@@ -153,13 +161,14 @@
 		       watch_spread_ms(watch), 0);
 }
 
+/* Waits until the pointer's version is above the one that was followed last. */
 static void watch_start(bundle_watch_t *watch)
 {
 	platform_watch(watch->config.platform, BUNDLE_POINTER,
 		       watch->read_version, watch_on_pointer, watch);
 }
 
-/* Starts following the pointer; twice is harmless. */
+/* Starts following the pointer; does nothing if it has been started. */
 void bundle_watch_start(bundle_watch_t *watch)
 {
 	if (watch->started)
@@ -168,7 +177,7 @@
 	watch_start(watch);
 }
 
-/* Returns a watch that lives as long as the loop. */
+/* Returns a watch that lives as long as the loop; CONFIG is copied. */
 bundle_watch_t *bundle_watch_create(uv_loop_t *loop,
 				    const bundle_watch_config_t *config)
 {
--- a/adapters/bundle_watch.h
+++ b/adapters/bundle_watch.h
@@ -1,6 +1,7 @@
 /*
- * Follows the bundle in the platform: watches the pointer that a rollout moves,
- * reads the body it names, and hands on each body whose signature holds.
+ * Follows the bundle in the platform's store: watches the pointer that a rollout
+ * updates, reads the body that it names, and delivers each body whose signature
+ * is valid.
  */
 #ifndef PISTACHIO_BUNDLE_WATCH_H
 #define PISTACHIO_BUNDLE_WATCH_H
@@ -20,12 +21,15 @@
 typedef struct bundle_watch_config {
 	platform_t *platform; /* borrowed */
 	char *public_key; /* borrowed */
-	uint32_t seed; /* of the waits before a body is read */
-	bool defer_start; /* for bundle_watch_start() */
-	/* In force now, and entries that may have a body; NULL: no peers. */
+	uint32_t seed; /* of the random delays before a body is read */
+	bool defer_start; /* until bundle_watch_start() is called */
+	/*
+	 * Return the generation in force and the number of entries that may have a
+	 * body. NULL if the process has no peers.
+	 */
 	uint64_t (*get_generation)(void *ctx);
 	unsigned int (*get_member_count)(void *ctx);
-	/* BUNDLE is taken over if set to NULL. */
+	/* The handler takes ownership of *BUNDLE if it sets it to NULL. */
 	void (*on_bundle)(void *ctx, bundle_t **bundle, GBytes *envelope);
 	void *ctx;
 } bundle_watch_config_t;
