--- a/adapters/http_client.c
+++ b/adapters/http_client.c
@@ -1,4 +1,4 @@
-/* The HTTP client: h2o's callbacks turned into one call object. */
+/* The HTTP client: one object for each call, driven by h2o's callbacks. */
 #include "adapters/http_client.h"
 
 #include <glib.h>
@@ -12,19 +12,22 @@
 };
 
 struct http_call {
-	h2o_http1client_t *h2o; /* NULL once h2o has let go of it */
+	h2o_http1client_t *h2o; /* NULL once h2o has freed it */
 	http_call_handlers_t handlers;
 	void *ctx;
-	GString *bytes; /* of the request; kept until the end */
+	GString *bytes; /* of the request; must outlive its sending */
 	h2o_iovec_t iov;
-	GHashTable *headers;
+	GHashTable *headers; /* of the response, by lower-case name */
 	bool starting; /* in http_call_start() */
 	bool in_callback;
 	bool cancelled;
-	uv_timer_t *timer; /* reports a failure to start from the loop */
+	uv_timer_t *timer; /* reports a failed start from the loop */
 };
 
-/* Returns a client whose calls fail after IO_TIMEOUT without a byte. */
+/*
+ * Returns a client whose calls fail after IO_TIMEOUT without any I/O. The caller
+ * destroys it.
+ */
 http_client_t *http_client_create(uv_loop_t *loop, pd_time_t io_timeout)
 {
 	http_client_t *client = g_new0(http_client_t, 1);
@@ -37,9 +40,9 @@
 }
 
 /*
- * Stops a client that has no calls under way; NULL is allowed. Its memory stays
- * until the process ends, because h2o closes its timer through the loop, which
- * may not run again.
+ * Stops a client that has no calls in progress; NULL is allowed. Its memory is
+ * not freed, because h2o closes its timer through the loop, which may not run
+ * again.
  */
 void http_client_destroy(http_client_t *client)
 {
@@ -47,6 +50,7 @@
 		uv_timer_stop(&client->io_timeout._backend.timer);
 }
 
+/* Frees a call, after its last handler. */
 static void call_free(http_call_t *call)
 {
 	if (call->handlers.on_free)
@@ -57,6 +61,10 @@
 	g_free(call);
 }
 
+/*
+ * Reports the end of a call unless it was cancelled, and frees it. ERRSTR is
+ * NULL on success.
+ */
 static void call_finish(http_call_t *call, const char *errstr)
 {
 	pd_error_t err;
@@ -71,6 +79,7 @@
 	call_free(call);
 }
 
+/* Passes on the data of the body that has arrived. */
 static int call_on_body(h2o_http1client_t *h2o, const char *errstr)
 {
 	http_call_t *call = h2o->data;
@@ -93,6 +102,7 @@
 	return 0;
 }
 
+/* Stores the headers of the response and reports its status. */
 static h2o_http1client_body_cb call_on_head(h2o_http1client_t *h2o,
 					    const char *errstr, int minor_version,
 					    int status, h2o_iovec_t msg,
@@ -128,11 +138,13 @@
 	return call_on_body;
 }
 
+/* Frees a closed timer. */
 static void timer_closed(uv_handle_t *timer)
 {
 	g_free(timer);
 }
 
+/* Reports a failure that occurred in http_call_start(). */
 static void report_start_failure(uv_timer_t *timer)
 {
 	http_call_t *call = timer->data;
@@ -141,6 +153,10 @@
 	call_finish(call, "the connection could not be started");
 }
 
+/*
+ * Sends the request, or reports that there is no connection; a failure within
+ * http_call_start() is reported from the loop.
+ */
 static h2o_http1client_head_cb call_on_connect(h2o_http1client_t *h2o,
 					       const char *errstr,
 					       h2o_iovec_t **bufs,
@@ -175,6 +191,7 @@
 	return call_on_head;
 }
 
+/* Returns the bytes of a request, owned by the caller. */
 static GString *format_request(const http_request_t *request)
 {
 	GString *bytes = g_string_new(NULL);
@@ -195,8 +212,8 @@
 }
 
 /*
- * Starts a call; what REQUEST points to is copied. No handler runs before this
- * returns. The call frees itself after DONE or when cancelled.
+ * Starts a call; the request is copied. No handler runs before this returns. The
+ * call frees itself after ON_DONE or when it is cancelled.
  */
 http_call_t *http_call_start(http_client_t *client, const http_request_t *request,
 			     const http_call_handlers_t *handlers, void *ctx)
@@ -217,7 +234,7 @@
 	return call;
 }
 
-/* Drops a call: its handlers are not called again. */
+/* Cancels a call: only ON_FREE is still called. */
 void http_call_cancel(http_call_t *call)
 {
 	call->cancelled = true;
@@ -230,7 +247,7 @@
 	call_free(call);
 }
 
-/* Returns a response header of that lower-case name, borrowed, or NULL. */
+/* Returns a header of the response by its lower-case name, borrowed, or NULL. */
 const char *http_call_header(const http_call_t *call, const char *name)
 {
 	return call->headers ? g_hash_table_lookup(call->headers, name) : NULL;
--- a/adapters/http_client.h
+++ b/adapters/http_client.h
@@ -1,6 +1,6 @@
 /*
- * HTTP calls by h2o's client on a libuv loop, one connection a call. A
- * connection that went silent for good can so spoil only the call it carries.
+ * HTTP calls with h2o's client on a libuv loop. Each call has its own
+ * connection, so that a connection that hangs affects only that call.
  */
 #ifndef PISTACHIO_HTTP_CLIENT_H
 #define PISTACHIO_HTTP_CLIENT_H
@@ -18,10 +18,10 @@
 typedef struct http_call http_call_t;
 
 typedef struct http_request {
-	const char *address; /* an IP number */
+	const char *address; /* IPv4, numeric */
 	uint16_t port;
 	const char *method;
-	const char *path; /* with the query, escaped */
+	const char *path; /* with the query, percent-encoded */
 	const http_header_t *headers;
 	size_t header_count;
 	const char *body;
@@ -29,15 +29,15 @@
 } http_request_t;
 
 /*
- * What a call reports. ON_DONE comes last, and once, unless the call is
- * cancelled. ON_FREE comes after that in either case, when no handler of the
- * call is running; CTX may be freed there.
+ * The handlers of a call. ON_DONE is called last, once, unless the call is
+ * cancelled. ON_FREE follows in either case, when no other handler of the call
+ * is running, and may free CTX. All but ON_DONE may be NULL.
  */
 typedef struct http_call_handlers {
-	void (*on_sending)(void *ctx); /* bytes are about to leave */
+	void (*on_sending)(void *ctx); /* connected; the request is sent next */
 	void (*on_head)(void *ctx, http_call_t *call, int status);
 	void (*on_body)(void *ctx, const char *data, size_t len);
-	void (*on_done)(void *ctx, const pd_error_t *err); /* NULL: whole */
+	void (*on_done)(void *ctx, const pd_error_t *err); /* NULL: the response is complete */
 	void (*on_free)(void *ctx);
 } http_call_handlers_t;
 
