--- a/adapters/h2o_uv.h
+++ b/adapters/h2o_uv.h
@@ -1,4 +1,7 @@
-/* h2o with its libuv binding; every user of h2o includes it through here. */
+/*
+ * Includes h2o with its libuv binding, without the warnings that its headers
+ * cause.
+ */
 #ifndef PISTACHIO_H2O_UV_H
 #define PISTACHIO_H2O_UV_H
 
--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -1,4 +1,4 @@
-/* The HTTP server: h2o's handler and generator behind a small interface. */
+/* The HTTP server: a small interface to h2o's handlers and generators. */
 #include "adapters/http_server.h"
 
 #include <glib.h>
@@ -13,7 +13,7 @@
 	uv_tcp_t listener;
 	bool listening;
 	bool draining;
-	unsigned int open_exchanges; /* exchanges that h2o still holds */
+	unsigned int open_exchanges; /* whose response h2o has not finished */
 	h2o_globalconf_t globalconf;
 	h2o_context_t context;
 	h2o_accept_ctx_t accept;
@@ -22,20 +22,20 @@
 };
 
 struct http_exchange {
-	h2o_generator_t generator; /* first: h2o hands back its address */
+	h2o_generator_t generator; /* first: h2o passes its address back */
 	http_server_t *server;
-	h2o_req_t *req; /* NULL once h2o has let go of the request */
+	h2o_req_t *req; /* NULL once h2o has freed the request */
 	char *method;
-	char *target; /* path and query, as sent */
+	char *target; /* path and query, as received */
 	char *path;
 	GHashTable *query;
 	GHashTable *headers;
-	bool head_sent; /* the head has been given to h2o */
-	bool ended; /* the handler has given all there is */
-	bool sending; /* h2o holds a buffer */
-	bool closed; /* h2o has been told the end */
-	GString *pending;
-	GString *in_transit; /* what h2o is sending */
+	bool head_sent; /* the response's headers were passed to h2o */
+	bool ended; /* the handler has ended the response */
+	bool sending; /* h2o is sending IN_TRANSIT */
+	bool closed; /* the end was passed to h2o */
+	GString *pending; /* body data not yet passed to h2o */
+	GString *in_transit; /* body data that h2o is sending */
 	void (*on_disconnect)(void *ctx);
 	void *disconnect_ctx;
 };
@@ -45,7 +45,10 @@
 	http_server_t *server;
 } server_handler_t;
 
-/* h2o frees the request: nothing may be sent any more. */
+/*
+ * Frees an exchange together with h2o's request, and reports a disconnect if the
+ * response has not been ended.
+ */
 static void exchange_dispose(void *data)
 {
 	http_exchange_t *exchange = *(http_exchange_t **)data;
@@ -66,6 +69,7 @@
 	g_free(exchange);
 }
 
+/* Passes pending data to h2o unless it is still sending earlier data. */
 static void exchange_flush(http_exchange_t *exchange)
 {
 	GString *in_transit = exchange->in_transit;
@@ -86,6 +90,7 @@
 		 final ? H2O_SEND_STATE_FINAL : H2O_SEND_STATE_IN_PROGRESS);
 }
 
+/* Continues after h2o has sent the data passed to it. */
 static void exchange_proceed(h2o_generator_t *generator, h2o_req_t *req)
 {
 	http_exchange_t *exchange = (http_exchange_t *)generator;
@@ -95,7 +100,7 @@
 	exchange_flush(exchange);
 }
 
-/* The caller hung up while its answer was being sent. */
+/* Reports that the client has closed the connection during the response. */
 static void exchange_stop(h2o_generator_t *generator, h2o_req_t *req)
 {
 	http_exchange_t *exchange = (http_exchange_t *)generator;
@@ -109,6 +114,7 @@
 	exchange->ended = true;
 }
 
+/* Stores the unescaped query parameters; those without a value are ignored. */
 static void exchange_parse_query(http_exchange_t *exchange, const char *query)
 {
 	char **pairs = g_strsplit(query, "&", -1);
@@ -125,6 +131,10 @@
 	g_strfreev(pairs);
 }
 
+/*
+ * Returns an exchange for a request of h2o, which owns it through the request's
+ * pool.
+ */
 static http_exchange_t *exchange_create(http_server_t *server, h2o_req_t *req)
 {
 	http_exchange_t *exchange = g_new0(http_exchange_t, 1);
@@ -165,6 +175,10 @@
 	return exchange;
 }
 
+/*
+ * Passes a request to the handler; a draining server closes the connection
+ * afterwards.
+ */
 static int server_on_request(h2o_handler_t *handler, h2o_req_t *req)
 {
 	http_server_t *server = ((server_handler_t *)handler)->server;
@@ -175,6 +189,7 @@
 	return 0;
 }
 
+/* Accepts a connection and passes it to h2o. */
 static void server_on_connection(uv_stream_t *listener, int status)
 {
 	http_server_t *server = listener->data;
@@ -193,6 +208,7 @@
 		   h2o_uv_socket_create((uv_stream_t *)conn, (uv_close_cb)free));
 }
 
+/* Starts listening. Returns -1 with ERR set if that fails. */
 static int server_listen(http_server_t *server, uv_loop_t *loop, pd_error_t *err)
 {
 	const http_server_config_t *config = &server->config;
@@ -222,8 +238,8 @@
 }
 
 /*
- * Starts a server on the loop. Returns NULL with ERR set if the address can't
- * be listened on. The caller destroys it.
+ * Starts a server on the loop; CONFIG is copied. Returns NULL with ERR set if
+ * the address can't be listened on. The caller destroys it.
  */
 http_server_t *http_server_create(uv_loop_t *loop,
 				  const http_server_config_t *config,
@@ -257,21 +273,23 @@
 	return NULL;
 }
 
-/* Returns the port that the server listens on. */
+/* Returns the TCP port that the server listens on. */
 uint16_t http_server_port(const http_server_t *server)
 {
 	return server->port;
 }
 
-/* Returns how many answers h2o has not yet sent to their end. */
+/*
+ * Returns the number of exchanges whose response has not been sent completely.
+ */
 unsigned int http_server_open_exchanges(const http_server_t *server)
 {
 	return server->open_exchanges;
 }
 
 /*
- * Lets go of idle connections and ends each other one after its answer, so that
- * callers connect anew and the balancer sends them elsewhere.
+ * Closes idle connections, and each other one after its response, so that
+ * callers reconnect and the load balancer directs them elsewhere.
  */
 void http_server_drain(http_server_t *server)
 {
@@ -282,8 +300,8 @@
 }
 
 /*
- * Stops listening. What h2o holds for connections that are still open is left
- * to the end of the process, as h2o can't take back a context in use.
+ * Stops listening; NULL is allowed. The memory is not freed, as h2o can't
+ * dispose of a context that has open connections.
  */
 void http_server_destroy(http_server_t *server)
 {
@@ -300,7 +318,7 @@
 	return exchange->method;
 }
 
-/* Returns the path with the query as it was sent, borrowed. */
+/* Returns the path with the query as received, borrowed. */
 const char *http_exchange_target(const http_exchange_t *exchange)
 {
 	return exchange->target;
@@ -318,13 +336,13 @@
 	return g_hash_table_lookup(exchange->query, name);
 }
 
-/* Returns the header of that lower-case name, borrowed, or NULL. */
+/* Returns a header by its lower-case name, borrowed, or NULL. */
 const char *http_exchange_header(const http_exchange_t *exchange, const char *name)
 {
 	return g_hash_table_lookup(exchange->headers, name);
 }
 
-/* Says whether the request came from a process on this VM. */
+/* Returns whether the request came from a process on this VM. */
 bool http_exchange_is_local(const http_exchange_t *exchange)
 {
 	struct sockaddr_storage peer = { 0 };
@@ -343,7 +361,7 @@
 	       from->sin_addr.s_addr == to->sin_addr.s_addr;
 }
 
-/* Returns the body, borrowed, while the exchange lasts. */
+/* Returns the body of LEN bytes, borrowed; it lives as long as the exchange. */
 const char *http_exchange_body(const http_exchange_t *exchange, size_t *len)
 {
 	*len = exchange->req->entity.len;
@@ -351,8 +369,8 @@
 }
 
 /*
- * Calls GONE if the caller hangs up before the end was given. After that call
- * the exchange must not be touched.
+ * Calls ON_DISCONNECT if the client disconnects before the response has been
+ * ended. After that call the exchange must not be used.
  */
 void http_exchange_on_disconnect(http_exchange_t *exchange,
 				 void (*on_disconnect)(void *ctx), void *ctx)
@@ -361,12 +379,13 @@
 	exchange->disconnect_ctx = ctx;
 }
 
-/* Says whether the head of the answer has been given. */
+/* Returns whether the response has begun. */
 bool http_exchange_has_begun(const http_exchange_t *exchange)
 {
 	return exchange->head_sent;
 }
 
+/* Returns the reason phrase of a status. */
 static const char *reason_phrase(int status)
 {
 	static const struct {
@@ -396,7 +415,7 @@
 	return "Unknown";
 }
 
-/* Gives the head of an answer whose body follows in parts. */
+/* Begins a response whose body follows in parts; the headers are copied. */
 void http_exchange_begin(http_exchange_t *exchange, int status,
 			 const http_header_t *headers, size_t count)
 {
@@ -418,14 +437,14 @@
 	h2o_start_response(req, &exchange->generator);
 }
 
-/* Gives a part of the body; it is copied. */
+/* Sends a part of the body; it is copied. */
 void http_exchange_send(http_exchange_t *exchange, const char *data, size_t len)
 {
 	g_string_append_len(exchange->pending, data, (gssize)len);
 	exchange_flush(exchange);
 }
 
-/* Ends the answer. The exchange must not be touched any more. */
+/* Ends the response. The exchange must not be used afterwards. */
 void http_exchange_end(http_exchange_t *exchange)
 {
 	exchange->ended = true;
@@ -433,15 +452,15 @@
 	exchange_flush(exchange);
 }
 
-/* Returns how many bytes wait until the peer has taken those before them. */
+/* Returns the bytes buffered behind those that h2o is sending. */
 size_t http_exchange_pending(const http_exchange_t *exchange)
 {
 	return exchange->pending->len;
 }
 
 /*
- * Ends the answer after what the peer is being sent, and drops the rest. The
- * exchange must not be touched any more.
+ * Ends the response after the data that h2o is sending, and discards the rest.
+ * The exchange must not be used afterwards.
  */
 void http_exchange_truncate(http_exchange_t *exchange)
 {
@@ -449,7 +468,9 @@
 	http_exchange_end(exchange);
 }
 
-/* Breaks the connection off, as an upstream that dies would. */
+/*
+ * Aborts the connection, as an upstream that dies would; for stand-ins in tests.
+ */
 void http_exchange_abort(http_exchange_t *exchange)
 {
 	exchange->ended = true;
@@ -464,7 +485,7 @@
 	h2o_send(exchange->req, NULL, 0, H2O_SEND_STATE_ERROR);
 }
 
-/* Gives a whole answer and ends it. */
+/* Sends a complete response. The exchange must not be used afterwards. */
 void http_exchange_reply(http_exchange_t *exchange, int status,
 			 const http_header_t *headers, size_t count,
 			 const char *body, size_t len)
--- a/adapters/http_server.h
+++ b/adapters/http_server.h
@@ -1,6 +1,6 @@
 /*
- * HTTP by h2o on a libuv loop: hands whole requests to a handler, which answers
- * each at once, later, or as a stream.
+ * An HTTP server with h2o on a libuv loop. It passes complete requests to a
+ * handler, which replies to each at once, later, or with a stream.
  */
 #ifndef PISTACHIO_HTTP_SERVER_H
 #define PISTACHIO_HTTP_SERVER_H
@@ -23,7 +23,7 @@
 typedef struct http_server_config {
 	const char *address;
 	uint16_t port; /* 0: the kernel chooses */
-	size_t body_max; /* bytes; a longer body is answered 413 */
+	size_t body_max; /* bytes; a longer body is rejected with 413 */
 	void (*on_request)(void *ctx, http_exchange_t *exchange);
 	void *ctx;
 } http_server_config_t;
