--- a/adapters/frame_link.c
+++ b/adapters/frame_link.c
@@ -1,4 +1,4 @@
-/* TCP connections between entries, and the frames on them. */
+/* Sends and receives frames on TCP connections between entries. */
 #include "adapters/frame_link.h"
 
 #include <glib.h>
@@ -13,15 +13,15 @@
 #define LISTEN_BACKLOG 512
 #define SWEEP_MS 250
 /*
- * A connection whose frames stay unanswered this long is dropped. Writes to it
- * still succeed if something in between has lost track of it, so nothing but
- * the missing answer shows that it is dead.
+ * A connection whose frames are not acknowledged within this time is closed. If
+ * a middlebox has lost the connection's state, writes still succeed, and only
+ * the missing acknowledgement shows that the connection is dead.
  */
 #define ACK_TIMEOUT_MS 1000
 #define IDLE_TIMEOUT_MS 30000
-#define QUEUED_BYTES_MAX (4 * 1024 * 1024) /* bytes queued on one connection */
+#define QUEUED_BYTES_MAX (4 * 1024 * 1024) /* while a connection is opened */
 
-/* One read; all connections share it, as the loop has one thread. */
+/* Shared by all connections, as the loop has one thread. */
 static char read_buffer[64 * 1024];
 
 typedef struct conn {
@@ -29,14 +29,14 @@
 	frame_link_t *link;
 	uv_tcp_t tcp;
 	uv_connect_t connect;
-	char *key; /* address:port; NULL if the peer opened it */
+	char *key; /* address:port; NULL: opened by the peer */
 	bool connected;
 	bool closing;
-	GByteArray *input;
-	GByteArray *queued; /* until the connection is up */
-	unsigned int unacked;
+	GByteArray *input; /* received, not yet parsed */
+	GByteArray *queued; /* frames to send once connected */
+	unsigned int unacked; /* frames sent or queued */
 	uint64_t unacked_since; /* loop time, ms */
-	uint64_t last_used_at;
+	uint64_t last_used_at; /* loop time, ms */
 } conn_t;
 
 typedef struct write {
@@ -50,11 +50,12 @@
 	uv_timer_t sweep;
 	frame_link_config_t config;
 	uint16_t port;
-	GHashTable *outgoing; /* key -> conn_t */
-	list_node_t conns;
+	GHashTable *outgoing; /* key -> conn_t, borrowed */
+	list_node_t conns; /* of conn_t */
 	uint64_t bytes; /* sent and received */
 };
 
+/* Frees a closed connection. */
 static void on_closed(uv_handle_t *handle)
 {
 	conn_t *conn = handle->data;
@@ -65,6 +66,7 @@
 	g_free(conn);
 }
 
+/* Closes a connection; it is freed by the loop. */
 static void conn_close(conn_t *conn)
 {
 	if (conn->closing)
@@ -76,7 +78,7 @@
 	uv_close((uv_handle_t *)&conn->tcp, on_closed);
 }
 
-/* Closes a connection on which frames may be lost. */
+/* Closes a connection that failed, and reports it if it was opened here. */
 static void conn_fail(conn_t *conn)
 {
 	const frame_link_config_t *config = &conn->link->config;
@@ -87,6 +89,7 @@
 		config->on_lost(config->ctx, conn->key);
 }
 
+/* Returns a new connection, owned by LINK. */
 static conn_t *conn_create(frame_link_t *link)
 {
 	conn_t *conn = g_new0(conn_t, 1);
@@ -101,6 +104,7 @@
 	return conn;
 }
 
+/* Frees a write, and fails its connection on an error. */
 static void on_write_done(uv_write_t *req, int status)
 {
 	write_t *write = (write_t *)req;
@@ -111,6 +115,7 @@
 	g_free(write);
 }
 
+/* Writes BYTES, which are referenced until they are written. */
 static void conn_write(conn_t *conn, GBytes *bytes)
 {
 	write_t *write = g_new0(write_t, 1);
@@ -128,6 +133,7 @@
 	}
 }
 
+/* Returns a frame with a copy of DATA, owned by the caller. */
 static GBytes *encode_frame(const void *data, size_t len)
 {
 	GByteArray *frame = g_byte_array_new();
@@ -139,7 +145,10 @@
 	return g_byte_array_free_to_bytes(frame);
 }
 
-/* Takes one frame; an empty one answers the oldest frame we sent. */
+/*
+ * Handles one frame: an empty one acknowledges the oldest frame sent; any other
+ * is acknowledged and delivered.
+ */
 static void conn_handle_frame(conn_t *conn, const char *data, size_t len)
 {
 	GBytes *ack;
@@ -157,6 +166,7 @@
 		conn_close(conn);
 }
 
+/* Handles all complete frames that have been received. */
 static void conn_parse_input(conn_t *conn)
 {
 	guint consumed = 0;
@@ -184,6 +194,7 @@
 		g_byte_array_remove_range(conn->input, 0, consumed);
 }
 
+/* Provides the shared buffer for a read. */
 static void conn_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
 	(void)handle;
@@ -191,6 +202,7 @@
 	*buf = uv_buf_init(read_buffer, sizeof(read_buffer));
 }
 
+/* Handles received data, or the failure of the connection. */
 static void conn_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
 {
 	conn_t *conn = stream->data;
@@ -206,6 +218,7 @@
 		conn_fail(conn);
 }
 
+/* Accepts a connection of a peer. */
 static void link_accept(uv_stream_t *listener, int status)
 {
 	frame_link_t *link = listener->data;
@@ -223,6 +236,7 @@
 	uv_read_start((uv_stream_t *)&conn->tcp, conn_alloc, conn_read);
 }
 
+/* Closes connections that are dead or idle. */
 static void link_sweep(uv_timer_t *timer)
 {
 	frame_link_t *link = timer->data;
@@ -240,6 +254,7 @@
 	}
 }
 
+/* Starts listening. Returns -1 with ERR set if that fails. */
 static int link_listen(frame_link_t *link, pd_error_t *err)
 {
 	const frame_link_config_t *config = &link->config;
@@ -264,7 +279,10 @@
 	return 0;
 }
 
-/* Starts listening for peers. NULL with ERR set if that fails. */
+/*
+ * Starts listening for peers; CONFIG is copied. Returns NULL with ERR set if
+ * that fails. The caller destroys the result.
+ */
 frame_link_t *frame_link_create(uv_loop_t *loop,
 				const frame_link_config_t *config, pd_error_t *err)
 {
@@ -288,8 +306,8 @@
 }
 
 /*
- * Closes every connection. The memory goes when the loop has run the closing
- * callbacks, or with the process.
+ * Closes the listener and every connection; NULL is allowed. Connections are
+ * freed by the loop's close callbacks; the link itself is not freed.
  */
 void frame_link_destroy(frame_link_t *link)
 {
@@ -301,18 +319,19 @@
 	uv_close((uv_handle_t *)&link->sweep, NULL);
 }
 
-/* Returns the port that peers connect to. */
+/* Returns the TCP port that peers connect to. */
 uint16_t frame_link_port(const frame_link_t *link)
 {
 	return link->port;
 }
 
-/* Returns the bytes sent and received so far. */
+/* Returns the number of bytes sent and received. */
 uint64_t frame_link_bytes(const frame_link_t *link)
 {
 	return link->bytes;
 }
 
+/* Sends the queued frames once a connection is established. */
 static void on_connected(uv_connect_t *connect, int status)
 {
 	conn_t *conn = connect->handle->data;
@@ -333,6 +352,10 @@
 	g_bytes_unref(bytes);
 }
 
+/*
+ * Returns the outgoing connection to a peer, opened if there is none; NULL if
+ * that fails at once.
+ */
 static conn_t *link_get_conn(frame_link_t *link, const char *address, uint16_t port)
 {
 	char *key = g_strdup_printf("%s:%u", address, port);
@@ -356,8 +379,8 @@
 }
 
 /*
- * Sends a frame to a peer, opening a connection if there is none. Whether it
- * arrives is not known; the protocol above repeats what matters.
+ * Sends a frame to a peer, opening a connection if there is none. Delivery is
+ * not guaranteed; the protocol above retransmits what matters.
  */
 void frame_link_send(frame_link_t *link, const char *address, uint16_t port,
 		     GBytes *body)
--- a/adapters/frame_link.h
+++ b/adapters/frame_link.h
@@ -1,7 +1,7 @@
 /*
- * Frames between entries over TCP: a length of four bytes, big end first, and
- * the bytes. The receiver answers each frame with an empty one, so the sender
- * notices a connection that swallows bytes and opens a new one.
+ * Frames between entries over TCP: a big-endian length of four bytes, and the
+ * payload. The receiver acknowledges each frame with an empty one, so that the
+ * sender detects a dead connection and opens a new one.
  */
 #ifndef PISTACHIO_FRAME_LINK_H
 #define PISTACHIO_FRAME_LINK_H
@@ -17,12 +17,12 @@
 typedef struct frame_link_config {
 	const char *address;
 	uint16_t port; /* 0: the kernel chooses */
-	uint32_t frame_max; /* bytes; a longer frame ends its connection */
-	/* Returns -1 to have the connection closed. */
+	uint32_t frame_max; /* bytes; a longer frame closes its connection */
+	/* Returns -1 if the connection is to be closed. */
 	int (*on_frame)(void *ctx, const char *data, size_t len);
 	/*
-	 * A connection that was opened here has failed, and frames on it may be
-	 * lost; KEY is the peer's address:port. It may not send. May be NULL.
+	 * Called when an outgoing connection has failed, so that frames may be lost;
+	 * KEY is the peer's address:port. Must not send frames. May be NULL.
 	 */
 	void (*on_lost)(void *ctx, const char *key);
 	void *ctx;
