--- a/adapters/json.c
+++ b/adapters/json.c
@@ -1,14 +1,17 @@
-/* Typed reading of JSON members. */
+/* Typed access to the members of JSON objects. */
 #include "adapters/json.h"
 
 #include <math.h>
 #include <stdbool.h>
 
 #define NOT_AN_OBJECT "not a JSON object"
-/* The largest number up to which a real holds every whole one: 2 to the 53. */
+/* A double represents every integer up to this exactly: 2 to the 53. */
 #define REAL_INTEGER_MAX 9007199254740992.0
 
-/* Parses a JSON object; the caller owns it. NULL with ERR set if it is none. */
+/*
+ * Returns a parsed JSON object, owned by the caller, or NULL with ERR set if the
+ * text is malformed, is no object or has duplicate keys.
+ */
 json_t *json_parse(const char *data, size_t len, pd_error_t *err)
 {
 	json_error_t parse_error;
@@ -27,7 +30,10 @@
 	return value;
 }
 
-/* Reads a string member, borrowed from OBJECT. */
+/*
+ * Sets VALUE to a string member, borrowed; returns -1 with ERR set if there is
+ * none.
+ */
 int json_read_string(const json_t *object, const char *key, const char **value,
 		     pd_error_t *err)
 {
@@ -40,7 +46,7 @@
 	return 0;
 }
 
-/* Reads a whole number. False if it is none. */
+/* Sets VALUE to an integer. Returns false if NUMBER is none. */
 static bool read_integer_value(const json_t *number, int64_t *value)
 {
 	double real;
@@ -49,7 +55,7 @@
 		*value = json_integer_value(number);
 		return true;
 	}
-	/* A text that was repaired has its whole numbers as reals. */
+	/* In a repaired text, integers were parsed as reals (json_shared.c). */
 	real = json_real_value(number);
 	if (!json_is_real(number) || real != trunc(real) ||
 	    fabs(real) > REAL_INTEGER_MAX)
@@ -58,7 +64,7 @@
 	return true;
 }
 
-/* Reads an integer member. */
+/* Sets VALUE to an integer member; returns -1 with ERR set if there is none. */
 int json_read_integer(const json_t *object, const char *key, int64_t *value,
 		      pd_error_t *err)
 {
@@ -68,7 +74,10 @@
 	return 0;
 }
 
-/* Reads an array member, borrowed from OBJECT. */
+/*
+ * Sets VALUE to an array member, borrowed; returns -1 with ERR set if there is
+ * none.
+ */
 int json_read_array(const json_t *object, const char *key, json_t **value,
 		    pd_error_t *err)
 {
@@ -81,7 +90,7 @@
 	return 0;
 }
 
-/* Returns a string member, borrowed, or FALLBACK if there is no such. */
+/* Returns a string member, borrowed, or FALLBACK if there is none. */
 const char *json_string_or(const json_t *object, const char *key,
 			   const char *fallback)
 {
@@ -90,7 +99,7 @@
 	return json_is_string(member) ? json_string_value(member) : fallback;
 }
 
-/* Returns an integer member, or FALLBACK if there is no such. */
+/* Returns an integer member, or FALLBACK if there is none. */
 int64_t json_integer_or(const json_t *object, const char *key, int64_t fallback)
 {
 	int64_t value;
--- a/adapters/json.h
+++ b/adapters/json.h
@@ -1,4 +1,4 @@
-/* Typed reading of JSON members, with errors that name the member. */
+/* Typed access to the members of JSON objects; errors name the member. */
 #ifndef PISTACHIO_JSON_H
 #define PISTACHIO_JSON_H
 
--- a/adapters/json_shared.c
+++ b/adapters/json_shared.c
@@ -1,4 +1,4 @@
-/* JSON of which several parties wrote parts, some of them spoiled. */
+/* Repairs and parses JSON of several writers, parts of which may be invalid. */
 #include "adapters/json_shared.h"
 
 #include <glib.h>
@@ -6,12 +6,12 @@
 
 #include "adapters/json.h"
 
-/* Stands for what could not be read, in UTF-8 and as an escape. */
+/* U+FFFD, which replaces invalid characters: in UTF-8 and as an escape. */
 #define REPLACEMENT_CHAR "\xef\xbf\xbd"
 #define REPLACEMENT_ESCAPE "\\ufffd"
-#define ESCAPE_LEN 6 /* of a \u escape */
+#define ESCAPE_LEN 6 /* characters of a \u escape */
 
-/* Returns the number of a \u escape at TEXT; -1 if there is none. */
+/* Returns the code unit of a \u escape at TEXT; -1 if there is none. */
 static int read_escape(const char *text)
 {
 	int value = 0;
@@ -28,14 +28,17 @@
 	return value;
 }
 
-/* Appends the escape at TEXT, or two that are a pair; returns its length. */
+/*
+ * Appends the escape at TEXT, or the surrogate pair there, with an unpaired
+ * surrogate replaced. Returns the length of what was read.
+ */
 static size_t repair_escape(GString *out, const char *text)
 {
 	int first = read_escape(text);
 	int second;
 
 	if (first < 0) {
-		/* The character after the stroke is not to be looked at again. */
+		/* The escaped character must not be taken for a new escape. */
 		g_string_append_len(out, text, text[1] ? 2 : 1);
 		return text[1] ? 2 : 1;
 	}
@@ -53,8 +56,9 @@
 }
 
 /*
- * Returns the text with what the library refuses in strings made readable: bytes
- * that are no UTF-8, control characters, halves of pairs.
+ * Returns the text, owned by the caller, with everything replaced that the
+ * library rejects in strings: invalid UTF-8, control characters and unpaired
+ * surrogates.
  */
 static GString *json_repair(const char *data, size_t len)
 {
@@ -74,10 +78,11 @@
 }
 
 /*
- * Parses a JSON object of which several parties wrote parts. The library refuses
- * a text as a whole for one string that is no UTF-8 or one number that is too
- * large; one spoiled entry would then hide all the others of its page. Strings
- * that were changed hold U+FFFD (json_is_readable). The caller owns the object.
+ * Returns a parsed JSON object that several writers contributed to, owned by the
+ * caller, or NULL with ERR set if it can't be repaired. The library rejects a
+ * whole text for one string with invalid UTF-8 or one number out of range; one
+ * invalid entry would then hide all others of its page. Replaced characters show
+ * up as U+FFFD (see json_is_readable), and integers become reals.
  */
 json_t *json_parse_shared(const char *data, size_t len, pd_error_t *err)
 {
@@ -97,7 +102,10 @@
 	return NULL;
 }
 
-/* Says whether all strings in a value are as they were written. */
+/*
+ * Returns whether no string in a value contains a replacement character or NUL,
+ * so that all are as they were written.
+ */
 bool json_is_readable(const json_t *value)
 {
 	const char *key;
--- a/adapters/json_shared.h
+++ b/adapters/json_shared.h
@@ -1,6 +1,6 @@
 /*
- * JSON of which several parties wrote parts. What one of them spoiled must not
- * hide what the others wrote.
+ * Tolerant parsing of JSON that several writers contributed to: an invalid part
+ * of one writer must not hide the parts of the others.
  */
 #ifndef PISTACHIO_JSON_SHARED_H
 #define PISTACHIO_JSON_SHARED_H
