--- a/adapters/log_buffer.c
+++ b/adapters/log_buffer.c
@@ -1,4 +1,6 @@
-/* The buffer of log lines; one for the process, as standard output is. */
+/*
+ * The buffer of log lines: one for the process, as there is one standard output.
+ */
 #include "adapters/log_buffer.h"
 
 #include <fcntl.h>
@@ -6,21 +8,21 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Lines a second, kept up for long; a request in the usual load writes one. */
+/* Sustained rate; under normal load each request writes one line. */
 #define LINES_PER_S 400
-/* Lines at once after a quiet time. */
+/* Lines at once after an idle time. */
 #define LINES_BURST 1200
 #define BUFFER_BYTES_MAX (256 * 1024)
 
 static struct {
 	int fd;
 	GString *text;
-	double tokens;
-	pd_time_t refilled_at;
-	unsigned int dropped;
+	double tokens; /* lines that may be added now */
+	pd_time_t refilled_at; /* 0: never */
+	unsigned int dropped; /* lines since the last report */
 } buffer;
 
-/* Sets the descriptor to write to; it must not block, so it is set not to. */
+/* Sets the file descriptor to write to, and makes it non-blocking. */
 void log_buffer_init(int fd)
 {
 	int flags = fcntl(fd, F_GETFL);
@@ -32,7 +34,9 @@
 		(void)fcntl(fd, F_SETFL, flags | O_NONBLOCK);
 }
 
-/* Adds a line with its line feed, unless there are too many. */
+/*
+ * Adds a line, which ends with a line feed, or drops it if there are too many.
+ */
 void log_buffer_add(const char *line, size_t len)
 {
 	if (buffer.tokens < 1 || buffer.text->len + len > BUFFER_BYTES_MAX) {
@@ -43,7 +47,10 @@
 	g_string_append_len(buffer.text, line, (gssize)len);
 }
 
-/* Writes as much as the reader takes. To be called some times a second. */
+/*
+ * Refills the rate limit and writes as much as the reader accepts. Must be
+ * called several times a second.
+ */
 void log_buffer_flush(pd_time_t now)
 {
 	ssize_t written;
--- a/adapters/log_buffer.h
+++ b/adapters/log_buffer.h
@@ -1,7 +1,7 @@
 /*
- * Log lines on standard output that never hold the program up: lines are
- * gathered and written when the reader takes them; too many a second, or more
- * than the buffer holds, are left out and counted.
+ * Logging to standard output that never blocks the program: lines are buffered
+ * and written when the reader accepts them. Lines beyond the rate limit or the
+ * size of the buffer are dropped and counted.
  */
 #ifndef PISTACHIO_LOG_BUFFER_H
 #define PISTACHIO_LOG_BUFFER_H
--- a/adapters/log_glib.c
+++ b/adapters/log_glib.c
@@ -1,4 +1,4 @@
-/* The log writer and the lines that are common to all programs. */
+/* The log writer, and the log lines that all programs share. */
 #include "adapters/log_glib.h"
 
 #include <stdio.h>
@@ -9,6 +9,7 @@
 static log_sink_t log_sink; /* NULL: standard error */
 static GLogLevelFlags log_threshold = G_LOG_LEVEL_INFO;
 
+/* Returns a field of a log record, or "" if it has none of that name. */
 static const char *log_field(const GLogField *fields, gsize count, const char *key)
 {
 	for (gsize i = 0; i < count; i++) {
@@ -18,6 +19,7 @@
 	return "";
 }
 
+/* Returns the name of a level as it is logged. */
 static const char *level_name(GLogLevelFlags level)
 {
 	switch (level & G_LOG_LEVEL_MASK) {
@@ -33,6 +35,7 @@
 	}
 }
 
+/* Formats a record as one line and writes it to the sink. */
 static GLogWriterOutput log_write(GLogLevelFlags level, const GLogField *fields,
 				  gsize count, void *data)
 {
@@ -58,7 +61,7 @@
 	return G_LOG_WRITER_HANDLED;
 }
 
-/* Sets the least level that is written: debug, info, warning or error. */
+/* Starts logging at a minimum level: debug, info (default), warning or error. */
 void log_init(const char *level)
 {
 	if (!strcmp(level, "debug"))
@@ -72,13 +75,13 @@
 	g_log_set_writer_func(log_write, NULL, NULL);
 }
 
-/* Sends all further lines to SINK; NULL: to standard error. */
+/* Sends all further lines to SINK, or to standard error if it is NULL. */
 void log_set_sink(log_sink_t sink)
 {
 	log_sink = sink;
 }
 
-/* Writes one line for a part. */
+/* Logs one line for a component. */
 void log_line(GLogLevelFlags level, const char *component, const char *format, ...)
 {
 	char *message;
@@ -94,14 +97,14 @@
 	g_free(message);
 }
 
-/* Writes a warning with an error's kind and context. */
+/* Logs a warning with the kind and context of an error. */
 void log_error(const char *component, const char *what, const pd_error_t *err)
 {
 	log_line(G_LOG_LEVEL_WARNING, component, "%s: %s: %s", what,
 		 pd_error_kind_name(err->kind), err->context);
 }
 
-/* Writes the line of one routing or placement decision. */
+/* Logs one routing or placement decision. */
 void log_decision(const decision_t *decision)
 {
 	log_line(G_LOG_LEVEL_INFO, decision->part,
--- a/adapters/log_glib.h
+++ b/adapters/log_glib.h
@@ -1,6 +1,6 @@
 /*
- * Logs by GLib's structured logging, to standard error: time, level, the fixed
- * prefix of the part, and a short sentence.
+ * Logging with GLib's structured logging, by default to standard error. A line
+ * has the time, the level, the component and a message.
  */
 #ifndef PISTACHIO_LOG_GLIB_H
 #define PISTACHIO_LOG_GLIB_H
