--- a/adapters/clock_uv.c
+++ b/adapters/clock_uv.c
@@ -1,15 +1,17 @@
-/* Time from libuv, and wall-clock seconds for what outlives a process. */
+/*
+ * Monotonic time from libuv; wall-clock time for data that outlives a process.
+ */
 #include "adapters/clock_uv.h"
 
 #include <glib.h>
 
-/* Returns the time now, in microseconds; only differences mean something. */
+/* Returns monotonic time in microseconds, from an unspecified origin. */
 pd_time_t clock_now(void)
 {
 	return (pd_time_t)(uv_hrtime() / 1000);
 }
 
-/* Returns wall-clock time in seconds. */
+/* Returns wall-clock time in seconds since the epoch. */
 int64_t clock_wall(void)
 {
 	return g_get_real_time() / G_USEC_PER_SEC;
--- a/adapters/clock_uv.h
+++ b/adapters/clock_uv.h
@@ -1,4 +1,4 @@
-/* The runtime's clock: the loop's monotonic time. */
+/* The clock port: libuv's monotonic clock and the wall clock. */
 #ifndef PISTACHIO_CLOCK_UV_H
 #define PISTACHIO_CLOCK_UV_H
 
--- a/adapters/metrics.c
+++ b/adapters/metrics.c
@@ -1,4 +1,4 @@
-/* Counters and gauges by name, in the order in which they were first used. */
+/* Stores metrics by name, and writes them in the order of their first use. */
 #include "adapters/metrics.h"
 
 typedef struct series {
@@ -7,10 +7,11 @@
 } series_t;
 
 struct metrics {
-	GHashTable *by_name; /* name with labels -> series_t */
+	GHashTable *by_name; /* name with labels -> series_t, borrowed */
 	GPtrArray *order; /* of series_t, owned */
 };
 
+/* Frees a series. */
 static void series_destroy(void *data)
 {
 	series_t *series = data;
@@ -19,7 +20,7 @@
 	g_free(series);
 }
 
-/* Returns an empty set; the caller owns it. */
+/* Returns an empty set of metrics, owned by the caller. */
 metrics_t *metrics_create(void)
 {
 	metrics_t *metrics = g_new0(metrics_t, 1);
@@ -29,7 +30,7 @@
 	return metrics;
 }
 
-/* Frees the set; NULL is allowed. */
+/* Frees a set of metrics; NULL is allowed. */
 void metrics_destroy(metrics_t *metrics)
 {
 	if (!metrics)
@@ -39,6 +40,10 @@
 	g_free(metrics);
 }
 
+/*
+ * Returns the series of that name with labels, borrowed; a new one has the value
+ * 0.
+ */
 static series_t *find_or_add_series(metrics_t *metrics, const char *name)
 {
 	series_t *series = g_hash_table_lookup(metrics->by_name, name);
@@ -52,7 +57,7 @@
 	return series;
 }
 
-/* Adds one to a counter with one label. */
+/* Increments a counter with one label. */
 void metrics_increment(metrics_t *metrics, const char *name, const char *label,
 		       const char *value)
 {
@@ -68,17 +73,17 @@
 	find_or_add_series(metrics, name)->value += amount;
 }
 
-/* Sets a gauge. */
+/* Sets a gauge without labels. */
 void metrics_set_gauge(metrics_t *metrics, const char *name, double value)
 {
 	find_or_add_series(metrics, name)->value = value;
 }
 
-/* Upper ends of a histogram's buckets, ms; from a fast call to a long stream. */
+/* Upper bounds of a histogram's buckets, from a fast call to a long stream. */
 static const double bucket_bounds_ms[] = { 10,	25,   50,   100,  200,	400,
 					   800, 1600, 3200, 6400, 12800 };
 
-/* Adds one to the histogram of a time, given in milliseconds. */
+/* Adds a time in milliseconds to a histogram with one label. */
 void metrics_observe_ms(metrics_t *metrics, const char *name, const char *label,
 			const char *value, double ms)
 {
@@ -103,7 +108,7 @@
 	find_or_add_series(metrics, series_name)->value += ms;
 }
 
-/* Returns all series as text, owned by the caller. */
+/* Returns all series in the text format, owned by the caller. */
 char *metrics_format(const metrics_t *metrics)
 {
 	GString *text = g_string_new(NULL);
--- a/adapters/metrics.h
+++ b/adapters/metrics.h
@@ -1,4 +1,6 @@
-/* Counters and gauges of one process, written in the Prometheus text form. */
+/*
+ * Counters, gauges and histograms of one process, in the Prometheus text format.
+ */
 #ifndef PISTACHIO_METRICS_H
 #define PISTACHIO_METRICS_H
 
