--- a/tests/process/test_caller_input.c
+++ b/tests/process/test_caller_input.c
@@ -1,6 +1,6 @@
 /*
- * Damaged requests from callers, byte by byte: an entry answers or hangs up,
- * and goes on serving the others.
+ * Requests with random byte changes: an entry replies or disconnects, and
+ * continues to serve other callers.
  */
 #include <arpa/inet.h>
 #include <setjmp.h>
@@ -40,6 +40,7 @@
 	return 0;
 }
 
+/* Changes some random bytes and may truncate them; returns the new length. */
 static size_t mutate_bytes(GRand *rand, char *bytes, size_t len)
 {
 	int mutations = g_rand_int_range(rand, 0, MUTATIONS_MAX);
@@ -52,7 +53,7 @@
 	return len;
 }
 
-/* Sends the bytes and hangs up without reading; the caller is gone. */
+/* Sends the bytes and disconnects without reading. */
 static void send_and_close(int port, const char *bytes, size_t len)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET,
--- a/tests/process/test_fleet.c
+++ b/tests/process/test_fleet.c
@@ -1,4 +1,4 @@
-/* The whole path with real processes: requests in, whole answers out. */
+/* End to end with real processes: requests and their complete answers. */
 #include <setjmp.h>
 #include <signal.h>
 #include <stdarg.h>
@@ -15,7 +15,7 @@
 #define REQUESTS 200
 #define TOKENS 24
 
-/* How often a call is asked for anew before its record must be there. */
+/* Retries of a call, after which its record must have been written. */
 #define RETRIES_MAX 100
 
 static int setup(void **state)
@@ -33,8 +33,9 @@
 }
 
 /*
- * Two hundred callers ask at once, through all six entries. A mix-up would give
- * a caller another's answer, or one with a token doubled or missing.
+ * Two hundred concurrent callers send requests through all six entries. A mix-up
+ * would give a caller the answer of another, or one with a token duplicated or
+ * missing.
  */
 static void test_each_caller_gets_its_own_answer(void **state)
 {
@@ -58,6 +59,7 @@
 	history_destroy(history);
 }
 
+/* Waits for a call, checks its status and problem type, and destroys it. */
 static void assert_refused(call_t *call, int status, const char *problem)
 {
 	char name[64];
@@ -69,8 +71,8 @@
 }
 
 /*
- * Callers make mistakes. Each gets a typed refusal at once, and the entry goes
- * on serving the others.
+ * Each invalid request gets a typed refusal at once, and the entry continues to
+ * serve other callers.
  */
 static void test_bad_requests_are_refused(void **state)
 {
@@ -105,6 +107,7 @@
 		       404, "not-found");
 }
 
+/* An oversized body is rejected and does not disturb the next request. */
 static void test_oversized_body_is_refused(void **state)
 {
 	fleet_t *fleet = *state;
@@ -124,6 +127,7 @@
 	call_destroy(call);
 }
 
+/* An oversized header is rejected and does not disturb the next request. */
 static void test_oversized_head_is_refused(void **state)
 {
 	fleet_t *fleet = *state;
@@ -142,8 +146,8 @@
 }
 
 /*
- * A terminal that got no answer asks again with the same key, and the balancer
- * sends it to another entry. The station must see one call.
+ * A client that received no answer retries with the same key, and the load
+ * balancer sends it to another entry. The service must see one call.
  */
 static void test_key_runs_once_across_entries(void **state)
 {
@@ -158,9 +162,9 @@
 
 		call_wait(call);
 		/*
-		 * The first entry answers before its record of the answer is
-		 * written. Asked in between, another must say that the outcome
-		 * is unknown, and gives the answer when it is asked again.
+		 * The first entry replies before its record of the answer is
+		 * written. Until then another entry must reply that the outcome
+		 * is unknown, and after that with the answer.
 		 */
 		for (int again = 0;
 		     i && call->status == 502 && again < RETRIES_MAX; again++) {
--- a/tests/process/test_slow_reader.c
+++ b/tests/process/test_slow_reader.c
@@ -1,4 +1,4 @@
-/* Callers that do not read their streams. */
+/* Callers that don't read their streams. */
 #include <setjmp.h>
 #include <signal.h>
 #include <stdarg.h>
@@ -14,7 +14,7 @@
 #include "adapters/signing.h"
 
 #define TOKEN_BYTES 16384
-#define TOKENS 2000 /* 32 MB in all, more than sockets hold */
+#define TOKENS 2000 /* 32 MB in all, more than socket buffers hold */
 #define LOOP_RUNS_MAX 100000
 
 typedef struct reader {
@@ -23,9 +23,9 @@
 	uv_tcp_t tcp;
 	uv_connect_t connect;
 	uv_write_t write;
-	caller_id_t caller; /* 0 until the request has come */
-	bool disconnected; /* the core was told so */
-	GString *body;
+	caller_id_t caller; /* 0 until the request has arrived */
+	bool disconnected; /* as reported to the core */
+	GString *body; /* bytes received */
 	bool stream_ended;
 } reader_t;
 
@@ -81,6 +81,7 @@
 		reader->stream_ended = true;
 }
 
+/* Starts a server and a client on one loop, and sends the request. */
 static void reader_open(reader_t *reader)
 {
 	const caller_http_config_t config = { .address = "127.0.0.1",
@@ -109,7 +110,7 @@
 	assert_true(reader->caller > 0);
 }
 
-/* Gives tokens until the caller is let go; returns how many were given. */
+/* Sends tokens until the caller is disconnected; returns how many were sent. */
 static unsigned int send_tokens(reader_t *reader)
 {
 	char *token = g_strnfill(TOKEN_BYTES, 't');
@@ -125,10 +126,10 @@
 }
 
 /*
- * A caller's machine is suspended in the middle of a long answer; its connection
- * stays open and takes nothing. The entry must let go of it before the answer
- * fills its memory. When the machine wakes up, it reads a stream that stops at
- * the end of an event and has no last one, and can take it up again.
+ * A caller's machine is suspended during a long answer; its connection stays
+ * open and reads nothing. The entry must disconnect it before the answer
+ * exhausts its memory. When the machine resumes, it reads a stream that stops
+ * after a complete event and has no final one, so it can resume the stream.
  */
 static void test_stalled_reader_is_disconnected(void **state)
 {
--- a/tests/unit/test_bundle_json.c
+++ b/tests/unit/test_bundle_json.c
@@ -1,4 +1,7 @@
-/* Bundles as bytes: all faults at once, and nothing read before its signature. */
+/*
+ * Decoding of bundles: all faults are reported, and signatures are verified
+ * first.
+ */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -19,6 +22,7 @@
 	"\"accounts\":{\"a\":{\"key_hash\":\"" HASH
 	"\",\"allow\":[\"m\",\"s\"]}}}";
 
+/* Decodes a bundle, owned by the caller, and adds its faults to FAULTS. */
 static bundle_t *decode(const char *text, GPtrArray *faults)
 {
 	pd_error_t err;
@@ -42,6 +46,7 @@
 	g_ptr_array_unref(faults);
 }
 
+/* Returns whether there is a fault at PATH. */
 static bool has_fault(const GPtrArray *faults, const char *path)
 {
 	for (guint i = 0; i < faults->len; i++) {
@@ -54,8 +59,8 @@
 }
 
 /*
- * An operator who fixes one fault only to be told of the next loses time in the
- * middle of an incident, so all are told at once.
+ * An operator who fixes one fault only to be shown the next loses time during an
+ * incident, so all must be reported together.
  */
 static void test_all_faults_are_reported(void **state)
 {
@@ -82,14 +87,18 @@
 	g_ptr_array_unref(faults);
 }
 
+/*
+ * Opens an envelope; returns its bundle, owned by the caller, or NULL with ERR
+ * set.
+ */
 static bundle_t *open_envelope(char *envelope, const char *key, pd_error_t *err)
 {
 	return envelope_open(envelope, strlen(envelope), key, err);
 }
 
 /*
- * Somebody who can write to the platform changes a bundle's body, or signs one
- * with a key of their own. No program may act on it.
+ * An attacker who can write to the platform's store modifies a bundle's body, or
+ * signs one with another key. No program may apply it.
  */
 static void test_tampered_envelope_is_rejected(void **state)
 {
