--- a/adapters/http_client.h
+++ b/adapters/http_client.h
@@ -37,7 +37,7 @@
 	void (*on_sending)(void *ctx); /* connected; the request is sent next */
 	void (*on_head)(void *ctx, http_call_t *call, int status);
 	void (*on_body)(void *ctx, const char *data, size_t len);
-	void (*on_done)(void *ctx, const pd_error_t *err); /* NULL: the response is complete */
+	void (*on_done)(void *ctx, const pd_error_t *err); /* NULL: complete */
 	void (*on_free)(void *ctx);
 } http_call_handlers_t;
 
