--- a/adapters/frame_link.c
+++ b/adapters/frame_link.c
@@ -178,7 +178,8 @@
 		length = GUINT32_FROM_BE(length);
 		if (length > conn->link->config.frame_max) {
 			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
-				 "dropped a connection: frame of %u bytes",
+				 "connection closed: frame of %u bytes exceeds "
+				 "the limit",
 				 length);
 			conn_close(conn);
 			return;
