--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -296,7 +296,7 @@
 	runner_finish_stop(timer->data);
 }
 
-/* Starts TIMER at once and then every PERIOD_MS. */
+/* Starts TIMER, which fires at once and then every PERIOD_MS. */
 static void runner_start_timer(entry_runner_t *runner, uv_timer_t *timer,
 			       uv_timer_cb callback, uint64_t period_ms)
 {
--- a/adapters/entry_seeds.c
+++ b/adapters/entry_seeds.c
@@ -170,8 +170,8 @@
 }
 
 /*
- * Registers this entry if necessary, pings the configured seeds while it has no
- * peers, and reads the list of entries.
+ * Registers this entry if necessary, pings the configured seeds while it
+ * has no peers or is not registered, and reads the list of entries.
  */
 static void refresh_seeds(uv_timer_t *timer)
 {
--- a/adapters/log_buffer.c
+++ b/adapters/log_buffer.c
@@ -10,7 +10,7 @@
 
 /* Sustained rate; under normal load each request writes one line. */
 #define LINES_PER_S 400
-/* Lines at once after an idle time. */
+/* Lines in a burst after an idle period. */
 #define LINES_BURST 1200
 #define BUFFER_BYTES_MAX (256 * 1024)
 
--- a/adapters/metrics.c
+++ b/adapters/metrics.c
@@ -41,8 +41,7 @@
 }
 
 /*
- * Returns the series of that name with labels, borrowed; a new one has the value
- * 0.
+ * Returns the series of NAME, which includes its labels; a new one starts at 0.
  */
 static series_t *find_or_add_series(metrics_t *metrics, const char *name)
 {
--- a/tests/process/test_fleet.c
+++ b/tests/process/test_fleet.c
@@ -146,7 +146,7 @@
 }
 
 /*
- * A client that received no answer retries with the same key, and the load
+ * A caller that received no answer retries with the same key, and the load
  * balancer sends it to another entry. The service must see one call.
  */
 static void test_key_runs_once_across_entries(void **state)
