--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -369,7 +369,7 @@
 	runner->entry = entry_create(&config);
 	runner->upstreams = upstream_http_create(runner->loop, &upstreams);
 	runner->bundles = bundle_watch_create(runner->loop, &bundles);
-	runner_start_timer(runner, &runner->tick, on_tick, TICK_MS);
+	runner_start_timer(runner, &runner->tick_timer, on_tick, TICK_MS);
 	vm_watch_create(runner->loop, &vms);
 	entry_seeds_start(runner);
 }
--- a/adapters/entry_runner_parts.h
+++ b/adapters/entry_runner_parts.h
@@ -26,8 +26,8 @@
 	metrics_t *metrics;
 	explain_t *explain;
 	member_info_t self;
-	uv_timer_t tick;
-	uv_timer_t seeds;
+	uv_timer_t tick_timer;
+	uv_timer_t seeds_timer;
 	bool registered; /* this entry's record is in the store */
 	bool listed_after_registration; /* the list was read while registered */
 	bool handling; /* actions are being performed */
--- a/adapters/entry_seeds.c
+++ b/adapters/entry_seeds.c
@@ -156,9 +156,9 @@
 	next = runner->listed_after_registration ? SEEDS_PERIOD_MS
 						 : SEEDS_SECOND_LIST_MS;
 	runner->listed_after_registration |= runner->registered;
-	uv_timer_set_repeat(&runner->seeds,
+	uv_timer_set_repeat(&runner->seeds_timer,
 			    runner->registered ? next : SEEDS_RETRY_MS);
-	uv_timer_again(&runner->seeds);
+	uv_timer_again(&runner->seeds_timer);
 error:
 	json_decref(list);
 	g_array_unref(seeds);
@@ -195,7 +195,7 @@
 /* Starts peer discovery: at once, then periodically. */
 void entry_seeds_start(entry_runner_t *runner)
 {
-	uv_timer_init(runner->loop, &runner->seeds);
-	runner->seeds.data = runner;
-	uv_timer_start(&runner->seeds, refresh_seeds, 0, SEEDS_RETRY_MS);
+	uv_timer_init(runner->loop, &runner->seeds_timer);
+	runner->seeds_timer.data = runner;
+	uv_timer_start(&runner->seeds_timer, refresh_seeds, 0, SEEDS_RETRY_MS);
 }
