--- a/tests/process/test_caller_input.c
+++ b/tests/process/test_caller_input.c
@@ -26,6 +26,7 @@
 	"{\"model\":\"ledger-reader\",\"max_tokens\":2,\"stream\":true,"
 	"\"messages\":[{\"role\":\"user\",\"content\":\"page 1\"}]}";
 
+/* Starts a fleet of one entry and one engine. */
 static int setup(void **state)
 {
 	const fleet_config_t config = { .entries = 1, .engines = 1 };
@@ -34,6 +35,7 @@
 	return 0;
 }
 
+/* Stops the fleet. */
 static int teardown(void **state)
 {
 	fleet_destroy(*state);
@@ -66,6 +68,9 @@
 	close(fd);
 }
 
+/*
+ * After all mutated requests, the entry must still run and complete a valid one.
+ */
 static void test_mutated_requests(void **state)
 {
 	fleet_t *fleet = *state;
--- a/tests/process/test_fleet.c
+++ b/tests/process/test_fleet.c
@@ -18,6 +18,7 @@
 /* Retries of a call, after which its record must have been written. */
 #define RETRIES_MAX 100
 
+/* Starts a fleet of six entries, four engines and two services. */
 static int setup(void **state)
 {
 	const fleet_config_t config = { .entries = 6, .engines = 4, .services = 2 };
@@ -26,6 +27,7 @@
 	return 0;
 }
 
+/* Stops the fleet. */
 static int teardown(void **state)
 {
 	fleet_destroy(*state);
--- a/tests/process/test_slow_reader.c
+++ b/tests/process/test_slow_reader.c
@@ -35,17 +35,20 @@
 	"{\"model\":\"m\",\"stream\":true,"
 	"\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]} ";
 
+/* Stores the id of the caller. */
 static void on_request(void *ctx, const caller_request_t *request)
 {
 	((reader_t *)ctx)->caller = request->caller;
 }
 
+/* Records that the caller was disconnected. */
 static void on_disconnect(void *ctx, caller_id_t caller)
 {
 	(void)caller;
 	((reader_t *)ctx)->disconnected = true;
 }
 
+/* Knows no other paths. */
 static bool on_other_request(void *ctx, http_exchange_t *exchange)
 {
 	(void)ctx;
@@ -53,6 +56,7 @@
 	return false;
 }
 
+/* Sends the request. */
 static void on_connected(uv_connect_t *connect, int status)
 {
 	reader_t *reader = connect->data;
@@ -63,12 +67,14 @@
 	uv_write(&reader->write, connect->handle, &buf, 1, NULL);
 }
 
+/* Allocates a buffer, which on_read() frees. */
 static void on_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
 	(void)handle;
 	*buf = uv_buf_init(g_malloc(size), (unsigned int)size);
 }
 
+/* Collects the response until its end. */
 static void on_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
 {
 	reader_t *reader = stream->data;
--- a/tests/unit/test_bundle_json.c
+++ b/tests/unit/test_bundle_json.c
@@ -30,6 +30,7 @@
 	return bundle_decode(text, strlen(text), faults, &err);
 }
 
+/* A valid bundle is decoded, and keys that are left out get their defaults. */
 static void test_valid_bundle_is_decoded(void **state)
 {
 	GPtrArray *faults = bundle_faults_create();
