--- a/adapters/bundle_json.c
+++ b/adapters/bundle_json.c
@@ -1,4 +1,6 @@
-/* Reads bundles with all their faults at once, and seals and opens them. */
+/*
+ * Decodes bundles, reporting all their errors at once; signs and verifies them.
+ */
 #include "adapters/bundle_json.h"
 
 #include <string.h>
@@ -9,14 +11,14 @@
 
 #define KEY_HASH_LEN 64
 
-/* Where in the bundle the reader is, and what it has found wrong so far. */
+/* The position in the bundle, and the errors found so far. */
 typedef struct reader {
-	GPtrArray *faults;
+	GPtrArray *faults; /* of bundle_fault_t, borrowed */
 	const char *section;
 	const char *name; /* of the item in the section, or NULL */
 } reader_t;
 
-/* Every key there is. The docs and all checks go by this table. */
+/* Every key of a bundle; the documentation and all checks use this table. */
 static const bundle_rule_t rules[] = {
 	{ "bundle", "generation", RULE_INTEGER, 1, INT64_MAX, NULL,
 	  "grows with each rollout" },
@@ -72,14 +74,15 @@
 	  "models and services it may call" },
 };
 
-/* Returns the table of all keys and sets COUNT to its length. */
+/* Returns the table of all keys, and sets COUNT to its length. */
 const bundle_rule_t *bundle_rules(size_t *count)
 {
 	*count = G_N_ELEMENTS(rules);
 	return rules;
 }
 
-static const bundle_rule_t *rule_find(const char *section, const char *key)
+/* Returns the rule of a key, or NULL if the section has no such key. */
+static const bundle_rule_t *find_rule(const char *section, const char *key)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(rules); i++) {
 		if (!strcmp(rules[i].section, section) && !strcmp(rules[i].key, key))
@@ -88,6 +91,7 @@
 	return NULL;
 }
 
+/* Frees a fault of the array. */
 static void fault_free(void *data)
 {
 	bundle_fault_t *fault = data;
@@ -103,12 +107,13 @@
 	return g_ptr_array_new_with_free_func(fault_free);
 }
 
-static void reader_fault(const reader_t *reader, const char *key,
-			 const char *format, ...)
+static void reader_add_fault(const reader_t *reader, const char *key,
+			     const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
 
-static void reader_fault(const reader_t *reader, const char *key,
-			 const char *format, ...)
+/* Adds a fault at KEY of the current section and item. */
+static void reader_add_fault(const reader_t *reader, const char *key,
+			     const char *format, ...)
 {
 	bundle_fault_t *fault = g_new0(bundle_fault_t, 1);
 	va_list args;
@@ -122,68 +127,77 @@
 	g_ptr_array_add(reader->faults, fault);
 }
 
+/*
+ * Returns an integer member or its default; its minimum with a fault if it is
+ * invalid.
+ */
 static int64_t read_integer(const reader_t *reader, const json_t *object,
 			    const char *key)
 {
-	const bundle_rule_t *rule = rule_find(reader->section, key);
+	const bundle_rule_t *rule = find_rule(reader->section, key);
 	const json_t *member = json_object_get(object, key);
 	int64_t value = json_integer_value(member);
 
-	if (!member && rule->fallback)
-		return g_ascii_strtoll(rule->fallback, NULL, 10);
-	if (!json_is_integer(member) || value < rule->least || value > rule->most) {
-		reader_fault(reader, key,
-			     "expected an integer from %" G_GINT64_FORMAT
-			     " to %" G_GINT64_FORMAT,
-			     rule->least, rule->most);
-		return rule->least;
+	if (!member && rule->default_value)
+		return g_ascii_strtoll(rule->default_value, NULL, 10);
+	if (!json_is_integer(member) || value < rule->min || value > rule->max) {
+		reader_add_fault(reader, key,
+				 "expected an integer from %" G_GINT64_FORMAT
+				 " to %" G_GINT64_FORMAT,
+				 rule->min, rule->max);
+		return rule->min;
 	}
 	return value;
 }
 
+/* Returns a boolean member or its default; adds a fault if it is invalid. */
 static bool read_boolean(const reader_t *reader, const json_t *object,
 			 const char *key)
 {
-	const bundle_rule_t *rule = rule_find(reader->section, key);
+	const bundle_rule_t *rule = find_rule(reader->section, key);
 	const json_t *member = json_object_get(object, key);
 
 	if (!member)
-		return !strcmp(rule->fallback, "true");
+		return !strcmp(rule->default_value, "true");
 	if (!json_is_boolean(member))
-		reader_fault(reader, key, "expected true or false");
+		reader_add_fault(reader, key, "expected true or false");
 	return json_is_true(member);
 }
 
-static const char *read_text(const reader_t *reader, const json_t *object,
-			     const char *key)
+/*
+ * Returns a string member or its default, borrowed; "" with a fault if it is
+ * invalid.
+ */
+static const char *read_string(const reader_t *reader, const json_t *object,
+			       const char *key)
 {
-	const bundle_rule_t *rule = rule_find(reader->section, key);
+	const bundle_rule_t *rule = find_rule(reader->section, key);
 	const json_t *member = json_object_get(object, key);
 
-	if (!member && rule->fallback)
-		return rule->fallback;
+	if (!member && rule->default_value)
+		return rule->default_value;
 	if (!json_is_string(member) || !*json_string_value(member)) {
-		reader_fault(reader, key, "expected a non-empty string");
+		reader_add_fault(reader, key, "expected a non-empty string");
 		return "";
 	}
 	return json_string_value(member);
 }
 
-/* Reads a priority; returns false if there is none and none is needed. */
+/* Reads a priority. Returns false if there is none and it may be left out. */
 static bool read_priority(const reader_t *reader, const json_t *object,
 			  priority_t *priority)
 {
-	const char *name = read_text(reader, object, "priority");
+	const char *name = read_string(reader, object, "priority");
 
 	if (!*name)
 		return false;
 	if (priority_parse(name, priority) < 0)
-		reader_fault(reader, "priority",
-			     "expected urgent, normal or batch");
+		reader_add_fault(reader, "priority",
+				 "expected urgent, normal or batch");
 	return true;
 }
 
-/* Reports every member of OBJECT that its section does not have. */
+/* Adds a fault for every member of OBJECT that is unknown in its section. */
 static void check_keys(const reader_t *reader, json_t *object)
 {
 	const char *key;
@@ -191,11 +205,12 @@
 
 	json_object_foreach(object, key, value)
 	{
-		if (!rule_find(reader->section, key))
-			reader_fault(reader, key, "unknown key");
+		if (!find_rule(reader->section, key))
+			reader_add_fault(reader, key, "unknown key");
 	}
 }
 
+/* Reads one model or service and adds it to BUNDLE. */
 static void read_target(const reader_t *reader, json_t *object,
 			target_kind_t kind, bundle_t *bundle)
 {
@@ -208,10 +223,10 @@
 	target->most_workers =
 		(unsigned int)read_integer(reader, object, "most_workers");
 	if (target->most_workers && target->most_workers < target->workers)
-		reader_fault(reader, "most_workers",
-			     "expected 0 or at least workers");
+		reader_add_fault(reader, "most_workers",
+				 "expected 0 or at least workers");
 	target->machine_class =
-		g_strdup(read_text(reader, object, "machine_class"));
+		g_strdup(read_string(reader, object, "machine_class"));
 	if (kind == TARGET_SERVICE) {
 		target->repeatable = read_boolean(reader, object, "repeatable");
 		target->checks_fencing =
@@ -219,6 +234,7 @@
 	}
 }
 
+/* Reads all models or all services, which share one namespace. */
 static void read_targets(reader_t *reader, json_t *root, const char *section,
 			 target_kind_t kind, bundle_t *bundle)
 {
@@ -231,15 +247,16 @@
 	{
 		reader->name = name;
 		if (bundle_target(bundle, name))
-			reader_fault(reader, "", "the name is used twice");
+			reader_add_fault(reader, "", "the name is used twice");
 		else if (!json_is_object(item))
-			reader_fault(reader, "", "expected a table");
+			reader_add_fault(reader, "", "expected a table");
 		else
 			read_target(reader, item, kind, bundle);
 	}
 	reader->name = NULL;
 }
 
+/* Reads the names of the models and services that an account may call. */
 static void read_allowed(const reader_t *reader, json_t *object,
 			 account_t *account, const bundle_t *bundle)
 {
@@ -248,38 +265,41 @@
 	size_t i;
 
 	if (!json_is_array(allowed))
-		reader_fault(reader, "allow", "expected an array of names");
+		reader_add_fault(reader, "allow", "expected an array of names");
 	json_array_foreach(allowed, i, item)
 	{
 		const char *name = json_string_value(item);
 
 		if (!name || !bundle_target(bundle, name))
-			reader_fault(reader, "allow",
-				     "no model or service is called %s",
-				     name ? name : "that");
+			reader_add_fault(reader, "allow",
+					 "no model or service is called %s",
+					 name ? name : "that");
 		else
 			g_ptr_array_add(account->allowed, g_strdup(name));
 	}
 }
 
+/* Returns whether TEXT has the form of a key hash. */
 static bool is_key_hash(const char *text)
 {
 	return strlen(text) == KEY_HASH_LEN &&
 	       strspn(text, "0123456789abcdef") == KEY_HASH_LEN;
 }
 
+/* Reads one account and adds it to BUNDLE. */
 static void read_account(const reader_t *reader, json_t *object, bundle_t *bundle)
 {
-	const char *hash = read_text(reader, object, "key_hash");
+	const char *hash = read_string(reader, object, "key_hash");
 	account_t *account;
 
 	check_keys(reader, object);
 	if (!is_key_hash(hash))
-		reader_fault(reader, "key_hash",
-			     "expected %d lower-case hex digits", KEY_HASH_LEN);
+		reader_add_fault(reader, "key_hash",
+				 "expected %d lower-case hex digits",
+				 KEY_HASH_LEN);
 	else if (bundle_account(bundle, hash))
-		reader_fault(reader, "key_hash",
-			     "another account has the same key");
+		reader_add_fault(reader, "key_hash",
+				 "another account has the same key");
 	account = bundle_add_account(bundle, reader->name, hash);
 	account->requests_per_second =
 		(double)read_integer(reader, object, "requests_per_second");
@@ -288,6 +308,7 @@
 	read_allowed(reader, object, account, bundle);
 }
 
+/* Reads all accounts; the targets must have been read. */
 static void read_accounts(reader_t *reader, json_t *root, bundle_t *bundle)
 {
 	const char *name;
@@ -298,13 +319,14 @@
 	{
 		reader->name = name;
 		if (!json_is_object(item))
-			reader_fault(reader, "", "expected a table");
+			reader_add_fault(reader, "", "expected a table");
 		else
 			read_account(reader, item, bundle);
 	}
 	reader->name = NULL;
 }
 
+/* Reads the section of limits. */
 static void read_limits(reader_t *reader, json_t *root, bundle_t *bundle)
 {
 	json_t *limits = json_object_get(root, "limits");
@@ -329,30 +351,32 @@
 		(unsigned int)read_integer(reader, limits, "headroom_percent");
 }
 
-static void read_head(reader_t *reader, json_t *root, bundle_t *bundle)
+/* Reads the generation and the name, and checks the names of all sections. */
+static void read_header(reader_t *reader, json_t *root, bundle_t *bundle)
 {
 	static const char *const sections[] = { "bundle",   "limits",
 						"models",   "services",
 						"accounts", NULL };
-	json_t *head = json_object_get(root, "bundle");
+	json_t *header = json_object_get(root, "bundle");
 	const char *key;
 	json_t *value;
 
 	reader->section = "bundle";
-	check_keys(reader, head);
-	bundle->generation = (uint64_t)read_integer(reader, head, "generation");
-	bundle->name = g_strdup(read_text(reader, head, "name"));
+	check_keys(reader, header);
+	bundle->generation = (uint64_t)read_integer(reader, header, "generation");
+	bundle->name = g_strdup(read_string(reader, header, "name"));
 	reader->section = "(top)";
 	json_object_foreach(root, key, value)
 	{
 		if (!g_strv_contains(sections, key))
-			reader_fault(reader, key, "unknown section");
+			reader_add_fault(reader, key, "unknown section");
 	}
 }
 
 /*
- * Reads a bundle from JSON; the caller owns it. Every fault found is added to
- * FAULTS, and if there is one, NULL is returned with ERR naming the first.
+ * Returns the bundle that JSON holds, owned by the caller. Every fault found is
+ * added to FAULTS; if there is any, or the JSON is malformed, returns NULL with
+ * ERR set to the first.
  */
 bundle_t *bundle_decode(const char *json, size_t len, GPtrArray *faults,
 			pd_error_t *err)
@@ -365,7 +389,7 @@
 	if (!root)
 		return NULL;
 	bundle = bundle_create();
-	read_head(&reader, root, bundle);
+	read_header(&reader, root, bundle);
 	read_limits(&reader, root, bundle);
 	read_targets(&reader, root, "models", TARGET_MODEL, bundle);
 	read_targets(&reader, root, "services", TARGET_SERVICE, bundle);
@@ -380,7 +404,10 @@
 	return NULL;
 }
 
-/* Returns the canonical JSON of a bundle written in TOML, owned by caller. */
+/*
+ * Returns the canonical JSON of a bundle written in TOML, owned by the caller,
+ * or NULL with ERR set if the file can't be read or parsed.
+ */
 char *bundle_canonical(const char *toml_path, pd_error_t *err)
 {
 	toml_document_t *document = toml_document_read(toml_path);
@@ -405,8 +432,11 @@
 	return canonical;
 }
 
-/* Returns the signed envelope of a canonical bundle, owned by the caller. */
-char *envelope_seal(const char *canonical, const char *secret_key, pd_error_t *err)
+/*
+ * Returns a signed envelope of a canonical bundle, owned by the caller, or NULL
+ * with ERR set if the key is invalid.
+ */
+char *envelope_sign(const char *canonical, const char *secret_key, pd_error_t *err)
 {
 	char *signature =
 		signing_sign(secret_key, canonical, strlen(canonical), err);
@@ -428,8 +458,9 @@
 }
 
 /*
- * Checks an envelope's signature and reads the bundle in it; the caller owns
- * the bundle. Nothing of an envelope is looked at before its signature holds.
+ * Returns the bundle in an envelope, owned by the caller, or NULL with ERR set
+ * if the signature or the bundle is invalid. The payload is not parsed before
+ * its signature has been verified.
  */
 bundle_t *envelope_open(const char *data, size_t len, const char *public_key,
 			pd_error_t *err)
--- a/adapters/bundle_json.h
+++ b/adapters/bundle_json.h
@@ -1,6 +1,6 @@
 /*
- * Bundles as bytes: operators write TOML, which becomes canonical JSON (sorted
- * keys, no spaces), which is signed and travels in an envelope.
+ * The encoding of bundles: operators write TOML, which is converted to canonical
+ * JSON (sorted keys, no spaces), signed, and distributed in an envelope.
  */
 #ifndef PISTACHIO_BUNDLE_JSON_H
 #define PISTACHIO_BUNDLE_JSON_H
@@ -17,19 +17,20 @@
 	RULE_NAMES
 } rule_kind_t;
 
-/* One key of a bundle, as it is checked and documented. */
+/* The schema of one key; checks and documentation are derived from it. */
 typedef struct bundle_rule {
 	const char *section;
 	const char *key;
 	rule_kind_t kind;
-	int64_t least; /* of an integer */
-	int64_t most;
-	const char *fallback; /* NULL: the key is required */
-	const char *meaning;
+	int64_t min; /* range of an integer */
+	int64_t max;
+	const char *default_value; /* NULL: the key is required */
+	const char *description;
 } bundle_rule_t;
 
+/* An error found in a bundle. */
 typedef struct bundle_fault {
-	char *path; /* as in services.station-call.priority */
+	char *path; /* for example services.station-call.priority */
 	char *expected;
 } bundle_fault_t;
 
@@ -38,7 +39,7 @@
 bundle_t *bundle_decode(const char *json, size_t len, GPtrArray *faults,
 			pd_error_t *err);
 GPtrArray *bundle_faults_create(void);
-char *envelope_seal(const char *canonical, const char *secret_key, pd_error_t *err);
+char *envelope_sign(const char *canonical, const char *secret_key, pd_error_t *err);
 bundle_t *envelope_open(const char *data, size_t len, const char *public_key,
 			pd_error_t *err);
 
--- a/adapters/caller_http.c
+++ b/adapters/caller_http.c
@@ -1,4 +1,6 @@
-/* Turns callers' HTTP requests into core requests, and answers into HTTP. */
+/*
+ * Translates callers' HTTP requests to core requests, and core answers to HTTP.
+ */
 #include "adapters/caller_http.h"
 
 #include <glib.h>
@@ -10,16 +12,16 @@
 #include "adapters/signing.h"
 
 /*
- * Bytes of a stream kept for a caller beyond what it is being sent. An upstream
- * that was held up may send a thousand tokens at once, a third of this.
+ * Bytes of a stream that may be buffered for a caller. An upstream that was
+ * stalled may send a thousand tokens at once, which take a third of this.
  */
-#define UNREAD_MAX ((size_t)1024 * 1024)
-#define PART "caller"
+#define UNSENT_BYTES_MAX ((size_t)1024 * 1024)
+#define LOG_COMPONENT "caller"
 #define COMPLETIONS_PATH "/v1/chat/completions"
 #define SERVICES_PREFIX "/v1/services/"
 #define PROBLEM_PREFIX "urn:pistachiodrift:problem:"
 #define MAX_TOKENS_DEFAULT 256
-#define MAX_TOKENS_MOST 100000
+#define MAX_TOKENS_LIMIT 100000
 #define BEARER "Bearer "
 #define MOVED_STATUS 503
 
@@ -34,12 +36,13 @@
 	caller_http_t *http;
 	caller_id_t id;
 	http_exchange_t *exchange;
-	char *model; /* NULL for a plain service */
+	char *model; /* NULL for a service */
 	bool stream;
-	GString *answer; /* of a model, if not streamed */
-	uint64_t tokens;
+	GString *answer; /* text of a completion that is not streamed */
+	uint64_t tokens; /* received so far */
 } caller_t;
 
+/* Frees a caller; its exchange is owned by the server. */
 static void caller_destroy(void *data)
 {
 	caller_t *caller = data;
@@ -49,16 +52,18 @@
 	g_free(caller);
 }
 
-static void caller_on_gone(void *ctx)
+/* Removes a caller whose connection has closed, and reports it. */
+static void caller_on_disconnect(void *ctx)
 {
 	caller_t *caller = ctx;
 	caller_http_t *http = caller->http;
 	caller_id_t id = caller->id;
 
 	g_hash_table_remove(http->callers, &id);
-	http->config.on_gone(http->config.ctx, id);
+	http->config.on_disconnect(http->config.ctx, id);
 }
 
+/* Returns a caller with a new id for EXCHANGE, owned by the table of callers. */
 static caller_t *caller_create(caller_http_t *http, http_exchange_t *exchange)
 {
 	caller_t *caller = g_new0(caller_t, 1);
@@ -68,10 +73,11 @@
 	caller->exchange = exchange;
 	caller->answer = g_string_new(NULL);
 	g_hash_table_insert(http->callers, &caller->id, caller);
-	http_exchange_on_gone(exchange, caller_on_gone, caller);
+	http_exchange_on_disconnect(exchange, caller_on_disconnect, caller);
 	return caller;
 }
 
+/* Replies with a problem document; NAME is its title and the end of its type. */
 static void reply_problem(http_exchange_t *exchange, int status,
 			  const char *name, const char *detail)
 {
@@ -92,7 +98,10 @@
 	json_decref(problem);
 }
 
-/* Returns the hash of the caller's key, or NULL if it gave none. */
+/*
+ * Returns the hash of the bearer token, owned by the caller; NULL if there is
+ * none.
+ */
 static char *caller_key_hash(const http_exchange_t *exchange)
 {
 	const char *value = http_exchange_header(exchange, "authorization");
@@ -103,7 +112,10 @@
 	return signing_hash(value, strlen(value));
 }
 
-/* Joins the messages of a chat into the prompt that the engine gets. */
+/*
+ * Appends the messages of a chat to PROMPT, the text that the engine receives.
+ * Returns -1 with ERR set if they are invalid.
+ */
 static int compose_prompt(const json_t *body, GString *prompt, pd_error_t *err)
 {
 	json_t *messages;
@@ -129,11 +141,12 @@
 }
 
 /*
- * The id of the last event that a caller has is REQUEST-ID/OFFSET, or REQUEST-ID
- * alone if it has no token yet. Returns the request's id, owned by the caller,
- * and sets OFFSET to the next token's place; NULL if there is no such header.
+ * Parses the Last-Event-ID header, which is REQUEST-ID/OFFSET, or REQUEST-ID
+ * alone if no token was received. Returns the request's id, owned by the caller,
+ * or NULL if there is no such header; sets OFFSET to the offset of the next
+ * token.
  */
-static char *resume_point(const http_exchange_t *exchange, uint64_t *offset)
+static char *parse_last_event_id(const http_exchange_t *exchange, uint64_t *offset)
 {
 	const char *last = http_exchange_header(exchange, "last-event-id");
 	const char *slash = last ? strrchr(last, '/') : NULL;
@@ -145,6 +158,7 @@
 	return g_strndup(last, (gsize)(slash - last));
 }
 
+/* Starts a chat completion, or replies with the error in the request. */
 static void on_completion(caller_http_t *http, http_exchange_t *exchange)
 {
 	char *key_hash = caller_key_hash(exchange);
@@ -155,7 +169,7 @@
 		.idempotency_key =
 			http_exchange_header(exchange, "idempotency-key"),
 	};
-	char *resume_id = resume_point(exchange, &request.resume_offset);
+	char *resume_id = parse_last_event_id(exchange, &request.resume_offset);
 	int64_t max_tokens;
 	caller_t *caller;
 	pd_error_t err;
@@ -167,9 +181,9 @@
 	    compose_prompt(body, prompt, &err) < 0)
 		goto error;
 	max_tokens = json_integer_or(body, "max_tokens", MAX_TOKENS_DEFAULT);
-	if (max_tokens < 1 || max_tokens > MAX_TOKENS_MOST) {
+	if (max_tokens < 1 || max_tokens > MAX_TOKENS_LIMIT) {
 		pd_error_set(&err, PD_ERROR_INPUT,
-			     "max_tokens: expected 1 to %d", MAX_TOKENS_MOST);
+			     "max_tokens: expected 1 to %d", MAX_TOKENS_LIMIT);
 		goto error;
 	}
 	request.resume_id = resume_id;
@@ -188,7 +202,7 @@
 	g_free(key_hash);
 	return;
 error:
-	log_error(PART, "refused a completion", &err);
+	log_error(LOG_COMPONENT, "completion refused", &err);
 	reply_problem(exchange, 400, "bad-request", err.context);
 	json_decref(body);
 	g_string_free(prompt, TRUE);
@@ -196,6 +210,9 @@
 	g_free(key_hash);
 }
 
+/*
+ * Starts a call of a service; the path names the service and the path within it.
+ */
 static void on_service(caller_http_t *http, http_exchange_t *exchange)
 {
 	const char *rest = http_exchange_target(exchange) + strlen(SERVICES_PREFIX);
@@ -221,6 +238,7 @@
 	g_free(key_hash);
 }
 
+/* Routes an HTTP request by its method and path. */
 static void on_request(void *ctx, http_exchange_t *exchange)
 {
 	caller_http_t *http = ctx;
@@ -231,11 +249,14 @@
 		on_completion(http, exchange);
 	else if (post && g_str_has_prefix(path, SERVICES_PREFIX))
 		on_service(http, exchange);
-	else if (!http->config.on_other(http->config.ctx, exchange))
+	else if (!http->config.on_other_request(http->config.ctx, exchange))
 		reply_problem(exchange, 404, "not-found", "no such resource");
 }
 
-/* Starts serving callers. NULL with ERR set if it can't listen. */
+/*
+ * Starts serving callers; CONFIG is copied. Returns NULL with ERR set if the
+ * address can't be listened on. The caller destroys the result.
+ */
 caller_http_t *caller_http_create(uv_loop_t *loop,
 				  const caller_http_config_t *config,
 				  pd_error_t *err)
@@ -261,7 +282,7 @@
 	return NULL;
 }
 
-/* Stops listening; NULL is allowed. */
+/* Stops listening and frees HTTP; NULL is allowed. */
 void caller_http_destroy(caller_http_t *http)
 {
 	if (!http)
@@ -271,35 +292,40 @@
 	g_free(http);
 }
 
-/* Returns the port that callers connect to. */
+/* Returns the TCP port that callers connect to. */
 uint16_t caller_http_port(const caller_http_t *http)
 {
 	return http_server_port(http->server);
 }
 
-/* Returns how many callers' answers are not yet sent to their end. */
-unsigned int caller_http_open(const caller_http_t *http)
+/* Returns the number of requests whose answer has not been sent completely. */
+unsigned int caller_http_open_exchanges(const caller_http_t *http)
 {
-	return http_server_open(http->server);
+	return http_server_open_exchanges(http->server);
 }
 
-/* Ends connections after their answers, so that callers go elsewhere. */
+/*
+ * Closes each connection after its answer, so that callers reconnect elsewhere.
+ */
 void caller_http_drain(caller_http_t *http)
 {
 	http_server_drain(http->server);
 }
 
+/* Returns the caller with that id, borrowed, or NULL if it has disconnected. */
 static caller_t *caller_find(caller_http_t *http, caller_id_t id)
 {
 	return g_hash_table_lookup(http->callers, &id);
 }
 
+/* Ends the answer and removes the caller. */
 static void caller_finish(caller_t *caller)
 {
 	http_exchange_end(caller->exchange);
 	g_hash_table_remove(caller->http->callers, &caller->id);
 }
 
+/* Sends the headers of an event stream unless they have been sent. */
 static void caller_begin_stream(caller_t *caller, const char *request_id)
 {
 	const http_header_t headers[] = {
@@ -308,11 +334,15 @@
 		{ "x-request-id", request_id },
 	};
 
-	if (!http_exchange_began(caller->exchange))
+	if (!http_exchange_has_begun(caller->exchange))
 		http_exchange_begin(caller->exchange, 200, headers,
 				    G_N_ELEMENTS(headers));
 }
 
+/*
+ * Returns a completion object of the type OBJECT, owned by the caller; takes
+ * CHOICE.
+ */
 static json_t *completion_json(const caller_t *caller, const char *request_id,
 			       const char *object, json_t *choice)
 {
@@ -328,6 +358,7 @@
 	return body;
 }
 
+/* Sends a server-sent event; ID and NAME may be NULL. */
 static void caller_send_event(caller_t *caller, const char *id,
 			      const char *name, json_t *data)
 {
@@ -345,22 +376,26 @@
 }
 
 /*
- * Lets go of a caller that does not read. An engine is quicker than a stalled
- * reader, so its answer would pile up here, and a few hundred such callers would
- * take the entry's memory. The stream ends without its last event, at the end of
- * an event, and the caller may take it up again with Last-Event-ID.
+ * Disconnects a caller that does not read its stream. The engine would keep
+ * sending, and a few hundred such callers would exhaust the entry's memory. The
+ * stream is truncated after a complete event and has no final one; the caller
+ * may resume it with Last-Event-ID.
  */
-static void caller_drop_slow(caller_t *caller)
+static void caller_drop_slow_reader(caller_t *caller)
 {
 	http_exchange_t *exchange = caller->exchange;
 
-	caller_on_gone(caller);
-	http_exchange_abandon(exchange);
+	caller_on_disconnect(caller);
+	http_exchange_truncate(exchange);
 }
 
-/* Gives a caller the token at OFFSET of its answer. */
-void caller_http_token(caller_http_t *http, caller_id_t id, const char *request_id,
-		       uint64_t offset, const char *data, size_t len)
+/*
+ * Sends a caller the token at OFFSET of its answer, or collects it if the answer
+ * is not streamed. The data is copied.
+ */
+void caller_http_send_token(caller_http_t *http, caller_id_t id,
+			    const char *request_id, uint64_t offset,
+			    const char *data, size_t len)
 {
 	caller_t *caller = caller_find(http, id);
 	json_t *choice;
@@ -384,11 +419,12 @@
 	caller_send_event(caller, event_id, NULL, chunk);
 	g_free(event_id);
 	json_decref(chunk);
-	if (http_exchange_pending(caller->exchange) > UNREAD_MAX)
-		caller_drop_slow(caller);
+	if (http_exchange_pending(caller->exchange) > UNSENT_BYTES_MAX)
+		caller_drop_slow_reader(caller);
 }
 
-static void caller_reply_whole(caller_t *caller, const char *request_id)
+/* Replies with the collected answer as one completion. */
+static void caller_reply_completion(caller_t *caller, const char *request_id)
 {
 	const http_header_t headers[] = {
 		{ "content-type", "application/json" },
@@ -414,7 +450,7 @@
 	json_decref(body);
 }
 
-/* Tells a caller that its model's answer is whole. */
+/* Completes the answer of a model. */
 void caller_http_end(caller_http_t *http, caller_id_t id, const char *request_id)
 {
 	static const char done[] = "data: [DONE]\n\n";
@@ -423,7 +459,7 @@
 	if (!caller)
 		return;
 	if (!caller->stream) {
-		caller_reply_whole(caller, request_id);
+		caller_reply_completion(caller, request_id);
 		return;
 	}
 	caller_begin_stream(caller, request_id);
@@ -431,7 +467,7 @@
 	caller_finish(caller);
 }
 
-/* Gives a caller the answer of a plain service, as it came. */
+/* Replies with the answer of a service, unchanged; DATA is copied. */
 void caller_http_answer(caller_http_t *http, caller_id_t id, const char *request_id,
 			int status, const char *data, size_t len, bool replayed)
 {
@@ -449,7 +485,7 @@
 	g_hash_table_remove(http->callers, &id);
 }
 
-/* A caller that waits for a whole answer gets a status in place of an event. */
+/* Tells a caller without a stream to retry: a status in place of the event. */
 static void caller_reply_moved(caller_t *caller, const char *request_id)
 {
 	const http_header_t headers[] = {
@@ -471,12 +507,12 @@
 }
 
 /*
- * Tells a caller to come back, to any entry, with the id of the last event it
- * has; OFFSET is how many tokens those are. The event carries that id itself,
- * as a caller that has no token yet has seen no id.
+ * Tells a caller to reconnect, to any entry, with the id of the last event that
+ * it received; OFFSET is the number of tokens sent. The event itself carries
+ * that id, because a caller without any token has not seen one.
  */
-void caller_http_moved(caller_http_t *http, caller_id_t id,
-		       const char *request_id, uint64_t offset)
+void caller_http_send_moved(caller_http_t *http, caller_id_t id,
+			    const char *request_id, uint64_t offset)
 {
 	caller_t *caller = caller_find(http, id);
 	char *event_id;
@@ -499,6 +535,10 @@
 	g_free(event_id);
 }
 
+/*
+ * Returns the problem document of a refusal, owned by the caller; REQUEST_ID may
+ * be NULL.
+ */
 static json_t *refusal_json(const char *request_id, refusal_t refusal,
 			    refusal_reason_t reason)
 {
@@ -518,8 +558,9 @@
 }
 
 /*
- * Refuses a caller, now. A stream that has begun ends with an error event, as
- * its status has been sent.
+ * Refuses a request. A stream that has begun ends with an error event instead,
+ * as its status has already been sent. RETRY_AFTER is rounded up to seconds; 0
+ * sends none.
  */
 void caller_http_refuse(caller_http_t *http, caller_id_t id,
 			const char *request_id, refusal_t refusal,
@@ -533,7 +574,7 @@
 	if (!caller)
 		return;
 	problem = refusal_json(request_id, refusal, reason);
-	if (http_exchange_began(caller->exchange)) {
+	if (http_exchange_has_begun(caller->exchange)) {
 		caller_send_event(caller, NULL, "error", problem);
 		caller_finish(caller);
 		json_decref(problem);
--- a/adapters/caller_http.h
+++ b/adapters/caller_http.h
@@ -1,6 +1,6 @@
 /*
- * Callers over HTTP: chat completions for models, plain paths for services,
- * problem documents for refusals. docs/API.md is the callers' page.
+ * The HTTP API for callers: chat completions for models, plain paths for
+ * services, and problem documents for refusals. It is documented in docs/API.md.
  */
 #ifndef PISTACHIO_CALLER_HTTP_H
 #define PISTACHIO_CALLER_HTTP_H
@@ -17,11 +17,11 @@
 typedef struct caller_http_config {
 	const char *address;
 	uint16_t port;
-	size_t body_max;
+	size_t body_max; /* bytes of a request's body */
 	void (*on_request)(void *ctx, const caller_request_t *request);
-	void (*on_gone)(void *ctx, caller_id_t caller);
-	/* Answers what is not a caller's; returns false if it is unknown. */
-	bool (*on_other)(void *ctx, http_exchange_t *exchange);
+	void (*on_disconnect)(void *ctx, caller_id_t caller);
+	/* Handles requests for other paths; returns false if the path is unknown. */
+	bool (*on_other_request)(void *ctx, http_exchange_t *exchange);
 	void *ctx;
 } caller_http_config_t;
 
@@ -30,15 +30,15 @@
 				  pd_error_t *err);
 void caller_http_destroy(caller_http_t *http);
 uint16_t caller_http_port(const caller_http_t *http);
-unsigned int caller_http_open(const caller_http_t *http);
+unsigned int caller_http_open_exchanges(const caller_http_t *http);
 void caller_http_drain(caller_http_t *http);
-void caller_http_token(caller_http_t *http, caller_id_t caller,
-		       const char *request_id, uint64_t offset,
-		       const char *data, size_t len);
+void caller_http_send_token(caller_http_t *http, caller_id_t caller,
+			    const char *request_id, uint64_t offset,
+			    const char *data, size_t len);
 void caller_http_end(caller_http_t *http, caller_id_t caller,
 		     const char *request_id);
-void caller_http_moved(caller_http_t *http, caller_id_t id,
-		       const char *request_id, uint64_t offset);
+void caller_http_send_moved(caller_http_t *http, caller_id_t id,
+			    const char *request_id, uint64_t offset);
 void caller_http_answer(caller_http_t *http, caller_id_t caller,
 			const char *request_id, int status, const char *data,
 			size_t len, bool replayed);
--- a/adapters/entry_pages.c
+++ b/adapters/entry_pages.c
@@ -1,4 +1,6 @@
-/* What an entry serves to operators, the balancer and its own VM. */
+/*
+ * HTTP endpoints for operators, the load balancer and agents on the entry's VM.
+ */
 #include <stdlib.h>
 #include <string.h>
 #include <sys/types.h>
@@ -6,8 +8,9 @@
 #include "adapters/entry_runner_parts.h"
 #include "adapters/json.h"
 
-#define LEAVES_IN_MS_MOST (24 * 3600 * 1000)
+#define LEAVES_IN_MS_MAX (24 * 3600 * 1000)
 
+/* Replies with a text of the content type TYPE. */
 static void reply_text(http_exchange_t *exchange, int status, const char *type,
 		       const char *text)
 {
@@ -16,25 +19,27 @@
 	http_exchange_reply(exchange, status, &header, 1, text, strlen(text));
 }
 
+/* Replies with all metrics, after updating the gauges. */
 static void reply_metrics(entry_runner_t *runner, http_exchange_t *exchange)
 {
 	char *text;
 
-	metrics_gauge(runner->metrics, "pistachio_in_flight",
-		      entry_in_flight(runner->entry));
-	metrics_gauge(runner->metrics, "pistachio_bundle_generation",
-		      (double)entry_generation(runner->entry));
-	metrics_gauge(runner->metrics, "pistachio_upstreams_usable",
-		      entry_upstreams_usable(runner->entry));
-	metrics_gauge(runner->metrics, "pistachio_members_alive",
-		      entry_members_alive(runner->entry));
-	metrics_gauge(runner->metrics, "pistachio_peer_bytes_total",
-		      (double)peer_link_bytes(runner->peers));
-	text = metrics_text(runner->metrics);
+	metrics_set_gauge(runner->metrics, "pistachio_in_flight",
+			  entry_in_flight(runner->entry));
+	metrics_set_gauge(runner->metrics, "pistachio_bundle_generation",
+			  (double)entry_generation(runner->entry));
+	metrics_set_gauge(runner->metrics, "pistachio_upstreams_usable",
+			  entry_upstreams_usable(runner->entry));
+	metrics_set_gauge(runner->metrics, "pistachio_members_alive",
+			  entry_members_alive(runner->entry));
+	metrics_set_gauge(runner->metrics, "pistachio_peer_bytes_total",
+			  (double)peer_link_bytes(runner->peers));
+	text = metrics_format(runner->metrics);
 	reply_text(exchange, 200, "text/plain; version=0.0.4", text);
 	g_free(text);
 }
 
+/* Replies with the entry's status as JSON. */
 static void reply_status(entry_runner_t *runner, http_exchange_t *exchange)
 {
 	json_t *status =
@@ -53,6 +58,7 @@
 	json_decref(status);
 }
 
+/* Replies with the recorded decisions of a request; 404 if there are none. */
 static void reply_explain(entry_runner_t *runner, http_exchange_t *exchange,
 			  const char *request_id)
 {
@@ -66,8 +72,9 @@
 }
 
 /*
- * Takes the notice of a reclaim from an agent on this VM. From elsewhere it is
- * refused, as callers reach this port too and could stop an entry by it.
+ * Handles a reclaim notice from an agent on this VM. Requests from elsewhere are
+ * refused, because callers can reach this port and could stop the entry with
+ * one.
  */
 static void reply_reclaim(entry_runner_t *runner, http_exchange_t *exchange)
 {
@@ -84,15 +91,19 @@
 	notice = json_parse(data, len, &err);
 	leaves_in_ms = notice ? json_integer_or(notice, "leaves_in_ms", -1) : -1;
 	json_decref(notice);
-	if (leaves_in_ms < 0 || leaves_in_ms > LEAVES_IN_MS_MOST) {
+	if (leaves_in_ms < 0 || leaves_in_ms > LEAVES_IN_MS_MAX) {
 		reply_text(exchange, 400, "text/plain", "leaves_in_ms expected\n");
 		return;
 	}
 	reply_text(exchange, 200, "text/plain", "leaving\n");
-	entry_runner_reclaim(runner, leaves_in_ms * PD_MSEC);
+	entry_runner_handle_vm_notice(runner, leaves_in_ms * PD_MSEC);
 }
 
-/* Answers what operators, the balancer and the VM's own agent ask. */
+/*
+ * Replies to a request of an operator, the load balancer or the VM's agent.
+ * Returns false if the path is none of theirs; nothing is sent then. CTX is the
+ * runner.
+ */
 bool entry_pages_reply(void *ctx, http_exchange_t *exchange)
 {
 	static const char explain_prefix[] = "/explain/";
--- a/adapters/entry_runner.c
+++ b/adapters/entry_runner.c
@@ -1,7 +1,7 @@
 /*
- * Feeds the entry's core with events and carries out its actions. Events that
- * come up while actions are carried out wait their turn, so the core is never
- * entered twice.
+ * Delivers events to the entry's core and performs the resulting actions.
+ * Actions of events that occur meanwhile are queued, so that performing them
+ * never nests.
  */
 #include "adapters/entry_runner.h"
 
@@ -14,22 +14,24 @@
 #include "adapters/vm_watch.h"
 #include "core/hash.h"
 
-#define PART "entry"
+#define LOG_COMPONENT "entry"
 #define TICK_MS 20
-#define FLUSH_MAX (5 * PD_SEC)
+/* How long a stopped entry waits for callers to receive their answers. */
+#define FLUSH_TIMEOUT (5 * PD_SEC)
 
-typedef struct store_ask {
+/* A call of the platform's store that is in progress. */
+typedef struct store_call {
 	entry_runner_t *runner;
 	store_op_t op;
 	bool write;
-} store_ask_t;
+} store_call_t;
 
 static void runner_perform(entry_runner_t *runner, action_t *action);
 
 /*
- * Hands one event to the core and carries out what follows. An adapter that
- * reports while an action is carried out finds HANDLING set; its event's
- * actions then join the end of the same list.
+ * Delivers one event to the core and performs the resulting actions. If an
+ * adapter reports an event while an action is performed, HANDLING is set, and
+ * the actions of that event are appended to the same list.
  */
 void runner_handle(entry_runner_t *runner, event_t *event)
 {
@@ -50,18 +52,19 @@
 	runner->handling = false;
 }
 
-static void on_store_answer(void *ctx, const platform_answer_t *answer)
+/* Decodes the reply of the store, delivers it to the core and frees the call. */
+static void on_store_reply(void *ctx, const platform_answer_t *answer)
 {
-	store_ask_t *ask = ctx;
-	entry_runner_t *runner = ask->runner;
+	store_call_t *call = ctx;
+	entry_runner_t *runner = call->runner;
 	claim_table_t *table = NULL;
 	pd_error_t err;
 	event_t event = { .kind = EVENT_STORE_REPLY,
-			  .store = { .op = ask->op,
+			  .store = { .op = call->op,
 				     .status = answer->status,
 				     .version = answer->version } };
 
-	if (!ask->write && answer->status == STORE_OK) {
+	if (!call->write && answer->status == STORE_OK) {
 		table = claim_table_decode(answer->body, answer->len, &err);
 		if (!table) {
 			log_error("claims", "dropped an object", &err);
@@ -71,56 +74,60 @@
 	event.store.table = table;
 	runner_handle(runner, &event);
 	claim_table_destroy(table);
-	g_free(ask);
+	g_free(call);
 }
 
+/* Reads or writes the claim table that ACTION names. */
 static void perform_store(entry_runner_t *runner, const action_t *action)
 {
-	store_ask_t *ask = g_new0(store_ask_t, 1);
+	store_call_t *call = g_new0(store_call_t, 1);
 	char *body;
 
-	ask->runner = runner;
-	ask->op = action->store.op;
-	ask->write = action->kind == ACTION_STORE_WRITE;
-	if (!ask->write) {
+	call->runner = runner;
+	call->op = action->store.op;
+	call->write = action->kind == ACTION_STORE_WRITE;
+	if (!call->write) {
 		platform_read(runner->platform, action->store.key,
-			      on_store_answer, ask);
+			      on_store_reply, call);
 		return;
 	}
 	body = claim_table_encode(action->store.table);
 	platform_write(runner->platform, action->store.key, action->store.version,
-		       body, strlen(body), on_store_answer, ask);
+		       body, strlen(body), on_store_reply, call);
 	metrics_add(runner->metrics, "pistachio_claim_writes_total", 1);
 	g_free(body);
 }
 
+/* Refuses a request and counts the refusal by type. */
 static void perform_refuse(entry_runner_t *runner, const action_t *action)
 {
 	caller_http_refuse(runner->callers, action->refuse.caller,
 			   action->refuse.request_id, action->refuse.refusal,
 			   action->refuse.reason, action->refuse.retry_after);
-	metrics_count(runner->metrics, "pistachio_refusals_total", "type",
-		      refusal_name(action->refuse.refusal));
+	metrics_increment(runner->metrics, "pistachio_refusals_total", "type",
+			  refusal_name(action->refuse.refusal));
 }
 
 /*
- * The core has nothing in flight, but the last bytes of an answer may still be
- * in this process; leaving now would cut them off. A caller that has gone
- * silent must not hold the process for ever, so the wait has an end.
+ * Stops the loop when the core has stopped and every answer has been sent. The
+ * core has no request in flight then, but the last bytes of an answer may still
+ * be buffered in this process. A caller that does not read must not keep the
+ * process running, so the wait ends after FLUSH_TIMEOUT.
  */
-static void runner_check_stopped(entry_runner_t *runner)
+static void runner_finish_stop(entry_runner_t *runner)
 {
-	bool sent = caller_http_open(runner->callers) == 0;
+	bool sent = caller_http_open_exchanges(runner->callers) == 0;
 
-	if (!runner->stopped_at)
+	if (!runner->core_stopped_at)
 		return;
-	if (!sent && clock_now() - runner->stopped_at < FLUSH_MAX)
+	if (!sent && clock_now() - runner->core_stopped_at < FLUSH_TIMEOUT)
 		return;
-	log_line(G_LOG_LEVEL_INFO, PART, "stopped, %s",
-		 sent ? "every answer sent" : "some callers took no bytes");
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stopped, %s",
+		 sent ? "every answer sent" : "some answers not fully sent");
 	uv_stop(runner->loop);
 }
 
+/* Performs one action of the core. */
 static void runner_perform(entry_runner_t *runner, action_t *action)
 {
 	switch (action->kind) {
@@ -141,9 +148,10 @@
 		break;
 	case ACTION_TOKEN:
 		metrics_add(runner->metrics, "pistachio_tokens_total", 1);
-		caller_http_token(runner->callers, action->reply.caller,
-				  action->reply.request_id, action->reply.offset,
-				  action->reply.data, action->reply.len);
+		caller_http_send_token(runner->callers, action->reply.caller,
+				       action->reply.request_id,
+				       action->reply.offset, action->reply.data,
+				       action->reply.len);
 		break;
 	case ACTION_ANSWER:
 		caller_http_answer(runner->callers, action->reply.caller,
@@ -156,8 +164,9 @@
 				action->reply.request_id);
 		break;
 	case ACTION_MOVED:
-		caller_http_moved(runner->callers, action->reply.caller,
-				  action->reply.request_id, action->reply.offset);
+		caller_http_send_moved(runner->callers, action->reply.caller,
+				       action->reply.request_id,
+				       action->reply.offset);
 		break;
 	case ACTION_REFUSE:
 		perform_refuse(runner, action);
@@ -172,7 +181,7 @@
 		break;
 	case ACTION_DECISION:
 		log_decision(&action->decision);
-		explain_note(runner->explain, &action->decision);
+		explain_record(runner->explain, &action->decision);
 		break;
 	case ACTION_BUNDLE_APPLIED:
 		log_line(G_LOG_LEVEL_INFO, "bundle",
@@ -180,11 +189,12 @@
 			 action->generation);
 		break;
 	case ACTION_STOPPED:
-		runner->stopped_at = clock_now();
+		runner->core_stopped_at = clock_now();
 		break;
 	}
 }
 
+/* Delivers a caller's request to the core. */
 static void on_caller_request(void *ctx, const caller_request_t *request)
 {
 	event_t event = { .kind = EVENT_REQUEST, .request = *request };
@@ -194,13 +204,15 @@
 	runner_handle(runner, &event);
 }
 
-static void on_caller_gone(void *ctx, caller_id_t caller)
+/* Reports a disconnected caller to the core. */
+static void on_caller_disconnect(void *ctx, caller_id_t caller)
 {
 	event_t event = { .kind = EVENT_CALLER_DISCONNECTED, .caller = caller };
 
 	runner_handle(ctx, &event);
 }
 
+/* Delivers an event of an attempt to the core and counts recomputed tokens. */
 static void on_upstream_event(void *ctx, const upstream_event_t *upstream)
 {
 	event_t event = { .kind = EVENT_UPSTREAM, .upstream = *upstream };
@@ -212,6 +224,7 @@
 		    (double)(entry_recomputed_tokens(runner->entry) - before));
 }
 
+/* Delivers an upstream's load report to the core. */
 static void on_load(void *ctx, const load_report_t *load)
 {
 	event_t event = { .kind = EVENT_LOAD, .load = *load };
@@ -219,6 +232,10 @@
 	runner_handle(ctx, &event);
 }
 
+/*
+ * Delivers a peer's message to the core, and offers a bundle in it to the bundle
+ * watch.
+ */
 static void on_peer_msg(void *ctx, const peer_msg_t *msg)
 {
 	entry_runner_t *runner = ctx;
@@ -229,6 +246,10 @@
 		bundle_watch_offer(runner->bundles, msg->body);
 }
 
+/*
+ * Delivers a verified bundle to the core, which may take ownership and set it to
+ * NULL.
+ */
 static void on_bundle(void *ctx, bundle_t **bundle, GBytes *envelope)
 {
 	event_t event = { .kind = EVENT_BUNDLE, .bundle = { *bundle, envelope } };
@@ -237,16 +258,22 @@
 	*bundle = event.bundle.bundle;
 }
 
-static uint64_t on_generation_asked(void *ctx)
+/* Returns the generation of the bundle in force, 0 if there is none. */
+static uint64_t get_generation(void *ctx)
 {
 	return entry_generation(((entry_runner_t *)ctx)->entry);
 }
 
-static unsigned int on_members_asked(void *ctx)
+/* Returns the number of live entries, this one included. */
+static unsigned int get_members_alive(void *ctx)
 {
 	return entry_members_alive(((entry_runner_t *)ctx)->entry);
 }
 
+/*
+ * Delivers the VM list to the core, and begins to stop if it shows this VM as
+ * leaving.
+ */
 static void on_vm_list(void *ctx, const vm_t *vms, size_t count)
 {
 	event_t event = { .kind = EVENT_VM_LIST, .vm_list = { vms, count } };
@@ -256,26 +283,31 @@
 	for (size_t i = 0; i < count; i++) {
 		if (vms[i].state == VM_LEAVING &&
 		    !strcmp(vms[i].id, runner->self.id))
-			entry_runner_reclaim(runner, vms[i].leaves_in);
+			entry_runner_handle_vm_notice(runner, vms[i].leaves_in);
 	}
 }
 
+/* Advances the core, and ends the loop if the entry has stopped. */
 static void on_tick(uv_timer_t *timer)
 {
 	event_t event = { .kind = EVENT_TICK };
 
 	runner_handle(timer->data, &event);
-	runner_check_stopped(timer->data);
+	runner_finish_stop(timer->data);
 }
 
-static void runner_timer(entry_runner_t *runner, uv_timer_t *timer,
-			 uv_timer_cb callback, uint64_t period_ms)
+/* Starts TIMER, which fires at once and then every PERIOD_MS. */
+static void runner_start_timer(entry_runner_t *runner, uv_timer_t *timer,
+			       uv_timer_cb callback, uint64_t period_ms)
 {
 	uv_timer_init(runner->loop, timer);
 	timer->data = runner;
 	uv_timer_start(timer, callback, 0, period_ms);
 }
 
+/*
+ * Starts listening for callers and peers. Returns -1 with ERR set if that fails.
+ */
 static int runner_listen(entry_runner_t *runner, pd_error_t *err)
 {
 	const settings_t *settings = runner->settings;
@@ -284,8 +316,8 @@
 		.port = (uint16_t)settings->callers_port,
 		.body_max = (size_t)settings->callers_body_max,
 		.on_request = on_caller_request,
-		.on_gone = on_caller_gone,
-		.on_other = entry_pages_reply,
+		.on_disconnect = on_caller_disconnect,
+		.on_other_request = entry_pages_reply,
 		.ctx = runner,
 	};
 	const peer_link_config_t peers = {
@@ -303,6 +335,7 @@
 	return runner->peers ? 0 : -1;
 }
 
+/* Creates the core and starts the upstream client, watches and timers. */
 static void runner_start(entry_runner_t *runner)
 {
 	const settings_t *settings = runner->settings;
@@ -315,9 +348,9 @@
 		.platform = runner->platform,
 		.public_key = runner->public_key,
 		.seed = (uint32_t)hash_string(runner->self.id),
-		.waits = true, /* until fellows have been looked for */
-		.generation = on_generation_asked,
-		.members = on_members_asked,
+		.defer_start = true, /* until entry_seeds.c has looked for peers */
+		.get_generation = get_generation,
+		.get_member_count = get_members_alive,
 		.on_bundle = on_bundle,
 		.ctx = runner,
 	};
@@ -336,15 +369,15 @@
 	runner->entry = entry_create(&config);
 	runner->upstreams = upstream_http_create(runner->loop, &upstreams);
 	runner->bundles = bundle_watch_create(runner->loop, &bundles);
-	runner_timer(runner, &runner->tick, on_tick, TICK_MS);
+	runner_start_timer(runner, &runner->tick_timer, on_tick, TICK_MS);
 	vm_watch_create(runner->loop, &vms);
 	entry_seeds_start(runner);
 }
 
 /*
- * Starts an entry on the loop. SETTINGS are borrowed and must outlive it. NULL
- * with ERR set if it can't listen or its key file can't be read; the process
- * then ends, so nothing is taken back.
+ * Starts an entry on the loop. SETTINGS are borrowed and must outlive it.
+ * Returns NULL with ERR set if it can't listen or can't read a key file; nothing
+ * is freed then, as the process ends.
  */
 entry_runner_t *entry_runner_create(uv_loop_t *loop, const settings_t *settings,
 				    pd_error_t *err)
@@ -375,18 +408,21 @@
 		.address = settings->node_address,
 		.peer_port = peer_link_port(runner->peers),
 		.http_port = caller_http_port(runner->callers),
-		/* A later start of the same entry is a later incarnation. */
+		/* Grows with each restart of the same entry. */
 		.incarnation = (uint64_t)g_get_real_time(),
 	};
 	runner_start(runner);
-	log_line(G_LOG_LEVEL_INFO, PART,
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT,
 		 "%s in zone %s serves callers on port %u, peers on port %u",
 		 runner->self.id, runner->self.zone, runner->self.http_port,
 		 runner->self.peer_port);
 	return runner;
 }
 
-/* Begins a planned stop: nothing is cut off; the loop stops when all is done. */
+/*
+ * Begins a graceful stop: requests in flight are completed, and then the loop is
+ * stopped.
+ */
 void entry_runner_stop(entry_runner_t *runner)
 {
 	event_t event = { .kind = EVENT_STOP };
@@ -394,18 +430,18 @@
 	if (runner->stopping)
 		return;
 	runner->stopping = true;
-	log_line(G_LOG_LEVEL_INFO, PART, "stopping, %u requests in flight",
+	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "stopping, %u requests in flight",
 		 entry_in_flight(runner->entry));
 	runner_handle(runner, &event);
 	caller_http_drain(runner->callers);
 }
 
 /*
- * Takes the notice that this entry's VM is reclaimed in LEAVES_IN: as a planned
- * stop, but what can't end in time goes to a peer. A notice may come twice, by
- * the VM list and from the VM itself.
+ * Handles the notice that this entry's VM will be reclaimed in LEAVES_IN: begins
+ * a graceful stop, in which requests that can't complete in time are handed over
+ * to a peer. A notice may arrive twice, with the VM list and from the VM itself.
  */
-void entry_runner_reclaim(entry_runner_t *runner, pd_time_t leaves_in)
+void entry_runner_handle_vm_notice(entry_runner_t *runner, pd_time_t leaves_in)
 {
 	entry_set_reclaim_time(runner->entry, clock_now() + leaves_in);
 	entry_runner_stop(runner);
--- a/adapters/frame_link.c
+++ b/adapters/frame_link.c
@@ -1,4 +1,4 @@
-/* TCP connections between entries, and the frames on them. */
+/* Sends and receives frames on TCP connections between entries. */
 #include "adapters/frame_link.h"
 
 #include <glib.h>
@@ -8,20 +8,20 @@
 #include "core/list.h"
 #include "ports/clock.h"
 
-#define PART "frame-link"
+#define LOG_COMPONENT "frame-link"
 #define LENGTH_BYTES 4
 #define LISTEN_BACKLOG 512
 #define SWEEP_MS 250
 /*
- * A connection whose frames stay unanswered this long is dropped. Writes to it
- * still succeed if something in between has lost track of it, so nothing but
- * the missing answer shows that it is dead.
+ * A connection whose frames are not acknowledged within this time is closed. If
+ * a middlebox has lost the connection's state, writes still succeed, and only
+ * the missing acknowledgement shows that the connection is dead.
  */
-#define UNANSWERED_MAX_MS 1000
-#define IDLE_MAX_MS 30000
-#define WAITING_MAX (4 * 1024 * 1024) /* bytes queued on one connection */
+#define ACK_TIMEOUT_MS 1000
+#define IDLE_TIMEOUT_MS 30000
+#define QUEUED_BYTES_MAX (4 * 1024 * 1024) /* while a connection is opened */
 
-/* One read; all connections share it, as the loop has one thread. */
+/* Shared by all connections, as the loop has one thread. */
 static char read_buffer[64 * 1024];
 
 typedef struct conn {
@@ -29,14 +29,14 @@
 	frame_link_t *link;
 	uv_tcp_t tcp;
 	uv_connect_t connect;
-	char *key; /* address:port; NULL if the peer opened it */
+	char *key; /* address:port; NULL: opened by the peer */
 	bool connected;
 	bool closing;
-	GByteArray *input;
-	GByteArray *waiting; /* until the connection is up */
-	unsigned int unanswered;
-	uint64_t unanswered_since; /* loop time, ms */
-	uint64_t used_at;
+	GByteArray *input; /* received, not yet parsed */
+	GByteArray *queued; /* frames to send once connected */
+	unsigned int unacked; /* frames sent or queued */
+	uint64_t unacked_since; /* loop time, ms */
+	uint64_t last_used_at; /* loop time, ms */
 } conn_t;
 
 typedef struct write {
@@ -50,58 +50,62 @@
 	uv_timer_t sweep;
 	frame_link_config_t config;
 	uint16_t port;
-	GHashTable *out; /* key -> conn_t */
-	list_node_t conns;
+	GHashTable *outgoing; /* key -> conn_t, borrowed */
+	list_node_t conns; /* of conn_t */
 	uint64_t bytes; /* sent and received */
 };
 
-static void conn_closed(uv_handle_t *handle)
+/* Frees a closed connection. */
+static void on_closed(uv_handle_t *handle)
 {
 	conn_t *conn = handle->data;
 
 	g_byte_array_unref(conn->input);
-	g_byte_array_unref(conn->waiting);
+	g_byte_array_unref(conn->queued);
 	g_free(conn->key);
 	g_free(conn);
 }
 
+/* Closes a connection; it is freed by the loop. */
 static void conn_close(conn_t *conn)
 {
 	if (conn->closing)
 		return;
 	conn->closing = true;
 	if (conn->key)
-		g_hash_table_remove(conn->link->out, conn->key);
+		g_hash_table_remove(conn->link->outgoing, conn->key);
 	list_remove(&conn->node);
-	uv_close((uv_handle_t *)&conn->tcp, conn_closed);
+	uv_close((uv_handle_t *)&conn->tcp, on_closed);
 }
 
-/* Closes a connection on which frames may be lost. */
+/* Closes a connection that failed, and reports it if it was opened here. */
 static void conn_fail(conn_t *conn)
 {
 	const frame_link_config_t *config = &conn->link->config;
-	bool told = conn->key && !conn->closing && config->on_lost;
+	bool notify = conn->key && !conn->closing && config->on_lost;
 
 	conn_close(conn);
-	if (told)
+	if (notify)
 		config->on_lost(config->ctx, conn->key);
 }
 
+/* Returns a new connection, owned by LINK. */
 static conn_t *conn_create(frame_link_t *link)
 {
 	conn_t *conn = g_new0(conn_t, 1);
 
 	conn->link = link;
 	conn->input = g_byte_array_new();
-	conn->waiting = g_byte_array_new();
-	conn->used_at = uv_now(link->loop);
+	conn->queued = g_byte_array_new();
+	conn->last_used_at = uv_now(link->loop);
 	uv_tcp_init(link->loop, &conn->tcp);
 	conn->tcp.data = conn;
 	list_append(&link->conns, &conn->node);
 	return conn;
 }
 
-static void write_done(uv_write_t *req, int status)
+/* Frees a write, and fails its connection on an error. */
+static void on_write_done(uv_write_t *req, int status)
 {
 	write_t *write = (write_t *)req;
 
@@ -111,6 +115,7 @@
 	g_free(write);
 }
 
+/* Writes BYTES, which are referenced until they are written. */
 static void conn_write(conn_t *conn, GBytes *bytes)
 {
 	write_t *write = g_new0(write_t, 1);
@@ -121,14 +126,15 @@
 	write->bytes = g_bytes_ref(bytes);
 	conn->link->bytes += len;
 	if (uv_write(&write->req, (uv_stream_t *)&conn->tcp, &buf, 1,
-		     write_done) < 0) {
+		     on_write_done) < 0) {
 		g_bytes_unref(write->bytes);
 		g_free(write);
 		conn_fail(conn);
 	}
 }
 
-static GBytes *frame_bytes(const void *data, size_t len)
+/* Returns a frame with a copy of DATA, owned by the caller. */
+static GBytes *encode_frame(const void *data, size_t len)
 {
 	GByteArray *frame = g_byte_array_new();
 	const uint32_t length = GUINT32_TO_BE((uint32_t)len);
@@ -139,50 +145,57 @@
 	return g_byte_array_free_to_bytes(frame);
 }
 
-/* Takes one frame; an empty one answers the oldest frame we sent. */
-static void conn_frame(conn_t *conn, const char *data, size_t len)
+/*
+ * Handles one frame: an empty one acknowledges the oldest frame sent; any other
+ * is acknowledged and delivered.
+ */
+static void conn_handle_frame(conn_t *conn, const char *data, size_t len)
 {
-	GBytes *answer;
+	GBytes *ack;
 
 	if (len == 0) {
-		if (conn->unanswered)
-			conn->unanswered--;
-		conn->unanswered_since = uv_now(conn->link->loop);
+		if (conn->unacked)
+			conn->unacked--;
+		conn->unacked_since = uv_now(conn->link->loop);
 		return;
 	}
-	answer = frame_bytes(NULL, 0);
-	conn_write(conn, answer);
-	g_bytes_unref(answer);
+	ack = encode_frame(NULL, 0);
+	conn_write(conn, ack);
+	g_bytes_unref(ack);
 	if (conn->link->config.on_frame(conn->link->config.ctx, data, len) < 0)
 		conn_close(conn);
 }
 
-static void conn_frames(conn_t *conn)
+/* Handles all complete frames that have been received. */
+static void conn_parse_input(conn_t *conn)
 {
-	guint used = 0;
+	guint consumed = 0;
 
-	while (!conn->closing && conn->input->len - used >= LENGTH_BYTES) {
+	while (!conn->closing && conn->input->len - consumed >= LENGTH_BYTES) {
 		uint32_t length;
 
-		memcpy(&length, conn->input->data + used, LENGTH_BYTES);
+		memcpy(&length, conn->input->data + consumed, LENGTH_BYTES);
 		length = GUINT32_FROM_BE(length);
 		if (length > conn->link->config.frame_max) {
-			log_line(G_LOG_LEVEL_WARNING, PART,
-				 "dropped a connection: frame of %u bytes",
+			log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
+				 "connection closed: frame of %u bytes exceeds "
+				 "the limit",
 				 length);
 			conn_close(conn);
 			return;
 		}
-		if (conn->input->len - used - LENGTH_BYTES < length)
+		if (conn->input->len - consumed - LENGTH_BYTES < length)
 			break;
-		used += LENGTH_BYTES;
-		conn_frame(conn, (const char *)conn->input->data + used, length);
-		used += length;
+		consumed += LENGTH_BYTES;
+		conn_handle_frame(conn, (const char *)conn->input->data + consumed,
+				  length);
+		consumed += length;
 	}
-	if (used)
-		g_byte_array_remove_range(conn->input, 0, used);
+	if (consumed)
+		g_byte_array_remove_range(conn->input, 0, consumed);
 }
 
+/* Provides the shared buffer for a read. */
 static void conn_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
 	(void)handle;
@@ -190,21 +203,23 @@
 	*buf = uv_buf_init(read_buffer, sizeof(read_buffer));
 }
 
+/* Handles received data, or the failure of the connection. */
 static void conn_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
 {
 	conn_t *conn = stream->data;
 
 	if (len > 0) {
 		conn->link->bytes += (uint64_t)len;
-		conn->used_at = uv_now(conn->link->loop);
+		conn->last_used_at = uv_now(conn->link->loop);
 		g_byte_array_append(conn->input, (const guint8 *)buf->base,
 				    (guint)len);
-		conn_frames(conn);
+		conn_parse_input(conn);
 	}
 	if (len < 0)
 		conn_fail(conn);
 }
 
+/* Accepts a connection of a peer. */
 static void link_accept(uv_stream_t *listener, int status)
 {
 	frame_link_t *link = listener->data;
@@ -222,6 +237,7 @@
 	uv_read_start((uv_stream_t *)&conn->tcp, conn_alloc, conn_read);
 }
 
+/* Closes connections that are dead or idle. */
 static void link_sweep(uv_timer_t *timer)
 {
 	frame_link_t *link = timer->data;
@@ -229,16 +245,17 @@
 
 	LIST_FOR_EACH_SAFE (it, &link->conns) {
 		conn_t *conn = LIST_ENTRY(it, conn_t, node);
-		bool silent = conn->unanswered &&
-			      now - conn->unanswered_since >= UNANSWERED_MAX_MS;
+		bool ack_overdue = conn->unacked &&
+				   now - conn->unacked_since >= ACK_TIMEOUT_MS;
 
-		if (silent)
+		if (ack_overdue)
 			conn_fail(conn);
-		else if (now - conn->used_at >= IDLE_MAX_MS)
+		else if (now - conn->last_used_at >= IDLE_TIMEOUT_MS)
 			conn_close(conn);
 	}
 }
 
+/* Starts listening. Returns -1 with ERR set if that fails. */
 static int link_listen(frame_link_t *link, pd_error_t *err)
 {
 	const frame_link_config_t *config = &link->config;
@@ -263,7 +280,10 @@
 	return 0;
 }
 
-/* Starts listening for peers. NULL with ERR set if that fails. */
+/*
+ * Starts listening for peers; CONFIG is copied. Returns NULL with ERR set if
+ * that fails. The caller destroys the result.
+ */
 frame_link_t *frame_link_create(uv_loop_t *loop,
 				const frame_link_config_t *config, pd_error_t *err)
 {
@@ -271,7 +291,7 @@
 
 	link->loop = loop;
 	link->config = *config;
-	link->out = g_hash_table_new(g_str_hash, g_str_equal);
+	link->outgoing = g_hash_table_new(g_str_hash, g_str_equal);
 	list_init(&link->conns);
 	uv_tcp_init(loop, &link->listener);
 	link->listener.data = link;
@@ -287,8 +307,8 @@
 }
 
 /*
- * Closes every connection. The memory goes when the loop has run the closing
- * callbacks, or with the process.
+ * Closes the listener and every connection; NULL is allowed. Connections are
+ * freed by the loop's close callbacks; the link itself is not freed.
  */
 void frame_link_destroy(frame_link_t *link)
 {
@@ -300,19 +320,20 @@
 	uv_close((uv_handle_t *)&link->sweep, NULL);
 }
 
-/* Returns the port that peers connect to. */
+/* Returns the TCP port that peers connect to. */
 uint16_t frame_link_port(const frame_link_t *link)
 {
 	return link->port;
 }
 
-/* Returns the bytes sent and received so far. */
+/* Returns the number of bytes sent and received. */
 uint64_t frame_link_bytes(const frame_link_t *link)
 {
 	return link->bytes;
 }
 
-static void conn_connected(uv_connect_t *connect, int status)
+/* Sends the queued frames once a connection is established. */
+static void on_connected(uv_connect_t *connect, int status)
 {
 	conn_t *conn = connect->handle->data;
 	GBytes *bytes;
@@ -326,16 +347,20 @@
 	conn->connected = true;
 	uv_tcp_nodelay(&conn->tcp, 1);
 	uv_read_start((uv_stream_t *)&conn->tcp, conn_alloc, conn_read);
-	bytes = g_bytes_new(conn->waiting->data, conn->waiting->len);
-	g_byte_array_set_size(conn->waiting, 0);
+	bytes = g_bytes_new(conn->queued->data, conn->queued->len);
+	g_byte_array_set_size(conn->queued, 0);
 	conn_write(conn, bytes);
 	g_bytes_unref(bytes);
 }
 
-static conn_t *link_conn(frame_link_t *link, const char *address, uint16_t port)
+/*
+ * Returns the outgoing connection to a peer, opened if there is none; NULL if
+ * that fails at once.
+ */
+static conn_t *link_get_conn(frame_link_t *link, const char *address, uint16_t port)
 {
 	char *key = g_strdup_printf("%s:%u", address, port);
-	conn_t *conn = g_hash_table_lookup(link->out, key);
+	conn_t *conn = g_hash_table_lookup(link->outgoing, key);
 	struct sockaddr_in addr;
 
 	if (conn) {
@@ -344,10 +369,10 @@
 	}
 	conn = conn_create(link);
 	conn->key = key;
-	g_hash_table_insert(link->out, conn->key, conn);
+	g_hash_table_insert(link->outgoing, conn->key, conn);
 	if (uv_ip4_addr(address, port, &addr) < 0 ||
 	    uv_tcp_connect(&conn->connect, &conn->tcp,
-			   (const struct sockaddr *)&addr, conn_connected) < 0) {
+			   (const struct sockaddr *)&addr, on_connected) < 0) {
 		conn_close(conn);
 		return NULL;
 	}
@@ -355,28 +380,28 @@
 }
 
 /*
- * Sends a frame to a peer, opening a connection if there is none. Whether it
- * arrives is not known; the protocol above repeats what matters.
+ * Sends a frame to a peer, opening a connection if there is none. Delivery is
+ * not guaranteed; the protocol above retransmits what matters.
  */
 void frame_link_send(frame_link_t *link, const char *address, uint16_t port,
 		     GBytes *body)
 {
-	conn_t *conn = link_conn(link, address, port);
+	conn_t *conn = link_get_conn(link, address, port);
 	GBytes *frame;
 	gsize len;
 
 	if (!conn)
 		return;
-	frame = frame_bytes(g_bytes_get_data(body, NULL), g_bytes_get_size(body));
-	if (!conn->unanswered)
-		conn->unanswered_since = uv_now(link->loop);
-	conn->unanswered++;
-	conn->used_at = uv_now(link->loop);
+	frame = encode_frame(g_bytes_get_data(body, NULL), g_bytes_get_size(body));
+	if (!conn->unacked)
+		conn->unacked_since = uv_now(link->loop);
+	conn->unacked++;
+	conn->last_used_at = uv_now(link->loop);
 	len = g_bytes_get_size(frame);
 	if (conn->connected)
 		conn_write(conn, frame);
-	else if (conn->waiting->len + len <= WAITING_MAX)
-		g_byte_array_append(conn->waiting,
-				    g_bytes_get_data(frame, NULL), (guint)len);
+	else if (conn->queued->len + len <= QUEUED_BYTES_MAX)
+		g_byte_array_append(conn->queued, g_bytes_get_data(frame, NULL),
+				    (guint)len);
 	g_bytes_unref(frame);
 }
--- a/adapters/http_client.c
+++ b/adapters/http_client.c
@@ -1,4 +1,4 @@
-/* The HTTP client: h2o's callbacks turned into one call object. */
+/* The HTTP client: one object for each call, driven by h2o's callbacks. */
 #include "adapters/http_client.h"
 
 #include <glib.h>
@@ -12,19 +12,22 @@
 };
 
 struct http_call {
-	h2o_http1client_t *h2o; /* NULL once h2o has let go of it */
+	h2o_http1client_t *h2o; /* NULL once h2o has freed it */
 	http_call_handlers_t handlers;
 	void *ctx;
-	GString *bytes; /* of the request; kept until the end */
+	GString *bytes; /* of the request; must outlive its sending */
 	h2o_iovec_t iov;
-	GHashTable *headers;
+	GHashTable *headers; /* of the response, by lower-case name */
 	bool starting; /* in http_call_start() */
 	bool in_callback;
 	bool cancelled;
-	uv_timer_t *timer; /* reports a failure to start from the loop */
+	uv_timer_t *timer; /* reports a failed start from the loop */
 };
 
-/* Returns a client whose calls fail after IO_TIMEOUT without a byte. */
+/*
+ * Returns a client whose calls fail after IO_TIMEOUT without any I/O. The caller
+ * destroys it.
+ */
 http_client_t *http_client_create(uv_loop_t *loop, pd_time_t io_timeout)
 {
 	http_client_t *client = g_new0(http_client_t, 1);
@@ -37,9 +40,9 @@
 }
 
 /*
- * Stops a client that has no calls under way; NULL is allowed. Its memory stays
- * until the process ends, because h2o closes its timer through the loop, which
- * may not run again.
+ * Stops a client that has no calls in progress; NULL is allowed. Its memory is
+ * not freed, because h2o closes its timer through the loop, which may not run
+ * again.
  */
 void http_client_destroy(http_client_t *client)
 {
@@ -47,6 +50,7 @@
 		uv_timer_stop(&client->io_timeout._backend.timer);
 }
 
+/* Frees a call, after its last handler. */
 static void call_free(http_call_t *call)
 {
 	if (call->handlers.on_free)
@@ -57,7 +61,11 @@
 	g_free(call);
 }
 
-static void call_done(http_call_t *call, const char *errstr)
+/*
+ * Reports the end of a call unless it was cancelled, and frees it. ERRSTR is
+ * NULL on success.
+ */
+static void call_finish(http_call_t *call, const char *errstr)
 {
 	pd_error_t err;
 
@@ -71,6 +79,7 @@
 	call_free(call);
 }
 
+/* Passes on the data of the body that has arrived. */
 static int call_on_body(h2o_http1client_t *h2o, const char *errstr)
 {
 	http_call_t *call = h2o->data;
@@ -82,17 +91,18 @@
 	h2o_buffer_consume(input, (*input)->size);
 	call->in_callback = false;
 	if (errstr) {
-		call_done(call, errstr == h2o_http1client_error_is_eos ? NULL
-								       : errstr);
+		call_finish(call, errstr == h2o_http1client_error_is_eos ? NULL
+									 : errstr);
 		return 0;
 	}
 	if (call->cancelled) {
-		call_done(call, NULL);
+		call_finish(call, NULL);
 		return -1;
 	}
 	return 0;
 }
 
+/* Stores the headers of the response and reports its status. */
 static h2o_http1client_body_cb call_on_head(h2o_http1client_t *h2o,
 					    const char *errstr, int minor_version,
 					    int status, h2o_iovec_t msg,
@@ -100,13 +110,13 @@
 					    int rlen)
 {
 	http_call_t *call = h2o->data;
-	bool whole = errstr == h2o_http1client_error_is_eos;
+	bool complete = errstr == h2o_http1client_error_is_eos;
 
 	(void)minor_version;
 	(void)msg;
 	(void)rlen;
-	if (errstr && !whole) {
-		call_done(call, errstr);
+	if (errstr && !complete) {
+		call_finish(call, errstr);
 		return NULL;
 	}
 	call->headers =
@@ -121,26 +131,32 @@
 	if (call->handlers.on_head)
 		call->handlers.on_head(call->ctx, call, status);
 	call->in_callback = false;
-	if (whole || call->cancelled) {
-		call_done(call, NULL);
+	if (complete || call->cancelled) {
+		call_finish(call, NULL);
 		return NULL;
 	}
 	return call_on_body;
 }
 
+/* Frees a closed timer. */
 static void timer_closed(uv_handle_t *timer)
 {
 	g_free(timer);
 }
 
-static void call_start_failed(uv_timer_t *timer)
+/* Reports a failure that occurred in http_call_start(). */
+static void report_start_failure(uv_timer_t *timer)
 {
 	http_call_t *call = timer->data;
 
 	uv_close((uv_handle_t *)timer, timer_closed);
-	call_done(call, "the connection could not be started");
+	call_finish(call, "the connection could not be started");
 }
 
+/*
+ * Sends the request, or reports that there is no connection; a failure within
+ * http_call_start() is reported from the loop.
+ */
 static h2o_http1client_head_cb call_on_connect(h2o_http1client_t *h2o,
 					       const char *errstr,
 					       h2o_iovec_t **bufs,
@@ -153,19 +169,19 @@
 		call->timer = g_new0(uv_timer_t, 1);
 		call->timer->data = call;
 		uv_timer_init(h2o->ctx->loop, call->timer);
-		uv_timer_start(call->timer, call_start_failed, 0, 0);
+		uv_timer_start(call->timer, report_start_failure, 0, 0);
 		return NULL;
 	}
 	if (errstr) {
-		call_done(call, errstr);
+		call_finish(call, errstr);
 		return NULL;
 	}
 	call->in_callback = true;
-	if (call->handlers.on_written)
-		call->handlers.on_written(call->ctx);
+	if (call->handlers.on_sending)
+		call->handlers.on_sending(call->ctx);
 	call->in_callback = false;
 	if (call->cancelled) {
-		call_done(call, NULL);
+		call_finish(call, NULL);
 		return NULL;
 	}
 	call->iov = h2o_iovec_init(call->bytes->str, call->bytes->len);
@@ -175,7 +191,8 @@
 	return call_on_head;
 }
 
-static GString *call_compose(const http_request_t *request)
+/* Returns the bytes of a request, owned by the caller. */
+static GString *format_request(const http_request_t *request)
 {
 	GString *bytes = g_string_new(NULL);
 
@@ -195,8 +212,8 @@
 }
 
 /*
- * Starts a call; what REQUEST points to is copied. No handler runs before this
- * returns. The call frees itself after DONE or when cancelled.
+ * Starts a call; the request is copied. No handler runs before this returns. The
+ * call frees itself after ON_DONE or when it is cancelled.
  */
 http_call_t *http_call_start(http_client_t *client, const http_request_t *request,
 			     const http_call_handlers_t *handlers, void *ctx)
@@ -207,7 +224,7 @@
 
 	call->handlers = *handlers;
 	call->ctx = ctx;
-	call->bytes = call_compose(request);
+	call->bytes = format_request(request);
 	call->starting = true;
 	h2o_http1client_connect(&call->h2o, call, &client->ctx, host,
 				request->port, 0, call_on_connect);
@@ -217,7 +234,7 @@
 	return call;
 }
 
-/* Drops a call: its handlers are not called again. */
+/* Cancels a call: only ON_FREE is still called. */
 void http_call_cancel(http_call_t *call)
 {
 	call->cancelled = true;
@@ -230,7 +247,7 @@
 	call_free(call);
 }
 
-/* Returns a response header of that lower-case name, borrowed, or NULL. */
+/* Returns a header of the response by its lower-case name, borrowed, or NULL. */
 const char *http_call_header(const http_call_t *call, const char *name)
 {
 	return call->headers ? g_hash_table_lookup(call->headers, name) : NULL;
--- a/ctl/ctl_bundle.c
+++ b/ctl/ctl_bundle.c
@@ -198,7 +198,7 @@
 	secret = ctl_read_file(options->key_file, &err);
 	if (!secret)
 		goto error;
-	envelope = envelope_seal(canonical, secret, &err);
+	envelope = envelope_sign(canonical, secret, &err);
 	if (!envelope || write_file(options->output, envelope, 0644, &err) < 0)
 		goto error;
 	printf("signed %s as %s\n", options->argument, options->output);
--- a/tests/process/test_caller_input.c
+++ b/tests/process/test_caller_input.c
@@ -1,6 +1,6 @@
 /*
- * Damaged requests from callers, byte by byte: an entry answers or hangs up,
- * and goes on serving the others.
+ * Requests with random byte changes: an entry replies or disconnects, and
+ * continues to serve other callers.
  */
 #include <arpa/inet.h>
 #include <setjmp.h>
@@ -16,8 +16,8 @@
 #include "tests/harness/fleet.h"
 
 #define SEED 20261202
-#define RUNS 400
-#define CHANGES_MAX 6
+#define REQUESTS 400
+#define MUTATIONS_MAX 6
 
 static const char sample[] =
 	"POST /v1/chat/completions HTTP/1.1\r\n"
@@ -26,6 +26,7 @@
 	"{\"model\":\"ledger-reader\",\"max_tokens\":2,\"stream\":true,"
 	"\"messages\":[{\"role\":\"user\",\"content\":\"page 1\"}]}";
 
+/* Starts a fleet of one entry and one engine. */
 static int setup(void **state)
 {
 	const fleet_config_t config = { .entries = 1, .engines = 1 };
@@ -34,17 +35,19 @@
 	return 0;
 }
 
+/* Stops the fleet. */
 static int teardown(void **state)
 {
 	fleet_destroy(*state);
 	return 0;
 }
 
-static size_t damage(GRand *rand, char *bytes, size_t len)
+/* Changes some random bytes and may truncate them; returns the new length. */
+static size_t mutate_bytes(GRand *rand, char *bytes, size_t len)
 {
-	int changes = g_rand_int_range(rand, 0, CHANGES_MAX);
+	int mutations = g_rand_int_range(rand, 0, MUTATIONS_MAX);
 
-	for (int i = 0; i < changes; i++)
+	for (int i = 0; i < mutations; i++)
 		bytes[g_rand_int_range(rand, 0, (gint32)len)] =
 			(char)g_rand_int_range(rand, 0, 256);
 	if (g_rand_int_range(rand, 0, 3) == 0)
@@ -52,8 +55,8 @@
 	return len;
 }
 
-/* Sends the bytes and hangs up without reading; the caller is gone. */
-static void send_and_leave(int port, const char *bytes, size_t len)
+/* Sends the bytes and disconnects without reading. */
+static void send_and_close(int port, const char *bytes, size_t len)
 {
 	struct sockaddr_in addr = { .sin_family = AF_INET,
 				    .sin_port = htons((uint16_t)port) };
@@ -65,19 +68,22 @@
 	close(fd);
 }
 
-static void test_damaged_requests(void **state)
+/*
+ * After all mutated requests, the entry must still run and complete a valid one.
+ */
+static void test_mutated_requests(void **state)
 {
 	fleet_t *fleet = *state;
 	GRand *rand = g_rand_new_with_seed(SEED);
 	call_t *call;
 
-	for (int i = 0; i < RUNS; i++) {
+	for (int i = 0; i < REQUESTS; i++) {
 		char bytes[sizeof(sample)];
 		size_t len;
 
 		memcpy(bytes, sample, sizeof(sample));
-		len = damage(rand, bytes, sizeof(sample) - 1);
-		send_and_leave(fleet->entries[0].port, bytes, len);
+		len = mutate_bytes(rand, bytes, sizeof(sample) - 1);
+		send_and_close(fleet->entries[0].port, bytes, len);
 	}
 	g_rand_free(rand);
 	call = completion_start(fleet, fleet->entries[0].port, "still there", 4,
@@ -91,7 +97,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_damaged_requests),
+		cmocka_unit_test(test_mutated_requests),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
--- a/tests/process/test_slow_reader.c
+++ b/tests/process/test_slow_reader.c
@@ -1,4 +1,4 @@
-/* Callers that do not read their streams. */
+/* Callers that don't read their streams. */
 #include <setjmp.h>
 #include <signal.h>
 #include <stdarg.h>
@@ -14,8 +14,8 @@
 #include "adapters/signing.h"
 
 #define TOKEN_BYTES 16384
-#define TOKENS 2000 /* 32 MB in all, more than sockets hold */
-#define RUNS_MAX 100000
+#define TOKENS 2000 /* 32 MB in all, more than socket buffers hold */
+#define LOOP_RUNS_MAX 100000
 
 typedef struct reader {
 	uv_loop_t loop;
@@ -23,10 +23,10 @@
 	uv_tcp_t tcp;
 	uv_connect_t connect;
 	uv_write_t write;
-	caller_id_t caller; /* 0 until the request has come */
-	bool gone; /* the core was told so */
-	GString *body;
-	bool closed;
+	caller_id_t caller; /* 0 until the request has arrived */
+	bool disconnected; /* as reported to the core */
+	GString *body; /* bytes received */
+	bool stream_ended;
 } reader_t;
 
 static const char request_text[] =
@@ -35,24 +35,28 @@
 	"{\"model\":\"m\",\"stream\":true,"
 	"\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]} ";
 
+/* Stores the id of the caller. */
 static void on_request(void *ctx, const caller_request_t *request)
 {
 	((reader_t *)ctx)->caller = request->caller;
 }
 
-static void on_gone(void *ctx, caller_id_t caller)
+/* Records that the caller was disconnected. */
+static void on_disconnect(void *ctx, caller_id_t caller)
 {
 	(void)caller;
-	((reader_t *)ctx)->gone = true;
+	((reader_t *)ctx)->disconnected = true;
 }
 
-static bool on_other(void *ctx, http_exchange_t *exchange)
+/* Knows no other paths. */
+static bool on_other_request(void *ctx, http_exchange_t *exchange)
 {
 	(void)ctx;
 	(void)exchange;
 	return false;
 }
 
+/* Sends the request. */
 static void on_connected(uv_connect_t *connect, int status)
 {
 	reader_t *reader = connect->data;
@@ -63,12 +67,14 @@
 	uv_write(&reader->write, connect->handle, &buf, 1, NULL);
 }
 
+/* Allocates a buffer, which on_read() frees. */
 static void on_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
 {
 	(void)handle;
 	*buf = uv_buf_init(g_malloc(size), (unsigned int)size);
 }
 
+/* Collects the response until its end. */
 static void on_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
 {
 	reader_t *reader = stream->data;
@@ -78,16 +84,17 @@
 	g_free(buf->base);
 	/* The last chunk of the answer, or the end of the connection. */
 	if (len < 0 || g_str_has_suffix(reader->body->str, "\r\n0\r\n\r\n"))
-		reader->closed = true;
+		reader->stream_ended = true;
 }
 
+/* Starts a server and a client on one loop, and sends the request. */
 static void reader_open(reader_t *reader)
 {
 	const caller_http_config_t config = { .address = "127.0.0.1",
 					      .body_max = 4096,
 					      .on_request = on_request,
-					      .on_gone = on_gone,
-					      .on_other = on_other,
+					      .on_disconnect = on_disconnect,
+					      .on_other_request = on_other_request,
 					      .ctx = reader };
 	struct sockaddr_in addr;
 	pd_error_t err;
@@ -104,47 +111,47 @@
 	reader->connect.data = reader;
 	uv_tcp_connect(&reader->connect, &reader->tcp,
 		       (const struct sockaddr *)&addr, on_connected);
-	for (int i = 0; i < RUNS_MAX && !reader->caller; i++)
+	for (int i = 0; i < LOOP_RUNS_MAX && !reader->caller; i++)
 		uv_run(&reader->loop, UV_RUN_ONCE);
 	assert_true(reader->caller > 0);
 }
 
-/* Gives tokens until the caller is let go; returns how many were given. */
-static unsigned int give_tokens(reader_t *reader)
+/* Sends tokens until the caller is disconnected; returns how many were sent. */
+static unsigned int send_tokens(reader_t *reader)
 {
 	char *token = g_strnfill(TOKEN_BYTES, 't');
-	unsigned int given = 0;
+	unsigned int sent = 0;
 
-	while (given < TOKENS && !reader->gone) {
-		caller_http_token(reader->http, reader->caller, "r-1", given++,
-				  token, TOKEN_BYTES);
+	while (sent < TOKENS && !reader->disconnected) {
+		caller_http_send_token(reader->http, reader->caller, "r-1",
+				       sent++, token, TOKEN_BYTES);
 		uv_run(&reader->loop, UV_RUN_NOWAIT);
 	}
 	g_free(token);
-	return given;
+	return sent;
 }
 
 /*
- * A caller's machine is suspended in the middle of a long answer; its connection
- * stays open and takes nothing. The entry must let go of it before the answer
- * fills its memory. When the machine wakes up, it reads a stream that stops at
- * the end of an event and has no last one, and can take it up again.
+ * A caller's machine is suspended during a long answer; its connection stays
+ * open and reads nothing. The entry must disconnect it before the answer
+ * exhausts its memory. When the machine resumes, it reads a stream that stops
+ * after a complete event and has no final one, so it can resume the stream.
  */
-static void test_a_caller_that_does_not_read_is_let_go(void **state)
+static void test_stalled_reader_is_disconnected(void **state)
 {
 	reader_t *reader = g_new0(reader_t, 1);
-	unsigned int given;
+	unsigned int sent;
 	const char *last;
 
 	(void)state;
 	reader_open(reader);
-	given = give_tokens(reader);
-	assert_true(reader->gone);
-	assert_true(given < TOKENS);
+	sent = send_tokens(reader);
+	assert_true(reader->disconnected);
+	assert_true(sent < TOKENS);
 	uv_read_start((uv_stream_t *)&reader->tcp, on_alloc, on_read);
-	for (int i = 0; i < RUNS_MAX && !reader->closed; i++)
+	for (int i = 0; i < LOOP_RUNS_MAX && !reader->stream_ended; i++)
 		uv_run(&reader->loop, UV_RUN_ONCE);
-	assert_true(reader->closed);
+	assert_true(reader->stream_ended);
 	assert_null(strstr(reader->body->str, "[DONE]"));
 	last = g_strrstr(reader->body->str, "id: r-1/");
 	assert_non_null(last);
@@ -156,7 +163,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_caller_that_does_not_read_is_let_go),
+		cmocka_unit_test(test_stalled_reader_is_disconnected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
