--- a/core/forward/usage_watermark.c
+++ b/core/forward/usage_watermark.c
@@ -27,64 +27,66 @@
 /* Returns an empty set of watermarks; the caller owns it. */
 usage_watermarks_t *usage_watermarks_create(void)
 {
-	usage_watermarks_t *marks = g_new0(usage_watermarks_t, 1);
+	usage_watermarks_t *watermarks = g_new0(usage_watermarks_t, 1);
 
-	marks->by_vm = g_hash_table_new_full(g_int_hash, g_int_equal, NULL, g_free);
-	return marks;
+	watermarks->by_vm =
+		g_hash_table_new_full(g_int_hash, g_int_equal, NULL, g_free);
+	return watermarks;
 }
 
 /* Frees the watermarks; NULL is allowed. */
-void usage_watermarks_destroy(usage_watermarks_t *marks)
+void usage_watermarks_destroy(usage_watermarks_t *watermarks)
 {
-	if (!marks)
+	if (!watermarks)
 		return;
-	g_hash_table_unref(marks->by_vm);
-	g_free(marks);
+	g_hash_table_unref(watermarks->by_vm);
+	g_free(watermarks);
 }
 
 /* Returns the watermark of an incarnation's VM, or NULL if there is none. */
-static watermark_t *marks_find(const usage_watermarks_t *marks,
-			       uint64_t incarnation_id)
+static watermark_t *watermarks_find(const usage_watermarks_t *watermarks,
+				    uint64_t incarnation_id)
 {
 	uint32_t vm = usage_incarnation_vm(incarnation_id);
 
-	return g_hash_table_lookup(marks->by_vm, &vm);
+	return g_hash_table_lookup(watermarks->by_vm, &vm);
 }
 
 /* Returns the watermark of an incarnation's VM, and creates it if needed. */
-static watermark_t *marks_add(usage_watermarks_t *marks, uint64_t incarnation_id)
+static watermark_t *watermarks_add(usage_watermarks_t *watermarks,
+				   uint64_t incarnation_id)
 {
-	watermark_t *mark = marks_find(marks, incarnation_id);
-
-	if (mark)
-		return mark;
-	mark = g_new0(watermark_t, 1);
-	mark->vm = usage_incarnation_vm(incarnation_id);
-	mark->latest = incarnation_id;
-	mark->closed = INT64_MIN;
-	mark->given_up = INT64_MIN;
-	g_hash_table_insert(marks->by_vm, &mark->vm, mark);
-	return mark;
+	watermark_t *watermark = watermarks_find(watermarks, incarnation_id);
+
+	if (watermark)
+		return watermark;
+	watermark = g_new0(watermark_t, 1);
+	watermark->vm = usage_incarnation_vm(incarnation_id);
+	watermark->latest = incarnation_id;
+	watermark->closed = INT64_MIN;
+	watermark->given_up = INT64_MIN;
+	g_hash_table_insert(watermarks->by_vm, &watermark->vm, watermark);
+	return watermark;
 }
 
 /*
  * Records that all counts of an incarnation were received for the windows up to CLOSED.
  * Earlier incarnations of its VM have ended.
  */
-void usage_watermarks_advance(usage_watermarks_t *marks,
+void usage_watermarks_advance(usage_watermarks_t *watermarks,
 			      uint64_t incarnation_id, int64_t closed)
 {
-	watermark_t *mark = marks_add(marks, incarnation_id);
+	watermark_t *watermark = watermarks_add(watermarks, incarnation_id);
 
-	if (incarnation_id == mark->previous)
+	if (incarnation_id == watermark->previous)
 		return;
-	if (incarnation_id != mark->latest) {
-		mark->previous = mark->latest;
-		mark->latest = incarnation_id;
-		mark->closed = INT64_MIN;
+	if (incarnation_id != watermark->latest) {
+		watermark->previous = watermark->latest;
+		watermark->latest = incarnation_id;
+		watermark->closed = INT64_MIN;
 	}
-	mark->closed = MAX(mark->closed, closed);
-	mark->given_up = INT64_MIN;
+	watermark->closed = MAX(watermark->closed, closed);
+	watermark->given_up = INT64_MIN;
 }
 
 /*
@@ -92,21 +94,21 @@
  * incarnation id of this gateway, which has its own counts; earlier incarnations of its
  * VM have ended.
  */
-static bool is_open(const usage_watermarks_t *marks, uint64_t incarnation_id,
-		    uint64_t own, int64_t window)
+static bool is_open(const usage_watermarks_t *watermarks,
+		    uint64_t incarnation_id, uint64_t own, int64_t window)
 {
-	const watermark_t *mark = marks_find(marks, incarnation_id);
+	const watermark_t *watermark = watermarks_find(watermarks, incarnation_id);
 
 	if (usage_incarnation_vm(incarnation_id) == usage_incarnation_vm(own))
 		return false;
-	if (!mark)
+	if (!watermark)
 		return true;
-	return mark->latest == incarnation_id && mark->closed < window &&
-	       mark->given_up == INT64_MIN;
+	return watermark->latest == incarnation_id &&
+	       watermark->closed < window && watermark->given_up == INT64_MIN;
 }
 
 typedef struct coverage_sum {
-	const usage_watermarks_t *marks;
+	const usage_watermarks_t *watermarks;
 	uint64_t own;
 	int64_t window;
 	usage_coverage_t coverage;
@@ -120,7 +122,7 @@
 	if (entry->window > sum->window)
 		return;
 	sum->coverage.counted += entry->count;
-	if (is_open(sum->marks, entry->incarnation_id, sum->own, sum->window))
+	if (is_open(sum->watermarks, entry->incarnation_id, sum->own, sum->window))
 		sum->coverage.open += entry->count;
 }
 
@@ -129,11 +131,11 @@
  * the window or the previous one is open until it, or a later incarnation of its VM, has
  * reported that it closed the window.
  */
-usage_coverage_t usage_watermarks_coverage(const usage_watermarks_t *marks,
+usage_coverage_t usage_watermarks_coverage(const usage_watermarks_t *watermarks,
 					   const usage_t *usage, int64_t window)
 {
 	coverage_sum_t sum = {
-		.marks = marks,
+		.watermarks = watermarks,
 		.own = usage_own_id(usage),
 		.window = window,
 	};
@@ -149,7 +151,7 @@
 }
 
 typedef struct give_up_ctx {
-	usage_watermarks_t *marks;
+	usage_watermarks_t *watermarks;
 	uint64_t own;
 	int64_t window;
 } give_up_ctx_t;
@@ -160,20 +162,21 @@
 	const give_up_ctx_t *give_up = ctx;
 
 	if (entry->window > give_up->window ||
-	    !is_open(give_up->marks, entry->incarnation_id, give_up->own,
+	    !is_open(give_up->watermarks, entry->incarnation_id, give_up->own,
 		     give_up->window))
 		return;
-	marks_add(give_up->marks, entry->incarnation_id)->given_up = give_up->window;
+	watermarks_add(give_up->watermarks, entry->incarnation_id)->given_up =
+		give_up->window;
 }
 
 /*
  * Records that the report of a window was made without the open incarnations. Later
  * reports don't wait for them unless they are heard again, as their VMs may be gone.
  */
-void usage_watermarks_give_up(usage_watermarks_t *marks, const usage_t *usage,
-			      int64_t window)
+void usage_watermarks_give_up(usage_watermarks_t *watermarks,
+			      const usage_t *usage, int64_t window)
 {
-	give_up_ctx_t give_up = { marks, usage_own_id(usage), window };
+	give_up_ctx_t give_up = { watermarks, usage_own_id(usage), window };
 
 	usage_each(usage, window - 1, give_up_on_open, &give_up);
 }
@@ -181,16 +184,17 @@
 /* Returns whether a watermark's VM was last heard before window *BEFORE. */
 static gboolean watermark_is_expired(gpointer vm, gpointer value, gpointer before)
 {
-	const watermark_t *mark = value;
+	const watermark_t *watermark = value;
 
 	(void)vm;
-	return MAX(mark->closed, mark->given_up) < *(int64_t *)before;
+	return MAX(watermark->closed, watermark->given_up) < *(int64_t *)before;
 }
 
 /* Frees the watermarks of VMs that were last heard before window BEFORE. */
-void usage_watermarks_discard(usage_watermarks_t *marks, int64_t before)
+void usage_watermarks_discard(usage_watermarks_t *watermarks, int64_t before)
 {
-	g_hash_table_foreach_remove(marks->by_vm, watermark_is_expired, &before);
+	g_hash_table_foreach_remove(watermarks->by_vm, watermark_is_expired,
+				    &before);
 }
 
 /*
--- a/core/forward/usage_watermark.h
+++ b/core/forward/usage_watermark.h
@@ -17,15 +17,15 @@
 } usage_coverage_t;
 
 usage_watermarks_t *usage_watermarks_create(void);
-void usage_watermarks_destroy(usage_watermarks_t *marks);
-void usage_watermarks_advance(usage_watermarks_t *marks,
+void usage_watermarks_destroy(usage_watermarks_t *watermarks);
+void usage_watermarks_advance(usage_watermarks_t *watermarks,
 			      uint64_t incarnation_id, int64_t closed);
-usage_coverage_t usage_watermarks_coverage(const usage_watermarks_t *marks,
+usage_coverage_t usage_watermarks_coverage(const usage_watermarks_t *watermarks,
 					   const usage_t *usage, int64_t window);
 bool usage_coverage_is_complete(const usage_coverage_t *coverage);
-void usage_watermarks_give_up(usage_watermarks_t *marks, const usage_t *usage,
-			      int64_t window);
-void usage_watermarks_discard(usage_watermarks_t *marks, int64_t before);
+void usage_watermarks_give_up(usage_watermarks_t *watermarks,
+			      const usage_t *usage, int64_t window);
+void usage_watermarks_discard(usage_watermarks_t *watermarks, int64_t before);
 pd_time_t usage_report_delay(bool complete, pd_time_t due);
 
 #endif
--- a/tests/unit/test_usage_watermark.c
+++ b/tests/unit/test_usage_watermark.c
@@ -15,7 +15,7 @@
 
 typedef struct fleet {
 	usage_t *leader; /* the counts that the leader has received */
-	usage_watermarks_t *marks;
+	usage_watermarks_t *watermarks;
 } fleet_t;
 
 static uint64_t id_of(int gateway, int run)
@@ -36,13 +36,13 @@
 
 static void close_window(fleet_t *fleet, int gateway, int run, int64_t window)
 {
-	usage_watermarks_advance(fleet->marks, id_of(gateway, run), window);
+	usage_watermarks_advance(fleet->watermarks, id_of(gateway, run), window);
 }
 
 static bool is_complete(const fleet_t *fleet, int64_t window)
 {
 	usage_coverage_t coverage =
-		usage_watermarks_coverage(fleet->marks, fleet->leader, window);
+		usage_watermarks_coverage(fleet->watermarks, fleet->leader, window);
 
 	return usage_coverage_is_complete(&coverage);
 }
@@ -53,7 +53,7 @@
 	fleet_t *fleet = g_new0(fleet_t, 1);
 
 	fleet->leader = usage_create("g0#1");
-	fleet->marks = usage_watermarks_create();
+	fleet->watermarks = usage_watermarks_create();
 	for (int i = 0; i < REQUESTS_PER_WINDOW; i++)
 		usage_increment(fleet->leader, WINDOW, "mill");
 	for (int i = 1; i < GATEWAYS; i++)
@@ -67,7 +67,7 @@
 	fleet_t *fleet = *state;
 
 	usage_destroy(fleet->leader);
-	usage_watermarks_destroy(fleet->marks);
+	usage_watermarks_destroy(fleet->watermarks);
 	g_free(fleet);
 	return 0;
 }
@@ -145,7 +145,7 @@
 		receive(fleet, i, 1, WINDOW + 1, REQUESTS_PER_WINDOW);
 	}
 	assert_false(is_complete(fleet, WINDOW));
-	usage_watermarks_give_up(fleet->marks, fleet->leader, WINDOW);
+	usage_watermarks_give_up(fleet->watermarks, fleet->leader, WINDOW);
 	assert_true(is_complete(fleet, WINDOW + 1));
 	/* Once it is heard again, reports wait for it as for the others. */
 	close_window(fleet, 5, 1, WINDOW);
@@ -180,10 +180,10 @@
 
 	for (int i = 1; i < GATEWAYS; i++)
 		close_window(fleet, i, 1, i == 5 ? WINDOW - 1 : WINDOW);
-	usage_watermarks_give_up(fleet->marks, fleet->leader, WINDOW);
-	usage_watermarks_discard(fleet->marks, WINDOW);
+	usage_watermarks_give_up(fleet->watermarks, fleet->leader, WINDOW);
+	usage_watermarks_discard(fleet->watermarks, WINDOW);
 	assert_true(is_complete(fleet, WINDOW));
-	usage_watermarks_discard(fleet->marks, WINDOW + 1);
+	usage_watermarks_discard(fleet->watermarks, WINDOW + 1);
 	assert_false(is_complete(fleet, WINDOW));
 }
 
@@ -206,8 +206,8 @@
 static void simulate_partition(GRand *random)
 {
 	usage_t *leader = usage_create("g0#2");
-	usage_watermarks_t *marks = usage_watermarks_create();
-	fleet_t fleet = { leader, marks };
+	usage_watermarks_t *watermarks = usage_watermarks_create();
+	fleet_t fleet = { leader, watermarks };
 	int cut_off = g_rand_int_range(random, 1, GATEWAYS / 2 + 1);
 	int counted_before_cut =
 		g_rand_int_range(random, 1, REQUESTS_PER_WINDOW / 2);
@@ -223,7 +223,7 @@
 		close_window(&fleet, i, 2, WINDOW);
 	assert_false(is_complete(&fleet, WINDOW));
 	for (int i = 1; i <= cut_off; i++) {
-		coverage = usage_watermarks_coverage(marks, leader, WINDOW);
+		coverage = usage_watermarks_coverage(watermarks, leader, WINDOW);
 		assert_int_equal(coverage.open,
 				 (cut_off + 1 - i) * (REQUESTS_PER_WINDOW +
 						      counted_before_cut));
@@ -232,7 +232,7 @@
 	}
 	assert_true(is_complete(&fleet, WINDOW));
 	usage_destroy(leader);
-	usage_watermarks_destroy(marks);
+	usage_watermarks_destroy(watermarks);
 }
 
 static void test_reports_of_partitioned_fleets(void **state)
