--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -73,7 +73,7 @@
 {
 	msgpack_pack_array(packer, LIMIT_USE_FIELDS);
 	msgpack_write_text(packer, account);
-	msgpack_pack_uint64(packer, (uint64_t)MAX(use->total, 0));
+	msgpack_pack_uint64(packer, (uint64_t)MAX(use->granted, 0));
 	if (use->has_level)
 		msgpack_pack_float(packer, (float)use->level);
 	else
@@ -109,14 +109,14 @@
 {
 	GHashTableIter iter;
 	gpointer account;
-	gpointer total;
+	gpointer granted;
 
 	g_hash_table_iter_init(&iter, peers->granted);
-	while (g_hash_table_iter_next(&iter, &account, &total)) {
+	while (g_hash_table_iter_next(&iter, &account, &granted)) {
 		token_use_t *use = sums_use(sums, account);
 
-		use->total += *(double *)total -
-			      value_or_zero(except->granted, account);
+		use->granted += *(double *)granted -
+				value_or_zero(except->granted, account);
 		use->requested += value_or_zero(peers->requested, account) -
 				  value_or_zero(except->requested, account);
 	}
--- a/core/forward/token_limits.c
+++ b/core/forward/token_limits.c
@@ -54,9 +54,9 @@
 
 typedef struct bucket {
 	double level;
-	double own_total;
-	double reported_total; /* part of own_total that the followed aggregator knows */
-	double requested; /* own_total plus what was refused */
+	double own_granted;
+	double reported_granted; /* part of own_granted that the followed aggregator knows */
+	double requested; /* own_granted plus what was refused */
 	double reported_requested; /* part of requested that the record keeper knows */
 	double measured_requested; /* value of requested at the last measurement of demand */
 	pd_time_t measured_at; /* 0: never */
@@ -305,7 +305,7 @@
 		bucket->level -= amount;
 		bucket->round_tokens += amount;
 		bucket->round_requests++;
-		bucket->own_total += amount;
+		bucket->own_granted += amount;
 		return true;
 	}
 	decision->retry_after =
@@ -322,7 +322,7 @@
 	if (!bucket)
 		return;
 	bucket->level += amount;
-	bucket->own_total -= amount;
+	bucket->own_granted -= amount;
 }
 
 /*
@@ -384,7 +384,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		bucket_t *bucket = value;
 
-		bucket->reported_total = bucket->own_total;
+		bucket->reported_granted = bucket->own_granted;
 	}
 }
 
@@ -403,7 +403,7 @@
 	 * The aggregator's level includes what peers were predicted to use until now.
 	 */
 	peer_uses_predict(bucket->peers, now);
-	bucket->level = level - (bucket->own_total - bucket->reported_total);
+	bucket->level = level - (bucket->own_granted - bucket->reported_granted);
 	bucket->updated_at = now;
 	bucket->has_shared_level = true;
 }
@@ -414,13 +414,13 @@
  * known to be new.
  */
 void token_limits_record_peer_use(token_limits_t *limits, const char *account,
-				  const char *peer, double total, bool recent,
+				  const char *peer, double granted, bool recent,
 				  pd_time_t now)
 {
 	bucket_t *bucket = limits_bucket(limits, account, now);
 	double used;
 
-	if (!peer_uses_report(bucket->peers, peer, total, recent, now, &used))
+	if (!peer_uses_report(bucket->peers, peer, granted, recent, now, &used))
 		return;
 	bucket->level -= used;
 	bucket_begin_round(bucket, now);
@@ -488,7 +488,7 @@
 	if (bucket->size > 0)
 		bucket_update(bucket, now);
 	bucket_measure_demand(bucket, now);
-	return (token_use_t){ .total = bucket->own_total,
+	return (token_use_t){ .granted = bucket->own_granted,
 			      .requested = bucket->requested,
 			      .has_level = bucket->size > 0,
 			      .level = bucket->level };
--- a/core/forward/token_limits.h
+++ b/core/forward/token_limits.h
@@ -25,8 +25,8 @@
 
 /* A gateway's view of an account's use. */
 typedef struct token_use {
-	double total; /* tokens taken here since this gateway started */
-	double requested; /* total plus the tokens refused */
+	double granted; /* tokens taken from the bucket here since this gateway started */
+	double requested; /* granted plus the tokens refused */
 	bool has_level; /* the account's limit is known here */
 	double level; /* of the shared bucket */
 } token_use_t;
@@ -52,7 +52,7 @@
 void token_limits_refund(token_limits_t *limits, const char *account,
 			 double amount);
 void token_limits_record_peer_use(token_limits_t *limits, const char *account,
-				  const char *peer, double total, bool recent,
+				  const char *peer, double granted, bool recent,
 				  pd_time_t now);
 void token_limits_record_peer_demand(token_limits_t *limits,
 				     const char *account, const char *peer,
--- a/tests/property/test_token_limits.cc
+++ b/tests/property/test_token_limits.cc
@@ -175,7 +175,7 @@
 	void receive(gateway &to, size_t from, const token_use_t &use)
 	{
 		token_limits_record_peer_use(to.limits, account.name,
-					     name(from).c_str(), use.total,
+					     name(from).c_str(), use.granted,
 					     true, now);
 		token_limits_record_peer_demand(to.limits, account.name,
 						name(from).c_str(),
@@ -213,7 +213,7 @@
 	void receive_at_aggregator(size_t from, const token_use_t &use)
 	{
 		receive(gateways[0], from, use);
-		sum_total += use.total - last_use(from).total;
+		sum_granted += use.granted - last_use(from).granted;
 		sum_requested += use.requested - last_use(from).requested;
 		last_use(from) = use;
 	}
@@ -229,7 +229,8 @@
 		token_limits_mark_reported(one.limits);
 		aggregator = use_of(gateways[0]);
 		token_limits_record_peer_use(one.limits, account.name, "everybody",
-					     sum_total - use.total + aggregator.total,
+					     sum_granted - use.granted +
+						     aggregator.granted,
 					     false, now);
 		token_limits_record_peer_demand(one.limits, account.name,
 						"everybody",
@@ -245,7 +246,7 @@
 		if (sums_incarnation != incarnations) {
 			sums_incarnation = incarnations;
 			last_uses.assign(gateways.size(), token_use_t());
-			sum_total = 0;
+			sum_granted = 0;
 			sum_requested = 0;
 		}
 		return last_uses[number];
@@ -292,7 +293,7 @@
 	double demand = 0;
 	unsigned sums_incarnation = 0;
 	std::vector<token_use_t> last_uses;
-	double sum_total = 0;
+	double sum_granted = 0;
 	double sum_requested = 0;
 	std::vector<request> grants;
 };
--- a/tests/unit/test_token_limits.c
+++ b/tests/unit/test_token_limits.c
@@ -69,7 +69,7 @@
 	for (unsigned int i = 0; i < GATEWAYS; i++) {
 		if (i != report->from)
 			token_limits_record_peer_use(report->fleet->gateways[i],
-						     name, who, use->total,
+						     name, who, use->granted,
 						     true, report->now);
 	}
 }
@@ -294,15 +294,15 @@
 {
 	token_limits_t *limits = token_limits_create(&config, true);
 	token_decision_t decision;
-	double total = 0;
+	double granted = 0;
 	pd_time_t now = START;
 
 	(void)state;
 	token_limits_set_gateway_count(limits, 280);
 	for (; now < START + 20 * PD_SEC; now += 500 * PD_MSEC) {
-		token_limits_record_peer_use(limits, account.name, "all", total,
-					     false, now);
-		total += account.rate / 4;
+		token_limits_record_peer_use(limits, account.name, "all",
+					     granted, false, now);
+		granted += account.rate / 4;
 	}
 	assert_true(token_limits_take(limits, &account, REQUEST, now, &decision));
 	assert_true(decision.level > account.burst / 2);
