--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -112,14 +112,14 @@
 /* Charges the request to its account's limit. Returns false if it was refused. */
 static bool request_charge(gateway_request_t *request)
 {
-	token_decision_t verdict;
+	token_decision_t decision;
 	double amount;
 
 	if (!request->account)
 		return true;
 	amount = request_cost(request);
 	if (token_limits_take(request->gateway->limits, request->account,
-			      amount, request->read_at, &verdict)) {
+			      amount, request->read_at, &decision)) {
 		request->charged = amount;
 		return true;
 	}
@@ -128,9 +128,9 @@
 		 "rate=%.0f "
 		 "gateways=%u",
 		 request->call->id ? request->call->id : "-",
-		 request->account->name, amount, verdict.needed, verdict.level,
+		 request->account->name, amount, decision.needed, decision.level,
 		 request->account->rate, gateway_count(request->gateway));
-	gateway_request_respond_error(request, 429, verdict.retry_after,
+	gateway_request_respond_error(request, 429, decision.retry_after,
 				      "over the account's limit");
 	return false;
 }
