--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -66,13 +66,14 @@
 	return request->route->latency_goal + (pd_time_t)prefill_time;
 }
 
-/* Records once whether the request was delayed or rejected by PRESSED engines. */
-void gateway_request_record_outcome(gateway_request_t *request, bool pressed)
+/* Records once whether the request was delayed or rejected by OVERLOADED engines. */
+void gateway_request_record_outcome(gateway_request_t *request, bool overloaded)
 {
 	if (request->outcome_recorded || !request->route->has_prompt)
 		return;
 	request->outcome_recorded = true;
-	shed_record_outcome(get_shed(request->gateway, request->service), pressed);
+	shed_record_outcome(get_shed(request->gateway, request->service),
+			    overloaded);
 }
 
 /* Records that the first event was received, in time or late. */
