--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -459,8 +459,8 @@
 				    !strcmp(settings->node_start, "first"));
 	gateway->retries = retry_windows_create(&retries);
 	gateway->work = work_rate_create();
-	gateway->sheds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					       (GDestroyNotify)shed_destroy);
+	gateway->shedders = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+						  (GDestroyNotify)shed_destroy);
 	gateway->watermarks = usage_watermarks_create();
 	gateway->inflight = usage_inflight_create();
 	gateway->inflight_changed = true;
--- a/adapters/gateway/gateway_state.h
+++ b/adapters/gateway/gateway_state.h
@@ -45,7 +45,7 @@
 	bool inflight_changed; /* since this gateway's last in-flight snapshot */
 	int64_t usage_pruned_window; /* current window when usage was last pruned */
 	work_rate_t *work;
-	GHashTable *sheds; /* service -> shed_t */
+	GHashTable *shedders; /* service -> shed_t */
 	time_vote_t *vote;
 	metrics_t *metrics;
 	http1_client_t *store;
--- a/adapters/gateway/request.c
+++ b/adapters/gateway/request.c
@@ -359,7 +359,7 @@
 /* Advances the queues, and ends requests and attempts that timed out. */
 void gateway_requests_run(gateway_t *gateway, pd_time_t now)
 {
-	gateway_sheds_run(gateway, now);
+	gateway_shedders_run(gateway, now);
 	startup_queue_run(gateway, now);
 	queues_run(gateway, now);
 	LIST_FOR_EACH_SAFE (it, &gateway->requests) {
--- a/adapters/gateway/request_shed.c
+++ b/adapters/gateway/request_shed.c
@@ -14,13 +14,13 @@
 #define RETRY_AFTER_MAX (3 * PD_SEC)
 
 /* Returns the load shedder of a service; creates one that is missing. */
-static shed_t *get_shed(gateway_t *gateway, const char *service)
+static shed_t *get_shedder(gateway_t *gateway, const char *service)
 {
-	shed_t *shed = g_hash_table_lookup(gateway->sheds, service);
+	shed_t *shed = g_hash_table_lookup(gateway->shedders, service);
 
 	if (!shed) {
 		shed = shed_create();
-		g_hash_table_insert(gateway->sheds, g_strdup(service), shed);
+		g_hash_table_insert(gateway->shedders, g_strdup(service), shed);
 	}
 	return shed;
 }
@@ -48,8 +48,8 @@
 
 	if (!request->route->has_prompt)
 		return true;
-	if (shed_admit(get_shed(gateway, request->service), request->rank, work,
-		       g_rand_double(gateway->random)))
+	if (shed_admit(get_shedder(gateway, request->service), request->rank,
+		       work, g_rand_double(gateway->random)))
 		return true;
 	work_rate_add_refused(gateway->work, request->service, work);
 	gateway_request_respond_error(request, 503, retry_after, "engines pressed");
@@ -72,7 +72,7 @@
 	if (request->outcome_recorded || !request->route->has_prompt)
 		return;
 	request->outcome_recorded = true;
-	shed_record_outcome(get_shed(request->gateway, request->service),
+	shed_record_outcome(get_shedder(request->gateway, request->service),
 			    overloaded);
 }
 
@@ -94,29 +94,29 @@
 }
 
 /* Updates the load shedders that are due, and logs changes of their shares. */
-void gateway_sheds_run(gateway_t *gateway, pd_time_t now)
+void gateway_shedders_run(gateway_t *gateway, pd_time_t now)
 {
 	GHashTableIter iter;
 	gpointer service;
 	gpointer shed;
-	shed_utilization_t fill = {
+	shed_utilization_t utilization = {
 		.includes_peers =
 			gateway_peers_loads_are_current(gateway->peers, now),
 	};
 
-	g_hash_table_iter_init(&iter, gateway->sheds);
+	g_hash_table_iter_init(&iter, gateway->shedders);
 	while (g_hash_table_iter_next(&iter, &service, &shed)) {
-		/* Checked first, as the fill visits all upstreams. */
+		/* Checked first, as this visits all upstreams. */
 		if (!shed_update_is_due(shed, now))
 			continue;
-		fill.ratio = forward_upstreams_utilization(gateway->upstreams,
-							   service);
-		if (shed_update(shed, &fill, now))
+		utilization.ratio =
+			forward_upstreams_utilization(gateway->upstreams, service);
+		if (shed_update(shed, &utilization, now))
 			log_line(G_LOG_LEVEL_INFO, "shed",
 				 "service=%s share=%.2f fill=%.2f known=%d "
 				 "pressed=%.2f",
-				 (const char *)service,
-				 shed_admitted_share(shed), fill.ratio,
-				 fill.includes_peers, shed_overload_ratio(shed));
+				 (const char *)service, shed_admitted_share(shed),
+				 utilization.ratio, utilization.includes_peers,
+				 shed_overload_ratio(shed));
 	}
 }
--- a/adapters/gateway/request_state.h
+++ b/adapters/gateway/request_state.h
@@ -104,6 +104,6 @@
 void gateway_request_record_outcome(gateway_request_t *request, bool overloaded);
 void gateway_request_record_first_event(gateway_request_t *request);
 void gateway_request_check_first_event(gateway_request_t *request, pd_time_t now);
-void gateway_sheds_run(gateway_t *gateway, pd_time_t now);
+void gateway_shedders_run(gateway_t *gateway, pd_time_t now);
 
 #endif
