--- a/adapters/gateway/request_flight.c
+++ b/adapters/gateway/request_flight.c
@@ -30,26 +30,27 @@
 /* Returns a snapshot of the requests in flight, owned by the caller. */
 static inflight_snapshot_t *create_snapshot(const gateway_t *gateway)
 {
-	inflight_snapshot_t *flight =
+	inflight_snapshot_t *snapshot =
 		inflight_snapshot_create(usage_own_id(gateway->usage));
 	GHashTable *counts = count_in_flight(gateway);
 	GHashTableIter iter;
 	gpointer account;
 	gpointer count;
 
-	flight->taken_at = gateway_now();
-	flight->boot_time = time_vote_wall(gateway->vote, flight->taken_at) -
-			    flight->taken_at;
-	flight->started_at = gateway->started_at;
-	flight->window = gateway_current_window(gateway);
+	snapshot->taken_at = gateway_now();
+	snapshot->boot_time = time_vote_wall(gateway->vote, snapshot->taken_at) -
+			      snapshot->taken_at;
+	snapshot->started_at = gateway->started_at;
+	snapshot->window = gateway_current_window(gateway);
 	g_hash_table_iter_init(&iter, counts);
 	while (g_hash_table_iter_next(&iter, &account, &count))
-		inflight_snapshot_add(flight, account,
-				      usage_count(gateway->usage, flight->window,
-						  flight->incarnation_id, account) +
+		inflight_snapshot_add(snapshot, account,
+				      usage_count(gateway->usage, snapshot->window,
+						  snapshot->incarnation_id,
+						  account) +
 					      GPOINTER_TO_UINT(count));
 	g_hash_table_unref(counts);
-	return flight;
+	return snapshot;
 }
 
 /*
