--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -39,7 +39,7 @@
 		g_free(text);
 	}
 	for (unsigned int i = 0; i < calls; i++) {
-		RIG_UNTIL(rig, (rig_hear(callers[i]), callers[i]->closed));
+		RIG_UNTIL(rig, (rig_receive(callers[i]), callers[i]->closed));
 		assert_non_null(strstr(callers[i]->got->str, "HTTP/1.1 200"));
 		rig_caller_destroy(callers[i]);
 	}
@@ -63,7 +63,7 @@
 	/* Ready once it has both lists; a call before that is refused. */
 	for (uint64_t end = uv_hrtime() / 1000000 + 3000;
 	     uv_hrtime() / 1000000 < end;)
-		rig_turn(rig);
+		rig_run_once(rig);
 	for (unsigned int left = count; left;) {
 		unsigned int calls = MIN(left, AT_ONCE);
 
--- a/tests/guarantees/test_gateway_soak.c
+++ b/tests/guarantees/test_gateway_soak.c
@@ -184,7 +184,7 @@
 /* Checks that a call ran as often as allowed, and got no false response. */
 static void check_call(const soak_t *soak, const call_t *call)
 {
-	unsigned int runs = rig_runs(soak->rig, call->id);
+	unsigned int runs = rig_run_count(soak->rig, call->id);
 	int status = status_of(call);
 	char id[48];
 
@@ -211,7 +211,7 @@
 {
 	const gateway_state_t *gateway = &soak->gateways[call->gateway];
 
-	rig_hear(call->caller);
+	rig_receive(call->caller);
 	if (call->left || call->caller->closed || is_whole(call) ||
 	    gateway->disturbed_at + DISTURBED_MS > call->begun_at)
 		return;
@@ -432,7 +432,7 @@
 
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
 		before[i] = soak->rig->upstreams[i].arrivals;
-	rig_turn(soak->rig);
+	rig_run_once(soak->rig);
 	check_drained(soak, before);
 	repair_gateways(soak);
 	update_store_links(soak);
@@ -450,7 +450,7 @@
 	call = g_ptr_array_index(soak->calls, soak->calls->len - 1);
 	if (!call->caller->closed) {
 		call->left = true;
-		rig_hang_up(call->caller);
+		rig_caller_close(call->caller);
 	}
 }
 
@@ -504,7 +504,7 @@
 			  "X-Attempt-Id: r\r\nX-Deadline-Ms: 1000\r\n"
 			  "Authorization: Bearer k\r\n"
 			  "Connection: close\r\n\r\n");
-	RIG_UNTIL(soak->rig, (rig_hear(caller), caller->closed));
+	RIG_UNTIL(soak->rig, (rig_receive(caller), caller->closed));
 	served = strstr(caller->got->str, "HTTP/1.1 200") != NULL;
 	rig_caller_destroy(caller);
 	return served;
--- a/tests/harness/gateway_calls.c
+++ b/tests/harness/gateway_calls.c
@@ -11,14 +11,14 @@
 /* Returns whether a caller has received TEXT by now. */
 bool rig_heard(rig_caller_t *caller, const char *text)
 {
-	rig_hear(caller);
+	rig_receive(caller);
 	return strstr(caller->got->str, text) != NULL;
 }
 
 /* Returns whether a caller's connection was closed by now. */
 bool rig_is_closed(rig_caller_t *caller)
 {
-	rig_hear(caller);
+	rig_receive(caller);
 	return caller->closed;
 }
 
@@ -50,7 +50,7 @@
 				     "Content-Length: 4\r\n\r\nbody",
 				     method, path, id);
 
-	rig_say(caller, text);
+	rig_send(caller, text);
 	g_free(text);
 }
 
--- a/tests/harness/gateway_rig.c
+++ b/tests/harness/gateway_rig.c
@@ -115,7 +115,7 @@
 }
 
 /* Returns how often an upstream began to run a call. */
-unsigned int rig_runs(const gateway_rig_t *rig, const char *call_id)
+unsigned int rig_run_count(const gateway_rig_t *rig, const char *call_id)
 {
 	return GPOINTER_TO_UINT(g_hash_table_lookup(rig->runs, call_id));
 }
@@ -215,7 +215,7 @@
 	if (visit->act != RIG_REJECT && visit->call_id)
 		g_hash_table_insert(rig->runs, g_strdup(visit->call_id),
 				    GUINT_TO_POINTER(
-					    rig_runs(rig, visit->call_id) + 1));
+					    rig_run_count(rig, visit->call_id) + 1));
 	switch (visit->act) {
 	case RIG_ANSWER:
 		upstream_answer(visit, 200, visit->call_id);
@@ -592,7 +592,7 @@
 }
 
 /* Lets the loop take what is there, waiting for at most a few milliseconds. */
-void rig_turn(gateway_rig_t *rig)
+void rig_run_once(gateway_rig_t *rig)
 {
 	uv_run(&rig->loop, UV_RUN_ONCE);
 }
@@ -654,7 +654,7 @@
 }
 
 /* Lists an upstream that serves and was started at BORN, in milliseconds. */
-void rig_put_started(gateway_rig_t *rig, int number, long born)
+void rig_put_upstream_started_at(gateway_rig_t *rig, int number, long born)
 {
 	char more[32];
 
@@ -702,7 +702,7 @@
 }
 
 /* Spoils a gateway's settings. */
-void rig_spoil_settings(gateway_rig_t *rig, int number)
+void rig_write_invalid_settings(gateway_rig_t *rig, int number)
 {
 	char *path = settings_path(rig, number);
 
@@ -752,19 +752,19 @@
 	if (connect(caller->fd, (struct sockaddr *)&addr, sizeof(addr)) < 0)
 		caller->closed = true;
 	fcntl(caller->fd, F_SETFL, O_NONBLOCK);
-	rig_say(caller, text);
+	rig_send(caller, text);
 	return caller;
 }
 
 /* Sends more bytes. */
-void rig_say(rig_caller_t *caller, const char *text)
+void rig_send(rig_caller_t *caller, const char *text)
 {
 	if (!caller->closed)
 		(void)send(caller->fd, text, strlen(text), MSG_NOSIGNAL);
 }
 
 /* Takes in one buffer at most of what has come back; false: nothing was there. */
-bool rig_hear_some(rig_caller_t *caller)
+bool rig_receive_some(rig_caller_t *caller)
 {
 	char buffer[4096];
 	ssize_t len;
@@ -782,14 +782,14 @@
 }
 
 /* Takes in what has come back. */
-void rig_hear(rig_caller_t *caller)
+void rig_receive(rig_caller_t *caller)
 {
-	while (rig_hear_some(caller))
+	while (rig_receive_some(caller))
 		continue;
 }
 
 /* Closes the connection, as a caller does who gives up. */
-void rig_hang_up(rig_caller_t *caller)
+void rig_caller_close(rig_caller_t *caller)
 {
 	close(caller->fd);
 	caller->closed = true;
--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -93,18 +93,18 @@
 void rig_remove(gateway_rig_t *rig, const char *kind, const char *name);
 void rig_put_config(gateway_rig_t *rig, int version, const char *more_routes);
 void rig_put_upstream(gateway_rig_t *rig, int number, const char *state);
-void rig_put_started(gateway_rig_t *rig, int number, long born);
+void rig_put_upstream_started_at(gateway_rig_t *rig, int number, long born);
 void rig_write_settings(gateway_rig_t *rig, int number, int door);
-void rig_spoil_settings(gateway_rig_t *rig, int number);
+void rig_write_invalid_settings(gateway_rig_t *rig, int number);
 void rig_start(gateway_rig_t *rig, int number);
-void rig_turn(gateway_rig_t *rig);
-unsigned int rig_runs(const gateway_rig_t *rig, const char *call_id);
+void rig_run_once(gateway_rig_t *rig);
+unsigned int rig_run_count(const gateway_rig_t *rig, const char *call_id);
 uint16_t rig_port(gateway_rig_t *rig, int number, const char *what);
 rig_caller_t *rig_call(gateway_rig_t *rig, uint16_t port, const char *text);
-void rig_say(rig_caller_t *caller, const char *text);
-void rig_hear(rig_caller_t *caller);
-bool rig_hear_some(rig_caller_t *caller);
-void rig_hang_up(rig_caller_t *caller);
+void rig_send(rig_caller_t *caller, const char *text);
+void rig_receive(rig_caller_t *caller);
+bool rig_receive_some(rig_caller_t *caller);
+void rig_caller_close(rig_caller_t *caller);
 void rig_caller_destroy(rig_caller_t *caller);
 
 /* Turns the loop until a condition holds; fails the test after MS. */
@@ -112,7 +112,7 @@
 	do {                                                             \
 		uint64_t rig_end = uv_hrtime() / 1000000 + (ms);         \
 		while (!(condition) && uv_hrtime() / 1000000 < rig_end)  \
-			rig_turn(rig);                                   \
+			rig_run_once(rig);                               \
 		if (!(condition))                                        \
 			fail_msg("gave up waiting for: %s", #condition); \
 	} while (0)
--- a/tests/process/test_gateway.c
+++ b/tests/process/test_gateway.c
@@ -35,7 +35,7 @@
 	char *log = NULL;
 	bool found;
 
-	rig_turn(rig);
+	rig_run_once(rig);
 	if (!g_file_get_contents(rig->gateways[number]->out_path, &log, NULL, NULL))
 		return false;
 	found = strstr(log, text) != NULL;
@@ -192,7 +192,7 @@
 		uint64_t left_at;
 
 		RIG_UNTIL(rig, arrivals(rig) == i + 1);
-		rig_hang_up(caller);
+		rig_caller_close(caller);
 		left_at = uv_hrtime();
 		RIG_UNTIL(rig, hang_ups(rig) == i + 1);
 		assert_true(uv_hrtime() - left_at < 500000000);
@@ -419,9 +419,9 @@
 	caller = rig_call(rig, rig_port(rig, 0, "callers"),
 			  "POST /safe/ HTTP/1.1\r\nHost: h\r\n");
 	RIG_UNTIL(rig, uv_hrtime() - since > LISTENER_CLOSED_NS);
-	rig_say(caller, "X-Attempt-Id: c1\r\nX-Deadline-Ms: 3000\r\n"
-			"Authorization: Bearer k\r\n"
-			"Content-Length: 0\r\n\r\n");
+	rig_send(caller, "X-Attempt-Id: c1\r\nX-Deadline-Ms: 3000\r\n"
+			 "Authorization: Bearer k\r\n"
+			 "Content-Length: 0\r\n\r\n");
 	RIG_UNTIL(rig, rig_heard(caller, "from "));
 	assert_true(rig_heard(caller, "Connection: close"));
 	RIG_UNTIL(rig, process_ended(rig->gateways[0]));
@@ -442,8 +442,8 @@
 	process_signal(rig->gateways[0], SIGTERM);
 	since = uv_hrtime();
 	while (uv_hrtime() - since < LISTENER_CLOSED_NS) {
-		rig_turn(rig);
-		rig_hear_some(caller);
+		rig_run_once(rig);
+		rig_receive_some(caller);
 	}
 	RIG_UNTIL(rig, rig_is_closed(caller));
 	assert_true(caller->got->len > RIG_LARGE_BYTES);
@@ -555,20 +555,20 @@
 	rig_caller_t *safe;
 	rig_caller_t *unsafe;
 
-	rig_put_started(rig, 0, 1000);
+	rig_put_upstream_started_at(rig, 0, 1000);
 	rig_remove(rig, "servers", "u1");
 	RIG_UNTIL(rig, has_logged(rig, 0, "id=u1 stage=gone"));
 	rig->upstreams[0].act = RIG_HANG;
 	safe = rig_call_at(rig, 0, "GET", "/safe/x", "s1");
 	unsafe = rig_call_at(rig, 0, "POST", "/unsafe/x", "n1");
-	RIG_UNTIL(rig, rig_runs(rig, "s1") && rig_runs(rig, "n1"));
-	rig_put_started(rig, 1, 1500);
+	RIG_UNTIL(rig, rig_run_count(rig, "s1") && rig_run_count(rig, "n1"));
+	rig_put_upstream_started_at(rig, 1, 1500);
 	RIG_UNTIL(rig, has_logged(rig, 0, "id=u1 stage=serving"));
-	rig_put_started(rig, 0, 2000);
+	rig_put_upstream_started_at(rig, 0, 2000);
 	RIG_UNTIL(rig, rig_heard(safe, "HTTP/1.1 200"));
 	RIG_UNTIL(rig, rig_heard(unsafe, "HTTP/1.1 502"));
 	assert_true(has_logged(rig, 0, "upstream restarted"));
-	assert_int_equal(rig_runs(rig, "n1"), 1);
+	assert_int_equal(rig_run_count(rig, "n1"), 1);
 	rig_caller_destroy(safe);
 	rig_caller_destroy(unsafe);
 }
@@ -620,7 +620,7 @@
 		uint64_t end = uv_hrtime() / 1000000 + 20000;
 
 		while (rig->usage->len < before + 4 && uv_hrtime() / 1000000 < end)
-			rig_turn(rig);
+			rig_run_once(rig);
 		assert_true(rig->usage->len >= before + 4);
 	}
 	for (guint i = 0; i < rig->usage->len; i++) {
@@ -648,7 +648,7 @@
 	/* The limit in the configuration is three seconds. */
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 408"));
 	assert_true(uv_hrtime() / 1000000 - begun < 5000);
-	RIG_UNTIL(rig, (rig_hear(caller), caller->closed));
+	RIG_UNTIL(rig, (rig_receive(caller), caller->closed));
 	rig_caller_destroy(caller);
 }
 
@@ -711,7 +711,7 @@
 	/* A change is only detected after the file was checked once. */
 	RIG_UNTIL(rig, has_logged(rig, 0, "start node="));
 	for (uint64_t end = uv_hrtime() + 50 * 1000000; uv_hrtime() < end;)
-		rig_turn(rig);
+		rig_run_once(rig);
 	rig->stores[0].down = true;
 	rig_write_settings(rig, 0, 2);
 	RIG_UNTIL(rig, has_logged(rig, 0, "key=store.address changed=yes"));
@@ -727,7 +727,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	rig_spoil_settings(rig, 0);
+	rig_write_invalid_settings(rig, 0);
 	process_signal(rig->gateways[0], SIGHUP);
 	RIG_UNTIL(rig, has_logged(rig, 0, "settings: reload"));
 	caller = call(rig, "/safe/");
@@ -744,7 +744,7 @@
 	uint64_t end = uv_hrtime() / 1000000 + ms;
 
 	while (uv_hrtime() / 1000000 < end)
-		rig_turn(rig);
+		rig_run_once(rig);
 }
 
 /* Sends LEAVE_CALLS calls at once and asserts that all of them get a 200. */
@@ -784,7 +784,7 @@
 	rig_remove(rig, "servers", "u0");
 	left = uv_hrtime();
 	while (uv_hrtime() - left < DRAIN_NS)
-		rig_turn(rig);
+		rig_run_once(rig);
 	before = rig->upstreams[0].arrivals;
 	make_calls(rig);
 	assert_int_equal(rig->upstreams[0].arrivals, before);
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -48,7 +48,7 @@
 	char *log = NULL;
 	int times = 0;
 
-	rig_turn(rig);
+	rig_run_once(rig);
 	if (!g_file_get_contents(rig->gateways[number]->out_path, &log, NULL, NULL))
 		return 0;
 	for (const char *at = log; (at = strstr(at, text)) != NULL; at++)
@@ -80,7 +80,7 @@
 	uint64_t end = uv_hrtime() / 1000000 + ms;
 
 	while (uv_hrtime() / 1000000 < end)
-		rig_turn(rig);
+		rig_run_once(rig);
 }
 
 /* Kills all gateways and lets the simulated servers read what they had sent. */
@@ -140,7 +140,7 @@
 	const char *name;
 	json_t *object;
 
-	rig_turn(rig);
+	rig_run_once(rig);
 	json_object_foreach(json_object_get(rig->objects, "counts"), name, object)
 	{
 		char *text = json_dumps(json_object_get(object, "spec"), 0);
@@ -235,7 +235,7 @@
 /* Returns whether the current window is in its first quarter. */
 static bool window_has_begun(gateway_rig_t *rig)
 {
-	rig_turn(rig);
+	rig_run_once(rig);
 	return g_get_real_time() / 1000 % WINDOW_MS < WINDOW_MS / 4;
 }
 
@@ -551,7 +551,7 @@
 
 static bool has_object(gateway_rig_t *rig, const char *kind, const char *name)
 {
-	rig_turn(rig);
+	rig_run_once(rig);
 	return json_object_get(json_object_get(rig->objects, kind), name);
 }
 
@@ -620,7 +620,7 @@
 {
 	int count = 0;
 
-	rig_turn(rig);
+	rig_run_once(rig);
 	for (guint i = 0; i < rig->orders->len; i++)
 		count += !strstr(g_ptr_array_index(rig->orders, i),
 				 "preemptible");
