--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -53,8 +53,8 @@
 	(void)state;
 	rig_put_config(rig, 1, "");
 	for (int i = 0; i < RIG_UPSTREAMS; i++) {
-		rig->upstreams[i].act = strcmp(kind, "safe") ? RIG_STREAM
-							     : RIG_ANSWER;
+		rig->upstreams[i].behavior = strcmp(kind, "safe") ? RIG_STREAM
+								  : RIG_ANSWER;
 		rig_put_upstream(rig, i, "ready");
 	}
 	rig_start(rig, 0);
--- a/tests/guarantees/test_gateway_soak.c
+++ b/tests/guarantees/test_gateway_soak.c
@@ -82,15 +82,15 @@
 }
 
 /* Returns a random behavior of an upstream for a call to TARGET. */
-static rig_act_t choose_act(void *ctx, const char *target)
-{
-	static const rig_act_t plain[] = { RIG_ANSWER, RIG_ANSWER, RIG_ANSWER,
-					   RIG_ANSWER, RIG_FAIL,   RIG_REJECT,
-					   RIG_HANG,   RIG_CUT,	   RIG_DOUBLE,
-					   RIG_SLOW };
-	static const rig_act_t streams[] = { RIG_STREAM, RIG_STREAM,
-					     RIG_STREAM, RIG_STREAM_CUT,
-					     RIG_REJECT, RIG_CUT };
+static rig_behavior_t choose_behavior(void *ctx, const char *target)
+{
+	static const rig_behavior_t plain[] = {
+		RIG_ANSWER, RIG_ANSWER, RIG_ANSWER, RIG_ANSWER, RIG_FAIL,
+		RIG_REJECT, RIG_HANG,	RIG_CUT,    RIG_DOUBLE, RIG_SLOW
+	};
+	static const rig_behavior_t streams[] = { RIG_STREAM, RIG_STREAM,
+						  RIG_STREAM, RIG_STREAM_CUT,
+						  RIG_REJECT, RIG_CUT };
 	soak_t *soak = ctx;
 
 	if (g_str_has_prefix(target, "/safe/") ||
@@ -219,7 +219,7 @@
 		fail_call(soak, call, "was not answered in time");
 }
 
-/* Exempts a gateway from checks, and has it act again after FOR_MS. */
+/* Exempts a gateway from checks, and has it run again after FOR_MS. */
 static void mark_disturbed(soak_t *soak, int number, uint64_t for_ms)
 {
 	soak->gateways[number].disturbed_at = now_ms();
@@ -483,7 +483,7 @@
 	g_free(call);
 }
 
-static rig_act_t always_answer(void *ctx, const char *target)
+static rig_behavior_t always_answer(void *ctx, const char *target)
 {
 	(void)ctx;
 	(void)target;
@@ -517,7 +517,7 @@
  */
 static void check_recovery(soak_t *soak)
 {
-	soak->rig->choose_act = always_answer;
+	soak->rig->choose_behavior = always_answer;
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		soak->rig->stores[i].down = false;
 		if (soak->links)
@@ -567,7 +567,7 @@
 	unsigned int answered = 0;
 
 	soak.calls = g_ptr_array_new_with_free_func(call_destroy);
-	soak.rig->choose_act = choose_act;
+	soak.rig->choose_behavior = choose_behavior;
 	soak.rig->ctx = &soak;
 	if (links)
 		create_links(&soak);
--- a/tests/harness/gateway_rig.c
+++ b/tests/harness/gateway_rig.c
@@ -26,7 +26,7 @@
 	char *resume_after;
 	GString *body;
 	uv_timer_t timer;
-	rig_act_t act;
+	rig_behavior_t behavior;
 	int event; /* the last that was sent */
 	bool busy; /* a request was read and not answered */
 } visit_t;
@@ -171,7 +171,7 @@
 	char event[64];
 
 	visit->event++;
-	if (visit->act == RIG_STREAM_CUT && visit->event == 4) {
+	if (visit->behavior == RIG_STREAM_CUT && visit->event == 4) {
 		stream_write(visit, "id: 4\nda");
 		visit_cut(visit);
 		return;
@@ -209,14 +209,14 @@
 
 	gateway_rig_t *rig = visit->server->rig;
 
-	visit->act = visit->server->act;
-	if (rig->choose_act)
-		visit->act = rig->choose_act(rig->ctx, visit->target);
-	if (visit->act != RIG_REJECT && visit->call_id)
+	visit->behavior = visit->server->behavior;
+	if (rig->choose_behavior)
+		visit->behavior = rig->choose_behavior(rig->ctx, visit->target);
+	if (visit->behavior != RIG_REJECT && visit->call_id)
 		g_hash_table_insert(rig->runs, g_strdup(visit->call_id),
 				    GUINT_TO_POINTER(
 					    rig_run_count(rig, visit->call_id) + 1));
-	switch (visit->act) {
+	switch (visit->behavior) {
 	case RIG_ANSWER:
 		upstream_answer(visit, 200, visit->call_id);
 		return;
--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -19,7 +19,7 @@
 #define RIG_TIMEOUT_MS 10000 /* of a wait for a condition */
 
 /* What an upstream does with a request. */
-typedef enum rig_act {
+typedef enum rig_behavior {
 	RIG_ANSWER,
 	RIG_FAIL, /* runs it and says that it failed */
 	RIG_REJECT, /* does not run it and says so */
@@ -30,7 +30,7 @@
 	RIG_LARGE, /* answers with RIG_LARGE_BYTES */
 	RIG_STREAM, /* RIG_EVENTS events, one every 20 ms */
 	RIG_STREAM_CUT /* the same, but stops in the middle of the fourth */
-} rig_act_t;
+} rig_behavior_t;
 
 #define RIG_SLOW_MS 1000
 #define RIG_LARGE_BYTES 12000000 /* more than sockets hold */
@@ -48,7 +48,7 @@
 	unsigned int silent_watches; /* of upstreams that came meanwhile */
 	unsigned int arrivals;
 	unsigned int hang_ups; /* callers that left before their answer */
-	rig_act_t act;
+	rig_behavior_t behavior;
 	GString *last; /* the last request: head lines, then the body */
 } rig_server_t;
 
@@ -71,7 +71,7 @@
 	GPtrArray *orders; /* bodies of the orders that came in */
 	bool orders_unanswered;
 	GHashTable *runs; /* call id -> how often it ran, as a pointer */
-	rig_act_t (*choose_act)(void *ctx, const char *target); /* NULL: as set */
+	rig_behavior_t (*choose_behavior)(void *ctx, const char *target); /* NULL: as set */
 	void *ctx;
 	uint16_t store_via[RIG_GATEWAYS]; /* ports in between; 0: none */
 	uint16_t upstream_via[RIG_UPSTREAMS];
--- a/tests/process/test_gateway.c
+++ b/tests/process/test_gateway.c
@@ -101,10 +101,10 @@
 	return sum;
 }
 
-static void set_all_acts(gateway_rig_t *rig, rig_act_t act)
+static void set_all_behaviors(gateway_rig_t *rig, rig_behavior_t behavior)
 {
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
-		rig->upstreams[i].act = act;
+		rig->upstreams[i].behavior = behavior;
 }
 
 /* Returns the last request that an upstream received, borrowed. */
@@ -186,7 +186,7 @@
 	static const char *const paths[] = { "/safe/", "/unsafe/", "/stream/" };
 	gateway_rig_t *rig = *state;
 
-	set_all_acts(rig, RIG_HANG);
+	set_all_behaviors(rig, RIG_HANG);
 	for (unsigned int i = 0; i < G_N_ELEMENTS(paths); i++) {
 		rig_caller_t *caller = call(rig, paths[i]);
 		uint64_t left_at;
@@ -210,7 +210,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_CUT);
+	set_all_behaviors(rig, RIG_CUT);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
 	assert_true(rig_heard(caller, "HTTP/1.1 502"));
@@ -222,13 +222,13 @@
 /* The same for a call that may be repeated: it is retried, and the caller gets a 200. */
 static void test_a_safe_call_goes_to_another_upstream(void **state)
 {
-	static const rig_act_t acts[] = { RIG_CUT, RIG_FAIL, RIG_REJECT };
+	static const rig_behavior_t behaviors[] = { RIG_CUT, RIG_FAIL, RIG_REJECT };
 	gateway_rig_t *rig = *state;
 
-	for (size_t i = 0; i < G_N_ELEMENTS(acts); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(behaviors); i++) {
 		rig_caller_t *caller;
 
-		rig->upstreams[0].act = acts[i];
+		rig->upstreams[0].behavior = behaviors[i];
 		for (int tries = 0; tries < 4; tries++) {
 			caller = call(rig, "/safe/");
 			RIG_UNTIL(rig, rig_heard(caller, "from 1"));
@@ -244,7 +244,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_REJECT);
+	set_all_behaviors(rig, RIG_REJECT);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
 	assert_true(rig_heard(caller, "HTTP/1.1 503"));
@@ -261,7 +261,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_DOUBLE);
+	set_all_behaviors(rig, RIG_DOUBLE);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "from "));
 	assert_true(rig_heard(caller, "X-Attempt-Id: c1"));
@@ -293,8 +293,8 @@
 {
 	gateway_rig_t *rig = *state;
 
-	rig->upstreams[0].act = RIG_STREAM_CUT;
-	rig->upstreams[1].act = RIG_STREAM;
+	rig->upstreams[0].behavior = RIG_STREAM_CUT;
+	rig->upstreams[1].behavior = RIG_STREAM;
 	for (int i = 0; i < 4; i++) {
 		rig_caller_t *caller = call(rig, "/stream/");
 
@@ -312,7 +312,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_STREAM_CUT);
+	set_all_behaviors(rig, RIG_STREAM_CUT);
 	caller = call(rig, "/once/");
 	RIG_UNTIL(rig, rig_is_closed(caller));
 	assert_true(rig_heard(caller, "id: 3\n"));
@@ -329,7 +329,7 @@
 	rig_caller_t *caller;
 	uint64_t began = uv_hrtime();
 
-	set_all_acts(rig, RIG_HANG);
+	set_all_behaviors(rig, RIG_HANG);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 504"));
 	assert_true(uv_hrtime() - began < 3500000000);
@@ -343,7 +343,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_SLOW);
+	set_all_behaviors(rig, RIG_SLOW);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, arrivals(rig) == 1);
 	process_signal(rig->gateways[0], SIGTERM);
@@ -377,7 +377,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_STREAM);
+	set_all_behaviors(rig, RIG_STREAM);
 	stop_until_long_are_refused(rig);
 	caller = call(rig, "/stream/");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
@@ -436,7 +436,7 @@
 	rig_caller_t *caller;
 	uint64_t since;
 
-	set_all_acts(rig, RIG_LARGE);
+	set_all_behaviors(rig, RIG_LARGE);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, arrivals(rig) == 1);
 	process_signal(rig->gateways[0], SIGTERM);
@@ -558,7 +558,7 @@
 	rig_put_upstream_started_at(rig, 0, 1000);
 	rig_remove(rig, "servers", "u1");
 	RIG_UNTIL(rig, has_logged(rig, 0, "id=u1 stage=gone"));
-	rig->upstreams[0].act = RIG_HANG;
+	rig->upstreams[0].behavior = RIG_HANG;
 	safe = rig_call_at(rig, 0, "GET", "/safe/x", "s1");
 	unsafe = rig_call_at(rig, 0, "POST", "/unsafe/x", "n1");
 	RIG_UNTIL(rig, rig_run_count(rig, "s1") && rig_run_count(rig, "n1"));
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -355,7 +355,7 @@
 	rig_caller_t *caller;
 
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
-		rig->upstreams[i].act = RIG_HANG;
+		rig->upstreams[i].behavior = RIG_HANG;
 	caller = rig_call_at(rig, 1, "POST", "/unsafe/x", "c0");
 	RIG_UNTIL(rig, calls_in_flight(rig) == 1);
 	kill_all(rig);
@@ -664,7 +664,7 @@
 	before = rig->usage->len;
 	RIG_UNTIL(rig, rig->usage->len > before);
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
-		rig->upstreams[i].act = RIG_HANG;
+		rig->upstreams[i].behavior = RIG_HANG;
 	caller = rig_call_at(rig, 0, "POST", "/unsafe/x", "c1");
 	RIG_UNTIL(rig, rig->upstreams[0].arrivals + rig->upstreams[1].arrivals);
 	process_signal(rig->gateways[0], SIGTERM);
