--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -40,7 +40,8 @@
 	}
 	for (unsigned int i = 0; i < calls; i++) {
 		RIG_UNTIL(rig, (rig_receive(callers[i]), callers[i]->closed));
-		assert_non_null(strstr(callers[i]->got->str, "HTTP/1.1 200"));
+		assert_non_null(
+			strstr(callers[i]->received->str, "HTTP/1.1 200"));
 		rig_caller_destroy(callers[i]);
 	}
 }
--- a/tests/guarantees/test_gateway_soak.c
+++ b/tests/guarantees/test_gateway_soak.c
@@ -128,7 +128,7 @@
 /* Returns the body received so far, borrowed; NULL: the head is incomplete. */
 static const char *body_of(const call_t *call)
 {
-	const char *end = strstr(call->caller->got->str, "\r\n\r\n");
+	const char *end = strstr(call->caller->received->str, "\r\n\r\n");
 
 	return end ? end + 4 : NULL;
 }
@@ -136,7 +136,7 @@
 /* Returns the status that a call got; 0: none. */
 static int status_of(const call_t *call)
 {
-	const char *got = call->caller->got->str;
+	const char *got = call->caller->received->str;
 
 	return g_str_has_prefix(got, "HTTP/1.1 ") ? atoi(got + 9) : 0;
 }
@@ -144,12 +144,13 @@
 /* Returns whether the response of a call was received completely. */
 static bool is_whole(const call_t *call)
 {
-	const char *length = strstr(call->caller->got->str, "Content-Length: ");
+	const char *length =
+		strstr(call->caller->received->str, "Content-Length: ");
 	const char *body = body_of(call);
 
 	if (!body)
 		return false;
-	if (strstr(call->caller->got->str, "Transfer-Encoding: chunked"))
+	if (strstr(call->caller->received->str, "Transfer-Encoding: chunked"))
 		return g_str_has_suffix(body, "\r\n0\r\n\r\n");
 	return length && strlen(body) >= strtoul(length + 16, NULL, 10);
 }
@@ -158,7 +159,7 @@
 static void fail_call(const soak_t *soak, const call_t *call, const char *what)
 {
 	fail_msg("seed %u: call %s: %s; it got: %s", soak->seed, call->id, what,
-		 call->caller->got->str);
+		 call->caller->received->str);
 }
 
 /* Checks that a complete stream has each event once and in order. */
@@ -198,7 +199,7 @@
 	if (status != 200 || !is_whole(call))
 		return;
 	snprintf(id, sizeof(id), "X-Attempt-Id: %s\r\n", call->id);
-	if (!strstr(call->caller->got->str, id))
+	if (!strstr(call->caller->received->str, id))
 		fail_call(soak, call, "got the answer to another call");
 	if (call->kind == CALL_STREAM || call->kind == CALL_ONCE)
 		check_events(soak, call);
@@ -505,7 +506,7 @@
 			  "Authorization: Bearer k\r\n"
 			  "Connection: close\r\n\r\n");
 	RIG_UNTIL(soak->rig, (rig_receive(caller), caller->closed));
-	served = strstr(caller->got->str, "HTTP/1.1 200") != NULL;
+	served = strstr(caller->received->str, "HTTP/1.1 200") != NULL;
 	rig_caller_destroy(caller);
 	return served;
 }
@@ -546,13 +547,14 @@
 	for (int i = 0; i < RIG_UPSTREAMS; i++) {
 		soak->to_upstream[i] =
 			forwarder_create(&rig->loop, rig->upstreams[i].port);
-		rig->upstream_via[i] =
+		rig->upstream_proxy_ports[i] =
 			(uint16_t)forwarder_port(soak->to_upstream[i]);
 	}
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		soak->to_store[i] =
 			forwarder_create(&rig->loop, rig->stores[i].port);
-		rig->store_via[i] = (uint16_t)forwarder_port(soak->to_store[i]);
+		rig->store_proxy_ports[i] =
+			(uint16_t)forwarder_port(soak->to_store[i]);
 	}
 }
 
--- a/tests/harness/gateway_calls.c
+++ b/tests/harness/gateway_calls.c
@@ -12,7 +12,7 @@
 bool rig_heard(rig_caller_t *caller, const char *text)
 {
 	rig_receive(caller);
-	return strstr(caller->got->str, text) != NULL;
+	return strstr(caller->received->str, text) != NULL;
 }
 
 /* Returns whether a caller's connection was closed by now. */
@@ -34,7 +34,7 @@
 	caller = rig_call(rig, port,
 			  "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n");
 	RIG_UNTIL(rig, rig_is_closed(caller));
-	ready = strstr(caller->got->str, "HTTP/1.1 200") != NULL;
+	ready = strstr(caller->received->str, "HTTP/1.1 200") != NULL;
 	rig_caller_destroy(caller);
 	return ready;
 }
--- a/tests/harness/gateway_rig.c
+++ b/tests/harness/gateway_rig.c
@@ -1,4 +1,4 @@
-/* The stand-ins of the rig and the processes between them. */
+/* The mock servers of the rig, and its gateway processes and callers. */
 #include "tests/harness/gateway_rig.h"
 
 #include <arpa/inet.h>
@@ -363,13 +363,13 @@
 }
 
 /* Returns whether a write that was done is not answered. */
-static bool store_loses_answer(visit_t *visit)
+static bool store_drops_answer(visit_t *visit)
 {
 	gateway_rig_t *rig = visit->server->rig;
 
-	if (!rig->answers_lost || !strcmp(visit->kind, "leases"))
+	if (!rig->answers_to_drop || !strcmp(visit->kind, "leases"))
 		return false;
-	rig->answers_lost--;
+	rig->answers_to_drop--;
 	return true;
 }
 
@@ -378,40 +378,42 @@
 	gateway_rig_t *rig = visit->server->rig;
 	json_error_t err;
 	json_t *body = json_loads(visit->body->str, 0, &err);
-	json_t *head = json_object_get(body, "metadata");
-	json_t *known;
-	json_int_t asked =
-		json_integer_value(json_object_get(head, "revision"));
+	json_t *metadata = json_object_get(body, "metadata");
+	json_t *stored;
+	json_int_t expected =
+		json_integer_value(json_object_get(metadata, "revision"));
 	bool conflict;
 
 	if (!name)
-		name = json_string_value(json_object_get(head, "name"));
-	known = json_object_get(store_kind(rig, visit->kind), name);
-	conflict = known && asked != json_integer_value(json_object_get(
-					     json_object_get(known, "metadata"),
-					     "revision"));
+		name = json_string_value(json_object_get(metadata, "name"));
+	stored = json_object_get(store_kind(rig, visit->kind), name);
+	conflict = stored &&
+		   expected != json_integer_value(json_object_get(
+				       json_object_get(stored, "metadata"),
+				       "revision"));
 	if (conflict) {
-		visit_json(visit, 409, json_incref(known));
+		visit_json(visit, 409, json_incref(stored));
 	} else {
-		known = store_write(rig, visit->kind, name,
+		stored =
+			store_write(rig, visit->kind, name,
 				    json_incref(json_object_get(body, "spec")));
-		if (!store_loses_answer(visit))
-			visit_json(visit, 200, json_incref(known));
+		if (!store_drops_answer(visit))
+			visit_json(visit, 200, json_incref(stored));
 	}
 	json_decref(body);
 }
 
-static void note_reading(gateway_rig_t *rig, const char *kind, bool watch)
+static void record_upstreams_read(gateway_rig_t *rig, const char *kind, bool watch)
 {
 	uint64_t now = uv_hrtime() / 1000000;
 
 	if (strcmp(kind, "servers") != 0)
 		return;
 	if (!watch) {
-		rig->listed_ms = now;
-		rig->watched_ms = 0;
-	} else if (!rig->watched_ms) {
-		rig->watched_ms = now;
+		rig->upstreams_listed_ms = now;
+		rig->upstreams_watched_ms = 0;
+	} else if (!rig->upstreams_watched_ms) {
+		rig->upstreams_watched_ms = now;
 	}
 }
 
@@ -425,7 +427,7 @@
 
 	g_free(visit->kind);
 	visit->kind = g_strdup(parts[2]);
-	note_reading(rig, visit->kind, watch != NULL);
+	record_upstreams_read(rig, visit->kind, watch != NULL);
 	if (strcmp(visit->method, "GET") != 0) {
 		store_change(visit, name);
 	} else if (watch) {
@@ -492,7 +494,7 @@
 	visit_t *visit = ctx;
 
 	(void)end;
-	visit->server->hang_ups += visit->busy;
+	visit->server->aborted_calls += visit->busy;
 	visit_free(visit);
 }
 
@@ -533,7 +535,7 @@
 	server->port = ntohs(addr.sin_port);
 }
 
-static void on_pace(uv_timer_t *timer)
+static void on_tick(uv_timer_t *timer)
 {
 	(void)timer;
 }
@@ -547,8 +549,8 @@
 	/* A stand-in may write to a gateway that was killed a moment ago. */
 	signal(SIGPIPE, SIG_IGN);
 	uv_loop_init(&rig->loop);
-	uv_timer_init(&rig->loop, &rig->pacer);
-	uv_timer_start(&rig->pacer, on_pace, 2, 2);
+	uv_timer_init(&rig->loop, &rig->ticker);
+	uv_timer_start(&rig->ticker, on_tick, 2, 2);
 	rig->dir = g_dir_make_tmp("gateway-XXXXXX", NULL);
 	rig->runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	rig->objects = json_object();
@@ -627,13 +629,13 @@
 	g_string_free(spec, TRUE);
 }
 
-static uint16_t via(uint16_t between, uint16_t port)
+static uint16_t proxy_or_direct(uint16_t proxy_port, uint16_t port)
 {
-	return between ? between : port;
+	return proxy_port ? proxy_port : port;
 }
 
-static void put_entry(gateway_rig_t *rig, int number, const char *state,
-		      const char *more)
+static void put_registration(gateway_rig_t *rig, int number, const char *state,
+			     const char *more)
 {
 	char name[16];
 	char spec[256];
@@ -642,7 +644,8 @@
 	snprintf(spec, sizeof(spec),
 		 "{\"service\":\"s\",\"address\":\"127.0.0.1:%u\","
 		 "\"zone\":\"a\",\"slots\":8,\"state\":\"%s\"%s}",
-		 via(rig->upstream_via[number], rig->upstreams[number].port),
+		 proxy_or_direct(rig->upstream_proxy_ports[number],
+				 rig->upstreams[number].port),
 		 state, more);
 	rig_put(rig, "servers", name, spec);
 }
@@ -650,16 +653,16 @@
 /* Lists an upstream in the store: "ready" or "draining". */
 void rig_put_upstream(gateway_rig_t *rig, int number, const char *state)
 {
-	put_entry(rig, number, state, "");
+	put_registration(rig, number, state, "");
 }
 
 /* Lists an upstream that serves and was started at BORN, in milliseconds. */
-void rig_put_upstream_started_at(gateway_rig_t *rig, int number, long born)
+void rig_put_upstream_started_at(gateway_rig_t *rig, int number, long started_at)
 {
 	char more[32];
 
-	snprintf(more, sizeof(more), ",\"born\":%ld", born);
-	put_entry(rig, number, "ready", more);
+	snprintf(more, sizeof(more), ",\"born\":%ld", started_at);
+	put_registration(rig, number, "ready", more);
 }
 
 static char *settings_path(const gateway_rig_t *rig, int number)
@@ -668,10 +671,10 @@
 }
 
 /*
- * Writes a gateway's settings: its door to the store, and for seeds the others
- * whose ports are known.
+ * Writes a gateway's settings. It reaches the store by listener STORE; its seeds are the
+ * other gateways whose peer ports are known.
  */
-void rig_write_settings(gateway_rig_t *rig, int number, int door)
+void rig_write_settings(gateway_rig_t *rig, int number, int store)
 {
 	char *path = settings_path(rig, number);
 	GString *seeds = g_string_new(NULL);
@@ -693,7 +696,8 @@
 		"[retry]\nslack = 100\n[stop]\ngrace_s = 8\n"
 		"[duties]\nusage_window_s = 1\nlease_gap_ms = 300\n",
 		number, seeds->str,
-		via(rig->store_via[door], rig->stores[door].port),
+		proxy_or_direct(rig->store_proxy_ports[store],
+				rig->stores[store].port),
 		rig->cloud.port);
 	g_file_set_contents(path, text, -1, NULL);
 	g_free(text);
@@ -747,7 +751,7 @@
 
 	(void)rig;
 	addr.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-	caller->got = g_string_new(NULL);
+	caller->received = g_string_new(NULL);
 	caller->fd = socket(AF_INET, SOCK_STREAM, 0);
 	if (connect(caller->fd, (struct sockaddr *)&addr, sizeof(addr)) < 0)
 		caller->closed = true;
@@ -775,7 +779,7 @@
 	if (len < 0 && errno == EAGAIN)
 		return false;
 	if (len > 0)
-		g_string_append_len(caller->got, buffer, len);
+		g_string_append_len(caller->received, buffer, len);
 	else
 		caller->closed = true;
 	return true;
@@ -801,6 +805,6 @@
 {
 	if (caller->fd >= 0)
 		close(caller->fd);
-	g_string_free(caller->got, TRUE);
+	g_string_free(caller->received, TRUE);
 	g_free(caller);
 }
--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -1,7 +1,7 @@
 /*
- * Gateways as real processes between stand-ins that the test plays itself, in
- * one loop: the platform's store and cloud, upstreams that behave as told, and
- * callers.
+ * Runs gateways as real processes against mock servers in the test's own event loop:
+ * the platform's store and cloud, and upstreams that fail on request. Callers are
+ * simulated by sockets.
  */
 #ifndef PISTACHIO_TEST_GATEWAY_RIG_H
 #define PISTACHIO_TEST_GATEWAY_RIG_H
@@ -47,25 +47,25 @@
 	bool silent; /* never answers the requests that come */
 	unsigned int silent_watches; /* of upstreams that came meanwhile */
 	unsigned int arrivals;
-	unsigned int hang_ups; /* callers that left before their answer */
+	unsigned int aborted_calls; /* closed by the client before the response */
 	rig_behavior_t behavior;
 	GString *last; /* the last request: head lines, then the body */
 } rig_server_t;
 
 struct gateway_rig {
 	uv_loop_t loop;
-	uv_timer_t pacer;
+	uv_timer_t ticker;
 	char *dir;
-	rig_server_t stores[RIG_GATEWAYS]; /* one store, a door for each */
+	rig_server_t stores[RIG_GATEWAYS]; /* one store; a listener for each gateway */
 	rig_server_t cloud;
 	rig_server_t upstreams[RIG_UPSTREAMS];
 	json_t *objects; /* kind -> name -> object */
 	json_t *events; /* array, in the order of their revisions */
 	json_int_t revision;
 	bool first_page_only; /* of listings of upstreams; the next is refused */
-	unsigned int answers_lost; /* so many writes to a checkpoint get no answer */
-	uint64_t listed_ms; /* when upstreams were listed last */
-	uint64_t watched_ms; /* when they were watched first after that; 0: not yet */
+	unsigned int answers_to_drop; /* number of checkpoint writes to leave unanswered */
+	uint64_t upstreams_listed_ms; /* when upstreams were last listed */
+	uint64_t upstreams_watched_ms; /* first watch after that; 0: none yet */
 	list_node_t watches;
 	GPtrArray *usage; /* bodies of the reports that came in */
 	GPtrArray *orders; /* bodies of the orders that came in */
@@ -73,8 +73,8 @@
 	GHashTable *runs; /* call id -> how often it ran, as a pointer */
 	rig_behavior_t (*choose_behavior)(void *ctx, const char *target); /* NULL: as set */
 	void *ctx;
-	uint16_t store_via[RIG_GATEWAYS]; /* ports in between; 0: none */
-	uint16_t upstream_via[RIG_UPSTREAMS];
+	uint16_t store_proxy_ports[RIG_GATEWAYS]; /* of proxies in front; 0: none */
+	uint16_t upstream_proxy_ports[RIG_UPSTREAMS]; /* 0: none */
 	process_t *gateways[RIG_GATEWAYS];
 	uint16_t peer_ports[RIG_GATEWAYS];
 };
@@ -82,7 +82,7 @@
 /* A caller's connection and all that came back on it. */
 typedef struct rig_caller {
 	int fd;
-	GString *got;
+	GString *received;
 	bool closed;
 } rig_caller_t;
 
@@ -93,8 +93,8 @@
 void rig_remove(gateway_rig_t *rig, const char *kind, const char *name);
 void rig_put_config(gateway_rig_t *rig, int version, const char *more_routes);
 void rig_put_upstream(gateway_rig_t *rig, int number, const char *state);
-void rig_put_upstream_started_at(gateway_rig_t *rig, int number, long born);
-void rig_write_settings(gateway_rig_t *rig, int number, int door);
+void rig_put_upstream_started_at(gateway_rig_t *rig, int number, long started_at);
+void rig_write_settings(gateway_rig_t *rig, int number, int store);
 void rig_write_invalid_settings(gateway_rig_t *rig, int number);
 void rig_start(gateway_rig_t *rig, int number);
 void rig_run_once(gateway_rig_t *rig);
--- a/tests/process/test_gateway.c
+++ b/tests/process/test_gateway.c
@@ -92,12 +92,12 @@
 }
 
 /* Returns the number of calls whose connection to an upstream was closed early. */
-static unsigned int hang_ups(const gateway_rig_t *rig)
+static unsigned int aborted_calls(const gateway_rig_t *rig)
 {
 	unsigned int sum = 0;
 
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
-		sum += rig->upstreams[i].hang_ups;
+		sum += rig->upstreams[i].aborted_calls;
 	return sum;
 }
 
@@ -194,7 +194,7 @@
 		RIG_UNTIL(rig, arrivals(rig) == i + 1);
 		rig_caller_close(caller);
 		left_at = uv_hrtime();
-		RIG_UNTIL(rig, hang_ups(rig) == i + 1);
+		RIG_UNTIL(rig, aborted_calls(rig) == i + 1);
 		assert_true(uv_hrtime() - left_at < 500000000);
 		rig_caller_destroy(caller);
 	}
@@ -272,7 +272,7 @@
 /* Asserts that a caller received each event of a stream once and in order. */
 static void assert_events(rig_caller_t *caller)
 {
-	const char *at = caller->got->str;
+	const char *at = caller->received->str;
 
 	for (int i = 1; i <= RIG_EVENTS; i++) {
 		char event[64];
@@ -446,7 +446,7 @@
 		rig_receive_some(caller);
 	}
 	RIG_UNTIL(rig, rig_is_closed(caller));
-	assert_true(caller->got->len > RIG_LARGE_BYTES);
+	assert_true(caller->received->len > RIG_LARGE_BYTES);
 	RIG_UNTIL(rig, process_ended(rig->gateways[0]));
 	assert_int_equal(rig->gateways[0]->status, 0);
 	rig_caller_destroy(caller);
@@ -492,7 +492,7 @@
 	caller = rig_call_at(rig, 1, "GET", "/new/", "c1");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
 	/* The update takes a moment to arrive; after it the route stays. */
-	while (!strstr(caller->got->str, "HTTP/1.1 200")) {
+	while (!strstr(caller->received->str, "HTTP/1.1 200")) {
 		rig_caller_destroy(caller);
 		caller = rig_call_at(rig, 1, "GET", "/new/", "c1");
 		RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
@@ -682,7 +682,7 @@
 		rig_caller_t *caller = rig_call_at(rig, 0, "GET", "/new/", "c1");
 
 		RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
-		served = strstr(caller->got->str, "HTTP/1.1 200") != NULL;
+		served = strstr(caller->received->str, "HTTP/1.1 200") != NULL;
 		rig_caller_destroy(caller);
 	}
 	assert_true(served);
@@ -818,7 +818,7 @@
 {
 	gateway_rig_t *rig = *state;
 	int fillers[BACKLOG_FILLERS];
-	int full = listen_with_full_backlog(&rig->upstream_via[0], fillers);
+	int full = listen_with_full_backlog(&rig->upstream_proxy_ports[0], fillers);
 	rig_caller_t *caller;
 
 	rig_put_config(rig, 1, "");
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -459,11 +459,11 @@
 	rig_caller_t *caller;
 
 	RIG_UNTIL(rig, find_writer(rig, 0) >= 0);
-	rig->answers_lost = 2;
+	rig->answers_to_drop = 2;
 	caller = rig_call_at(rig, 0, "POST", "/safe/x", "first");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
-	RIG_UNTIL(rig, rig->answers_lost == 0);
+	RIG_UNTIL(rig, rig->answers_to_drop == 0);
 	send_calls(rig);
 	RIG_UNTIL_WITHIN(rig, calls_checkpointed(rig) == CALLS + 1,
 			 WRITER_FAILOVER_MS);
@@ -526,11 +526,12 @@
 
 	kill_all(rig);
 	rig_put(rig, "records", "slot-0", "{\"gateways\":63,\"accounts\":{}}");
-	rig->listed_ms = 0;
-	rig->watched_ms = 0;
+	rig->upstreams_listed_ms = 0;
+	rig->upstreams_watched_ms = 0;
 	rig_start(rig, 0);
-	RIG_UNTIL(rig, rig->listed_ms && rig->watched_ms);
-	assert_true(rig->watched_ms - rig->listed_ms >= FIRST_WATCH_DELAY_MS);
+	RIG_UNTIL(rig, rig->upstreams_listed_ms && rig->upstreams_watched_ms);
+	assert_true(rig->upstreams_watched_ms - rig->upstreams_listed_ms >=
+		    FIRST_WATCH_DELAY_MS);
 }
 
 /*
