--- a/tests/harness/gateway_rig.c
+++ b/tests/harness/gateway_rig.c
@@ -14,7 +14,7 @@
 #define EVENT_MS 20
 
 /* A connection to one of the stand-ins. */
-typedef struct visit {
+typedef struct session {
 	rig_server_t *server;
 	http1_t *conn;
 	list_node_t watch; /* in the rig's watches, while one waits */
@@ -29,54 +29,54 @@
 	rig_behavior_t behavior;
 	int event; /* the last that was sent */
 	bool busy; /* a request was read and not answered */
-} visit_t;
+} session_t;
 
-static void visit_write(visit_t *visit, int status, const char *headers,
-			const char *body)
+static void session_write(session_t *session, int status, const char *headers,
+			  const char *body)
 {
 	char *text = g_strdup_printf("HTTP/1.1 %d %s\r\nContent-Length: %zu\r\n"
 				     "%s\r\n%s",
 				     status, http1_reason(status), strlen(body),
 				     headers, body);
 
-	visit->busy = false;
-	http1_write(visit->conn, text, strlen(text));
+	session->busy = false;
+	http1_write(session->conn, text, strlen(text));
 	g_free(text);
 }
 
-static void visit_json(visit_t *visit, int status, json_t *body)
+static void session_json(session_t *session, int status, json_t *body)
 {
 	char *text = json_dumps(body, JSON_COMPACT);
 
-	visit_write(visit, status, "Content-Type: application/json\r\n", text);
+	session_write(session, status, "Content-Type: application/json\r\n", text);
 	free(text);
 	json_decref(body);
 }
 
-static void visit_freed(uv_handle_t *handle)
+static void session_freed(uv_handle_t *handle)
 {
-	visit_t *visit = handle->data;
+	session_t *session = handle->data;
 
-	g_free(visit->kind);
-	g_free(visit->method);
-	g_free(visit->target);
-	g_free(visit->call_id);
-	g_free(visit->resume_after);
-	g_string_free(visit->body, TRUE);
-	g_free(visit);
+	g_free(session->kind);
+	g_free(session->method);
+	g_free(session->target);
+	g_free(session->call_id);
+	g_free(session->resume_after);
+	g_string_free(session->body, TRUE);
+	g_free(session);
 }
 
-static void visit_free(visit_t *visit)
+static void session_free(session_t *session)
 {
-	list_remove(&visit->watch);
-	if (!uv_is_closing((uv_handle_t *)&visit->timer))
-		uv_close((uv_handle_t *)&visit->timer, visit_freed);
+	list_remove(&session->watch);
+	if (!uv_is_closing((uv_handle_t *)&session->timer))
+		uv_close((uv_handle_t *)&session->timer, session_freed);
 }
 
-static void visit_cut(visit_t *visit)
+static void session_cut(session_t *session)
 {
-	http1_close_when_sent(visit->conn);
-	visit_free(visit);
+	http1_close_when_sent(session->conn);
+	session_free(session);
 }
 
 static void on_connected(void *ctx)
@@ -86,20 +86,20 @@
 
 static void on_head(void *ctx, const http1_head_t *head)
 {
-	visit_t *visit = ctx;
-	GString *last = visit->server->last;
+	session_t *session = ctx;
+	GString *last = session->server->last;
 
-	g_free(visit->method);
-	g_free(visit->target);
-	g_free(visit->call_id);
-	g_free(visit->resume_after);
-	visit->method = g_strdup(head->method);
-	visit->target = g_strdup(head->target);
-	visit->call_id = g_strdup(
+	g_free(session->method);
+	g_free(session->target);
+	g_free(session->call_id);
+	g_free(session->resume_after);
+	session->method = g_strdup(head->method);
+	session->target = g_strdup(head->target);
+	session->call_id = g_strdup(
 		header_find(head->headers, head->header_count, "X-Attempt-Id"));
-	visit->resume_after = g_strdup(
+	session->resume_after = g_strdup(
 		header_find(head->headers, head->header_count, "Last-Event-Id"));
-	g_string_truncate(visit->body, 0);
+	g_string_truncate(session->body, 0);
 	g_string_printf(last, "%s %s\n", head->method, head->target);
 	for (size_t i = 0; i < head->header_count; i++)
 		g_string_append_printf(last, "%s: %s\n", head->headers[i].name,
@@ -108,10 +108,10 @@
 
 static void on_body(void *ctx, const char *data, size_t len)
 {
-	visit_t *visit = ctx;
+	session_t *session = ctx;
 
-	g_string_append_len(visit->body, data, (gssize)len);
-	g_string_append_len(visit->server->last, data, (gssize)len);
+	g_string_append_len(session->body, data, (gssize)len);
+	g_string_append_len(session->server->last, data, (gssize)len);
 }
 
 /* Returns how often an upstream began to run a call. */
@@ -122,129 +122,130 @@
 
 /* Upstreams. */
 
-static void upstream_answer_body(visit_t *visit, int status, const char *id,
+static void upstream_answer_body(session_t *session, int status, const char *id,
 				 const char *body)
 {
 	char *headers = g_strdup_printf("X-Attempt-Id: %s\r\n"
 					"X-Response-Seal: s%d\r\n"
 					"Keep-Alive: timeout=5\r\n",
-					id ? id : "", visit->server->number);
+					id ? id : "", session->server->number);
 
-	visit_write(visit, status, headers, body);
+	session_write(session, status, headers, body);
 	g_free(headers);
 }
 
-static void upstream_answer(visit_t *visit, int status, const char *id)
+static void upstream_answer(session_t *session, int status, const char *id)
 {
-	char *body = g_strdup_printf("from %d", visit->server->number);
+	char *body = g_strdup_printf("from %d", session->server->number);
 
-	upstream_answer_body(visit, status, id, body);
+	upstream_answer_body(session, status, id, body);
 	g_free(body);
 }
 
-static void upstream_answer_large(visit_t *visit)
+static void upstream_answer_large(session_t *session)
 {
 	char *body = g_strnfill(RIG_LARGE_BYTES, 'x');
 
-	upstream_answer_body(visit, 200, visit->call_id, body);
+	upstream_answer_body(session, 200, session->call_id, body);
 	g_free(body);
 }
 
 static void on_slow(uv_timer_t *timer)
 {
-	visit_t *visit = timer->data;
+	session_t *session = timer->data;
 
-	upstream_answer(visit, 200, visit->call_id);
+	upstream_answer(session, 200, session->call_id);
 }
 
-static void stream_write(visit_t *visit, const char *text)
+static void stream_write(session_t *session, const char *text)
 {
 	char *chunk = g_strdup_printf("%zx\r\n%s\r\n", strlen(text), text);
 
-	http1_write(visit->conn, chunk, strlen(chunk));
+	http1_write(session->conn, chunk, strlen(chunk));
 	g_free(chunk);
 }
 
 static void on_event(uv_timer_t *timer)
 {
-	visit_t *visit = timer->data;
+	session_t *session = timer->data;
 	char event[64];
 
-	visit->event++;
-	if (visit->behavior == RIG_STREAM_CUT && visit->event == 4) {
-		stream_write(visit, "id: 4\nda");
-		visit_cut(visit);
+	session->event++;
+	if (session->behavior == RIG_STREAM_CUT && session->event == 4) {
+		stream_write(session, "id: 4\nda");
+		session_cut(session);
 		return;
 	}
-	snprintf(event, sizeof(event), "id: %d\ndata: e%d\n\n", visit->event,
-		 visit->event);
-	stream_write(visit, event);
-	if (visit->event < RIG_EVENTS)
+	snprintf(event, sizeof(event), "id: %d\ndata: e%d\n\n", session->event,
+		 session->event);
+	stream_write(session, event);
+	if (session->event < RIG_EVENTS)
 		return;
 	uv_timer_stop(timer);
-	visit->busy = false;
-	http1_write(visit->conn, "0\r\n\r\n", 5);
+	session->busy = false;
+	http1_write(session->conn, "0\r\n\r\n", 5);
 }
 
-static void stream_begin(visit_t *visit)
+static void stream_begin(session_t *session)
 {
 	char *head = g_strdup_printf("HTTP/1.1 200 OK\r\n"
 				     "Content-Type: text/event-stream\r\n"
 				     "Transfer-Encoding: chunked\r\n"
 				     "X-Attempt-Id: %s\r\n"
 				     "X-Response-Seal: s%d\r\n\r\n",
-				     visit->call_id ? visit->call_id : "",
-				     visit->server->number);
+				     session->call_id ? session->call_id : "",
+				     session->server->number);
 
-	http1_write(visit->conn, head, strlen(head));
+	http1_write(session->conn, head, strlen(head));
 	g_free(head);
-	visit->event = visit->resume_after ? atoi(visit->resume_after) : 0;
-	uv_timer_start(&visit->timer, on_event, EVENT_MS, EVENT_MS);
+	session->event = session->resume_after ? atoi(session->resume_after) : 0;
+	uv_timer_start(&session->timer, on_event, EVENT_MS, EVENT_MS);
 }
 
-static void upstream_serve(visit_t *visit)
+static void upstream_serve(session_t *session)
 {
 	static const char cut[] = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n"
 				  "X-Response-Seal: s\r\n\r\nabc";
 
-	gateway_rig_t *rig = visit->server->rig;
+	gateway_rig_t *rig = session->server->rig;
 
-	visit->behavior = visit->server->behavior;
+	session->behavior = session->server->behavior;
 	if (rig->choose_behavior)
-		visit->behavior = rig->choose_behavior(rig->ctx, visit->target);
-	if (visit->behavior != RIG_REJECT && visit->call_id)
-		g_hash_table_insert(rig->runs, g_strdup(visit->call_id),
+		session->behavior = rig->choose_behavior(rig->ctx, session->target);
+	if (session->behavior != RIG_REJECT && session->call_id)
+		g_hash_table_insert(rig->runs, g_strdup(session->call_id),
 				    GUINT_TO_POINTER(
-					    rig_run_count(rig, visit->call_id) + 1));
-	switch (visit->behavior) {
+					    rig_run_count(rig, session->call_id) +
+					    1));
+	switch (session->behavior) {
 	case RIG_ANSWER:
-		upstream_answer(visit, 200, visit->call_id);
+		upstream_answer(session, 200, session->call_id);
 		return;
 	case RIG_FAIL:
-		upstream_answer(visit, 500, visit->call_id);
+		upstream_answer(session, 500, session->call_id);
 		return;
 	case RIG_REJECT:
-		visit_write(visit, 503, "X-Not-Run: 1\r\n", "");
+		session_write(session, 503, "X-Not-Run: 1\r\n", "");
 		return;
 	case RIG_HANG:
 		return;
 	case RIG_CUT:
-		http1_write(visit->conn, cut, sizeof(cut) - 1);
-		visit_cut(visit);
+		http1_write(session->conn, cut, sizeof(cut) - 1);
+		session_cut(session);
 		return;
 	case RIG_DOUBLE:
-		upstream_answer(visit, 200, "of-another-call");
-		upstream_answer(visit, 200, visit->call_id);
+		upstream_answer(session, 200, "of-another-call");
+		upstream_answer(session, 200, session->call_id);
 		return;
 	case RIG_SLOW:
-		uv_timer_start(&visit->timer, on_slow, RIG_SLOW_MS, 0);
+		uv_timer_start(&session->timer, on_slow, RIG_SLOW_MS, 0);
 		return;
 	case RIG_LARGE:
-		upstream_answer_large(visit);
+		upstream_answer_large(session);
 		return;
 	case RIG_STREAM:
 	case RIG_STREAM_CUT:
-		stream_begin(visit);
+		stream_begin(session);
 		return;
 	}
 }
@@ -279,19 +280,20 @@
 	return found;
 }
 
-static bool watch_answer(visit_t *visit, bool even_if_empty)
+static bool watch_answer(session_t *session, bool even_if_empty)
 {
-	const gateway_rig_t *rig = visit->server->rig;
-	json_t *events = watch_events(rig, visit->kind, visit->since);
+	const gateway_rig_t *rig = session->server->rig;
+	json_t *events = watch_events(rig, session->kind, session->since);
 
 	if (!json_array_size(events) && !even_if_empty) {
 		json_decref(events);
 		return false;
 	}
-	uv_timer_stop(&visit->timer);
-	list_remove(&visit->watch);
-	visit_json(visit, 200,
-		   json_pack("{s:o, s:I}", "events", events, "asOf", rig->revision));
+	uv_timer_stop(&session->timer);
+	list_remove(&session->watch);
+	session_json(session, 200,
+		     json_pack("{s:o, s:I}", "events", events, "asOf",
+			       rig->revision));
 	return true;
 }
 
@@ -310,7 +312,7 @@
 			      json_pack("{s:s, s:I, s:o}", "kind", kind, "at",
 					rig->revision, "event", event));
 	LIST_FOR_EACH_SAFE (it, &rig->watches)
-		watch_answer(LIST_ENTRY(it, visit_t, watch), false);
+		watch_answer(LIST_ENTRY(it, session_t, watch), false);
 }
 
 static json_t *store_write(gateway_rig_t *rig, const char *kind,
@@ -347,37 +349,37 @@
 	json_decref(object);
 }
 
-static void store_list(visit_t *visit)
+static void store_list(session_t *session)
 {
-	gateway_rig_t *rig = visit->server->rig;
-	bool more = rig->first_page_only && !strcmp(visit->kind, "servers");
+	gateway_rig_t *rig = session->server->rig;
+	bool more = rig->first_page_only && !strcmp(session->kind, "servers");
 	json_t *items = json_array();
 	const char *name;
 	json_t *object;
 
-	json_object_foreach(store_kind(rig, visit->kind), name, object)
+	json_object_foreach(store_kind(rig, session->kind), name, object)
 		json_array_append(items, object);
-	visit_json(visit, 200,
-		   json_pack("{s:o, s:b, s:I}", "items", items, "hasMore", more,
-			     "asOf", rig->revision));
+	session_json(session, 200,
+		     json_pack("{s:o, s:b, s:I}", "items", items, "hasMore",
+			       more, "asOf", rig->revision));
 }
 
 /* Returns whether a write that was done is not answered. */
-static bool store_drops_answer(visit_t *visit)
+static bool store_drops_answer(session_t *session)
 {
-	gateway_rig_t *rig = visit->server->rig;
+	gateway_rig_t *rig = session->server->rig;
 
-	if (!rig->answers_to_drop || !strcmp(visit->kind, "leases"))
+	if (!rig->answers_to_drop || !strcmp(session->kind, "leases"))
 		return false;
 	rig->answers_to_drop--;
 	return true;
 }
 
-static void store_change(visit_t *visit, const char *name)
+static void store_change(session_t *session, const char *name)
 {
-	gateway_rig_t *rig = visit->server->rig;
+	gateway_rig_t *rig = session->server->rig;
 	json_error_t err;
-	json_t *body = json_loads(visit->body->str, 0, &err);
+	json_t *body = json_loads(session->body->str, 0, &err);
 	json_t *metadata = json_object_get(body, "metadata");
 	json_t *stored;
 	json_int_t expected =
@@ -386,19 +388,19 @@
 
 	if (!name)
 		name = json_string_value(json_object_get(metadata, "name"));
-	stored = json_object_get(store_kind(rig, visit->kind), name);
+	stored = json_object_get(store_kind(rig, session->kind), name);
 	conflict = stored &&
 		   expected != json_integer_value(json_object_get(
 				       json_object_get(stored, "metadata"),
 				       "revision"));
 	if (conflict) {
-		visit_json(visit, 409, json_incref(stored));
+		session_json(session, 409, json_incref(stored));
 	} else {
 		stored =
-			store_write(rig, visit->kind, name,
+			store_write(rig, session->kind, name,
 				    json_incref(json_object_get(body, "spec")));
-		if (!store_drops_answer(visit))
-			visit_json(visit, 200, json_incref(stored));
+		if (!store_drops_answer(session))
+			session_json(session, 200, json_incref(stored));
 	}
 	json_decref(body);
 }
@@ -417,85 +419,86 @@
 	}
 }
 
-static void store_serve(visit_t *visit)
+static void store_serve(session_t *session)
 {
-	gateway_rig_t *rig = visit->server->rig;
-	char **parts = g_strsplit_set(visit->target, "/?", -1);
-	const char *watch = strstr(visit->target, "watch=");
-	const char *wait = strstr(visit->target, "waitMs=");
+	gateway_rig_t *rig = session->server->rig;
+	char **parts = g_strsplit_set(session->target, "/?", -1);
+	const char *watch = strstr(session->target, "watch=");
+	const char *wait = strstr(session->target, "waitMs=");
 	const char *name = g_strv_length(parts) > 3 && !watch ? parts[3] : NULL;
 
-	g_free(visit->kind);
-	visit->kind = g_strdup(parts[2]);
-	record_upstreams_read(rig, visit->kind, watch != NULL);
-	if (strcmp(visit->method, "GET") != 0) {
-		store_change(visit, name);
+	g_free(session->kind);
+	session->kind = g_strdup(parts[2]);
+	record_upstreams_read(rig, session->kind, watch != NULL);
+	if (strcmp(session->method, "GET") != 0) {
+		store_change(session, name);
 	} else if (watch) {
-		visit->since = strtoll(watch + strlen("watch="), NULL, 10);
-		if (!watch_answer(visit, false)) {
-			list_append(&rig->watches, &visit->watch);
-			uv_timer_start(&visit->timer, on_watch_timeout,
+		session->since = strtoll(watch + strlen("watch="), NULL, 10);
+		if (!watch_answer(session, false)) {
+			list_append(&rig->watches, &session->watch);
+			uv_timer_start(&session->timer, on_watch_timeout,
 				       wait ? (uint64_t)atoi(wait + 7) : 0, 0);
 		}
 	} else if (name && *name) {
 		json_t *object =
-			json_object_get(store_kind(rig, visit->kind), name);
+			json_object_get(store_kind(rig, session->kind), name);
 
 		if (object)
-			visit_json(visit, 200, json_incref(object));
+			session_json(session, 200, json_incref(object));
 		else
-			visit_write(visit, 404, "", "{}");
+			session_write(session, 404, "", "{}");
 	} else {
-		store_list(visit);
+		store_list(session);
 	}
 	g_strfreev(parts);
 }
 
-static void cloud_serve(visit_t *visit)
+static void cloud_serve(session_t *session)
 {
-	gateway_rig_t *rig = visit->server->rig;
-	GPtrArray *into = strstr(visit->target, "usage") ? rig->usage : rig->orders;
+	gateway_rig_t *rig = session->server->rig;
+	GPtrArray *into = strstr(session->target, "usage") ? rig->usage
+							   : rig->orders;
 
-	g_ptr_array_add(into, g_strdup(visit->body->str));
+	g_ptr_array_add(into, g_strdup(session->body->str));
 	if (into == rig->usage || !rig->orders_unanswered)
-		visit_write(visit, 200, "", "{}");
+		session_write(session, 200, "", "{}");
 }
 
 /* The servers. */
 
 static void on_message(void *ctx)
 {
-	visit_t *visit = ctx;
-	rig_server_t *server = visit->server;
+	session_t *session = ctx;
+	rig_server_t *server = session->server;
 	gateway_rig_t *rig = server->rig;
 
 	server->arrivals++;
-	visit->busy = true;
+	session->busy = true;
 	if (server->down) {
-		visit_cut(visit);
+		session_cut(session);
 		return;
 	}
 	if (server->silent) {
 		server->silent_watches +=
-			g_str_has_prefix(visit->target,
+			g_str_has_prefix(session->target,
 					 "/objects/servers?watch=");
 		return;
 	}
 	if (server >= rig->upstreams && server < rig->upstreams + RIG_UPSTREAMS)
-		upstream_serve(visit);
+		upstream_serve(session);
 	else if (server == &rig->cloud)
-		cloud_serve(visit);
+		cloud_serve(session);
 	else
-		store_serve(visit);
+		store_serve(session);
 }
 
 static void on_end(void *ctx, http1_end_t end)
 {
-	visit_t *visit = ctx;
+	session_t *session = ctx;
 
 	(void)end;
-	visit->server->aborted_calls += visit->busy;
-	visit_free(visit);
+	session->server->aborted_calls += session->busy;
+	session_free(session);
 }
 
 static void on_accept(uv_stream_t *listener, int status)
@@ -503,19 +506,19 @@
 	static const http1_events_t events = { on_connected, on_head, on_body,
 					       on_message, on_end };
 	rig_server_t *server = listener->data;
-	visit_t *visit;
+	session_t *session;
 
 	if (status < 0)
 		return;
-	visit = g_new0(visit_t, 1);
-	visit->server = server;
-	visit->body = g_string_new(NULL);
-	list_init(&visit->watch);
-	uv_timer_init(&server->rig->loop, &visit->timer);
-	visit->timer.data = visit;
-	visit->conn =
-		http1_create(&server->rig->loop, HTTP1_SERVER, &events, visit);
-	http1_accept(visit->conn, listener);
+	session = g_new0(session_t, 1);
+	session->server = server;
+	session->body = g_string_new(NULL);
+	list_init(&session->watch);
+	uv_timer_init(&server->rig->loop, &session->timer);
+	session->timer.data = session;
+	session->conn =
+		http1_create(&server->rig->loop, HTTP1_SERVER, &events, session);
+	http1_accept(session->conn, listener);
 }
 
 static void server_start(gateway_rig_t *rig, rig_server_t *server, int number)
