--- a/tests/harness/gateway_rig.c
+++ b/tests/harness/gateway_rig.c
@@ -11,13 +11,13 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define EVENT_MS 20
+#define EVENT_MS 20 /* between the events of a stream */
 
-/* A connection to one of the stand-ins. */
+/* A connection to one of the mock servers. */
 typedef struct session {
 	rig_server_t *server;
 	http1_t *conn;
-	list_node_t watch; /* in the rig's watches, while one waits */
+	list_node_t watch; /* in rig->watches while a watch is held open */
 	json_int_t since;
 	char *kind;
 	char *method;
@@ -27,10 +27,11 @@
 	GString *body;
 	uv_timer_t timer;
 	rig_behavior_t behavior;
-	int event; /* the last that was sent */
-	bool busy; /* a request was read and not answered */
+	int event; /* number of the last one sent */
+	bool busy; /* a request awaits its response */
 } session_t;
 
+/* Sends a complete response; HEADERS are lines that end in CRLF. */
 static void session_write(session_t *session, int status, const char *headers,
 			  const char *body)
 {
@@ -44,6 +45,7 @@
 	g_free(text);
 }
 
+/* Sends a JSON response; takes over BODY. */
 static void session_json(session_t *session, int status, json_t *body)
 {
 	char *text = json_dumps(body, JSON_COMPACT);
@@ -53,6 +55,7 @@
 	json_decref(body);
 }
 
+/* Frees the session once its timer is closed. */
 static void session_freed(uv_handle_t *handle)
 {
 	session_t *session = handle->data;
@@ -73,6 +76,7 @@
 		uv_close((uv_handle_t *)&session->timer, session_freed);
 }
 
+/* Closes the connection after what was written, and frees the session. */
 static void session_cut(session_t *session)
 {
 	http1_close_when_sent(session->conn);
@@ -114,7 +118,7 @@
 	g_string_append_len(session->server->last, data, (gssize)len);
 }
 
-/* Returns how often an upstream began to run a call. */
+/* Returns how often upstreams began to run a call, all together. */
 unsigned int rig_run_count(const gateway_rig_t *rig, const char *call_id)
 {
 	return GPOINTER_TO_UINT(g_hash_table_lookup(rig->runs, call_id));
@@ -157,6 +161,7 @@
 	upstream_answer(session, 200, session->call_id);
 }
 
+/* Sends a chunk of a chunked response. */
 static void stream_write(session_t *session, const char *text)
 {
 	char *chunk = g_strdup_printf("%zx\r\n%s\r\n", strlen(text), text);
@@ -186,6 +191,7 @@
 	http1_write(session->conn, "0\r\n\r\n", 5);
 }
 
+/* Starts a stream after the event that the request resumes from, or at its start. */
 static void stream_begin(session_t *session)
 {
 	char *head = g_strdup_printf("HTTP/1.1 200 OK\r\n"
@@ -263,6 +269,7 @@
 	return objects;
 }
 
+/* Returns the events of a kind after revision SINCE, as a new array. */
 static json_t *watch_events(const gateway_rig_t *rig, const char *kind,
 			    json_int_t since)
 {
@@ -280,6 +287,7 @@
 	return found;
 }
 
+/* Responds to a watch if there are events, or EVEN_IF_EMPTY. Returns whether it did. */
 static bool watch_answer(session_t *session, bool even_if_empty)
 {
 	const gateway_rig_t *rig = session->server->rig;
@@ -302,6 +310,7 @@
 	watch_answer(timer->data, true);
 }
 
+/* Adds an event for OBJECT and responds to the watches that wait for it. */
 static void store_changed(gateway_rig_t *rig, const char *kind, json_t *object,
 			  bool gone)
 {
@@ -315,6 +324,7 @@
 		watch_answer(LIST_ENTRY(it, session_t, watch), false);
 }
 
+/* Writes an object at the next revision; takes over SPEC. Returns it, borrowed. */
 static json_t *store_write(gateway_rig_t *rig, const char *kind,
 			   const char *name, json_t *spec)
 {
@@ -326,7 +336,7 @@
 	return object;
 }
 
-/* Puts an object into the store, as operators and upstreams do. */
+/* Writes an object to the store; SPEC is JSON. */
 void rig_put(gateway_rig_t *rig, const char *kind, const char *name,
 	     const char *spec)
 {
@@ -338,7 +348,7 @@
 	store_write(rig, kind, name, value);
 }
 
-/* Takes an object out of the store. */
+/* Deletes an object, which must exist, from the store. */
 void rig_remove(gateway_rig_t *rig, const char *kind, const char *name)
 {
 	json_t *object = json_incref(json_object_get(store_kind(rig, kind), name));
@@ -349,6 +359,7 @@
 	json_decref(object);
 }
 
+/* Responds with all objects of a kind in a single page. */
 static void store_list(session_t *session)
 {
 	gateway_rig_t *rig = session->server->rig;
@@ -364,7 +375,7 @@
 			       more, "asOf", rig->revision));
 }
 
-/* Returns whether a write that was done is not answered. */
+/* Returns whether an executed write is left unanswered; those of leases never are. */
 static bool store_drops_answer(session_t *session)
 {
 	gateway_rig_t *rig = session->server->rig;
@@ -375,6 +386,7 @@
 	return true;
 }
 
+/* Executes a conditional write; responds with 409 if the revision has changed. */
 static void store_change(session_t *session, const char *name)
 {
 	gateway_rig_t *rig = session->server->rig;
@@ -405,6 +417,7 @@
 	json_decref(body);
 }
 
+/* Records when upstreams were listed, and first watched after that. */
 static void record_upstreams_read(gateway_rig_t *rig, const char *kind, bool watch)
 {
 	uint64_t now = uv_hrtime() / 1000000;
@@ -453,6 +466,7 @@
 	g_strfreev(parts);
 }
 
+/* Records a usage report or an order of VMs. */
 static void cloud_serve(session_t *session)
 {
 	gateway_rig_t *rig = session->server->rig;
@@ -464,7 +478,7 @@
 		session_write(session, 200, "", "{}");
 }
 
-/* The servers. */
+/* All mock servers. */
 
 static void on_message(void *ctx)
 {
@@ -538,18 +552,19 @@
 	server->port = ntohs(addr.sin_port);
 }
 
+/* Only wakes up the loop, so that conditions are checked again. */
 static void on_tick(uv_timer_t *timer)
 {
 	(void)timer;
 }
 
-/* Starts the stand-ins; gateways are started apart. */
+/* Returns a rig whose mock servers listen, without gateways; owned by the caller. */
 gateway_rig_t *gateway_rig_create(void)
 {
 	gateway_rig_t *rig = g_new0(gateway_rig_t, 1);
 	int i;
 
-	/* A stand-in may write to a gateway that was killed a moment ago. */
+	/* A mock server may write to a gateway that was just killed. */
 	signal(SIGPIPE, SIG_IGN);
 	uv_loop_init(&rig->loop);
 	uv_timer_init(&rig->loop, &rig->ticker);
@@ -576,7 +591,7 @@
 		uv_close(handle, NULL);
 }
 
-/* Ends the gateways and the stand-ins. What they hold ends with the test. */
+/* Kills the gateways, closes the mock servers and frees the rig. */
 void gateway_rig_destroy(gateway_rig_t *rig)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++)
@@ -596,15 +611,16 @@
 	g_free(rig);
 }
 
-/* Lets the loop take what is there, waiting for at most a few milliseconds. */
+/* Runs the event loop once; waits for at most 2 ms, the period of the ticker. */
 void rig_run_once(gateway_rig_t *rig)
 {
 	uv_run(&rig->loop, UV_RUN_ONCE);
 }
 
 /*
- * Puts a configuration in force: /safe/, /unsafe/, /stream/ (may be resumed)
- * and /once/ (a stream that may not), all to one service with one account.
+ * Stores a configuration with the routes /safe/, /unsafe/, /stream/ (resumable) and
+ * /once/ (a stream that is not), all to one service with one account. MORE_ROUTES is
+ * appended to the JSON of the routes.
  */
 void rig_put_config(gateway_rig_t *rig, int version, const char *more_routes)
 {
@@ -632,6 +648,7 @@
 	g_string_free(spec, TRUE);
 }
 
+/* Returns PROXY_PORT, or PORT if that is 0. */
 static uint16_t proxy_or_direct(uint16_t proxy_port, uint16_t port)
 {
 	return proxy_port ? proxy_port : port;
@@ -653,13 +670,13 @@
 	rig_put(rig, "servers", name, spec);
 }
 
-/* Lists an upstream in the store: "ready" or "draining". */
+/* Registers an upstream in the store; STATE is "ready" or "draining". */
 void rig_put_upstream(gateway_rig_t *rig, int number, const char *state)
 {
 	put_registration(rig, number, state, "");
 }
 
-/* Lists an upstream that serves and was started at BORN, in milliseconds. */
+/* Registers a serving upstream that started at STARTED_AT, in ms of wall time. */
 void rig_put_upstream_started_at(gateway_rig_t *rig, int number, long started_at)
 {
 	char more[32];
@@ -708,7 +725,7 @@
 	g_free(path);
 }
 
-/* Spoils a gateway's settings. */
+/* Replaces a gateway's settings by invalid ones. */
 void rig_write_invalid_settings(gateway_rig_t *rig, int number)
 {
 	char *path = settings_path(rig, number);
@@ -717,7 +734,7 @@
 	g_free(path);
 }
 
-/* Starts a gateway on settings of its own. */
+/* Writes the settings of a gateway and starts its process. */
 void rig_start(gateway_rig_t *rig, int number)
 {
 	char *path = settings_path(rig, number);
@@ -734,7 +751,7 @@
 	g_free(path);
 }
 
-/* Returns a port that a gateway has logged, 0 before it has. */
+/* Returns the port that a gateway logged for WHAT, such as "callers"; 0: none yet. */
 uint16_t rig_port(gateway_rig_t *rig, int number, const char *what)
 {
 	process_t *process = rig->gateways[number];
@@ -745,7 +762,7 @@
 	return (uint16_t)port;
 }
 
-/* Opens a caller's connection and sends bytes. */
+/* Connects to a gateway and sends TEXT. Returns the caller, owned by the test. */
 rig_caller_t *rig_call(gateway_rig_t *rig, uint16_t port, const char *text)
 {
 	rig_caller_t *caller = g_new0(rig_caller_t, 1);
@@ -763,14 +780,14 @@
 	return caller;
 }
 
-/* Sends more bytes. */
+/* Sends TEXT, unless the connection is closed. */
 void rig_send(rig_caller_t *caller, const char *text)
 {
 	if (!caller->closed)
 		(void)send(caller->fd, text, strlen(text), MSG_NOSIGNAL);
 }
 
-/* Takes in one buffer at most of what has come back; false: nothing was there. */
+/* Receives up to 4 KB without waiting. Returns whether anything, or the end, came. */
 bool rig_receive_some(rig_caller_t *caller)
 {
 	char buffer[4096];
@@ -788,14 +805,14 @@
 	return true;
 }
 
-/* Takes in what has come back. */
+/* Receives all that is available, without waiting. */
 void rig_receive(rig_caller_t *caller)
 {
 	while (rig_receive_some(caller))
 		continue;
 }
 
-/* Closes the connection, as a caller does who gives up. */
+/* Closes the caller's connection before the response is complete. */
 void rig_caller_close(rig_caller_t *caller)
 {
 	close(caller->fd);
@@ -803,7 +820,7 @@
 	caller->fd = -1;
 }
 
-/* Closes and frees a caller. */
+/* Closes the connection and frees the caller. */
 void rig_caller_destroy(rig_caller_t *caller)
 {
 	if (caller->fd >= 0)
--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -21,19 +21,19 @@
 /* What an upstream does with a request. */
 typedef enum rig_behavior {
 	RIG_ANSWER,
-	RIG_FAIL, /* runs it and says that it failed */
-	RIG_REJECT, /* does not run it and says so */
-	RIG_HANG, /* runs it and never answers */
-	RIG_CUT, /* breaks off in the middle of its answer */
-	RIG_DOUBLE, /* answers another call first */
-	RIG_SLOW, /* answers after RIG_SLOW_MS */
-	RIG_LARGE, /* answers with RIG_LARGE_BYTES */
+	RIG_FAIL, /* runs it and responds with 500 */
+	RIG_REJECT, /* responds that it was not run */
+	RIG_HANG, /* runs it and never responds */
+	RIG_CUT, /* closes the connection in the middle of the response */
+	RIG_DOUBLE, /* sends a response for another call first */
+	RIG_SLOW, /* responds after RIG_SLOW_MS */
+	RIG_LARGE, /* responds with RIG_LARGE_BYTES */
 	RIG_STREAM, /* RIG_EVENTS events, one every 20 ms */
 	RIG_STREAM_CUT /* the same, but stops in the middle of the fourth */
 } rig_behavior_t;
 
 #define RIG_SLOW_MS 1000
-#define RIG_LARGE_BYTES 12000000 /* more than sockets hold */
+#define RIG_LARGE_BYTES 12000000 /* more than socket buffers hold */
 #define RIG_EVENTS 6
 
 typedef struct gateway_rig gateway_rig_t;
@@ -43,9 +43,9 @@
 	uv_tcp_t listener;
 	uint16_t port;
 	int number;
-	bool down; /* closes every connection at its first request */
-	bool silent; /* never answers the requests that come */
-	unsigned int silent_watches; /* of upstreams that came meanwhile */
+	bool down; /* closes each connection at its first request */
+	bool silent; /* does not respond to requests */
+	unsigned int silent_watches; /* watches of upstreams received while silent */
 	unsigned int arrivals;
 	unsigned int aborted_calls; /* closed by the client before the response */
 	rig_behavior_t behavior;
@@ -62,16 +62,16 @@
 	json_t *objects; /* kind -> name -> object */
 	json_t *events; /* array, in the order of their revisions */
 	json_int_t revision;
-	bool first_page_only; /* of listings of upstreams; the next is refused */
+	bool first_page_only; /* every page of upstreams claims that more follow */
 	unsigned int answers_to_drop; /* number of checkpoint writes to leave unanswered */
 	uint64_t upstreams_listed_ms; /* when upstreams were last listed */
 	uint64_t upstreams_watched_ms; /* first watch after that; 0: none yet */
 	list_node_t watches;
-	GPtrArray *usage; /* bodies of the reports that came in */
-	GPtrArray *orders; /* bodies of the orders that came in */
+	GPtrArray *usage; /* bodies of the usage reports received */
+	GPtrArray *orders; /* bodies of the orders received */
 	bool orders_unanswered;
-	GHashTable *runs; /* call id -> how often it ran, as a pointer */
-	rig_behavior_t (*choose_behavior)(void *ctx, const char *target); /* NULL: as set */
+	GHashTable *runs; /* call id -> GUINT_TO_POINTER(number of runs) */
+	rig_behavior_t (*choose_behavior)(void *ctx, const char *target); /* NULL: the servers' */
 	void *ctx;
 	uint16_t store_proxy_ports[RIG_GATEWAYS]; /* of proxies in front; 0: none */
 	uint16_t upstream_proxy_ports[RIG_UPSTREAMS]; /* 0: none */
@@ -79,7 +79,7 @@
 	uint16_t peer_ports[RIG_GATEWAYS];
 };
 
-/* A caller's connection and all that came back on it. */
+/* A caller's connection and all that was received on it. */
 typedef struct rig_caller {
 	int fd;
 	GString *received;
@@ -107,7 +107,7 @@
 void rig_caller_close(rig_caller_t *caller);
 void rig_caller_destroy(rig_caller_t *caller);
 
-/* Turns the loop until a condition holds; fails the test after MS. */
+/* Runs the event loop until a condition holds; fails the test after MS. */
 #define RIG_UNTIL_WITHIN(rig, condition, ms)                             \
 	do {                                                             \
 		uint64_t rig_end = uv_hrtime() / 1000000 + (ms);         \
@@ -117,7 +117,7 @@
 			fail_msg("gave up waiting for: %s", #condition); \
 	} while (0)
 
-/* The same, with the usual timeout. */
+/* The same, with RIG_TIMEOUT_MS. */
 #define RIG_UNTIL(rig, condition) \
 	RIG_UNTIL_WITHIN(rig, condition, RIG_TIMEOUT_MS)
 
