--- a/tests/harness/forwarder.c
+++ b/tests/harness/forwarder.c
@@ -1,4 +1,4 @@
-/* Forwards TCP connections until told to fail. */
+/* Forwards TCP connections and injects faults into them. */
 #include "tests/harness/forwarder.h"
 
 #include <glib.h>
@@ -6,54 +6,56 @@
 #include "core/list.h"
 
 #define BACKLOG 128
-#define PACE_MS 5 /* how exactly delays are kept */
+#define TICK_MS 5 /* resolution of delays */
 
+/* One of the two sockets of a pair. */
 typedef struct side {
 	uv_tcp_t tcp;
 	struct pair *pair;
 	struct side *other;
 } side_t;
 
-/* One connection and its continuation to the target. */
+/* An accepted connection and the one to the target that continues it. */
 typedef struct pair {
 	list_node_t node;
 	forwarder_t *forwarder;
 	side_t caller;
 	side_t target;
 	uv_connect_t connect;
-	size_t passed; /* bytes from caller to target */
-	bool silent;
-	bool one_way; /* answers are swallowed */
+	size_t forwarded; /* bytes from caller to target */
+	bool silent; /* nothing is forwarded, and no end of a connection */
+	bool one_way; /* what the target sends is dropped */
 	bool closing;
-	unsigned int closed; /* sides */
+	unsigned int closed; /* sides whose socket is closed */
 } pair_t;
 
+/* A write in progress, with its data. */
 typedef struct chunk {
 	uv_write_t req;
 	char *data;
 } chunk_t;
 
-/* Bytes that are held back for a while. */
-typedef struct held {
+/* Bytes that are delayed. */
+typedef struct delayed {
 	list_node_t node;
 	side_t *to;
 	char *data;
 	size_t len;
 	uint64_t due; /* ms of the loop's clock */
-} held_t;
+} delayed_t;
 
 struct forwarder {
 	uv_loop_t *loop;
 	uv_tcp_t listener;
 	int port;
 	int target_port;
-	bool refuse;
+	bool refuse; /* new connections are closed at once */
 	bool cut_answers;
-	size_t cut_after; /* 0: never */
-	unsigned int open;
-	unsigned int delay_ms;
-	uv_timer_t pacer;
-	list_node_t held; /* of held_t, the oldest first */
+	size_t cut_after; /* bytes of a request; 0: never */
+	unsigned int open; /* pairs */
+	unsigned int delay_ms; /* of new bytes, in both directions */
+	uv_timer_t ticker;
+	list_node_t delayed; /* of delayed_t, oldest first */
 	list_node_t pairs;
 };
 
@@ -65,11 +67,11 @@
 		g_free(pair);
 }
 
-static void held_free(held_t *held)
+static void delayed_free(delayed_t *delayed)
 {
-	list_remove(&held->node);
-	g_free(held->data);
-	g_free(held);
+	list_remove(&delayed->node);
+	g_free(delayed->data);
+	g_free(delayed);
 }
 
 static void pair_close(pair_t *pair)
@@ -77,11 +79,11 @@
 	if (pair->closing)
 		return;
 	pair->closing = true;
-	LIST_FOR_EACH_SAFE (it, &pair->forwarder->held) {
-		held_t *held = LIST_ENTRY(it, held_t, node);
+	LIST_FOR_EACH_SAFE (it, &pair->forwarder->delayed) {
+		delayed_t *delayed = LIST_ENTRY(it, delayed_t, node);
 
-		if (held->to->pair == pair)
-			held_free(held);
+		if (delayed->to->pair == pair)
+			delayed_free(delayed);
 	}
 	pair->forwarder->open--;
 	list_remove(&pair->node);
@@ -109,30 +111,30 @@
 	uv_write(&chunk->req, (uv_stream_t *)&side->tcp, &buf, 1, chunk_written);
 }
 
-static void hold(side_t *to, const char *data, size_t len)
+static void delay_bytes(side_t *to, const char *data, size_t len)
 {
 	forwarder_t *forwarder = to->pair->forwarder;
-	held_t *held = g_new0(held_t, 1);
+	delayed_t *delayed = g_new0(delayed_t, 1);
 
-	held->to = to;
-	held->data = g_memdup2(data, len);
-	held->len = len;
-	held->due = uv_now(forwarder->loop) + forwarder->delay_ms;
-	list_append(&forwarder->held, &held->node);
+	delayed->to = to;
+	delayed->data = g_memdup2(data, len);
+	delayed->len = len;
+	delayed->due = uv_now(forwarder->loop) + forwarder->delay_ms;
+	list_append(&forwarder->delayed, &delayed->node);
 }
 
-/* Lets go what was held for long enough, in order. */
-static void on_pace(uv_timer_t *timer)
+/* Sends the delayed bytes that are due, in order. */
+static void on_tick(uv_timer_t *timer)
 {
 	forwarder_t *forwarder = timer->data;
 
-	LIST_FOR_EACH_SAFE (it, &forwarder->held) {
-		held_t *held = LIST_ENTRY(it, held_t, node);
+	LIST_FOR_EACH_SAFE (it, &forwarder->delayed) {
+		delayed_t *delayed = LIST_ENTRY(it, delayed_t, node);
 
-		if (held->due > uv_now(forwarder->loop))
+		if (delayed->due > uv_now(forwarder->loop))
 			return;
-		side_write(held->to, held->data, held->len);
-		held_free(held);
+		side_write(delayed->to, delayed->data, delayed->len);
+		delayed_free(delayed);
 	}
 }
 
@@ -142,7 +144,7 @@
 	*buf = uv_buf_init(g_malloc(size), (unsigned int)size);
 }
 
-/* Passes bytes on, or fails as told. */
+/* Forwards bytes from a side to the other, or injects the fault that is set. */
 static void side_forward(side_t *side, const char *data, size_t len)
 {
 	pair_t *pair = side->pair;
@@ -154,21 +156,21 @@
 		return;
 	}
 	if (request && forwarder->cut_after &&
-	    pair->passed + len > forwarder->cut_after) {
-		len = forwarder->cut_after - pair->passed;
+	    pair->forwarded + len > forwarder->cut_after) {
+		len = forwarder->cut_after - pair->forwarded;
 		if (len)
 			side_write(side->other, data, len);
-		pair->passed += len;
+		pair->forwarded += len;
 		pair_close(pair);
 		return;
 	}
 	if (!request && pair->one_way)
 		return;
 	if (request)
-		pair->passed += len;
-	/* What is held goes first, also once there is no delay any more. */
-	if (forwarder->delay_ms || !list_empty(&forwarder->held))
-		hold(side->other, data, len);
+		pair->forwarded += len;
+	/* Without a delay, bytes still queue behind those that were delayed before. */
+	if (forwarder->delay_ms || !list_empty(&forwarder->delayed))
+		delay_bytes(side->other, data, len);
 	else
 		side_write(side->other, data, len);
 }
@@ -227,7 +229,7 @@
 		pair_close(pair);
 }
 
-/* Starts forwarding to a port on loopback; it lives as long as the loop. */
+/* Starts forwarding to a port on loopback. Returns a forwarder that is never freed. */
 forwarder_t *forwarder_create(uv_loop_t *loop, int target_port)
 {
 	forwarder_t *forwarder = g_new0(forwarder_t, 1);
@@ -237,10 +239,10 @@
 	forwarder->loop = loop;
 	forwarder->target_port = target_port;
 	list_init(&forwarder->pairs);
-	list_init(&forwarder->held);
-	uv_timer_init(loop, &forwarder->pacer);
-	forwarder->pacer.data = forwarder;
-	uv_timer_start(&forwarder->pacer, on_pace, PACE_MS, PACE_MS);
+	list_init(&forwarder->delayed);
+	uv_timer_init(loop, &forwarder->ticker);
+	forwarder->ticker.data = forwarder;
+	uv_timer_start(&forwarder->ticker, on_tick, TICK_MS, TICK_MS);
 	uv_tcp_init(loop, &forwarder->listener);
 	forwarder->listener.data = forwarder;
 	uv_ip4_addr("127.0.0.1", 0, &addr);
@@ -259,13 +261,13 @@
 	return forwarder->port;
 }
 
-/* Returns how many connections are open. */
+/* Returns the number of open connections. */
 unsigned int forwarder_open(const forwarder_t *forwarder)
 {
 	return forwarder->open;
 }
 
-/* Breaks every open connection; new ones work. */
+/* Closes all open connections; later ones work. */
 void forwarder_cut(forwarder_t *forwarder)
 {
 	LIST_FOR_EACH_SAFE (it, &forwarder->pairs)
@@ -273,8 +275,8 @@
 }
 
 /*
- * Makes every open connection silent for good: bytes are taken and go nowhere,
- * and no end is told of the other's. New ones work.
+ * Makes all open connections silent for good: bytes are received and dropped, and the
+ * end of a connection is not forwarded. Later connections work.
  */
 void forwarder_silence(forwarder_t *forwarder)
 {
@@ -283,8 +285,8 @@
 }
 
 /*
- * Has every open connection pass on what its caller sends and swallow what comes
- * back. New ones work.
+ * Drops what the target sends on all open connections; what the client sends is still
+ * forwarded. Later connections work.
  */
 void forwarder_one_way(forwarder_t *forwarder)
 {
@@ -292,25 +294,25 @@
 		LIST_ENTRY(it, pair_t, node)->one_way = true;
 }
 
-/* Holds all bytes back for so long; 0: no longer. */
+/* Delays all bytes by MS; 0: no delay. */
 void forwarder_delay(forwarder_t *forwarder, unsigned int ms)
 {
 	forwarder->delay_ms = ms;
 }
 
-/* Closes each new connection before a byte is passed, or stops doing so. */
+/* Sets whether new connections are closed before any byte is forwarded. */
 void forwarder_refuse(forwarder_t *forwarder, bool refuse)
 {
 	forwarder->refuse = refuse;
 }
 
-/* Breaks each connection after that many bytes of the request; 0: never. */
+/* Closes each connection after that many bytes of the request; 0: never. */
 void forwarder_cut_after(forwarder_t *forwarder, size_t request_bytes)
 {
 	forwarder->cut_after = request_bytes;
 }
 
-/* Breaks each connection when the answer's first byte comes back. */
+/* Sets whether a connection is closed at the first byte of the response. */
 void forwarder_cut_answers(forwarder_t *forwarder, bool cut)
 {
 	forwarder->cut_answers = cut;
--- a/tests/harness/forwarder.h
+++ b/tests/harness/forwarder.h
@@ -1,7 +1,4 @@
-/*
- * A small TCP forwarder that runs on the test's own loop, to stand between two
- * processes and fail the way networks do.
- */
+/* A TCP proxy in the event loop of a test, which injects network faults. */
 #ifndef PISTACHIO_TEST_FORWARDER_H
 #define PISTACHIO_TEST_FORWARDER_H
 
