--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -276,7 +276,7 @@
 	}
 	log_store_regained(feed);
 	store_feed_record_answer(feed->schedule, gateway_now());
-	gateway_peers_note_store_answer(feed->fleet->gateway->peers);
+	gateway_peers_record_store_answer(feed->fleet->gateway->peers);
 	feed_apply_page(feed, page);
 	wire_page_destroy(page);
 	feed_run(feed, gateway_now());
--- a/adapters/gateway/peer_receive.c
+++ b/adapters/gateway/peer_receive.c
@@ -397,8 +397,8 @@
 }
 
 /* Records that a peer was heard from, and whether the store was serving it. */
-static void note_peer_store_health(gateway_t *gateway, const peer_t *peer,
-				   pd_time_t now)
+static void record_peer_store_health(gateway_t *gateway, const peer_t *peer,
+				     pd_time_t now)
 {
 	store_outage_record_peer_message(gateway->outage, now);
 	if (!peer->has_store)
@@ -424,7 +424,7 @@
 	first = !peer_is_heard(peer, now);
 	peer->heard_at = now;
 	peer->started_at = now - (pd_time_t)MIN(age, PD_TIME_MAX);
-	note_peer_store_health(gateway, peer, now);
+	record_peer_store_health(gateway, peer, now);
 	vote_clock(gateway, peer, fields, now);
 	merge_usage(gateway, peer->incarnation, &fields[STATE_USAGE]);
 	merge_watermark(gateway, peer->incarnation, &fields[STATE_WATERMARK]);
@@ -465,7 +465,7 @@
 	if (!peer)
 		return -1;
 	peer->heard_at = now;
-	note_peer_store_health(gateway, peer, now);
+	record_peer_store_health(gateway, peer, now);
 	merge_members(peers, &fields[STATE_MEMBERS]);
 	fetch_newer(peers, peer, msgpack_field_number(&fields[STATE_CONFIG]),
 		    msgpack_field_number(&fields[STATE_DIGEST]));
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -282,7 +282,7 @@
 }
 
 /* Records that the store answered this gateway just now. */
-void gateway_peers_note_store_answer(gateway_peers_t *peers)
+void gateway_peers_record_store_answer(gateway_peers_t *peers)
 {
 	peers->store_answered_at = gateway_now();
 }
--- a/adapters/gateway/peers.h
+++ b/adapters/gateway/peers.h
@@ -24,7 +24,7 @@
 void gateway_peers_run(gateway_peers_t *peers, pd_time_t now);
 void gateway_peers_announce_config(gateway_peers_t *peers);
 void gateway_peers_queue_update(gateway_peers_t *peers, const char *id);
-void gateway_peers_note_store_answer(gateway_peers_t *peers);
+void gateway_peers_record_store_answer(gateway_peers_t *peers);
 void gateway_peers_set_leadership(gateway_peers_t *peers, bool held,
 				  uint64_t fence);
 bool gateway_peers_loads_are_current(gateway_peers_t *peers, pd_time_t now);
