--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -523,12 +523,12 @@
 	const char *own_node;
 } clock_writer_t;
 
-static void add_clock(void *ctx, const char *who, pd_time_t offset)
+static void add_clock(void *ctx, const char *node, pd_time_t offset)
 {
 	const clock_writer_t *writer = ctx;
 
 	checkpoint_record_add_clock(writer->record,
-				    who ? who : writer->own_node, offset);
+				    node ? node : writer->own_node, offset);
 }
 
 /*
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -285,9 +285,9 @@
 	int64_t window = gateway_current_window(gateway);
 	int64_t first;
 
-	if (window == gateway->usage_pruned_window)
+	if (window == gateway->usage_discarded_window)
 		return;
-	gateway->usage_pruned_window = window;
+	gateway->usage_discarded_window = window;
 	first = gateway_first_due_window(gateway) - SPARE_USAGE_WINDOWS;
 	usage_discard(gateway->usage, first);
 	usage_watermarks_discard(gateway->watermarks, first);
--- a/adapters/gateway/gateway_state.h
+++ b/adapters/gateway/gateway_state.h
@@ -43,7 +43,7 @@
 	usage_watermarks_t *watermarks; /* of the incarnations that count usage */
 	usage_inflight_t *inflight; /* requests in flight, by gateway incarnation */
 	bool inflight_changed; /* since this gateway's last in-flight snapshot */
-	int64_t usage_pruned_window; /* current window when usage was last pruned */
+	int64_t usage_discarded_window; /* current window when usage was last discarded */
 	work_rate_t *work;
 	GHashTable *shedders; /* service -> shed_t */
 	time_vote_t *vote;
--- a/adapters/gateway/peer_receive.c
+++ b/adapters/gateway/peer_receive.c
@@ -131,10 +131,10 @@
 }
 
 /*
- * Applies the work of the peer named WHO. SUMMED: its values and their sums, or
- * NULL to leave those alone.
+ * Applies the work of a peer, named by its incarnation or ALL_PEERS. SUMMED: its values
+ * and the sums to update too; NULL: none.
  */
-static void merge_work(gateway_t *gateway, const char *who,
+static void merge_work(gateway_t *gateway, const char *peer,
 		       const msgpack_object *object, const summed_values_t *summed)
 {
 	uint32_t count = 0;
@@ -149,7 +149,7 @@
 		if (!service)
 			continue;
 		total = msgpack_field_decimal(&pair[1]);
-		work_rate_record_peer(gateway->work, who, service, total);
+		work_rate_record_peer(gateway->work, peer, service, total);
 		if (summed)
 			summed_values_set(summed, service, total);
 		g_free(service);
@@ -354,14 +354,14 @@
 	unsigned int flags =
 		(unsigned int)msgpack_field_number(&fields[STATE_FLAGS]);
 	char *address = msgpack_field_text(&fields[STATE_ADDRESS]);
-	char *who = msgpack_field_text(&fields[STATE_INCARNATION]);
-	peer_t *peer = address && who ? peers_add(peers, address) : NULL;
+	char *incarnation = msgpack_field_text(&fields[STATE_INCARNATION]);
+	peer_t *peer = address && incarnation ? peers_add(peers, address) : NULL;
 
 	if (!peer)
 		goto done;
-	if (!peer->incarnation || strcmp(peer->incarnation, who)) {
+	if (!peer->incarnation || strcmp(peer->incarnation, incarnation)) {
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "found=%s address=%s",
-			 who, address);
+			 incarnation, address);
 		if (peer->incarnation)
 			token_limits_remove_peer(peers->gateway->limits,
 						 peer->incarnation);
@@ -369,8 +369,8 @@
 	}
 	g_free(peer->incarnation);
 	g_free(peer->vm_id);
-	peer->incarnation = g_strdup(who);
-	peer->vm_id = incarnation_vm(who);
+	peer->incarnation = g_strdup(incarnation);
+	peer->vm_id = incarnation_vm(incarnation);
 	peer->high_capacity = flags & STATE_FLAG_HIGH_CAPACITY;
 	peer->has_store = flags & STATE_FLAG_HAS_STORE;
 	peer->zone = (uint16_t)msgpack_field_number(&fields[STATE_ZONE]);
@@ -380,7 +380,7 @@
 		      msgpack_field_number(&fields[STATE_LEADER_FENCE]));
 done:
 	g_free(address);
-	g_free(who);
+	g_free(incarnation);
 	return peer;
 }
 
@@ -715,23 +715,24 @@
 static int handle_counts(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *address = msgpack_field_text(&fields[1]);
-	char *who = msgpack_field_text(&fields[2]);
+	char *incarnation = msgpack_field_text(&fields[2]);
 	peer_t *peer = address ? peers_find(peers, address) : NULL;
 	int rc;
 
-	if (who)
-		merge_usage(peers->gateway, who, &fields[3]);
+	if (incarnation)
+		merge_usage(peers->gateway, incarnation, &fields[3]);
 	merge_inflight(peers->gateway, &fields[5]);
 	peers->counts_received_at = gateway_now();
 	/*
 	 * What the peer used before this gateway first heard from it is in its
 	 * state.
 	 */
-	if (peer && who && !g_strcmp0(peer->incarnation, who) && !peers->aggregator)
+	if (peer && incarnation && !g_strcmp0(peer->incarnation, incarnation) &&
+	    !peers->aggregator)
 		merge_limit_uses(peers, peer, &fields[4], false, true);
-	rc = address && who ? 0 : -1;
+	rc = address && incarnation ? 0 : -1;
 	g_free(address);
-	g_free(who);
+	g_free(incarnation);
 	return rc;
 }
 
