--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -280,7 +280,7 @@
 }
 
 /* Discards counts of old windows; needed in gateways that never report as well. */
-static void prune_usage(gateway_t *gateway)
+static void discard_old_usage(gateway_t *gateway)
 {
 	int64_t window = gateway_current_window(gateway);
 	int64_t first;
@@ -341,7 +341,7 @@
 	/* Before its users, as it gives a new gateway the size of the fleet. */
 	gateway_checkpoint_run(gateway->checkpoint, now);
 	fleet_feed_run(gateway->feed, now);
-	prune_usage(gateway);
+	discard_old_usage(gateway);
 	gateway_requests_run(gateway, now);
 	callers_run(gateway, now);
 	upstream_links_run(gateway, now);
--- a/adapters/gateway/peer_receive.c
+++ b/adapters/gateway/peer_receive.c
@@ -38,10 +38,10 @@
 static void summed_values_set(const summed_values_t *summed, const char *name,
 			      double value)
 {
-	double *known = peers_value(summed->values, name);
+	double *previous = peers_value(summed->values, name);
 
-	*peers_value(summed->sums, name) += value - *known;
-	*known = value;
+	*peers_value(summed->sums, name) += value - *previous;
+	*previous = value;
 }
 
 /* One account's limit use, as sent. */
@@ -310,10 +310,10 @@
 /* Applies the time since the store answered any gateway, as known to a peer. */
 static void update_store_answered_at(gateway_peers_t *peers, uint64_t age)
 {
-	pd_time_t heard_at = gateway_now() - (pd_time_t)age;
+	pd_time_t answered_at = gateway_now() - (pd_time_t)age;
 
-	peers->store_answered_at = MAX(peers->store_answered_at, heard_at);
-	gateway_store_answered(peers->gateway, heard_at);
+	peers->store_answered_at = MAX(peers->store_answered_at, answered_at);
+	gateway_store_answered(peers->gateway, answered_at);
 }
 
 /*
@@ -389,11 +389,12 @@
 		       const msgpack_object *fields, pd_time_t now)
 {
 	uint64_t wall = msgpack_field_number(&fields[STATE_WALL_TIME]);
-	uint64_t age = msgpack_field_number(&fields[STATE_CLOCK_STEP_AGE]);
+	uint64_t step_age = msgpack_field_number(&fields[STATE_CLOCK_STEP_AGE]);
 
-	if (wall <= PD_TIME_MAX && age <= PD_TIME_MAX)
+	if (wall <= PD_TIME_MAX && step_age <= PD_TIME_MAX)
 		time_vote_receive_reading(gateway->vote, peer->vm_id,
-					  (pd_time_t)wall, (pd_time_t)age, now);
+					  (pd_time_t)wall, (pd_time_t)step_age,
+					  now);
 }
 
 /* Records that a peer was heard from, and whether the store was serving it. */
@@ -416,14 +417,14 @@
 		(unsigned int)msgpack_field_number(&fields[STATE_FLAGS]);
 	peer_t *peer = identify_sender(peers, fields);
 	pd_time_t now = gateway_now();
-	uint64_t age = msgpack_field_number(&fields[STATE_UPTIME]);
+	uint64_t uptime = msgpack_field_number(&fields[STATE_UPTIME]);
 	bool first;
 
 	if (!peer)
 		return -1;
 	first = !peer_is_heard(peer, now);
 	peer->heard_at = now;
-	peer->started_at = now - (pd_time_t)MIN(age, PD_TIME_MAX);
+	peer->started_at = now - (pd_time_t)MIN(uptime, PD_TIME_MAX);
 	record_peer_store_health(gateway, peer, now);
 	vote_clock(gateway, peer, fields, now);
 	merge_usage(gateway, peer->incarnation, &fields[STATE_USAGE]);
@@ -435,8 +436,8 @@
 		const summed_values_t work = { peer->work, peers->work };
 
 		merge_limit_uses(peers, peer, &fields[STATE_LIMIT_USES],
-				 should_adopt_levels(peers, age),
-				 (pd_time_t)age < limits_window(peers));
+				 should_adopt_levels(peers, uptime),
+				 (pd_time_t)uptime < limits_window(peers));
 		merge_work(gateway, peer->incarnation, &fields[STATE_WORK], &work);
 		peers_receive_loads(peers, peer->loads, &fields[STATE_LOADS]);
 	}
