--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -291,9 +291,10 @@
  * Records whether this gateway is the leader. FENCE is its fencing token; a
  * leader with an older one than is known is ignored.
  */
-void gateway_peers_set_leadership(gateway_peers_t *peers, bool held, uint64_t fence)
+void gateway_peers_set_leadership(gateway_peers_t *peers, bool is_leader,
+				  uint64_t fence)
 {
-	peers->is_leader = held && fence >= peers->leader_fence;
+	peers->is_leader = is_leader && fence >= peers->leader_fence;
 	if (peers->is_leader)
 		peers->leader_fence = fence;
 }
--- a/adapters/gateway/peers.h
+++ b/adapters/gateway/peers.h
@@ -25,7 +25,7 @@
 void gateway_peers_announce_config(gateway_peers_t *peers);
 void gateway_peers_queue_update(gateway_peers_t *peers, const char *id);
 void gateway_peers_record_store_answer(gateway_peers_t *peers);
-void gateway_peers_set_leadership(gateway_peers_t *peers, bool held,
+void gateway_peers_set_leadership(gateway_peers_t *peers, bool is_leader,
 				  uint64_t fence);
 bool gateway_peers_loads_are_current(gateway_peers_t *peers, pd_time_t now);
 bool gateway_peers_is_mesh(gateway_peers_t *peers);
--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -43,7 +43,7 @@
 {
 	const gateway_t *gateway = request->gateway;
 	unsigned int gateways = gateway_count(gateway);
-	forward_criteria_t ask = {
+	forward_criteria_t criteria = {
 		.service = request->service,
 		.zone = gateway->settings->node_zone,
 		.call = request->call,
@@ -57,9 +57,9 @@
 	};
 
 	for (unsigned int i = 0; i < request->tried_count; i++)
-		ask.tried[i] = request->tried[i];
-	return forward_upstreams_choose(gateway->upstreams, &ask, gateway_now(),
-					pick);
+		criteria.tried[i] = request->tried[i];
+	return forward_upstreams_choose(gateway->upstreams, &criteria,
+					gateway_now(), pick);
 }
 
 /* Sends the request on the link of its attempt, which must be connected. */
