--- a/adapters/gateway/peer_receive.c
+++ b/adapters/gateway/peer_receive.c
@@ -247,11 +247,11 @@
  * Returns whether to adopt the bucket levels of a peer with that uptime, as it
  * knows what was used before this gateway started. True at most once.
  */
-static bool should_adopt_levels(gateway_peers_t *peers, uint64_t age)
+static bool should_adopt_levels(gateway_peers_t *peers, uint64_t uptime)
 {
 	if (peers->levels_adopted ||
 	    gateway_now() - peers->started_at > LEVEL_ADOPTION_WINDOW ||
-	    (pd_time_t)age < limits_window(peers))
+	    (pd_time_t)uptime < limits_window(peers))
 		return false;
 	peers->levels_adopted = true;
 	return true;
--- a/core/forward/retry_window.c
+++ b/core/forward/retry_window.c
@@ -89,11 +89,11 @@
 }
 
 /*
- * Takes one retry if the limits allow it, where GATEWAYS share the slack.
+ * Takes one retry if the limits allow it, where GATEWAY_COUNT gateways share the slack.
  * Returns whether they do.
  */
 bool retry_windows_take(retry_windows_t *windows, const char *service,
-			unsigned int gateways, pd_time_t now)
+			unsigned int gateway_count, pd_time_t now)
 {
 	window_t *window = get_window(windows, service, now);
 	double requests = 0;
@@ -105,7 +105,7 @@
 		retries += window->retries[i];
 	}
 	allowed = windows->limits.ratio * requests +
-		  windows->limits.slack / MAX(gateways, 1);
+		  windows->limits.slack / MAX(gateway_count, 1);
 	if (retries + 1 > allowed * USABLE_FRACTION)
 		return false;
 	window->retries[window->bucket % RETRY_WINDOW_BUCKETS]++;
--- a/core/forward/retry_window.h
+++ b/core/forward/retry_window.h
@@ -27,6 +27,6 @@
 void retry_windows_record_request(retry_windows_t *windows, const char *service,
 				  pd_time_t now);
 bool retry_windows_take(retry_windows_t *windows, const char *service,
-			unsigned int gateways, pd_time_t now);
+			unsigned int gateway_count, pd_time_t now);
 
 #endif
--- a/core/forward/store_poll.c
+++ b/core/forward/store_poll.c
@@ -10,17 +10,18 @@
 /* The mean pause at first; it doubles with each failure, up to a limit. */
 #define PAUSE_INITIAL (150 * PD_MSEC)
 #define PAUSE_DOUBLINGS_MAX 3
-/* Gateways that hear each other make together at most one call per interval. */
+/* The gateways of a group together make at most one call per interval. */
 #define FLEET_CALL_INTERVAL (50 * PD_MSEC)
 
 /*
- * Returns the mean pause before the next call of one of GATEWAYS that would all
- * learn of an answer to any of them; 1: it is on its own. FAILURES counts its
+ * Returns the mean pause before a gateway's next call. GROUP_SIZE gateways would all
+ * learn of an answer to any of them; 1: this one is on its own. FAILURES counts its
  * failed calls since the last answer.
  */
-pd_time_t store_poll_pause(unsigned int gateways, unsigned int failures)
+pd_time_t store_poll_pause(unsigned int group_size, unsigned int failures)
 {
 	pd_time_t pause = PAUSE_INITIAL << MIN(failures, PAUSE_DOUBLINGS_MAX);
 
-	return gateways > 1 ? MAX(pause, FLEET_CALL_INTERVAL * gateways) : pause;
+	return group_size > 1 ? MAX(pause, FLEET_CALL_INTERVAL * group_size)
+			      : pause;
 }
--- a/core/forward/store_poll.h
+++ b/core/forward/store_poll.h
@@ -6,6 +6,6 @@
 
 #include "ports/clock.h"
 
-pd_time_t store_poll_pause(unsigned int gateways, unsigned int failures);
+pd_time_t store_poll_pause(unsigned int group_size, unsigned int failures);
 
 #endif
--- a/core/forward/usage.c
+++ b/core/forward/usage.c
@@ -413,20 +413,20 @@
 	return (due + window - 1) / window + 1;
 }
 
-/* Returns the minimum time between two sends of counts by one of GATEWAYS gateways. */
-pd_time_t usage_send_period(unsigned int gateways)
+/* Returns the minimum time between two sends of counts by one of GATEWAY_COUNT gateways. */
+pd_time_t usage_send_period(unsigned int gateway_count)
 {
-	return CLAMP(gateways * SEND_PERIOD_PER_GATEWAY, SEND_PERIOD_MIN,
+	return CLAMP(gateway_count * SEND_PERIOD_PER_GATEWAY, SEND_PERIOD_MIN,
 		     SEND_PERIOD_MAX);
 }
 
 /*
- * Returns how long one of GATEWAYS gateways waits after its start before it writes a
+ * Returns how long one of GATEWAY_COUNT gateways waits after its start before it writes a
  * checkpoint. All may start at once, and need that time to agree on the writers.
  */
-pd_time_t usage_first_write_delay(unsigned int gateways)
+pd_time_t usage_first_write_delay(unsigned int gateway_count)
 {
-	return CLAMP(gateways * FIRST_WRITE_DELAY_PER_GATEWAY,
+	return CLAMP(gateway_count * FIRST_WRITE_DELAY_PER_GATEWAY,
 		     FIRST_WRITE_DELAY_MIN, FIRST_WRITE_DELAY_MAX);
 }
 
--- a/core/forward/usage.h
+++ b/core/forward/usage.h
@@ -53,8 +53,8 @@
 void usage_discard(usage_t *usage, int64_t before);
 int64_t usage_windows_retained(pd_time_t window, pd_time_t due);
 bool usage_has_unsent(const usage_t *usage);
-pd_time_t usage_send_period(unsigned int gateways);
-pd_time_t usage_first_write_delay(unsigned int gateways);
+pd_time_t usage_send_period(unsigned int gateway_count);
+pd_time_t usage_first_write_delay(unsigned int gateway_count);
 pd_time_t usage_write_period(pd_time_t window, pd_time_t send_period,
 			     pd_time_t age);
 bool usage_is_writer_turn(pd_time_t wall, pd_time_t period, int writer);
--- a/core/forward/usage_inflight.c
+++ b/core/forward/usage_inflight.c
@@ -76,10 +76,10 @@
  */
 void usage_inflight_update(usage_inflight_t *inflight, inflight_snapshot_t *snapshot)
 {
-	const inflight_snapshot_t *known =
+	const inflight_snapshot_t *previous =
 		usage_inflight_find(inflight, snapshot->incarnation_id);
 
-	if (known && known->taken_at > snapshot->taken_at) {
+	if (previous && previous->taken_at > snapshot->taken_at) {
 		inflight_snapshot_destroy(snapshot);
 		return;
 	}
--- a/core/forward/work_rate.c
+++ b/core/forward/work_rate.c
@@ -70,10 +70,10 @@
 /* Adds work that this gateway sends to a service. */
 void work_rate_add(work_rate_t *work, const char *service, double amount)
 {
-	service_work_t *known = work_service(work, service);
+	service_work_t *entry = work_service(work, service);
 
-	known->own += amount;
-	known->added += amount;
+	entry->own += amount;
+	entry->added += amount;
 }
 
 /*
@@ -95,16 +95,16 @@
 void work_rate_record_peer(work_rate_t *work, const char *peer,
 			   const char *service, double total)
 {
-	service_work_t *known = work_service(work, service);
-	double *last = g_hash_table_lookup(known->peers, peer);
+	service_work_t *entry = work_service(work, service);
+	double *last = g_hash_table_lookup(entry->peers, peer);
 
 	if (!last) {
 		last = g_new(double, 1);
 		*last = total;
-		g_hash_table_insert(known->peers, g_strdup(peer), last);
+		g_hash_table_insert(entry->peers, g_strdup(peer), last);
 		return;
 	}
-	known->added += MAX(total - *last, 0);
+	entry->added += MAX(total - *last, 0);
 	*last = total;
 }
 
@@ -144,9 +144,9 @@
 /* Returns the work per second that all gateways send to a service. */
 double work_rate_get(const work_rate_t *work, const char *service)
 {
-	const service_work_t *known = g_hash_table_lookup(work->services, service);
+	const service_work_t *entry = g_hash_table_lookup(work->services, service);
 
-	return known ? known->rate : 0;
+	return entry ? entry->rate : 0;
 }
 
 /* Returns the work per second that all gateways refuse for a service. */
