--- a/tests/property/test_leaves.cc
+++ b/tests/property/test_leaves.cc
@@ -142,7 +142,7 @@
 	pd_time_t phase = 0;
 	pd_time_t next_state = 0;
 	/* last answer of the store to any gateway */
-	pd_time_t store_heard_at = 0;
+	pd_time_t store_answered_at = 0;
 	pd_time_t summary_at = 0;
 	bool aggregator_lost = false;
 	pd_time_t diverged_since = 0;
@@ -155,7 +155,7 @@
 struct message {
 	Kind kind;
 	unsigned from, to;
-	pd_time_t store_heard_at;
+	pd_time_t store_answered_at;
 	bool store_reachable;
 	uint64_t digest;
 	std::vector<std::pair<unsigned, registration>> upstreams;
@@ -292,7 +292,7 @@
 	gw.table = forward_upstreams_create();
 	gw.is_running = true;
 	gw.started_at = sim.now;
-	gw.store_heard_at = sim.now;
+	gw.store_answered_at = sim.now;
 	gw.phase = draw(sim, 0, 1) * kStep;
 }
 
@@ -421,7 +421,7 @@
 	view.is_large = !view.is_mesh;
 	view.is_watcher = is_watcher(sim, number);
 	view.must_call = view.is_watcher || !gw.has_listing ||
-			 sim.now - gw.store_heard_at > stale;
+			 sim.now - gw.store_answered_at > stale;
 	view.aggregator_lost_store = gw.aggregator_lost;
 	view.poll_group_size = gw.summary_at && sim.now - gw.summary_at < kSummaryMaxAge
 				       ? sim.size()
@@ -454,7 +454,7 @@
 {
 	record_answer(sim, gw);
 	store_feed_record_answer(gw.feed, sim.now);
-	gw.store_heard_at = sim.now;
+	gw.store_answered_at = sim.now;
 	forward_upstreams_begin_listing(gw.table);
 	for (const auto &item : sim.platform.entries)
 		apply_update(sim, gw, item.first, item.second);
@@ -469,7 +469,7 @@
 {
 	record_answer(sim, gw);
 	store_feed_record_answer(gw.feed, sim.now);
-	gw.store_heard_at = sim.now;
+	gw.store_answered_at = sim.now;
 	for (const auto &item : sim.platform.log)
 		if (item.at > gw.watched_revision)
 			apply_update(sim, gw, item.upstream, item.state);
@@ -481,7 +481,7 @@
 {
 	gateway &gw = sim.gateways[number];
 	call_in_flight &call = gw.in_flight;
-	bool has_news;
+	bool has_changes;
 
 	if (!call.sent_at)
 		return;
@@ -506,9 +506,9 @@
 		store_feed_restart_listing(gw.feed, sim.now);
 		return;
 	}
-	has_news = gw.watched_revision < sim.platform.revision &&
-		   !history_has_gap(sim);
-	if (has_news || sim.now - call.sent_at >= call.request.wait)
+	has_changes = gw.watched_revision < sim.platform.revision &&
+		      !history_has_gap(sim);
+	if (has_changes || sim.now - call.sent_at >= call.request.wait)
 		answer_watch(sim, gw);
 }
 
@@ -537,7 +537,7 @@
 	return { kind,
 		 from,
 		 to,
-		 gw.store_heard_at,
+		 gw.store_answered_at,
 		 !store_feed_is_unreachable(gw.feed),
 		 digest_of(gw),
 		 {},
@@ -684,8 +684,9 @@
 	switch (msg.kind) {
 	case Kind::State:
 	case Kind::Summary:
-		gw.store_heard_at = std::max(gw.store_heard_at, msg.store_heard_at);
-		store_outage_record_answer(gw.outage, msg.store_heard_at);
+		gw.store_answered_at =
+			std::max(gw.store_answered_at, msg.store_answered_at);
+		store_outage_record_answer(gw.outage, msg.store_answered_at);
 		apply_outage_end(gw);
 		fetch_if_diverged(sim, msg.to, msg);
 		if (msg.kind == Kind::Summary) {
--- a/tests/property/test_usage.cc
+++ b/tests/property/test_usage.cc
@@ -39,7 +39,7 @@
 /* A write in progress: when the store executes it, and when its caller is answered. */
 struct call {
 	unsigned gateway;
-	unsigned start; /* run of that gateway; a later run gets no result */
+	unsigned incarnation_number; /* of that gateway; a later one gets no result */
 	unsigned slot;
 	unsigned number;
 	uint64_t revision; /* expected by the conditional write */
@@ -61,8 +61,8 @@
 		writers[writer_count] = { { nullptr, object_writer_destroy },
 					  { nullptr, object_writer_destroy } };
 	std::string incarnation;
-	unsigned start = 0;
-	bool runs = false;
+	unsigned incarnation_number = 0;
+	bool is_running = false;
 	pd_time_t started_at = 0;
 	pd_time_t died_at = 0;
 	pd_time_t sent_at = 0;
@@ -126,15 +126,16 @@
 
 static void start(fleet &all, gateway &one, unsigned number)
 {
-	one.start++;
-	one.incarnation = std::to_string(number) + "#" + std::to_string(one.start);
+	one.incarnation_number++;
+	one.incarnation = std::to_string(number) + "#" +
+			  std::to_string(one.incarnation_number);
 	one.usage.reset(usage_create(one.incarnation.c_str()));
 	one.inflight.reset(usage_inflight_create());
 	for (auto &writer : one.writers) {
 		writer.reset(object_writer_create(0));
 		object_writer_set_answer_time(writer.get(), store_latency);
 	}
-	one.runs = true;
+	one.is_running = true;
 	one.started_at = all.now;
 	one.sent_at = 0;
 	one.first_write_at =
@@ -146,7 +147,7 @@
 
 static void kill(fleet &all, unsigned number)
 {
-	all.gateways[number].runs = false;
+	all.gateways[number].is_running = false;
 	all.gateways[number].died_at = all.now;
 	all.gateways[number].usage.reset();
 	all.gateways[number].inflight.reset();
@@ -164,7 +165,7 @@
 /* Returns whether other gateways take one for alive; they detect a death with delay. */
 static bool looks_alive(const fleet &all, const gateway &one)
 {
-	return one.runs ||
+	return one.is_running ||
 	       (one.died_at && all.now - one.died_at < failure_detection_time);
 }
 
@@ -192,7 +193,7 @@
 	for (unsigned i = 0; i < writer_count; i++) {
 		int target = message->targets[i];
 
-		if (target >= 0 && message->all->gateways[target].runs)
+		if (target >= 0 && message->all->gateways[target].is_running)
 			usage_merge(message->all->gateways[target].usage.get(),
 				    entry);
 	}
@@ -203,7 +204,7 @@
 	for (unsigned i = 0; i < writer_count; i++) {
 		int target = message.targets[i];
 
-		if (target < 0 || !message.all->gateways[target].runs)
+		if (target < 0 || !message.all->gateways[target].is_running)
 			continue;
 		usage_inflight_update(message.all->gateways[target].inflight.get(),
 				      snapshot_of(*message.all, sender));
@@ -264,7 +265,7 @@
 	made.text = text;
 	g_free(text);
 	made.gateway = number;
-	made.start = writer.start;
+	made.incarnation_number = writer.incarnation_number;
 	made.slot = slot;
 	made.revision = object_writer_revision(object);
 	made.number = object_writer_begin(object, all.revision + 1, all.now);
@@ -298,7 +299,8 @@
 static void deliver_result(fleet &all, const call &made)
 {
 	gateway &writer = all.gateways[made.gateway];
-	if (!writer.runs || writer.start != made.start)
+	if (!writer.is_running ||
+	    writer.incarnation_number != made.incarnation_number)
 		return;
 	if (made.end == WRITE_CONFLICT && !made.lost)
 		merge_text(writer.usage.get(), writer.inflight.get(),
@@ -351,7 +353,7 @@
 		gateway &one = all.gateways[i];
 		double served = rate * (double)tick / PD_SEC;
 
-		if (!one.runs)
+		if (!one.is_running)
 			continue;
 		for (; served >= 1 || (double)draw(all, 0, 1000) < served * 1000;
 		     served--) {
@@ -370,7 +372,7 @@
 	for (unsigned slot = 0; slot < writers.size(); slot++) {
 		const gateway &one = all.gateways[writers[slot]];
 
-		if (one.runs && all.now >= one.first_write_at)
+		if (one.is_running && all.now >= one.first_write_at)
 			write_slot(all, writers[slot], slot);
 	}
 }
@@ -384,7 +386,7 @@
 static void start_all(fleet &all)
 {
 	for (unsigned i = 0; i < all.gateways.size(); i++)
-		if (!all.gateways[i].runs)
+		if (!all.gateways[i].is_running)
 			start(all, all.gateways[i], i);
 }
 
--- a/tests/unit/test_usage_inflight.c
+++ b/tests/unit/test_usage_inflight.c
@@ -17,7 +17,7 @@
 	usage_inflight_t *inflight;
 } report_t;
 
-/* One run of the gateway on a VM. */
+/* One incarnation of the gateway on a VM. */
 typedef struct incarnation {
 	int vm;
 	int number; /* unique on the VM */
@@ -25,9 +25,9 @@
 	pd_time_t started_at; /* time of day */
 } incarnation_t;
 
-static const incarnation_t first_run = { 1, 1, NOON - 400 * PD_SEC, NOON };
-static const incarnation_t second_run = { 1, 2, NOON - 400 * PD_SEC,
-					  NOON + 2 * PD_SEC };
+static const incarnation_t first_incarnation = { 1, 1, NOON - 400 * PD_SEC, NOON };
+static const incarnation_t second_incarnation = { 1, 2, NOON - 400 * PD_SEC,
+						  NOON + 2 * PD_SEC };
 static const incarnation_t run_after_reboot = { 1, 3, NOON + 3 * PD_SEC,
 						NOON + 4 * PD_SEC };
 /* The steady clock of a VM need not begin at 0. */
@@ -86,15 +86,15 @@
 	return sum;
 }
 
-/* The first run has counted 40 requests, and has 6 in flight a second after its start. */
+/* The first incarnation has counted 40 requests, and has 6 in flight a second after its start. */
 static int setup(void **state)
 {
 	report_t *report = g_new0(report_t, 1);
 
 	report->usage = usage_create("g0#1");
 	report->inflight = usage_inflight_create();
-	count(report, &first_run, 40);
-	add_snapshot(report, &first_run, NOON + PD_SEC, WINDOW, 46);
+	count(report, &first_incarnation, 40);
+	add_snapshot(report, &first_incarnation, NOON + PD_SEC, WINDOW, 46);
 	*state = report;
 	return 0;
 }
@@ -134,7 +134,8 @@
 {
 	report_t *report = *state;
 
-	add_snapshot(report, &second_run, second_run.started_at, WINDOW, 0);
+	add_snapshot(report, &second_incarnation, second_incarnation.started_at,
+		     WINDOW, 0);
 	assert_int_equal(lost_requests(report), 0);
 	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
 		     WINDOW, 0);
@@ -146,8 +147,8 @@
 {
 	report_t *report = *state;
 
-	add_snapshot(report, &second_run, second_run.started_at + PD_SEC / 2,
-		     WINDOW, 3);
+	add_snapshot(report, &second_incarnation,
+		     second_incarnation.started_at + PD_SEC / 2, WINDOW, 3);
 	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
 		     WINDOW, 9);
 	assert_int_equal(lost_requests(report), 3);
@@ -158,11 +159,11 @@
 {
 	report_t *report = *state;
 
-	count(report, &first_run, 44);
+	count(report, &first_incarnation, 44);
 	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
 		     WINDOW, 0);
 	assert_int_equal(lost_requests(report), 2);
-	count(report, &first_run, 50);
+	count(report, &first_incarnation, 50);
 	assert_int_equal(lost_requests(report), 0);
 }
 
@@ -170,10 +171,12 @@
 {
 	report_t *report = *state;
 
-	add_snapshot(report, &first_run, NOON + PD_SEC + 20 * PD_MSEC, WINDOW, 43);
-	add_snapshot(report, &first_run, NOON + PD_SEC, WINDOW, 46);
+	add_snapshot(report, &first_incarnation, NOON + PD_SEC + 20 * PD_MSEC,
+		     WINDOW, 43);
+	add_snapshot(report, &first_incarnation, NOON + PD_SEC, WINDOW, 46);
 	/* Requests may be sent between two snapshots of the same moment. */
-	add_snapshot(report, &first_run, NOON + PD_SEC + 20 * PD_MSEC, WINDOW, 41);
+	add_snapshot(report, &first_incarnation, NOON + PD_SEC + 20 * PD_MSEC,
+		     WINDOW, 41);
 	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
 		     WINDOW, 0);
 	assert_int_equal(lost_requests(report), 1);
@@ -184,7 +187,7 @@
 {
 	report_t *report = *state;
 
-	add_snapshot(report, &first_run, NOON + PD_SEC + 20 * PD_MSEC,
+	add_snapshot(report, &first_incarnation, NOON + PD_SEC + 20 * PD_MSEC,
 		     WINDOW + 1, 6);
 	add_snapshot(report, &run_after_reboot, run_after_reboot.started_at,
 		     WINDOW + 1, 0);
@@ -195,7 +198,7 @@
 static void test_clock_correction_is_no_reboot(void **state)
 {
 	report_t *report = *state;
-	incarnation_t corrected = second_run;
+	incarnation_t corrected = second_incarnation;
 
 	corrected.boot_time += 5 * PD_SEC;
 	corrected.started_at += 5 * PD_SEC;
@@ -218,9 +221,11 @@
 	report_t *report = *state;
 
 	usage_inflight_discard(report->inflight, WINDOW);
-	assert_non_null(usage_inflight_find(report->inflight, id_of(&first_run)));
+	assert_non_null(usage_inflight_find(report->inflight,
+					    id_of(&first_incarnation)));
 	usage_inflight_discard(report->inflight, WINDOW + 1);
-	assert_null(usage_inflight_find(report->inflight, id_of(&first_run)));
+	assert_null(usage_inflight_find(report->inflight,
+					id_of(&first_incarnation)));
 }
 
 int main(void)
--- a/tests/unit/test_usage_watermark.c
+++ b/tests/unit/test_usage_watermark.c
@@ -18,25 +18,27 @@
 	usage_watermarks_t *watermarks;
 } fleet_t;
 
-static uint64_t id_of(int gateway, int run)
+static uint64_t id_of(int gateway, int incarnation)
 {
 	char name[32];
 
-	snprintf(name, sizeof(name), "g%d#%d", gateway, run);
+	snprintf(name, sizeof(name), "g%d#%d", gateway, incarnation);
 	return usage_incarnation_id(name);
 }
 
-static void receive(fleet_t *fleet, int gateway, int run, int64_t window,
-		    uint64_t count)
+static void receive(fleet_t *fleet, int gateway, int incarnation,
+		    int64_t window, uint64_t count)
 {
-	const usage_entry_t entry = { window, id_of(gateway, run), "mill", count };
+	const usage_entry_t entry = { window, id_of(gateway, incarnation),
+				      "mill", count };
 
 	usage_merge(fleet->leader, &entry);
 }
 
-static void close_window(fleet_t *fleet, int gateway, int run, int64_t window)
+static void close_window(fleet_t *fleet, int gateway, int incarnation, int64_t window)
 {
-	usage_watermarks_advance(fleet->watermarks, id_of(gateway, run), window);
+	usage_watermarks_advance(fleet->watermarks, id_of(gateway, incarnation),
+				 window);
 }
 
 static bool is_complete(const fleet_t *fleet, int64_t window)
