--- a/adapters/gateway/request_attempt.c
+++ b/adapters/gateway/request_attempt.c
@@ -13,8 +13,8 @@
 /* Upstreams that a request is sent to at most, including those that reject it. */
 #define DELIVERIES_MAX 4
 /* Upstreams other than engines queue a few requests beyond their slots. */
-#define PLAIN_OVERFILL 2.5
-#define ENGINE_OVERFILL 1.0
+#define PLAIN_OVERCOMMIT 2.5
+#define ENGINE_OVERCOMMIT 1.0
 /* A prompt with a larger shared fraction is no sample of the prefill rate. */
 #define SHARED_PROMPT_MAX 0.3
 /* In larger fleets peers' loads are out of date; see core/forward/upstreams-notes.md. */
@@ -25,7 +25,7 @@
 
 /* Returns this gateway's share of the connections to one upstream; 0: no limit. */
 static unsigned int connections_max(const gateway_request_t *request,
-				    unsigned int gateways)
+				    unsigned int fleet_size)
 {
 	const forward_service_t *service =
 		forward_config_service(request->config, request->service);
@@ -33,7 +33,7 @@
 	if (!service || !service->connections_max)
 		return 0;
 	return MAX((unsigned int)(service->connections_max *
-				  CONNECTION_HEADROOM / gateways),
+				  CONNECTION_HEADROOM / fleet_size),
 		   1);
 }
 
@@ -42,16 +42,16 @@
 					forward_pick_t *pick)
 {
 	const gateway_t *gateway = request->gateway;
-	unsigned int gateways = gateway_count(gateway);
+	unsigned int fleet_size = gateway_count(gateway);
 	forward_criteria_t criteria = {
 		.service = request->service,
 		.zone = gateway->settings->node_zone,
 		.call = request->call,
 		.has_prompt = request->route->has_prompt,
-		.overcommit = request->route->has_prompt ? ENGINE_OVERFILL
-							 : PLAIN_OVERFILL,
-		.connections_max = connections_max(request, gateways),
-		.sample_size = gateways > SAMPLING_FLEET_SIZE ? SAMPLE_SIZE : 0,
+		.overcommit = request->route->has_prompt ? ENGINE_OVERCOMMIT
+							 : PLAIN_OVERCOMMIT,
+		.connections_max = connections_max(request, fleet_size),
+		.sample_size = fleet_size > SAMPLING_FLEET_SIZE ? SAMPLE_SIZE : 0,
 		.random = gateway->random,
 		.tried_count = request->tried_count,
 	};
