--- a/core/forward/object_writer.c
+++ b/core/forward/object_writer.c
@@ -11,7 +11,7 @@
 	uint64_t revision;
 	/* of the contents in flight */
 	uint64_t digests[CALL_PACER_IN_FLIGHT_MAX];
-	uint64_t known_digest; /* of what the object holds; 0: unknown */
+	uint64_t stored_digest; /* of what the object holds; 0: unknown */
 };
 
 /* Returns a writer that has seen no revision; the caller owns it. */
@@ -67,7 +67,7 @@
 bool object_writer_needs_write(object_writer_t *writer, uint64_t digest,
 			       pd_time_t now)
 {
-	if (writer->known_digest != digest)
+	if (writer->stored_digest != digest)
 		return true;
 	call_pacer_postpone(writer->pacer, now);
 	return false;
@@ -93,7 +93,7 @@
 	if (revision < writer->revision)
 		return;
 	writer->revision = revision;
-	writer->known_digest = digest;
+	writer->stored_digest = digest;
 }
 
 /* Records how a write ended; REVISION is the object's, 0 if unknown. */
--- a/core/forward/scale_plan.c
+++ b/core/forward/scale_plan.c
@@ -91,9 +91,9 @@
 	pd_time_t count_grew_at; /* when the number of registered upstreams last grew */
 	bool initialized; /* a plan was made, starting from the upstreams found */
 	double running; /* running requests, smoothed */
-	double held_load; /* load, in busy engines, that the fleet is sized for */
-	double restored_load; /* held_load of an earlier leader; 0: not known */
-	pd_time_t below_since; /* since when the load is below held_load */
+	double planned_load; /* load, in busy engines, that the fleet is sized for */
+	double restored_load; /* planned_load of an earlier leader; 0: not known */
+	pd_time_t below_since; /* since when the load is below planned_load */
 	scale_basis_t basis;
 };
 
@@ -245,8 +245,8 @@
  * Returns the load to plan for: the measured one, or at first that of the initial size.
  * COUNT is the number of upstreams that serve.
  */
-static double plan_hold_load(scale_plan_t *plan, double load, double count,
-			     pd_time_t now)
+static double plan_update_load(scale_plan_t *plan, double load, double count,
+			       pd_time_t now)
 {
 	if (!plan->count_grew_at)
 		plan->count_grew_at = now;
@@ -264,14 +264,14 @@
 		plan->load_seen_at = now;
 	if (!plan_is_measured(plan, now))
 		load = MAX(load, plan->initial_load);
-	if (load >= plan->held_load) {
-		plan->held_load = load;
+	if (load >= plan->planned_load) {
+		plan->planned_load = load;
 		plan->below_since = now;
 	} else if (now - plan->below_since > SHRINK_DELAY) {
-		plan->held_load = load;
+		plan->planned_load = load;
 		plan->below_since = now;
 	}
-	return plan->held_load;
+	return plan->planned_load;
 }
 
 /* Returns the price of an upstream in the service's zone number I. */
@@ -537,7 +537,7 @@
 		scale_plan_count_serving(upstreams, service->name, NULL, true);
 	double load = plan_load(plan, service, upstreams, demand);
 	double planned_load =
-		plan_hold_load(plan, load, on_demand_now + reclaimable_now, now);
+		plan_update_load(plan, load, on_demand_now + reclaimable_now, now);
 	bool shortage = plan_has_shortage(plan, now);
 	scale_totals_t totals =
 		plan_totals(planned_load,
--- a/core/forward/time_vote.c
+++ b/core/forward/time_vote.c
@@ -106,15 +106,15 @@
 	return (left > right) - (left < right);
 }
 
-/* Returns whether more than half of the votes are nearer to NEXT than to HELD. */
-static bool majority_is_nearer(const GArray *votes, pd_time_t next, pd_time_t held)
+/* Returns whether more than half of the votes are nearer to NEXT than to CURRENT. */
+static bool majority_is_nearer(const GArray *votes, pd_time_t next, pd_time_t current)
 {
 	guint nearer = 0;
 
 	for (guint i = 0; i < votes->len; i++) {
 		pd_time_t one = g_array_index(votes, pd_time_t, i);
 
-		nearer += ABS(one - next) < ABS(one - held);
+		nearer += ABS(one - next) < ABS(one - current);
 	}
 	return 2 * nearer > votes->len;
 }
@@ -178,8 +178,8 @@
  * STEPPED is not set, the message was probably delayed, and the reading is
  * ignored unless others like it follow for longer than messages are delayed.
  */
-static void reading_take(reading_t *reading, pd_time_t difference, bool stepped,
-			 pd_time_t now)
+static void reading_store(reading_t *reading, pd_time_t difference,
+			  bool stepped, pd_time_t now)
 {
 	bool behind = is_recent(reading, now) && !stepped &&
 		      difference - reading->difference <= -CLOCK_STEP_MIN;
@@ -206,7 +206,7 @@
 	bool stepped = step_age > 0 &&
 		       now - step_age >= reading->received_at - CLOCK_STEP_MIN;
 
-	reading_take(reading, wall - now, stepped, now);
+	reading_store(reading, wall - now, stepped, now);
 	reading->stepped = step_age > 0;
 	if (step_age > 0 && step_age < DISTRUST_TIME)
 		reading->trusted_from = MAX(reading->trusted_from,
@@ -258,7 +258,7 @@
  */
 void time_vote_receive_result(time_vote_t *vote, pd_time_t wall, pd_time_t now)
 {
-	reading_take(&vote->fleet, wall - now, false, now);
+	reading_store(&vote->fleet, wall - now, false, now);
 }
 
 /* Returns the fleet's time of day. */
