--- a/adapters/gateway/peer_state.h
+++ b/adapters/gateway/peer_state.h
@@ -178,7 +178,7 @@
 	/* time of the in-flight snapshot last sent to them */
 	pd_time_t snapshot_sent_at;
 	/* addresses of the current writers; NULL: none */
-	char *counts_receivers[CHECKPOINT_SLOTS];
+	char *checkpoint_writers[CHECKPOINT_SLOTS];
 	/* when a peer last sent counts; 0: never */
 	pd_time_t counts_received_at;
 	/* bucket levels were taken over from a longer-running peer */
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -518,10 +518,10 @@
 	for (unsigned int i = 0; i < CHECKPOINT_SLOTS; i++) {
 		const char *address = i < count ? writers[i]->address : NULL;
 
-		if (!g_strcmp0(peers->counts_receivers[i], address))
+		if (!g_strcmp0(peers->checkpoint_writers[i], address))
 			continue;
-		g_free(peers->counts_receivers[i]);
-		peers->counts_receivers[i] = g_strdup(address);
+		g_free(peers->checkpoint_writers[i]);
+		peers->checkpoint_writers[i] = g_strdup(address);
 		changed = true;
 	}
 	if (changed)
