--- a/tests/process/test_gateway.c
+++ b/tests/process/test_gateway.c
@@ -1,4 +1,4 @@
-/* A gateway process between a stand-in store and upstreams, seen from outside. */
+/* Tests of a gateway process with a mock store and mock upstreams. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <setjmp.h>
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -29,7 +29,7 @@
 #define FIRST_WATCH_DELAY_MS 150
 #define DOWNTIME_MS 2500 /* some windows of the rig */
 #define ORDERS_OBSERVED_MS 500 /* less than the timeout of an order, 1.5 s */
-/* of up to 2 s until a started gateway looks at the lease */
+/* of up to 2 s until a started gateway reads the lease */
 #define RESUME_TIMEOUT_MS 300
 #define WINDOW_MS 1000 /* of the rig */
 #define COUNTS_SENT_MS 100 /* upper bound until counts are sent */
@@ -38,11 +38,11 @@
 /* past the time of a report that waits for no counts */
 #define SUSPENDED_MS 3000
 #define BOOT_TIME_SHIFT (3600 * PD_SEC)
-/* until a simulated server has read what killed gateways sent */
+/* until a mock server has read what killed gateways sent */
 #define SOCKET_DRAIN_MS 50
 #define CALL_READ_MS 20 /* until a gateway has certainly read a call */
 
-/* Returns how often TEXT is in the logs of a gateway, over all its starts. */
+/* Returns how often TEXT is in the logs of a gateway, over all its incarnations. */
 static int count_logged(gateway_rig_t *rig, int number, const char *text)
 {
 	char *log = NULL;
@@ -58,21 +58,22 @@
 }
 
 /*
- * Starts all gateways for the STARTS-th time and waits until they have found
+ * Starts all gateways for the START_COUNT-th time and waits until they have found
  * each other.
  */
-static void start_all(gateway_rig_t *rig, int starts)
+static void start_all(gateway_rig_t *rig, int start_count)
 {
 	memset(rig->peer_ports, 0, sizeof(rig->peer_ports));
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		rig_start(rig, i);
-		RIG_UNTIL(rig, count_logged(rig, i, "gateway: start") == starts);
+		RIG_UNTIL(rig,
+			  count_logged(rig, i, "gateway: start") == start_count);
 		rig->peer_ports[i] = rig_port(rig, i, "peers");
 	}
 	for (int i = 0; i < RIG_GATEWAYS; i++)
 		RIG_UNTIL(rig, rig_is_ready(rig, i) &&
 				       count_logged(rig, i, "found=") >=
-					       starts * (RIG_GATEWAYS - 1));
+					       start_count * (RIG_GATEWAYS - 1));
 }
 
 static void run_for(gateway_rig_t *rig, uint64_t ms)
@@ -83,7 +84,7 @@
 		rig_run_once(rig);
 }
 
-/* Kills all gateways and lets the simulated servers read what they had sent. */
+/* Kills all gateways and lets the mock servers read what they had sent. */
 static void kill_all(gateway_rig_t *rig)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
