--- a/tests/property/test_usage.cc
+++ b/tests/property/test_usage.cc
@@ -182,7 +182,7 @@
 
 struct send_ctx {
 	fleet *all;
-	uint64_t start;
+	uint64_t incarnation_id;
 	const int *targets;
 };
 
