--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -101,7 +101,7 @@
 {
 	gateway_t *gateway = feed->fleet->gateway;
 	const char *id = wire_page_name(page, i);
-	forward_registration_t listing;
+	forward_registration_t registration;
 	bool changed = false;
 	pd_error_t err;
 
@@ -117,7 +117,7 @@
 		changed = forward_upstreams_remove(gateway->upstreams, id,
 						   wire_page_object_revision(page, i),
 						   gateway_now());
-	} else if (wire_page_upstream(page, i, &listing, &err) < 0) {
+	} else if (wire_page_upstream(page, i, &registration, &err) < 0) {
 		log_invalid_entry(feed, id, &err);
 		/* The entry has replaced the valid one of the same name. */
 		if (forward_upstreams_find(gateway->upstreams, id))
@@ -125,7 +125,8 @@
 				gateway->upstreams, id,
 				wire_page_object_revision(page, i), gateway_now());
 	} else {
-		changed = forward_upstreams_apply(gateway->upstreams, &listing);
+		changed = forward_upstreams_apply(gateway->upstreams,
+						  &registration);
 	}
 	if (changed)
 		gateway_upstream_changed(gateway, id, "store");
@@ -199,10 +200,10 @@
 	feed->page_after = g_strdup(wire_page_name(page, count - 1));
 }
 
-/* Logs that the store became unreachable; BEFORE: it already was. */
-static void log_store_lost(const feed_t *feed, bool before, int status)
+/* Logs that the store became unreachable; WAS_UNREACHABLE: it already was. */
+static void log_store_lost(const feed_t *feed, bool was_unreachable, int status)
 {
-	if (before || !store_feed_is_unreachable(feed->schedule))
+	if (was_unreachable || !store_feed_is_unreachable(feed->schedule))
 		return;
 	log_line(G_LOG_LEVEL_WARNING, LOG_COMPONENT,
 		 "lost=%s status=%d revision=%" G_GUINT64_FORMAT, feed->name,
@@ -230,10 +231,10 @@
 {
 	pd_time_t now = gateway_now();
 	const store_feed_fleet_t fleet = feed_fleet(feed, now);
-	bool before = store_feed_is_unreachable(feed->schedule);
+	bool was_unreachable = store_feed_is_unreachable(feed->schedule);
 
 	store_feed_record_failure(feed->schedule, &fleet, now);
-	log_store_lost(feed, before, status);
+	log_store_lost(feed, was_unreachable, status);
 }
 
 /* Logs that the store is reachable again, if it was not. */
@@ -303,7 +304,7 @@
 
 static void feed_run(feed_t *feed, pd_time_t now)
 {
-	bool before = store_feed_is_unreachable(feed->schedule);
+	bool was_unreachable = store_feed_is_unreachable(feed->schedule);
 	store_feed_fleet_t fleet;
 	store_call_t due;
 
@@ -312,9 +313,9 @@
 	fleet = feed_fleet(feed, now);
 	due = store_feed_next_call(feed->schedule, &fleet, now);
 	/* The calls of the peer that watches on behalf of this gateway failed. */
-	if (!before && store_feed_is_unreachable(feed->schedule))
+	if (!was_unreachable && store_feed_is_unreachable(feed->schedule))
 		gateway_store_failed(feed->fleet->gateway, now);
-	log_store_lost(feed, before, 0);
+	log_store_lost(feed, was_unreachable, 0);
 	switch (due.kind) {
 	case STORE_CALL_NONE:
 		break;
--- a/adapters/gateway/peer_receive.c
+++ b/adapters/gateway/peer_receive.c
@@ -515,10 +515,12 @@
 	return 0;
 }
 
-static gboolean fetch_has_expired(gpointer id_hash, gpointer asked_at, gpointer now)
+static gboolean fetch_has_expired(gpointer id_hash, gpointer requested_at,
+				  gpointer now)
 {
 	(void)id_hash;
-	return (pd_time_t)(gintptr)now - (pd_time_t)(gintptr)asked_at > FETCH_PERIOD;
+	return (pd_time_t)(gintptr)now - (pd_time_t)(gintptr)requested_at >
+	       FETCH_PERIOD;
 }
 
 /*
@@ -581,7 +583,7 @@
 	const msgpack_object *fields =
 		msgpack_field_items(object, UPSTREAM_FIELDS, NULL);
 	char *texts[4] = { NULL };
-	forward_registration_t listing = { 0 };
+	forward_registration_t registration = { 0 };
 	bool changed = false;
 
 	if (!fields) {
@@ -594,28 +596,30 @@
 	texts[1] = msgpack_field_text(&fields[1]);
 	texts[2] = msgpack_field_text(&fields[2]);
 	texts[3] = msgpack_field_text(&fields[4]);
-	listing.id = texts[0];
-	listing.service = texts[1];
-	listing.address = texts[2];
-	listing.port = (uint16_t)msgpack_field_number(&fields[3]);
-	listing.zone = texts[3];
-	listing.slots = (unsigned int)msgpack_field_number(&fields[5]);
-	listing.stage = (forward_stage_t)msgpack_field_number(&fields[6]);
-	listing.reclaimable = msgpack_field_number(&fields[7]) != 0;
-	listing.revision = msgpack_field_number(&fields[8]);
-	listing.start_time_ms = (int64_t)msgpack_field_number(&fields[9]);
+	registration.id = texts[0];
+	registration.service = texts[1];
+	registration.address = texts[2];
+	registration.port = (uint16_t)msgpack_field_number(&fields[3]);
+	registration.zone = texts[3];
+	registration.slots = (unsigned int)msgpack_field_number(&fields[5]);
+	registration.stage = (forward_stage_t)msgpack_field_number(&fields[6]);
+	registration.reclaimable = msgpack_field_number(&fields[7]) != 0;
+	registration.revision = msgpack_field_number(&fields[8]);
+	registration.start_time_ms = (int64_t)msgpack_field_number(&fields[9]);
 	if (!texts[0] || !texts[1] || !texts[2] || !texts[3] ||
-	    listing.stage > FORWARD_GONE)
+	    registration.stage > FORWARD_GONE)
 		goto done;
-	if (listing.stage == FORWARD_GONE)
+	if (registration.stage == FORWARD_GONE)
 		changed = forward_upstreams_remove(gateway->upstreams,
-						   listing.id, listing.revision,
+						   registration.id,
+						   registration.revision,
 						   gateway_now());
 	else
-		changed = forward_upstreams_apply(gateway->upstreams, &listing);
+		changed = forward_upstreams_apply(gateway->upstreams,
+						  &registration);
 	/* Forwarded, as it may reach peers that the sender does not reach. */
 	if (changed)
-		gateway_upstream_changed(gateway, listing.id, "peer");
+		gateway_upstream_changed(gateway, registration.id, "peer");
 done:
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
 		g_free(texts[i]);
--- a/tests/process/test_gateway_gossip.c
+++ b/tests/process/test_gateway_gossip.c
@@ -98,16 +98,16 @@
 static void change_upstream(gateway_t *gateway, const char *id,
 			    forward_stage_t stage, uint64_t revision)
 {
-	const forward_registration_t listing = { .id = id,
-						 .service = "s",
-						 .address = "10.0.0.9",
-						 .port = 80,
-						 .zone = "a",
-						 .slots = 6,
-						 .stage = stage,
-						 .revision = revision };
-
-	assert_true(forward_upstreams_apply(gateway->upstreams, &listing));
+	const forward_registration_t registration = { .id = id,
+						      .service = "s",
+						      .address = "10.0.0.9",
+						      .port = 80,
+						      .zone = "a",
+						      .slots = 6,
+						      .stage = stage,
+						      .revision = revision };
+
+	assert_true(forward_upstreams_apply(gateway->upstreams, &registration));
 	gateway_upstream_changed(gateway, id, "test");
 }
 
@@ -241,16 +241,16 @@
 {
 	pair_t *pair = *state;
 	gateway_t *other = pair->gateways[1];
-	const forward_registration_t listing = { .id = "u2",
-						 .service = "s",
-						 .address = "10.0.0.8",
-						 .port = 80,
-						 .zone = "a",
-						 .slots = 6,
-						 .revision = 7 };
+	const forward_registration_t registration = { .id = "u2",
+						      .service = "s",
+						      .address = "10.0.0.8",
+						      .port = 80,
+						      .zone = "a",
+						      .slots = 6,
+						      .revision = 7 };
 
 	WAIT_UNTIL(pair, peers_view(other->peers, gateway_now())->alive == PAIR);
-	forward_upstreams_apply(pair->gateways[0]->upstreams, &listing);
+	forward_upstreams_apply(pair->gateways[0]->upstreams, &registration);
 	WAIT_UNTIL(pair, find_upstream(other, "u2") != NULL);
 	assert_string_equal(find_upstream(other, "u2")->address, "10.0.0.8");
 }
@@ -282,17 +282,17 @@
 static void test_unknown_upstream_is_fetched_once(void **state)
 {
 	pair_t *pair = *state;
-	const forward_registration_t listing = { .id = "u3",
-						 .service = "s",
-						 .address = "10.0.0.7",
-						 .port = 80,
-						 .zone = "a",
-						 .slots = 6,
-						 .revision = 8 };
+	const forward_registration_t registration = { .id = "u3",
+						      .service = "s",
+						      .address = "10.0.0.7",
+						      .port = 80,
+						      .zone = "a",
+						      .slots = 6,
+						      .revision = 8 };
 
 	WAIT_UNTIL(pair, peers_view(pair->gateways[1]->peers, gateway_now())->alive ==
 				 PAIR);
-	forward_upstreams_apply(pair->gateways[0]->upstreams, &listing);
+	forward_upstreams_apply(pair->gateways[0]->upstreams, &registration);
 	assert_true(deliver_update(pair, "u3") > 0);
 	/*
 	 * Makes the next update prune expired fetches; this one has not
--- a/tests/property/test_leaves.cc
+++ b/tests/property/test_leaves.cc
@@ -159,7 +159,7 @@
 	bool store_reachable;
 	uint64_t digest;
 	std::vector<std::pair<unsigned, registration>> upstreams;
-	bool wants_summary; /* a state: the sender wants a summary in return */
+	bool requests_summary; /* a state: a summary is to be sent in return */
 };
 
 struct departure {
@@ -379,19 +379,19 @@
 bool apply(fleet &sim, gateway &gw, unsigned upstream, const registration &state)
 {
 	std::string id = upstream_id(upstream);
-	forward_registration_t listing = {};
+	forward_registration_t registration = {};
 
 	if (state.stage == FORWARD_GONE)
 		return forward_upstreams_remove(gw.table, id.c_str(),
 						state.revision, sim.now);
-	listing.id = id.c_str();
-	listing.service = "s";
-	listing.address = "10.0.0.1";
-	listing.zone = "a";
-	listing.slots = 8;
-	listing.stage = state.stage;
-	listing.revision = state.revision;
-	return forward_upstreams_apply(gw.table, &listing);
+	registration.id = id.c_str();
+	registration.service = "s";
+	registration.address = "10.0.0.1";
+	registration.zone = "a";
+	registration.slots = 8;
+	registration.stage = state.stage;
+	registration.revision = state.revision;
+	return forward_upstreams_apply(gw.table, &registration);
 }
 
 /* Applies the state of an upstream, and queues it for peers if it was new. */
@@ -617,7 +617,7 @@
 			continue;
 		msg = message_of(gw, Kind::State, number, i);
 		/* Members want a summary only from the first one. */
-		msg.wants_summary = !is_aggregator && !asked;
+		msg.requests_summary = !is_aggregator && !asked;
 		asked = true;
 		send(sim, msg);
 	}
@@ -692,7 +692,7 @@
 		if (msg.kind == Kind::Summary) {
 			gw.summary_at = sim.now;
 			gw.aggregator_lost = !msg.store_reachable;
-		} else if (msg.wants_summary) {
+		} else if (msg.requests_summary) {
 			send(sim, message_of(gw, Kind::Summary, msg.to, msg.from));
 		}
 		break;
--- a/tests/unit/test_peer_loads.c
+++ b/tests/unit/test_peer_loads.c
@@ -25,17 +25,19 @@
 	char id[16];
 
 	for (unsigned int i = 0; i < count; i++) {
-		const forward_registration_t listing = { .id = id,
-							 .service = "s",
-							 .address = "127.0.0.1",
-							 .port = 1,
-							 .zone = "a",
-							 .slots = 12,
-							 .stage = FORWARD_SERVING,
-							 .revision = i + 1 };
+		const forward_registration_t registration = {
+			.id = id,
+			.service = "s",
+			.address = "127.0.0.1",
+			.port = 1,
+			.zone = "a",
+			.slots = 12,
+			.stage = FORWARD_SERVING,
+			.revision = i + 1
+		};
 
 		snprintf(id, sizeof(id), "u%u", i);
-		forward_upstreams_apply(set, &listing);
+		forward_upstreams_apply(set, &registration);
 	}
 }
 
--- a/tests/unit/test_scale_plan.c
+++ b/tests/unit/test_scale_plan.c
@@ -69,18 +69,18 @@
 			  bool reclaimable)
 {
 	char id[32];
-	forward_registration_t listing = { .id = id,
-					   .service = "s",
-					   .address = "127.0.0.1",
-					   .port = 1,
-					   .zone = zone,
-					   .slots = 96,
-					   .reclaimable = reclaimable };
+	forward_registration_t registration = { .id = id,
+						.service = "s",
+						.address = "127.0.0.1",
+						.port = 1,
+						.zone = zone,
+						.slots = 96,
+						.reclaimable = reclaimable };
 
 	for (unsigned int i = 0; i < number; i++) {
-		listing.revision = ++rig->revision;
+		registration.revision = ++rig->revision;
 		snprintf(id, sizeof(id), "u%u", (unsigned int)rig->revision);
-		forward_upstreams_apply(rig->upstreams, &listing);
+		forward_upstreams_apply(rig->upstreams, &registration);
 	}
 }
 
