--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -71,8 +71,9 @@
 	GPtrArray *orders; /* bodies of the orders received */
 	bool orders_unanswered;
 	GHashTable *runs; /* call id -> GUINT_TO_POINTER(number of runs) */
-	rig_behavior_t (*choose_behavior)(void *ctx, const char *target); /* NULL: the servers' */
-	void *ctx;
+	/* behavior of an upstream for a request; NULL: that of the server */
+	rig_behavior_t (*choose_behavior)(void *ctx, const char *target);
+	void *ctx; /* of choose_behavior */
 	uint16_t store_proxy_ports[RIG_GATEWAYS]; /* of proxies in front; 0: none */
 	uint16_t upstream_proxy_ports[RIG_UPSTREAMS]; /* 0: none */
 	process_t *gateways[RIG_GATEWAYS];
