--- a/adapters/gateway/caller.c
+++ b/adapters/gateway/caller.c
@@ -49,7 +49,7 @@
 	caller->request = gateway_request_create(caller->gateway, caller, head);
 }
 
-/* Passes data of a body on to the request; a body that is too long ends keep-alive. */
+/* Adds data of a body to the request; a body that is too long ends keep-alive. */
 static void on_body(void *ctx, const char *data, size_t len)
 {
 	caller_t *caller = ctx;
@@ -59,7 +59,7 @@
 		caller->keep_alive = false;
 }
 
-/* The request was read completely: reads no further one until it is answered. */
+/* The request was read completely: reads no further one until it has a response. */
 static void on_message(void *ctx)
 {
 	caller_t *caller = ctx;
--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -160,7 +160,7 @@
 	}
 }
 
-/* Ends a listing: watches from its revision on, and drops upstreams it lacked. */
+/* Ends a listing: watches from its revision on, and removes upstreams not in it. */
 static void feed_end_listing(feed_t *feed)
 {
 	gateway_t *gateway = feed->fleet->gateway;
@@ -175,7 +175,7 @@
 	gateway->upstreams_listed = true;
 }
 
-/* Applies a page of a listing or of a watch, and moves on behind it. */
+/* Applies a page of a listing or of a watch; the next call continues after it. */
 static void feed_apply_page(feed_t *feed, const wire_page_t *page)
 {
 	size_t count = wire_page_count(page);
@@ -283,7 +283,7 @@
 	feed_run(feed, gateway_now());
 }
 
-/* Makes the list or watch call that is due. */
+/* Sends the list or watch call that is due. */
 static void feed_call(feed_t *feed, const store_call_t *due)
 {
 	char *path =
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -217,7 +217,7 @@
 				     now - (pd_time_t)elapsed_ms * PD_MSEC);
 }
 
-/* Logs a change of an upstream, whose origin is SOURCE, and passes it on to the peers. */
+/* Logs a change of an upstream, with its SOURCE, and queues it for the peers. */
 void gateway_upstream_changed(gateway_t *gateway, const char *id, const char *source)
 {
 	static const char *const stages[] = {
--- a/adapters/gateway/peer_receive.c
+++ b/adapters/gateway/peer_receive.c
@@ -318,8 +318,8 @@
 
 /*
  * Applies a peer's view of the leader if its fencing token is newer. Without
- * the token, the many gateways that had not heard of a new leader would keep
- * reporting the old one to the aggregators, and usage would go on being sent to
+ * the token, the many gateways that do not know a new leader yet would keep
+ * reporting the old one to the aggregators, and usage would still be sent to
  * it.
  */
 static void update_leader(gateway_peers_t *peers, const msgpack_object *object,
@@ -407,7 +407,7 @@
 }
 
 /*
- * Applies a state, and answers it with a summary if it asks for one or with
+ * Applies a state, and replies with a summary if it requests one, or with
  * this gateway's state if the peer is new. Returns 0, or -1 if it is malformed.
  */
 static int handle_state(gateway_peers_t *peers, const msgpack_object *fields)
@@ -524,8 +524,8 @@
 }
 
 /*
- * Returns whether to request an upstream in full: no peer was asked for it
- * within FETCH_PERIOD.
+ * Returns whether to request an upstream in full, and records the request: it
+ * was not requested within FETCH_PERIOD.
  */
 static bool may_fetch_id_hash(gateway_peers_t *peers, uint64_t id_hash)
 {
--- a/core/forward/choice.c
+++ b/core/forward/choice.c
@@ -50,9 +50,9 @@
  * Returns the preferred upstreams of a call's shared prefix, by rendezvous
  * hashing: the upstreams with the highest hash of both. All gateways agree on
  * them without communication, so only they process the shared parts. Where a
- * choice compares a sample, loads are known late and the first one may be
- * overloaded before others hear of it; the second then has the shared parts as
- * well.
+ * choice compares a sample, loads are out of date and the first one may be
+ * overloaded before other gateways receive its load; the second then has the
+ * shared parts as well.
  */
 static preferred_t find_preferred(const GPtrArray *serving,
 				  const forward_criteria_t *criteria)
--- a/core/forward/header.h
+++ b/core/forward/header.h
@@ -1,4 +1,4 @@
-/* One HTTP header of a request or an answer, as received. */
+/* One HTTP header of a request or a response, as received. */
 #ifndef PISTACHIO_FORWARD_HEADER_H
 #define PISTACHIO_FORWARD_HEADER_H
 
--- a/core/forward/peer_uses.c
+++ b/core/forward/peer_uses.c
@@ -179,8 +179,8 @@
 }
 
 /*
- * Records a peer's report of all tokens that it was asked for since its start, granted
- * or not. Has to follow peer_uses_report() for the same message.
+ * Records a peer's report of all tokens that callers have requested there since its
+ * start, granted or not. Has to follow peer_uses_report() for the same message.
  */
 void peer_uses_report_demand(peer_uses_t *uses, const char *peer,
 			     double requested, pd_time_t now)
--- a/core/forward/peer_uses.h
+++ b/core/forward/peer_uses.h
@@ -10,8 +10,8 @@
 #include "ports/clock.h"
 
 /*
- * Minimum time over which a rate is measured, so that a single request is not taken for
- * one.
+ * Minimum time over which a rate is measured, so that a single request is not measured
+ * as a rate.
  */
 #define PEER_USES_INTERVAL_MIN (100 * PD_MSEC)
 #define PEER_USES_RATE_WEIGHT 0.5 /* of the newest measurement */
--- a/core/forward/store_feed.c
+++ b/core/forward/store_feed.c
@@ -1,6 +1,6 @@
 /*
- * Schedules the calls of one gateway. Every gateway wants each change at once,
- * each call is paid for, and a store that stopped answering is noticed only by
+ * Schedules the calls of one gateway. Every gateway needs each change at once,
+ * each call costs money, and a store that stopped answering is detected only by
  * a timeout.
  */
 #include "core/forward/store_feed.h"
@@ -8,18 +8,18 @@
 #include "core/forward/store_poll.h"
 
 /*
- * In a large fleet a few gateways watch for all, and the others go by when the
- * store last answered. Shorter waits let them notice sooner that it answers
- * none of the few.
+ * In a large fleet a few gateways watch for all, and the others call the store
+ * only if it has not answered those lately. Shorter waits let them detect that
+ * sooner.
  */
 #define WATCHER_WAIT (800 * PD_MSEC)
 #define WATCH_TIMEOUT_MARGIN (800 * PD_MSEC)
 #define LIST_TIMEOUT (1500 * PD_MSEC)
 /*
  * In a large fleet a gateway that starts delays its first watch after its first
- * listing. Until it has heard its peers it takes itself for one of the few
- * watchers, and hundreds that start at once would make calls that all but three
- * need not make.
+ * listing. Until it has received messages of peers it counts as one of the few
+ * watchers, and of hundreds that start at once all but three would make calls
+ * for nothing.
  */
 #define FIRST_WATCH_DELAY (200 * PD_MSEC)
 #define FIRST_WATCH_JITTER (200 * PD_MSEC)
@@ -33,7 +33,7 @@
 	bool listing_partial;
 	bool calling;
 	bool unreachable; /* the last call failed, here or at the aggregator */
-	bool polling; /* as no gateway had an answer from the store lately */
+	bool polling; /* no gateway had an answer from the store lately */
 	unsigned int failures; /* consecutive */
 	/* earliest, in a large fleet; 0: no listing has ended yet */
 	pd_time_t first_watch_at;
@@ -99,7 +99,7 @@
 /*
  * Starts to poll, as no gateway had an answer from the store lately. If the
  * aggregator has none either, the store counts as unreachable here as well;
- * otherwise it may be just the watchers that are dead.
+ * otherwise it may be only the watchers that have failed.
  */
 static void feed_start_polling(store_feed_t *feed,
 			       const store_feed_fleet_t *fleet, pd_time_t now)
--- a/core/forward/store_feed.h
+++ b/core/forward/store_feed.h
@@ -12,8 +12,8 @@
 #include "ports/clock.h"
 
 /*
- * How long a watch waits for a change. A store that stops answering in the
- * middle is noticed only by the timeout, so this and a margin bound how long a
+ * How long a watch waits for a change. A store that stops answering
+ * meanwhile is detected only by the timeout, so this and a margin bound how long a
  * gateway gets no changes after the store has recovered.
  */
 #define STORE_WATCH_WAIT (2 * PD_SEC)
@@ -34,8 +34,7 @@
 } store_call_t;
 
 /*
- * What the gateway knows of the fleet, as far as it decides which gateways call
- * the store.
+ * The state of the fleet on which it depends which gateways call the store.
  */
 typedef struct store_feed_fleet {
 	/* every gateway watches and sends updates to all others */
--- a/core/forward/store_outage.c
+++ b/core/forward/store_outage.c
@@ -1,7 +1,7 @@
 /*
  * Detects outages of the store. Registrations of upstreams expire in an outage
  * and are back seconds after it, while other upstreams leave at any time; both
- * look like a removal. What tells them apart is when the store recovered, not
+ * look like a removal. They are distinguished by when the store recovered, not by
  * when a gateway got its next answer to a watch: a watch that waits is answered
  * by the very next removal.
  */
@@ -62,8 +62,8 @@
 }
 
 /*
- * Returns how long before AT the store answered no call while this gateway
- * heard its peers; 0 if it did not hear them. A gateway that was cut off or
+ * Returns for how long before AT the store answered no call while this gateway
+ * received messages of peers; 0 if it received none. A gateway that was cut off or
  * frozen can't infer an outage from its own silence.
  */
 static pd_time_t silence_before(const store_outage_t *outage, pd_time_t at)
@@ -75,8 +75,8 @@
 }
 
 /*
- * Records that the store answered a call of this gateway, or of one that it
- * hears of, at AT. A silence that ends was an outage if a call failed in it;
+ * Records that the store answered a call of this gateway, or of one known from
+ * messages, at AT. A silence that ends was an outage if a call failed in it;
  * without calls, nothing is answered either.
  */
 void store_outage_record_answer(store_outage_t *outage, pd_time_t at)
@@ -93,7 +93,7 @@
 
 /*
  * Records that a call made at SENT_AT failed; for a call of a peer, SENT_AT is
- * when this gateway hears of it. If the calls of others were answered all
+ * when its message was received. If the calls of others were answered all
  * along, the store was unreachable from this gateway only. A call that was made
  * before an outage ended belongs to that outage, whenever it fails.
  */
--- a/core/forward/token_limits.c
+++ b/core/forward/token_limits.c
@@ -54,10 +54,11 @@
 
 typedef struct bucket {
 	double level;
-	double own_granted;
-	double reported_granted; /* part of own_granted that the followed aggregator knows */
+	double own_granted; /* tokens granted here since the start of this process */
+	double reported_granted; /* part of own_granted that the current aggregator knows */
 	double requested; /* own_granted plus what was refused */
-	double reported_requested; /* part of requested that the record keeper knows */
+	/* value of requested at the last report to the checkpoint writers */
+	double reported_requested;
 	double measured_requested; /* value of requested at the last measurement of demand */
 	pd_time_t measured_at; /* 0: never */
 	double demand; /* tokens per second, at this gateway */
@@ -68,7 +69,7 @@
 	double size; /* 0: the account's limit is not known yet */
 	double debt_max; /* how far the level may fall below 0 */
 	pd_time_t updated_at; /* time up to which the level is current */
-	double round_tokens; /* taken since the round began */
+	double round_tokens; /* granted since the round began */
 	unsigned int round_requests; /* requests granted since the round began */
 	double round_level; /* level at the beginning of the round; negative: not set yet */
 	pd_time_t round_began_at; /* when the first report of the round came */
@@ -353,8 +354,9 @@
 }
 
 /*
- * Records how many tokens a peer was asked for since it started, including those it
- * refused. Has to follow token_limits_record_peer_use() for the same message.
+ * Records how many tokens callers have requested at a peer since it started, including
+ * those that it refused. Has to follow token_limits_record_peer_use() for the same
+ * message.
  */
 void token_limits_record_peer_demand(token_limits_t *limits,
 				     const char *account, const char *peer,
@@ -374,7 +376,7 @@
 	return bucket ? bucket_demand(bucket, now) : 0;
 }
 
-/* Records that the followed aggregator knows all tokens that were taken here. */
+/* Records that the current aggregator knows all tokens that were granted here. */
 void token_limits_mark_reported(token_limits_t *limits)
 {
 	GHashTableIter iter;
@@ -390,9 +392,9 @@
 
 /*
  * Sets a bucket's level to that of the aggregator, which receives the totals of all
- * gateways. Totals alone are not enough: from the first total that a gateway receives
- * it can't tell what was used before its own start, so what all others took in the
- * first tenths of a second after a restart of all stayed in its bucket.
+ * gateways. Totals alone are not enough: the first one that a gateway receives does not
+ * show what was used before its own start, so what all others granted in the first
+ * tenths of a second after a restart of all would stay in its bucket.
  */
 void token_limits_set_level(token_limits_t *limits, const char *account,
 			    double level, pd_time_t now)
@@ -409,7 +411,7 @@
 }
 
 /*
- * Records how many tokens a peer has taken since it started. RECENT says that it
+ * Records how many tokens a peer has granted since it started. RECENT says that it
  * started so recently that all of them count; of an older peer only later increases are
  * known to be new.
  */
@@ -428,7 +430,7 @@
 
 /*
  * Forgets the reports of all peers, because others report for them from now on. The
- * tokens that they took stay taken.
+ * tokens that they have granted stay subtracted.
  */
 void token_limits_clear_peers(token_limits_t *limits)
 {
@@ -440,7 +442,7 @@
 		peer_uses_clear(((bucket_t *)value)->peers);
 }
 
-/* Forgets a peer that has ended, and stops predicting its use. */
+/* Removes a peer that has ended, and stops predicting its use. */
 void token_limits_remove_peer(token_limits_t *limits, const char *peer)
 {
 	GHashTableIter iter;
--- a/core/forward/upstream_record.c
+++ b/core/forward/upstream_record.c
@@ -17,7 +17,7 @@
 #define CONNECT_FAILURE_WEIGHT 4
 /* How long an upstream that rejected a request counts as full. */
 #define REJECTION_PAUSE (150 * PD_MSEC)
-/* A probe request without an answer for so long no longer keeps others away. */
+/* A probe request without a response for so long no longer blocks others. */
 #define PROBE_TIMEOUT (2 * PD_SEC)
 /*
  * Engines keep parts of prompts cached until memory runs out. After this time
@@ -92,7 +92,7 @@
 		upstream->probe_started_at = now;
 }
 
-/* Records a failure that the upstream is to blame for. */
+/* Records a failure of the upstream, which is in backoff from the second in a row on. */
 void forward_upstream_record_failure(forward_upstream_t *upstream, pd_time_t now)
 {
 	pd_time_t backoff = BACKOFF_INITIAL;
@@ -109,8 +109,8 @@
 
 /*
  * Records that no connection could be made. A crashed upstream runs nothing, so
- * by its load it looks the best of all and attracts request after request; it
- * is therefore backed off from the first failure on. In a wave of crashes, some
+ * its cost is the lowest and request after request is sent to it; it is
+ * therefore backed off from the first failure on. In a wave of crashes, some
  * hundred requests went from one crashed upstream to the next until they were
  * given up.
  */
@@ -122,8 +122,8 @@
 }
 
 /*
- * Records that the upstream had no room. That is newer than the loads of other
- * gateways, which are known late.
+ * Records that the upstream had no free slot. That is newer than the loads that
+ * peers reported.
  */
 void forward_upstream_record_rejection(forward_upstream_t *upstream, pd_time_t now)
 {
@@ -132,9 +132,9 @@
 
 /*
  * Resets what was observed before a restart. A process that crashed and runs
- * again under its id has nothing cached and no requests; taken for the old one,
- * it would stay backed off for failures that are over, or attract requests
- * whose prompts it has to process anew. This gateway's requests there are
+ * again under its id has nothing cached and no requests. With the old state it
+ * would stay backed off for failures that are over, or be sent requests whose
+ * prompts it has to process anew. This gateway's requests there are
  * counted until each of them ends.
  */
 void forward_upstream_record_restart(forward_upstream_t *upstream)
@@ -149,7 +149,7 @@
 	g_hash_table_remove_all(upstream->cached_parts);
 }
 
-/* Records a valid answer, which ends the backoff. */
+/* Records a valid response, which ends the backoff. */
 void forward_upstream_record_success(forward_upstream_t *upstream)
 {
 	upstream->failures = 0;
--- a/core/forward/upstreams.c
+++ b/core/forward/upstreams.c
@@ -197,7 +197,7 @@
 /*
  * Returns a digest of the ids and revisions of the upstreams in a bucket. Two
  * tables with the same upstreams at the same revisions have the same digests.
- * The highest revision would not do: a gateway that missed one update and got
+ * The highest revision would not do: a gateway that missed one update but received
  * the next has that as well.
  */
 uint64_t forward_upstreams_digest(const forward_upstreams_t *set, unsigned int bucket)
@@ -263,8 +263,8 @@
 }
 
 /*
- * Sets the start time of an upstream; 0 is ignored. A time other than the one
- * known means that it restarted.
+ * Sets the start time of an upstream; 0 is ignored. A time that differs from
+ * the previous one means that it restarted.
  */
 static void update_start_time(forward_upstream_t *upstream, int64_t start_time_ms)
 {
@@ -313,8 +313,8 @@
 /*
  * Marks an upstream as gone, as its registration was removed at a revision.
  * Returns whether it is gone now and was not before. A registration that may
- * have expired in an outage of the store gets until the end of the grace period
- * to come back.
+ * have expired in an outage of the store may be renewed until the end of the
+ * grace period.
  */
 bool forward_upstreams_remove(forward_upstreams_t *set, const char *id,
 			      uint64_t revision, pd_time_t now)
@@ -409,7 +409,7 @@
 }
 
 /*
- * Marks upstreams as gone whose registration did not come back within the grace
+ * Marks upstreams as gone whose registration was not renewed within the grace
  * period, calling ON_GONE with CTX and the id of each, and deletes those that
  * have been gone for TOMBSTONE_TTL.
  */
--- a/core/forward/usage_watermark.c
+++ b/core/forward/usage_watermark.c
@@ -171,7 +171,7 @@
 
 /*
  * Records that the report of a window was made without the open incarnations. Later
- * reports don't wait for them unless they are heard again, as their VMs may be gone.
+ * reports don't wait for them until they send again, as their VMs may be gone.
  */
 void usage_watermarks_give_up(usage_watermarks_t *watermarks,
 			      const usage_t *usage, int64_t window)
--- a/core/forward/work_rate.c
+++ b/core/forward/work_rate.c
@@ -78,7 +78,7 @@
 
 /*
  * Adds work that this gateway refused for lack of engines. Without it the fleet would
- * be sized by the work it gets done, and stay too small for the demand.
+ * be sized by the work that it completes, and stay too small for the demand.
  */
 void work_rate_add_refused(work_rate_t *work, const char *service, double amount)
 {
--- a/tests/property/test_usage.cc
+++ b/tests/property/test_usage.cc
@@ -162,7 +162,7 @@
 	all.gateways[number].boot_time += draw(all, 20, 300) * PD_SEC;
 }
 
-/* Returns whether other gateways take one for alive; they detect a death with delay. */
+/* Returns whether other gateways consider one alive; they detect a kill with delay. */
 static bool looks_alive(const fleet &all, const gateway &one)
 {
 	return one.is_running ||
--- a/tests/unit/test_store_feed.c
+++ b/tests/unit/test_store_feed.c
@@ -154,7 +154,7 @@
 
 /*
  * Guards against a listing of several pages that ends after the first, because
- * then the store counts as heard and others watch it.
+ * the store has answered by then and others watch it.
  */
 static void test_a_listing_continues_though_others_watch(void **state)
 {
