--- a/tests/harness/forwarder.c
+++ b/tests/harness/forwarder.c
@@ -59,6 +59,7 @@
 	list_node_t pairs;
 };
 
+/* Frees the pair once both of its sides are closed. */
 static void side_closed(uv_handle_t *handle)
 {
 	pair_t *pair = ((side_t *)handle)->pair;
@@ -74,6 +75,7 @@
 	g_free(delayed);
 }
 
+/* Closes both sides of a pair, and drops its delayed bytes. */
 static void pair_close(pair_t *pair)
 {
 	if (pair->closing)
@@ -91,6 +93,7 @@
 	uv_close((uv_handle_t *)&pair->target.tcp, side_closed);
 }
 
+/* Ends a write; a failed one closes the pair. */
 static void chunk_written(uv_write_t *req, int status)
 {
 	chunk_t *chunk = (chunk_t *)req;
@@ -101,6 +104,7 @@
 	g_free(chunk);
 }
 
+/* Sends a copy of DATA on a side. */
 static void side_write(side_t *side, const char *data, size_t len)
 {
 	chunk_t *chunk = g_new0(chunk_t, 1);
@@ -111,6 +115,7 @@
 	uv_write(&chunk->req, (uv_stream_t *)&side->tcp, &buf, 1, chunk_written);
 }
 
+/* Queues a copy of DATA, to be sent on a side after the delay. */
 static void delay_bytes(side_t *to, const char *data, size_t len)
 {
 	forwarder_t *forwarder = to->pair->forwarder;
@@ -175,6 +180,7 @@
 		side_write(side->other, data, len);
 }
 
+/* Handles received bytes, or the end of a connection. */
 static void side_read(uv_stream_t *stream, ssize_t len, const uv_buf_t *buf)
 {
 	side_t *side = (side_t *)stream;
@@ -186,6 +192,7 @@
 		pair_close(side->pair);
 }
 
+/* Starts to forward in both directions once the target is connected. */
 static void pair_connected(uv_connect_t *connect, int status)
 {
 	pair_t *pair = ((side_t *)connect->handle)->pair;
@@ -200,6 +207,7 @@
 	uv_read_start((uv_stream_t *)&pair->target.tcp, side_alloc, side_read);
 }
 
+/* Accepts a connection and connects to the target. */
 static void on_connection(uv_stream_t *listener, int status)
 {
 	forwarder_t *forwarder = listener->data;
--- a/tests/harness/gateway_rig.c
+++ b/tests/harness/gateway_rig.c
@@ -69,6 +69,7 @@
 	g_free(session);
 }
 
+/* Frees the session; its connection is closed elsewhere. */
 static void session_free(session_t *session)
 {
 	list_remove(&session->watch);
@@ -88,6 +89,7 @@
 	(void)ctx;
 }
 
+/* Stores the head of a request, and appends it to the server's last request. */
 static void on_head(void *ctx, const http1_head_t *head)
 {
 	session_t *session = ctx;
@@ -110,6 +112,7 @@
 				       head->headers[i].value);
 }
 
+/* Appends to the body of a request. */
 static void on_body(void *ctx, const char *data, size_t len)
 {
 	session_t *session = ctx;
@@ -126,6 +129,7 @@
 
 /* Upstreams. */
 
+/* Sends an upstream's sealed response to the call with ID; NULL: to none. */
 static void upstream_answer_body(session_t *session, int status, const char *id,
 				 const char *body)
 {
@@ -138,6 +142,7 @@
 	g_free(headers);
 }
 
+/* Sends a response whose body has the number of the upstream. */
 static void upstream_answer(session_t *session, int status, const char *id)
 {
 	char *body = g_strdup_printf("from %d", session->server->number);
@@ -170,6 +175,7 @@
 	g_free(chunk);
 }
 
+/* Sends the next event of a stream, and ends the stream after the last one. */
 static void on_event(uv_timer_t *timer)
 {
 	session_t *session = timer->data;
@@ -208,6 +214,7 @@
 	uv_timer_start(&session->timer, on_event, EVENT_MS, EVENT_MS);
 }
 
+/* Handles a call by the behavior that is set for the upstream. */
 static void upstream_serve(session_t *session)
 {
 	static const char cut[] = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n"
@@ -258,6 +265,7 @@
 
 /* The store. */
 
+/* Returns the objects of a kind by name, borrowed. */
 static json_t *store_kind(gateway_rig_t *rig, const char *kind)
 {
 	json_t *objects = json_object_get(rig->objects, kind);
@@ -432,6 +440,7 @@
 	}
 }
 
+/* Handles a read, write, listing or watch of the store. */
 static void store_serve(session_t *session)
 {
 	gateway_rig_t *rig = session->server->rig;
@@ -480,6 +489,7 @@
 
 /* All mock servers. */
 
+/* Handles a request that was read completely. */
 static void on_message(void *ctx)
 {
 	session_t *session = ctx;
@@ -506,6 +516,7 @@
 		store_serve(session);
 }
 
+/* Counts clients that disconnect before the response. */
 static void on_end(void *ctx, http1_end_t end)
 {
 	session_t *session = ctx;
@@ -535,6 +546,7 @@
 	http1_accept(session->conn, listener);
 }
 
+/* Starts a mock server on a free port of loopback. */
 static void server_start(gateway_rig_t *rig, rig_server_t *server, int number)
 {
 	struct sockaddr_in addr;
@@ -654,6 +666,7 @@
 	return proxy_port ? proxy_port : port;
 }
 
+/* Registers an upstream; MORE is appended to the JSON of its spec. */
 static void put_registration(gateway_rig_t *rig, int number, const char *state,
 			     const char *more)
 {
@@ -685,6 +698,7 @@
 	put_registration(rig, number, "ready", more);
 }
 
+/* Returns the path of a gateway's settings; the caller owns it. */
 static char *settings_path(const gateway_rig_t *rig, int number)
 {
 	return g_strdup_printf("%s/g%d.toml", rig->dir, number);
