--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -93,6 +93,7 @@
 static void handle_counts(gateway_checkpoint_t *checkpoint,
 			  const wire_page_t *page);
 
+/* Initializes a reader of the objects of one kind, without a request. */
 static void reader_init(reader_t *reader, gateway_checkpoint_t *checkpoint,
 			wire_kind_t kind)
 {
@@ -105,6 +106,7 @@
 	}
 }
 
+/* Initializes an object of the checkpoint, which is not written yet. */
 static void object_init(checkpoint_object_t *object,
 			gateway_checkpoint_t *checkpoint, wire_kind_t kind,
 			unsigned int slot)
@@ -237,6 +239,7 @@
 	}
 }
 
+/* Returns the leader as it is logged, borrowed. */
 static const char *leader_or_none(const char *leader)
 {
 	return leader ? leader : "none";
@@ -372,6 +375,7 @@
 	return true;
 }
 
+/* Ends a read. A reply is ignored if another one has satisfied the request. */
 static void on_read_reply(void *ctx, const http1_reply_t *reply)
 {
 	const read_call_t *call = ctx;
@@ -507,6 +511,7 @@
 	pd_time_t now;
 } account_writer_t;
 
+/* Adds the state of an account's limit to the record of CTX, an account_writer_t. */
 static void add_account(void *ctx, const char *account, const token_use_t *use)
 {
 	const account_writer_t *writer = ctx;
@@ -523,6 +528,10 @@
 	const char *own_node;
 } clock_writer_t;
 
+/*
+ * Adds a clock's offset to the record of CTX, a clock_writer_t; NODE NULL: the own
+ * clock.
+ */
 static void add_clock(void *ctx, const char *node, pd_time_t offset)
 {
 	const clock_writer_t *writer = ctx;
--- a/adapters/gateway/checkpoint_record.c
+++ b/adapters/gateway/checkpoint_record.c
@@ -18,11 +18,13 @@
  */
 #define CLOCK_OFFSET_MAX (3600 * PD_SEC)
 
+/* Frees what an account_record_t owns. */
 static void account_clear(void *data)
 {
 	g_free(((account_record_t *)data)->account);
 }
 
+/* Frees what a clock_record_t owns. */
 static void clock_clear(void *data)
 {
 	g_free(((clock_record_t *)data)->node);
@@ -142,6 +144,7 @@
 	return record;
 }
 
+/* Returns the accounts as JSON, owned by the caller: name -> [level, demand]. */
 static json_t *write_accounts(const checkpoint_record_t *record)
 {
 	json_t *accounts = json_object();
@@ -157,6 +160,7 @@
 	return accounts;
 }
 
+/* Returns the clocks as JSON, owned by the caller: node -> offset. */
 static json_t *write_clocks(const checkpoint_record_t *record)
 {
 	json_t *clocks = json_object();
--- a/adapters/gateway/fleet_feed.c
+++ b/adapters/gateway/fleet_feed.c
@@ -32,6 +32,7 @@
 
 static void feed_run(feed_t *feed, pd_time_t now);
 
+/* Initializes the feed of one kind of object; NAME is logged. */
 static void feed_init(feed_t *feed, fleet_feed_t *fleet, wire_kind_t kind,
 		      const char *name)
 {
@@ -144,6 +145,7 @@
 	feed->fleet->gateway->upstreams_usable = true;
 }
 
+/* Applies the objects of a page. */
 static void feed_apply(feed_t *feed, const wire_page_t *page)
 {
 	switch (feed->kind) {
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -516,6 +516,7 @@
 	return gateway;
 }
 
+/* Returns the number of upstreams that accept requests. */
 static unsigned int count_serving(const gateway_t *gateway)
 {
 	unsigned int count = 0;
@@ -526,6 +527,7 @@
 	return count;
 }
 
+/* Returns the length of a list. */
 static unsigned int count_nodes(const list_node_t *head)
 {
 	unsigned int count = 0;
--- a/adapters/gateway/health.c
+++ b/adapters/gateway/health.c
@@ -15,6 +15,7 @@
 	bool keep_alive;
 } health_client_t;
 
+/* Stores the path of a request. */
 static void on_head(void *ctx, const http1_head_t *head)
 {
 	health_client_t *client = ctx;
@@ -72,6 +73,7 @@
 	g_free(client);
 }
 
+/* The client disconnected. */
 static void on_end(void *ctx, http1_end_t end)
 {
 	health_client_t *client = ctx;
--- a/adapters/gateway/peer_loads.c
+++ b/adapters/gateway/peer_loads.c
@@ -11,6 +11,7 @@
 /* Summaries sent within this time share one encoding of all loads. */
 #define PACKED_LOADS_MAX_AGE (50 * PD_MSEC)
 
+/* Packs one load: LOAD_FIELDS numbers in the array of the message. */
 static void pack_load(msgpack_packer *packer, uint32_t short_id,
 		      unsigned int running, double prefill_tokens)
 {
@@ -238,6 +239,7 @@
 	g_array_append_val(loads, *load);
 }
 
+/* Returns the load with a short id, borrowed, or NULL. */
 static const load_t *loads_find(const GArray *loads, uint32_t short_id)
 {
 	for (guint i = 0; i < loads->len; i++) {
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -40,11 +40,13 @@
 	return digest;
 }
 
+/* Adds AMOUNT to the value of NAME. */
 static void sums_add(GHashTable *values, const char *name, double amount)
 {
 	*peers_value(values, name) += amount;
 }
 
+/* Returns the value of NAME, or 0 if it is missing. */
 static double value_or_zero(GHashTable *values, const char *name)
 {
 	const double *value = g_hash_table_lookup(values, name);
@@ -68,6 +70,7 @@
 	}
 }
 
+/* Packs the use of an account's limit, as LIMIT_USE_FIELDS. */
 static void pack_limit_use(msgpack_packer *packer, const char *account,
 			   const token_use_t *use)
 {
@@ -96,6 +99,7 @@
 	return use;
 }
 
+/* Stores this gateway's use of an account's limit in CTX, a table of token_use_t. */
 static void add_own_limit_use(void *ctx, const char *account, const token_use_t *use)
 {
 	*sums_use(ctx, account) = *use;
@@ -147,6 +151,7 @@
 	g_hash_table_unref(sums);
 }
 
+/* Adds this gateway's work for a service to CTX, a table of sums. */
 static void add_own_work(void *ctx, const char *service, double total)
 {
 	sums_add(ctx, service, total);
@@ -177,6 +182,7 @@
 	g_hash_table_unref(sums);
 }
 
+/* Packs a usage count with CTX, a list_writer_t. */
 static void pack_usage(void *ctx, const usage_entry_t *entry)
 {
 	list_writer_t *writer = ctx;
@@ -200,6 +206,7 @@
 	list_writer_end(&writer, out, packer);
 }
 
+/* Packs an account's limit use with CTX, a list_writer_t. */
 static void pack_new_limit_use(void *ctx, const char *account,
 			       const token_use_t *use)
 {
@@ -242,6 +249,7 @@
 	return usage.count + uses.count + snapshot_is_new;
 }
 
+/* Packs a member, as MEMBER_FIELDS. */
 static void pack_member(msgpack_packer *packer, const peer_t *peer)
 {
 	msgpack_pack_array(packer, MEMBER_FIELDS);
@@ -250,6 +258,7 @@
 	msgpack_pack_uint16(packer, peer->zone);
 }
 
+/* Returns whether a peer is one of the COUNT peers in PEERS. */
 static bool is_among(const peer_t *peer, peer_t *const *peers, unsigned int count)
 {
 	for (unsigned int i = 0; i < count; i++) {
@@ -299,6 +308,7 @@
 	}
 }
 
+/* Returns the STATE_FLAG_ bits of this gateway. */
 static unsigned int state_flags(const gateway_peers_t *peers, bool request_summary)
 {
 	unsigned int flags = 0;
@@ -339,6 +349,7 @@
 	msgpack_pack_uint32(packer, peers_view(peers, now)->fleet_size);
 }
 
+/* Adds a service's prefill speed to CTX, a table of double. */
 static void add_speed(void *ctx, const char *service, double rate)
 {
 	sums_add(ctx, service, rate);
@@ -469,6 +480,7 @@
 							     i));
 }
 
+/* Packs a fetch up to its FETCH_ flags; the last field is left to the caller. */
 static void pack_fetch_header(msgpack_packer *packer,
 			      const gateway_peers_t *peers, unsigned int what)
 {
@@ -578,6 +590,7 @@
 	const uint64_t *digests;
 } update_filter_t;
 
+/* Returns whether a filter selects an upstream. */
 static bool update_filter_matches(const gateway_peers_t *peers,
 				  const update_filter_t *filter,
 				  const forward_upstream_t *upstream)
@@ -591,6 +604,7 @@
 		       forward_upstreams_digest(peers->gateway->upstreams, bucket);
 }
 
+/* Packs updates up to the list of upstreams. ALL: it lists all of them. */
 static void pack_updates_header(msgpack_packer *packer,
 				const gateway_peers_t *peers, bool all)
 {
--- a/adapters/gateway/peer_rank.c
+++ b/adapters/gateway/peer_rank.c
@@ -66,6 +66,7 @@
 	return strcmp(address, other->address) < 0;
 }
 
+/* Returns whether one peer ranks before another. */
 static bool peer_ranks_before(const peer_t *peer, const peer_t *other)
 {
 	return ranks_before(peer->high_capacity, peer->hash, peer->address, other);
--- a/adapters/gateway/peer_receive.c
+++ b/adapters/gateway/peer_receive.c
@@ -238,6 +238,7 @@
 	}
 }
 
+/* Returns the window of the token limits. */
 static pd_time_t limits_window(const gateway_peers_t *peers)
 {
 	return (pd_time_t)(peers->gateway->settings->limits_window_s * PD_SEC);
@@ -515,6 +516,7 @@
 	return 0;
 }
 
+/* Returns whether a fetch by id hash may be repeated; times are passed as pointers. */
 static gboolean fetch_has_expired(gpointer id_hash, gpointer requested_at,
 				  gpointer now)
 {
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -55,6 +55,7 @@
 #define HIGH_CAPACITY_CORES 0.24
 #define HIGH_CAPACITY_LINK_MBPS 100
 
+/* Returns an empty array of load_t; the caller owns it. */
 static GArray *loads_create(void)
 {
 	return g_array_new(FALSE, TRUE, sizeof(load_t));
@@ -160,6 +161,7 @@
 	g_free(peer);
 }
 
+/* Handles a message. Returns 0, or -1 if it is malformed. */
 static int on_frame(void *ctx, const char *data, size_t len)
 {
 	return peers_receive(ctx, data, len);
--- a/adapters/gateway/request_response.c
+++ b/adapters/gateway/request_response.c
@@ -8,6 +8,7 @@
 /* Limit of a response that is not streamed, as it is buffered completely. */
 #define RESPONSE_BYTES_MAX (16 * 1024 * 1024)
 
+/* The link is connected: sends the request. */
 static void on_connected(void *ctx)
 {
 	gateway_request_send(ctx);
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -93,6 +93,7 @@
 	g_array_append_val(writer->cells, count);
 }
 
+/* Packs the names of accounts, to which the cells refer by index. */
 static void pack_accounts(msgpack_packer *packer, const GPtrArray *accounts)
 {
 	msgpack_pack_array(packer, accounts->len);
@@ -126,6 +127,7 @@
 	return buffer_encode(&buffer);
 }
 
+/* Packs a snapshot with CTX, a list_writer_t. */
 static void add_snapshot(void *ctx, const inflight_snapshot_t *snapshot)
 {
 	list_writer_t *writer = ctx;
@@ -255,6 +257,7 @@
 						  count_min, &list->count);
 }
 
+/* Frees what a list owns. */
 static void packed_list_close(packed_list_t *list)
 {
 	msgpack_unpacked_destroy(&list->unpacked);
