--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -217,7 +217,7 @@
 				     now - (pd_time_t)elapsed_ms * PD_MSEC);
 }
 
-/* Logs a change of an upstream, whose origin is SOURCE, and passes it on to the peers. */
+/* Logs a change of an upstream, with its SOURCE, and queues it for the peers. */
 void gateway_upstream_changed(gateway_t *gateway, const char *id, const char *source)
 {
 	static const char *const stages[] = {
@@ -280,14 +280,14 @@
 }
 
 /* Discards counts of old windows; needed in gateways that never report as well. */
-static void prune_usage(gateway_t *gateway)
+static void discard_old_usage(gateway_t *gateway)
 {
 	int64_t window = gateway_current_window(gateway);
 	int64_t first;
 
-	if (window == gateway->usage_pruned_window)
+	if (window == gateway->usage_discarded_window)
 		return;
-	gateway->usage_pruned_window = window;
+	gateway->usage_discarded_window = window;
 	first = gateway_first_due_window(gateway) - SPARE_USAGE_WINDOWS;
 	usage_discard(gateway->usage, first);
 	usage_watermarks_discard(gateway->watermarks, first);
@@ -341,7 +341,7 @@
 	/* Before its users, as it gives a new gateway the size of the fleet. */
 	gateway_checkpoint_run(gateway->checkpoint, now);
 	fleet_feed_run(gateway->feed, now);
-	prune_usage(gateway);
+	discard_old_usage(gateway);
 	gateway_requests_run(gateway, now);
 	callers_run(gateway, now);
 	upstream_links_run(gateway, now);
@@ -459,8 +459,8 @@
 				    !strcmp(settings->node_start, "first"));
 	gateway->retries = retry_windows_create(&retries);
 	gateway->work = work_rate_create();
-	gateway->sheds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					       (GDestroyNotify)shed_destroy);
+	gateway->shedders = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+						  (GDestroyNotify)shed_destroy);
 	gateway->watermarks = usage_watermarks_create();
 	gateway->inflight = usage_inflight_create();
 	gateway->inflight_changed = true;
@@ -516,6 +516,7 @@
 	return gateway;
 }
 
+/* Returns the number of upstreams that accept requests. */
 static unsigned int count_serving(const gateway_t *gateway)
 {
 	unsigned int count = 0;
@@ -526,6 +527,7 @@
 	return count;
 }
 
+/* Returns the length of a list. */
 static unsigned int count_nodes(const list_node_t *head)
 {
 	unsigned int count = 0;
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_receive.c
@@ -1,7 +1,7 @@
 /* Decodes and applies the messages of other gateways. */
 #include <string.h>
 
-#include "adapters/gateway/flight_pack.h"
+#include "adapters/gateway/inflight_pack.h"
 #include "adapters/gateway/gateway.h"
 #include "adapters/gateway/peer_state.h"
 #include "adapters/log_glib.h"
@@ -38,10 +38,10 @@
 static void summed_values_set(const summed_values_t *summed, const char *name,
 			      double value)
 {
-	double *known = peers_value(summed->values, name);
+	double *previous = peers_value(summed->values, name);
 
-	*peers_value(summed->sums, name) += value - *known;
-	*known = value;
+	*peers_value(summed->sums, name) += value - *previous;
+	*previous = value;
 }
 
 /* One account's limit use, as sent. */
@@ -131,10 +131,10 @@
 }
 
 /*
- * Applies the work of the peer named WHO. SUMMED: its values and their sums, or
- * NULL to leave those alone.
+ * Applies the work of a peer, named by its incarnation or ALL_PEERS. SUMMED: its values
+ * and the sums to update too; NULL: none.
  */
-static void merge_work(gateway_t *gateway, const char *who,
+static void merge_work(gateway_t *gateway, const char *peer,
 		       const msgpack_object *object, const summed_values_t *summed)
 {
 	uint32_t count = 0;
@@ -149,7 +149,7 @@
 		if (!service)
 			continue;
 		total = msgpack_field_double(&pair[1]);
-		work_rate_record_peer(gateway->work, who, service, total);
+		work_rate_record_peer(gateway->work, peer, service, total);
 		if (summed)
 			summed_values_set(summed, service, total);
 		g_free(service);
@@ -239,6 +239,7 @@
 	}
 }
 
+/* Returns the window of the token limits. */
 static pd_time_t limits_window(const gateway_peers_t *peers)
 {
 	return (pd_time_t)(peers->gateway->settings->limits_window_s * PD_SEC);
@@ -248,11 +249,11 @@
  * Returns whether to adopt the bucket levels of a peer with that uptime, as it
  * knows what was used before this gateway started. True at most once.
  */
-static bool should_adopt_levels(gateway_peers_t *peers, uint64_t age)
+static bool should_adopt_levels(gateway_peers_t *peers, uint64_t uptime)
 {
 	if (peers->levels_adopted ||
 	    gateway_now() - peers->started_at > LEVEL_ADOPTION_WINDOW ||
-	    (pd_time_t)age < limits_window(peers))
+	    (pd_time_t)uptime < limits_window(peers))
 		return false;
 	peers->levels_adopted = true;
 	return true;
@@ -311,16 +312,16 @@
 /* Applies the time since the store answered any gateway, as known to a peer. */
 static void update_store_answered_at(gateway_peers_t *peers, uint64_t age)
 {
-	pd_time_t heard_at = gateway_now() - (pd_time_t)age;
+	pd_time_t answered_at = gateway_now() - (pd_time_t)age;
 
-	peers->store_answered_at = MAX(peers->store_answered_at, heard_at);
-	gateway_store_answered(peers->gateway, heard_at);
+	peers->store_answered_at = MAX(peers->store_answered_at, answered_at);
+	gateway_store_answered(peers->gateway, answered_at);
 }
 
 /*
  * Applies a peer's view of the leader if its fencing token is newer. Without
- * the token, the many gateways that had not heard of a new leader would keep
- * reporting the old one to the aggregators, and usage would go on being sent to
+ * the token, the many gateways that do not know a new leader yet would keep
+ * reporting the old one to the aggregators, and usage would still be sent to
  * it.
  */
 static void update_leader(gateway_peers_t *peers, const msgpack_object *object,
@@ -355,14 +356,14 @@
 	unsigned int flags =
 		(unsigned int)msgpack_field_uint64(&fields[STATE_FLAGS]);
 	char *address = msgpack_field_string(&fields[STATE_ADDRESS]);
-	char *who = msgpack_field_string(&fields[STATE_INCARNATION]);
-	peer_t *peer = address && who ? peers_add(peers, address) : NULL;
+	char *incarnation = msgpack_field_string(&fields[STATE_INCARNATION]);
+	peer_t *peer = address && incarnation ? peers_add(peers, address) : NULL;
 
 	if (!peer)
 		goto done;
-	if (!peer->incarnation || strcmp(peer->incarnation, who)) {
+	if (!peer->incarnation || strcmp(peer->incarnation, incarnation)) {
 		log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "found=%s address=%s",
-			 who, address);
+			 incarnation, address);
 		if (peer->incarnation)
 			token_limits_remove_peer(peers->gateway->limits,
 						 peer->incarnation);
@@ -370,8 +371,8 @@
 	}
 	g_free(peer->incarnation);
 	g_free(peer->vm_id);
-	peer->incarnation = g_strdup(who);
-	peer->vm_id = incarnation_vm(who);
+	peer->incarnation = g_strdup(incarnation);
+	peer->vm_id = incarnation_vm(incarnation);
 	peer->high_capacity = flags & STATE_FLAG_HIGH_CAPACITY;
 	peer->has_store = flags & STATE_FLAG_HAS_STORE;
 	peer->zone = (uint16_t)msgpack_field_uint64(&fields[STATE_ZONE]);
@@ -381,7 +382,7 @@
 		      msgpack_field_uint64(&fields[STATE_LEADER_FENCE]));
 done:
 	g_free(address);
-	g_free(who);
+	g_free(incarnation);
 	return peer;
 }
 
@@ -390,16 +391,17 @@
 		       const msgpack_object *fields, pd_time_t now)
 {
 	uint64_t wall = msgpack_field_uint64(&fields[STATE_WALL_TIME]);
-	uint64_t age = msgpack_field_uint64(&fields[STATE_CLOCK_STEP_AGE]);
+	uint64_t step_age = msgpack_field_uint64(&fields[STATE_CLOCK_STEP_AGE]);
 
-	if (wall <= PD_TIME_MAX && age <= PD_TIME_MAX)
+	if (wall <= PD_TIME_MAX && step_age <= PD_TIME_MAX)
 		time_vote_receive_reading(gateway->vote, peer->vm_id,
-					  (pd_time_t)wall, (pd_time_t)age, now);
+					  (pd_time_t)wall, (pd_time_t)step_age,
+					  now);
 }
 
 /* Records that a peer was heard from, and whether the store was serving it. */
-static void note_peer_store_health(gateway_t *gateway, const peer_t *peer,
-				   pd_time_t now)
+static void record_peer_store_health(gateway_t *gateway, const peer_t *peer,
+				     pd_time_t now)
 {
 	store_outage_record_peer_message(gateway->outage, now);
 	if (!peer->has_store)
@@ -407,7 +409,7 @@
 }
 
 /*
- * Applies a state, and answers it with a summary if it asks for one or with
+ * Applies a state, and replies with a summary if it requests one, or with
  * this gateway's state if the peer is new. Returns 0, or -1 if it is malformed.
  */
 static int handle_state(gateway_peers_t *peers, const msgpack_object *fields)
@@ -417,15 +419,15 @@
 		(unsigned int)msgpack_field_uint64(&fields[STATE_FLAGS]);
 	peer_t *peer = identify_sender(peers, fields);
 	pd_time_t now = gateway_now();
-	uint64_t age = msgpack_field_uint64(&fields[STATE_UPTIME]);
+	uint64_t uptime = msgpack_field_uint64(&fields[STATE_UPTIME]);
 	bool first;
 
 	if (!peer)
 		return -1;
 	first = !peer_is_heard(peer, now);
 	peer->heard_at = now;
-	peer->started_at = now - (pd_time_t)MIN(age, PD_TIME_MAX);
-	note_peer_store_health(gateway, peer, now);
+	peer->started_at = now - (pd_time_t)MIN(uptime, PD_TIME_MAX);
+	record_peer_store_health(gateway, peer, now);
 	vote_clock(gateway, peer, fields, now);
 	merge_usage(gateway, peer->incarnation, &fields[STATE_USAGE]);
 	merge_watermark(gateway, peer->incarnation, &fields[STATE_WATERMARK]);
@@ -436,8 +438,8 @@
 		const summed_values_t work = { peer->work, peers->work };
 
 		merge_limit_uses(peers, peer, &fields[STATE_LIMIT_USES],
-				 should_adopt_levels(peers, age),
-				 (pd_time_t)age < limits_window(peers));
+				 should_adopt_levels(peers, uptime),
+				 (pd_time_t)uptime < limits_window(peers));
 		merge_work(gateway, peer->incarnation, &fields[STATE_WORK], &work);
 		peers_receive_loads(peers, peer->loads, &fields[STATE_LOADS]);
 	}
@@ -466,7 +468,7 @@
 	if (!peer)
 		return -1;
 	peer->heard_at = now;
-	note_peer_store_health(gateway, peer, now);
+	record_peer_store_health(gateway, peer, now);
 	merge_members(peers, &fields[STATE_MEMBERS]);
 	fetch_newer(peers, peer, msgpack_field_uint64(&fields[STATE_CONFIG]),
 		    msgpack_field_uint64(&fields[STATE_DIGEST]));
@@ -515,15 +517,18 @@
 	return 0;
 }
 
-static gboolean fetch_has_expired(gpointer id_hash, gpointer asked_at, gpointer now)
+/* Returns whether a fetch by id hash may be repeated; times are passed as pointers. */
+static gboolean fetch_has_expired(gpointer id_hash, gpointer requested_at,
+				  gpointer now)
 {
 	(void)id_hash;
-	return (pd_time_t)(gintptr)now - (pd_time_t)(gintptr)asked_at > FETCH_PERIOD;
+	return (pd_time_t)(gintptr)now - (pd_time_t)(gintptr)requested_at >
+	       FETCH_PERIOD;
 }
 
 /*
- * Returns whether to request an upstream in full: no peer was asked for it
- * within FETCH_PERIOD.
+ * Returns whether to request an upstream in full, and records the request: it
+ * was not requested within FETCH_PERIOD.
  */
 static bool may_fetch_id_hash(gateway_peers_t *peers, uint64_t id_hash)
 {
@@ -581,7 +586,7 @@
 	const msgpack_object *fields =
 		msgpack_field_array(object, UPSTREAM_FIELDS, NULL);
 	char *texts[4] = { NULL };
-	forward_registration_t listing = { 0 };
+	forward_registration_t registration = { 0 };
 	bool changed = false;
 
 	if (!fields) {
@@ -594,28 +599,30 @@
 	texts[1] = msgpack_field_string(&fields[1]);
 	texts[2] = msgpack_field_string(&fields[2]);
 	texts[3] = msgpack_field_string(&fields[4]);
-	listing.id = texts[0];
-	listing.service = texts[1];
-	listing.address = texts[2];
-	listing.port = (uint16_t)msgpack_field_uint64(&fields[3]);
-	listing.zone = texts[3];
-	listing.slots = (unsigned int)msgpack_field_uint64(&fields[5]);
-	listing.stage = (forward_stage_t)msgpack_field_uint64(&fields[6]);
-	listing.reclaimable = msgpack_field_uint64(&fields[7]) != 0;
-	listing.revision = msgpack_field_uint64(&fields[8]);
-	listing.start_time_ms = (int64_t)msgpack_field_uint64(&fields[9]);
+	registration.id = texts[0];
+	registration.service = texts[1];
+	registration.address = texts[2];
+	registration.port = (uint16_t)msgpack_field_uint64(&fields[3]);
+	registration.zone = texts[3];
+	registration.slots = (unsigned int)msgpack_field_uint64(&fields[5]);
+	registration.stage = (forward_stage_t)msgpack_field_uint64(&fields[6]);
+	registration.reclaimable = msgpack_field_uint64(&fields[7]) != 0;
+	registration.revision = msgpack_field_uint64(&fields[8]);
+	registration.start_time_ms = (int64_t)msgpack_field_uint64(&fields[9]);
 	if (!texts[0] || !texts[1] || !texts[2] || !texts[3] ||
-	    listing.stage > FORWARD_GONE)
+	    registration.stage > FORWARD_GONE)
 		goto done;
-	if (listing.stage == FORWARD_GONE)
+	if (registration.stage == FORWARD_GONE)
 		changed = forward_upstreams_remove(gateway->upstreams,
-						   listing.id, listing.revision,
+						   registration.id,
+						   registration.revision,
 						   gateway_now());
 	else
-		changed = forward_upstreams_apply(gateway->upstreams, &listing);
+		changed = forward_upstreams_apply(gateway->upstreams,
+						  &registration);
 	/* Forwarded, as it may reach peers that the sender does not reach. */
 	if (changed)
-		gateway_upstream_changed(gateway, listing.id, "peer");
+		gateway_upstream_changed(gateway, registration.id, "peer");
 done:
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
 		g_free(texts[i]);
@@ -703,7 +710,7 @@
 /* Merges a peer's in-flight snapshot; malformed ones are ignored. */
 static void merge_inflight(gateway_t *gateway, const msgpack_object *object)
 {
-	inflight_snapshot_t *snapshot = flight_unpack(object);
+	inflight_snapshot_t *snapshot = inflight_unpack(object);
 
 	if (snapshot)
 		usage_inflight_update(gateway->inflight, snapshot);
@@ -716,23 +723,24 @@
 static int handle_counts(gateway_peers_t *peers, const msgpack_object *fields)
 {
 	char *address = msgpack_field_string(&fields[1]);
-	char *who = msgpack_field_string(&fields[2]);
+	char *incarnation = msgpack_field_string(&fields[2]);
 	peer_t *peer = address ? peers_find(peers, address) : NULL;
 	int rc;
 
-	if (who)
-		merge_usage(peers->gateway, who, &fields[3]);
+	if (incarnation)
+		merge_usage(peers->gateway, incarnation, &fields[3]);
 	merge_inflight(peers->gateway, &fields[5]);
 	peers->counts_received_at = gateway_now();
 	/*
 	 * What the peer used before this gateway first heard from it is in its
 	 * state.
 	 */
-	if (peer && who && !g_strcmp0(peer->incarnation, who) && !peers->aggregator)
+	if (peer && incarnation && !g_strcmp0(peer->incarnation, incarnation) &&
+	    !peers->aggregator)
 		merge_limit_uses(peers, peer, &fields[4], false, true);
-	rc = address && who ? 0 : -1;
+	rc = address && incarnation ? 0 : -1;
 	g_free(address);
-	g_free(who);
+	g_free(incarnation);
 	return rc;
 }
 
--- a/adapters/gateway/peers.c
+++ b/adapters/gateway/peers.c
@@ -55,6 +55,7 @@
 #define HIGH_CAPACITY_CORES 0.24
 #define HIGH_CAPACITY_LINK_MBPS 100
 
+/* Returns an empty array of load_t; the caller owns it. */
 static GArray *loads_create(void)
 {
 	return g_array_new(FALSE, TRUE, sizeof(load_t));
@@ -160,6 +161,7 @@
 	g_free(peer);
 }
 
+/* Handles a message. Returns 0, or -1 if it is malformed. */
 static int on_frame(void *ctx, const char *data, size_t len)
 {
 	return peers_receive(ctx, data, len);
@@ -282,7 +284,7 @@
 }
 
 /* Records that the store answered this gateway just now. */
-void gateway_peers_note_store_answer(gateway_peers_t *peers)
+void gateway_peers_record_store_answer(gateway_peers_t *peers)
 {
 	peers->store_answered_at = gateway_now();
 }
@@ -291,9 +293,10 @@
  * Records whether this gateway is the leader. FENCE is its fencing token; a
  * leader with an older one than is known is ignored.
  */
-void gateway_peers_set_leadership(gateway_peers_t *peers, bool held, uint64_t fence)
+void gateway_peers_set_leadership(gateway_peers_t *peers, bool is_leader,
+				  uint64_t fence)
 {
-	peers->is_leader = held && fence >= peers->leader_fence;
+	peers->is_leader = is_leader && fence >= peers->leader_fence;
 	if (peers->is_leader)
 		peers->leader_fence = fence;
 }
@@ -517,10 +520,10 @@
 	for (unsigned int i = 0; i < CHECKPOINT_SLOTS; i++) {
 		const char *address = i < count ? writers[i]->address : NULL;
 
-		if (!g_strcmp0(peers->counts_receivers[i], address))
+		if (!g_strcmp0(peers->checkpoint_writers[i], address))
 			continue;
-		g_free(peers->counts_receivers[i]);
-		peers->counts_receivers[i] = g_strdup(address);
+		g_free(peers->checkpoint_writers[i]);
+		peers->checkpoint_writers[i] = g_strdup(address);
 		changed = true;
 	}
 	if (changed)
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -7,7 +7,7 @@
  *  "in_flight": base64 of msgpack [snapshot, snapshot...]}
  *
  * A row is [window, incarnation, account index, count, account index,
- * count...]; a snapshot is as in flight_pack.h.
+ * count...]; a snapshot is as in inflight_pack.h.
  */
 #include "adapters/gateway/usage_table.h"
 
@@ -15,7 +15,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "adapters/gateway/flight_pack.h"
+#include "adapters/gateway/inflight_pack.h"
 #include "adapters/json.h"
 #include "adapters/msgpack_check.h"
 #include "adapters/msgpack_fields.h"
@@ -93,6 +93,7 @@
 	g_array_append_val(writer->cells, count);
 }
 
+/* Packs the names of accounts, to which the cells refer by index. */
 static void pack_accounts(msgpack_packer *packer, const GPtrArray *accounts)
 {
 	msgpack_pack_array(packer, accounts->len);
@@ -126,12 +127,13 @@
 	return buffer_encode(&buffer);
 }
 
+/* Packs a snapshot with CTX, a list_writer_t. */
 static void add_snapshot(void *ctx, const inflight_snapshot_t *snapshot)
 {
 	list_writer_t *writer = ctx;
 
 	writer->count++;
-	flight_pack(&writer->packer, snapshot);
+	inflight_pack(&writer->packer, snapshot);
 }
 
 /*
@@ -255,6 +257,7 @@
 						  count_min, &list->count);
 }
 
+/* Frees what a list owns. */
 static void packed_list_close(packed_list_t *list)
 {
 	msgpack_unpacked_destroy(&list->unpacked);
@@ -299,7 +302,7 @@
 
 	packed_list_open(&list, encoded, 0);
 	for (uint32_t i = 0; i < list.count; i++) {
-		inflight_snapshot_t *snapshot = flight_unpack(&list.items[i]);
+		inflight_snapshot_t *snapshot = inflight_unpack(&list.items[i]);
 
 		if (snapshot)
 			usage_inflight_update(inflight, snapshot);
--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -39,8 +39,9 @@
 		g_free(text);
 	}
 	for (unsigned int i = 0; i < calls; i++) {
-		RIG_UNTIL(rig, (rig_hear(callers[i]), callers[i]->closed));
-		assert_non_null(strstr(callers[i]->got->str, "HTTP/1.1 200"));
+		RIG_UNTIL(rig, (rig_receive(callers[i]), callers[i]->closed));
+		assert_non_null(
+			strstr(callers[i]->received->str, "HTTP/1.1 200"));
 		rig_caller_destroy(callers[i]);
 	}
 }
@@ -53,8 +54,8 @@
 	(void)state;
 	rig_put_config(rig, 1, "");
 	for (int i = 0; i < RIG_UPSTREAMS; i++) {
-		rig->upstreams[i].act = strcmp(kind, "safe") ? RIG_STREAM
-							     : RIG_ANSWER;
+		rig->upstreams[i].behavior = strcmp(kind, "safe") ? RIG_STREAM
+								  : RIG_ANSWER;
 		rig_put_upstream(rig, i, "ready");
 	}
 	rig_start(rig, 0);
@@ -63,7 +64,7 @@
 	/* Ready once it has both lists; a call before that is refused. */
 	for (uint64_t end = uv_hrtime() / 1000000 + 3000;
 	     uv_hrtime() / 1000000 < end;)
-		rig_turn(rig);
+		rig_run_once(rig);
 	for (unsigned int left = count; left;) {
 		unsigned int calls = MIN(left, AT_ONCE);
 
--- a/core/forward/token_limits.c
+++ b/core/forward/token_limits.c
@@ -54,10 +54,11 @@
 
 typedef struct bucket {
 	double level;
-	double own_total;
-	double reported_total; /* part of own_total that the followed aggregator knows */
-	double requested; /* own_total plus what was refused */
-	double reported_requested; /* part of requested that the record keeper knows */
+	double own_granted; /* tokens granted here since the start of this process */
+	double reported_granted; /* part of own_granted that the current aggregator knows */
+	double requested; /* own_granted plus what was refused */
+	/* value of requested at the last report to the checkpoint writers */
+	double reported_requested;
 	double measured_requested; /* value of requested at the last measurement of demand */
 	pd_time_t measured_at; /* 0: never */
 	double demand; /* tokens per second, at this gateway */
@@ -68,7 +69,7 @@
 	double size; /* 0: the account's limit is not known yet */
 	double debt_max; /* how far the level may fall below 0 */
 	pd_time_t updated_at; /* time up to which the level is current */
-	double round_tokens; /* taken since the round began */
+	double round_tokens; /* granted since the round began */
 	unsigned int round_requests; /* requests granted since the round began */
 	double round_level; /* level at the beginning of the round; negative: not set yet */
 	pd_time_t round_began_at; /* when the first report of the round came */
@@ -305,7 +306,7 @@
 		bucket->level -= amount;
 		bucket->round_tokens += amount;
 		bucket->round_requests++;
-		bucket->own_total += amount;
+		bucket->own_granted += amount;
 		return true;
 	}
 	decision->retry_after =
@@ -322,7 +323,7 @@
 	if (!bucket)
 		return;
 	bucket->level += amount;
-	bucket->own_total -= amount;
+	bucket->own_granted -= amount;
 }
 
 /*
@@ -353,8 +354,9 @@
 }
 
 /*
- * Records how many tokens a peer was asked for since it started, including those it
- * refused. Has to follow token_limits_record_peer_use() for the same message.
+ * Records how many tokens callers have requested at a peer since it started, including
+ * those that it refused. Has to follow token_limits_record_peer_use() for the same
+ * message.
  */
 void token_limits_record_peer_demand(token_limits_t *limits,
 				     const char *account, const char *peer,
@@ -374,7 +376,7 @@
 	return bucket ? bucket_demand(bucket, now) : 0;
 }
 
-/* Records that the followed aggregator knows all tokens that were taken here. */
+/* Records that the current aggregator knows all tokens that were granted here. */
 void token_limits_mark_reported(token_limits_t *limits)
 {
 	GHashTableIter iter;
@@ -384,15 +386,15 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		bucket_t *bucket = value;
 
-		bucket->reported_total = bucket->own_total;
+		bucket->reported_granted = bucket->own_granted;
 	}
 }
 
 /*
  * Sets a bucket's level to that of the aggregator, which receives the totals of all
- * gateways. Totals alone are not enough: from the first total that a gateway receives
- * it can't tell what was used before its own start, so what all others took in the
- * first tenths of a second after a restart of all stayed in its bucket.
+ * gateways. Totals alone are not enough: the first one that a gateway receives does not
+ * show what was used before its own start, so what all others granted in the first
+ * tenths of a second after a restart of all would stay in its bucket.
  */
 void token_limits_set_level(token_limits_t *limits, const char *account,
 			    double level, pd_time_t now)
@@ -403,24 +405,24 @@
 	 * The aggregator's level includes what peers were predicted to use until now.
 	 */
 	peer_uses_predict(bucket->peers, now);
-	bucket->level = level - (bucket->own_total - bucket->reported_total);
+	bucket->level = level - (bucket->own_granted - bucket->reported_granted);
 	bucket->updated_at = now;
 	bucket->has_shared_level = true;
 }
 
 /*
- * Records how many tokens a peer has taken since it started. RECENT says that it
+ * Records how many tokens a peer has granted since it started. RECENT says that it
  * started so recently that all of them count; of an older peer only later increases are
  * known to be new.
  */
 void token_limits_record_peer_use(token_limits_t *limits, const char *account,
-				  const char *peer, double total, bool recent,
+				  const char *peer, double granted, bool recent,
 				  pd_time_t now)
 {
 	bucket_t *bucket = limits_bucket(limits, account, now);
 	double used;
 
-	if (!peer_uses_report(bucket->peers, peer, total, recent, now, &used))
+	if (!peer_uses_report(bucket->peers, peer, granted, recent, now, &used))
 		return;
 	bucket->level -= used;
 	bucket_begin_round(bucket, now);
@@ -428,7 +430,7 @@
 
 /*
  * Forgets the reports of all peers, because others report for them from now on. The
- * tokens that they took stay taken.
+ * tokens that they have granted stay subtracted.
  */
 void token_limits_clear_peers(token_limits_t *limits)
 {
@@ -440,7 +442,7 @@
 		peer_uses_clear(((bucket_t *)value)->peers);
 }
 
-/* Forgets a peer that has ended, and stops predicting its use. */
+/* Removes a peer that has ended, and stops predicting its use. */
 void token_limits_remove_peer(token_limits_t *limits, const char *peer)
 {
 	GHashTableIter iter;
@@ -488,7 +490,7 @@
 	if (bucket->size > 0)
 		bucket_update(bucket, now);
 	bucket_measure_demand(bucket, now);
-	return (token_use_t){ .total = bucket->own_total,
+	return (token_use_t){ .granted = bucket->own_granted,
 			      .requested = bucket->requested,
 			      .has_level = bucket->size > 0,
 			      .level = bucket->level };
--- a/tests/guarantees/test_gateway_soak.c
+++ b/tests/guarantees/test_gateway_soak.c
@@ -82,15 +82,15 @@
 }
 
 /* Returns a random behavior of an upstream for a call to TARGET. */
-static rig_act_t choose_act(void *ctx, const char *target)
-{
-	static const rig_act_t plain[] = { RIG_ANSWER, RIG_ANSWER, RIG_ANSWER,
-					   RIG_ANSWER, RIG_FAIL,   RIG_REJECT,
-					   RIG_HANG,   RIG_CUT,	   RIG_DOUBLE,
-					   RIG_SLOW };
-	static const rig_act_t streams[] = { RIG_STREAM, RIG_STREAM,
-					     RIG_STREAM, RIG_STREAM_CUT,
-					     RIG_REJECT, RIG_CUT };
+static rig_behavior_t choose_behavior(void *ctx, const char *target)
+{
+	static const rig_behavior_t plain[] = {
+		RIG_ANSWER, RIG_ANSWER, RIG_ANSWER, RIG_ANSWER, RIG_FAIL,
+		RIG_REJECT, RIG_HANG,	RIG_CUT,    RIG_DOUBLE, RIG_SLOW
+	};
+	static const rig_behavior_t streams[] = { RIG_STREAM, RIG_STREAM,
+						  RIG_STREAM, RIG_STREAM_CUT,
+						  RIG_REJECT, RIG_CUT };
 	soak_t *soak = ctx;
 
 	if (g_str_has_prefix(target, "/safe/") ||
@@ -128,7 +128,7 @@
 /* Returns the body received so far, borrowed; NULL: the head is incomplete. */
 static const char *body_of(const call_t *call)
 {
-	const char *end = strstr(call->caller->got->str, "\r\n\r\n");
+	const char *end = strstr(call->caller->received->str, "\r\n\r\n");
 
 	return end ? end + 4 : NULL;
 }
@@ -136,7 +136,7 @@
 /* Returns the status that a call got; 0: none. */
 static int status_of(const call_t *call)
 {
-	const char *got = call->caller->got->str;
+	const char *got = call->caller->received->str;
 
 	return g_str_has_prefix(got, "HTTP/1.1 ") ? atoi(got + 9) : 0;
 }
@@ -144,12 +144,13 @@
 /* Returns whether the response of a call was received completely. */
 static bool is_whole(const call_t *call)
 {
-	const char *length = strstr(call->caller->got->str, "Content-Length: ");
+	const char *length =
+		strstr(call->caller->received->str, "Content-Length: ");
 	const char *body = body_of(call);
 
 	if (!body)
 		return false;
-	if (strstr(call->caller->got->str, "Transfer-Encoding: chunked"))
+	if (strstr(call->caller->received->str, "Transfer-Encoding: chunked"))
 		return g_str_has_suffix(body, "\r\n0\r\n\r\n");
 	return length && strlen(body) >= strtoul(length + 16, NULL, 10);
 }
@@ -158,7 +159,7 @@
 static void fail_call(const soak_t *soak, const call_t *call, const char *what)
 {
 	fail_msg("seed %u: call %s: %s; it got: %s", soak->seed, call->id, what,
-		 call->caller->got->str);
+		 call->caller->received->str);
 }
 
 /* Checks that a complete stream has each event once and in order. */
@@ -184,7 +185,7 @@
 /* Checks that a call ran as often as allowed, and got no false response. */
 static void check_call(const soak_t *soak, const call_t *call)
 {
-	unsigned int runs = rig_runs(soak->rig, call->id);
+	unsigned int runs = rig_run_count(soak->rig, call->id);
 	int status = status_of(call);
 	char id[48];
 
@@ -198,7 +199,7 @@
 	if (status != 200 || !is_whole(call))
 		return;
 	snprintf(id, sizeof(id), "X-Attempt-Id: %s\r\n", call->id);
-	if (!strstr(call->caller->got->str, id))
+	if (!strstr(call->caller->received->str, id))
 		fail_call(soak, call, "got the answer to another call");
 	if (call->kind == CALL_STREAM || call->kind == CALL_ONCE)
 		check_events(soak, call);
@@ -211,7 +212,7 @@
 {
 	const gateway_state_t *gateway = &soak->gateways[call->gateway];
 
-	rig_hear(call->caller);
+	rig_receive(call->caller);
 	if (call->left || call->caller->closed || is_whole(call) ||
 	    gateway->disturbed_at + DISTURBED_MS > call->begun_at)
 		return;
@@ -219,7 +220,7 @@
 		fail_call(soak, call, "was not answered in time");
 }
 
-/* Exempts a gateway from checks, and has it act again after FOR_MS. */
+/* Exempts a gateway from checks, and has it run again after FOR_MS. */
 static void mark_disturbed(soak_t *soak, int number, uint64_t for_ms)
 {
 	soak->gateways[number].disturbed_at = now_ms();
@@ -432,7 +433,7 @@
 
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
 		before[i] = soak->rig->upstreams[i].arrivals;
-	rig_turn(soak->rig);
+	rig_run_once(soak->rig);
 	check_drained(soak, before);
 	repair_gateways(soak);
 	update_store_links(soak);
@@ -450,7 +451,7 @@
 	call = g_ptr_array_index(soak->calls, soak->calls->len - 1);
 	if (!call->caller->closed) {
 		call->left = true;
-		rig_hang_up(call->caller);
+		rig_caller_close(call->caller);
 	}
 }
 
@@ -483,7 +484,7 @@
 	g_free(call);
 }
 
-static rig_act_t always_answer(void *ctx, const char *target)
+static rig_behavior_t always_answer(void *ctx, const char *target)
 {
 	(void)ctx;
 	(void)target;
@@ -504,8 +505,8 @@
 			  "X-Attempt-Id: r\r\nX-Deadline-Ms: 1000\r\n"
 			  "Authorization: Bearer k\r\n"
 			  "Connection: close\r\n\r\n");
-	RIG_UNTIL(soak->rig, (rig_hear(caller), caller->closed));
-	served = strstr(caller->got->str, "HTTP/1.1 200") != NULL;
+	RIG_UNTIL(soak->rig, (rig_receive(caller), caller->closed));
+	served = strstr(caller->received->str, "HTTP/1.1 200") != NULL;
 	rig_caller_destroy(caller);
 	return served;
 }
@@ -517,7 +518,7 @@
  */
 static void check_recovery(soak_t *soak)
 {
-	soak->rig->choose_act = always_answer;
+	soak->rig->choose_behavior = always_answer;
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		soak->rig->stores[i].down = false;
 		if (soak->links)
@@ -546,13 +547,14 @@
 	for (int i = 0; i < RIG_UPSTREAMS; i++) {
 		soak->to_upstream[i] =
 			forwarder_create(&rig->loop, rig->upstreams[i].port);
-		rig->upstream_via[i] =
+		rig->upstream_proxy_ports[i] =
 			(uint16_t)forwarder_port(soak->to_upstream[i]);
 	}
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		soak->to_store[i] =
 			forwarder_create(&rig->loop, rig->stores[i].port);
-		rig->store_via[i] = (uint16_t)forwarder_port(soak->to_store[i]);
+		rig->store_proxy_ports[i] =
+			(uint16_t)forwarder_port(soak->to_store[i]);
 	}
 }
 
@@ -567,7 +569,7 @@
 	unsigned int answered = 0;
 
 	soak.calls = g_ptr_array_new_with_free_func(call_destroy);
-	soak.rig->choose_act = choose_act;
+	soak.rig->choose_behavior = choose_behavior;
 	soak.rig->ctx = &soak;
 	if (links)
 		create_links(&soak);
--- a/tests/harness/gateway_calls.c
+++ b/tests/harness/gateway_calls.c
@@ -11,14 +11,14 @@
 /* Returns whether a caller has received TEXT by now. */
 bool rig_heard(rig_caller_t *caller, const char *text)
 {
-	rig_hear(caller);
-	return strstr(caller->got->str, text) != NULL;
+	rig_receive(caller);
+	return strstr(caller->received->str, text) != NULL;
 }
 
 /* Returns whether a caller's connection was closed by now. */
 bool rig_is_closed(rig_caller_t *caller)
 {
-	rig_hear(caller);
+	rig_receive(caller);
 	return caller->closed;
 }
 
@@ -34,7 +34,7 @@
 	caller = rig_call(rig, port,
 			  "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n");
 	RIG_UNTIL(rig, rig_is_closed(caller));
-	ready = strstr(caller->got->str, "HTTP/1.1 200") != NULL;
+	ready = strstr(caller->received->str, "HTTP/1.1 200") != NULL;
 	rig_caller_destroy(caller);
 	return ready;
 }
@@ -50,7 +50,7 @@
 				     "Content-Length: 4\r\n\r\nbody",
 				     method, path, id);
 
-	rig_say(caller, text);
+	rig_send(caller, text);
 	g_free(text);
 }
 
--- a/tests/harness/gateway_rig.c
+++ b/tests/harness/gateway_rig.c
@@ -1,4 +1,4 @@
-/* The stand-ins of the rig and the processes between them. */
+/* The mock servers of the rig, and its gateway processes and callers. */
 #include "tests/harness/gateway_rig.h"
 
 #include <arpa/inet.h>
@@ -11,13 +11,13 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define EVENT_MS 20
+#define EVENT_MS 20 /* between the events of a stream */
 
-/* A connection to one of the stand-ins. */
-typedef struct visit {
+/* A connection to one of the mock servers. */
+typedef struct session {
 	rig_server_t *server;
 	http1_t *conn;
-	list_node_t watch; /* in the rig's watches, while one waits */
+	list_node_t watch; /* in rig->watches while a watch is held open */
 	json_int_t since;
 	char *kind;
 	char *method;
@@ -26,57 +26,62 @@
 	char *resume_after;
 	GString *body;
 	uv_timer_t timer;
-	rig_act_t act;
-	int event; /* the last that was sent */
-	bool busy; /* a request was read and not answered */
-} visit_t;
+	rig_behavior_t behavior;
+	int event; /* number of the last one sent */
+	bool busy; /* a request awaits its response */
+} session_t;
 
-static void visit_write(visit_t *visit, int status, const char *headers,
-			const char *body)
+/* Sends a complete response; HEADERS are lines that end in CRLF. */
+static void session_write(session_t *session, int status, const char *headers,
+			  const char *body)
 {
 	char *text = g_strdup_printf("HTTP/1.1 %d %s\r\nContent-Length: %zu\r\n"
 				     "%s\r\n%s",
 				     status, http1_reason_phrase(status),
 				     strlen(body), headers, body);
 
-	visit->busy = false;
-	http1_write(visit->conn, text, strlen(text));
+	session->busy = false;
+	http1_write(session->conn, text, strlen(text));
 	g_free(text);
 }
 
-static void visit_json(visit_t *visit, int status, json_t *body)
+/* Sends a JSON response; takes over BODY. */
+static void session_json(session_t *session, int status, json_t *body)
 {
 	char *text = json_dumps(body, JSON_COMPACT);
 
-	visit_write(visit, status, "Content-Type: application/json\r\n", text);
+	session_write(session, status, "Content-Type: application/json\r\n", text);
 	free(text);
 	json_decref(body);
 }
 
-static void visit_freed(uv_handle_t *handle)
+/* Frees the session once its timer is closed. */
+static void session_freed(uv_handle_t *handle)
 {
-	visit_t *visit = handle->data;
+	session_t *session = handle->data;
 
-	g_free(visit->kind);
-	g_free(visit->method);
-	g_free(visit->target);
-	g_free(visit->call_id);
-	g_free(visit->resume_after);
-	g_string_free(visit->body, TRUE);
-	g_free(visit);
+	g_free(session->kind);
+	g_free(session->method);
+	g_free(session->target);
+	g_free(session->call_id);
+	g_free(session->resume_after);
+	g_string_free(session->body, TRUE);
+	g_free(session);
 }
 
-static void visit_free(visit_t *visit)
+/* Frees the session; its connection is closed elsewhere. */
+static void session_free(session_t *session)
 {
-	list_remove(&visit->watch);
-	if (!uv_is_closing((uv_handle_t *)&visit->timer))
-		uv_close((uv_handle_t *)&visit->timer, visit_freed);
+	list_remove(&session->watch);
+	if (!uv_is_closing((uv_handle_t *)&session->timer))
+		uv_close((uv_handle_t *)&session->timer, session_freed);
 }
 
-static void visit_cut(visit_t *visit)
+/* Closes the connection after what was written, and frees the session. */
+static void session_cut(session_t *session)
 {
-	http1_close_when_sent(visit->conn);
-	visit_free(visit);
+	http1_close_when_sent(session->conn);
+	session_free(session);
 }
 
 static void on_connected(void *ctx)
@@ -84,173 +89,183 @@
 	(void)ctx;
 }
 
+/* Stores the head of a request, and appends it to the server's last request. */
 static void on_head(void *ctx, const http1_head_t *head)
 {
-	visit_t *visit = ctx;
-	GString *last = visit->server->last;
+	session_t *session = ctx;
+	GString *last = session->server->last;
 
-	g_free(visit->method);
-	g_free(visit->target);
-	g_free(visit->call_id);
-	g_free(visit->resume_after);
-	visit->method = g_strdup(head->method);
-	visit->target = g_strdup(head->target);
-	visit->call_id = g_strdup(
+	g_free(session->method);
+	g_free(session->target);
+	g_free(session->call_id);
+	g_free(session->resume_after);
+	session->method = g_strdup(head->method);
+	session->target = g_strdup(head->target);
+	session->call_id = g_strdup(
 		header_find(head->headers, head->header_count, "X-Attempt-Id"));
-	visit->resume_after = g_strdup(
+	session->resume_after = g_strdup(
 		header_find(head->headers, head->header_count, "Last-Event-Id"));
-	g_string_truncate(visit->body, 0);
+	g_string_truncate(session->body, 0);
 	g_string_printf(last, "%s %s\n", head->method, head->target);
 	for (size_t i = 0; i < head->header_count; i++)
 		g_string_append_printf(last, "%s: %s\n", head->headers[i].name,
 				       head->headers[i].value);
 }
 
+/* Appends to the body of a request. */
 static void on_body(void *ctx, const char *data, size_t len)
 {
-	visit_t *visit = ctx;
+	session_t *session = ctx;
 
-	g_string_append_len(visit->body, data, (gssize)len);
-	g_string_append_len(visit->server->last, data, (gssize)len);
+	g_string_append_len(session->body, data, (gssize)len);
+	g_string_append_len(session->server->last, data, (gssize)len);
 }
 
-/* Returns how often an upstream began to run a call. */
-unsigned int rig_runs(const gateway_rig_t *rig, const char *call_id)
+/* Returns how often upstreams began to run a call, all together. */
+unsigned int rig_run_count(const gateway_rig_t *rig, const char *call_id)
 {
 	return GPOINTER_TO_UINT(g_hash_table_lookup(rig->runs, call_id));
 }
 
 /* Upstreams. */
 
-static void upstream_answer_body(visit_t *visit, int status, const char *id,
+/* Sends an upstream's sealed response to the call with ID; NULL: to none. */
+static void upstream_answer_body(session_t *session, int status, const char *id,
 				 const char *body)
 {
 	char *headers = g_strdup_printf("X-Attempt-Id: %s\r\n"
 					"X-Response-Seal: s%d\r\n"
 					"Keep-Alive: timeout=5\r\n",
-					id ? id : "", visit->server->number);
+					id ? id : "", session->server->number);
 
-	visit_write(visit, status, headers, body);
+	session_write(session, status, headers, body);
 	g_free(headers);
 }
 
-static void upstream_answer(visit_t *visit, int status, const char *id)
+/* Sends a response whose body has the number of the upstream. */
+static void upstream_answer(session_t *session, int status, const char *id)
 {
-	char *body = g_strdup_printf("from %d", visit->server->number);
+	char *body = g_strdup_printf("from %d", session->server->number);
 
-	upstream_answer_body(visit, status, id, body);
+	upstream_answer_body(session, status, id, body);
 	g_free(body);
 }
 
-static void upstream_answer_large(visit_t *visit)
+static void upstream_answer_large(session_t *session)
 {
 	char *body = g_strnfill(RIG_LARGE_BYTES, 'x');
 
-	upstream_answer_body(visit, 200, visit->call_id, body);
+	upstream_answer_body(session, 200, session->call_id, body);
 	g_free(body);
 }
 
 static void on_slow(uv_timer_t *timer)
 {
-	visit_t *visit = timer->data;
+	session_t *session = timer->data;
 
-	upstream_answer(visit, 200, visit->call_id);
+	upstream_answer(session, 200, session->call_id);
 }
 
-static void stream_write(visit_t *visit, const char *text)
+/* Sends a chunk of a chunked response. */
+static void stream_write(session_t *session, const char *text)
 {
 	char *chunk = g_strdup_printf("%zx\r\n%s\r\n", strlen(text), text);
 
-	http1_write(visit->conn, chunk, strlen(chunk));
+	http1_write(session->conn, chunk, strlen(chunk));
 	g_free(chunk);
 }
 
+/* Sends the next event of a stream, and ends the stream after the last one. */
 static void on_event(uv_timer_t *timer)
 {
-	visit_t *visit = timer->data;
+	session_t *session = timer->data;
 	char event[64];
 
-	visit->event++;
-	if (visit->act == RIG_STREAM_CUT && visit->event == 4) {
-		stream_write(visit, "id: 4\nda");
-		visit_cut(visit);
+	session->event++;
+	if (session->behavior == RIG_STREAM_CUT && session->event == 4) {
+		stream_write(session, "id: 4\nda");
+		session_cut(session);
 		return;
 	}
-	snprintf(event, sizeof(event), "id: %d\ndata: e%d\n\n", visit->event,
-		 visit->event);
-	stream_write(visit, event);
-	if (visit->event < RIG_EVENTS)
+	snprintf(event, sizeof(event), "id: %d\ndata: e%d\n\n", session->event,
+		 session->event);
+	stream_write(session, event);
+	if (session->event < RIG_EVENTS)
 		return;
 	uv_timer_stop(timer);
-	visit->busy = false;
-	http1_write(visit->conn, "0\r\n\r\n", 5);
+	session->busy = false;
+	http1_write(session->conn, "0\r\n\r\n", 5);
 }
 
-static void stream_begin(visit_t *visit)
+/* Starts a stream after the event that the request resumes from, or at its start. */
+static void stream_begin(session_t *session)
 {
 	char *head = g_strdup_printf("HTTP/1.1 200 OK\r\n"
 				     "Content-Type: text/event-stream\r\n"
 				     "Transfer-Encoding: chunked\r\n"
 				     "X-Attempt-Id: %s\r\n"
 				     "X-Response-Seal: s%d\r\n\r\n",
-				     visit->call_id ? visit->call_id : "",
-				     visit->server->number);
+				     session->call_id ? session->call_id : "",
+				     session->server->number);
 
-	http1_write(visit->conn, head, strlen(head));
+	http1_write(session->conn, head, strlen(head));
 	g_free(head);
-	visit->event = visit->resume_after ? atoi(visit->resume_after) : 0;
-	uv_timer_start(&visit->timer, on_event, EVENT_MS, EVENT_MS);
+	session->event = session->resume_after ? atoi(session->resume_after) : 0;
+	uv_timer_start(&session->timer, on_event, EVENT_MS, EVENT_MS);
 }
 
-static void upstream_serve(visit_t *visit)
+/* Handles a call by the behavior that is set for the upstream. */
+static void upstream_serve(session_t *session)
 {
 	static const char cut[] = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n"
 				  "X-Response-Seal: s\r\n\r\nabc";
 
-	gateway_rig_t *rig = visit->server->rig;
+	gateway_rig_t *rig = session->server->rig;
 
-	visit->act = visit->server->act;
-	if (rig->choose_act)
-		visit->act = rig->choose_act(rig->ctx, visit->target);
-	if (visit->act != RIG_REJECT && visit->call_id)
-		g_hash_table_insert(rig->runs, g_strdup(visit->call_id),
+	session->behavior = session->server->behavior;
+	if (rig->choose_behavior)
+		session->behavior = rig->choose_behavior(rig->ctx, session->target);
+	if (session->behavior != RIG_REJECT && session->call_id)
+		g_hash_table_insert(rig->runs, g_strdup(session->call_id),
 				    GUINT_TO_POINTER(
-					    rig_runs(rig, visit->call_id) + 1));
-	switch (visit->act) {
+					    rig_run_count(rig, session->call_id) +
+					    1));
+	switch (session->behavior) {
 	case RIG_ANSWER:
-		upstream_answer(visit, 200, visit->call_id);
+		upstream_answer(session, 200, session->call_id);
 		return;
 	case RIG_FAIL:
-		upstream_answer(visit, 500, visit->call_id);
+		upstream_answer(session, 500, session->call_id);
 		return;
 	case RIG_REJECT:
-		visit_write(visit, 503, "X-Not-Run: 1\r\n", "");
+		session_write(session, 503, "X-Not-Run: 1\r\n", "");
 		return;
 	case RIG_HANG:
 		return;
 	case RIG_CUT:
-		http1_write(visit->conn, cut, sizeof(cut) - 1);
-		visit_cut(visit);
+		http1_write(session->conn, cut, sizeof(cut) - 1);
+		session_cut(session);
 		return;
 	case RIG_DOUBLE:
-		upstream_answer(visit, 200, "of-another-call");
-		upstream_answer(visit, 200, visit->call_id);
+		upstream_answer(session, 200, "of-another-call");
+		upstream_answer(session, 200, session->call_id);
 		return;
 	case RIG_SLOW:
-		uv_timer_start(&visit->timer, on_slow, RIG_SLOW_MS, 0);
+		uv_timer_start(&session->timer, on_slow, RIG_SLOW_MS, 0);
 		return;
 	case RIG_LARGE:
-		upstream_answer_large(visit);
+		upstream_answer_large(session);
 		return;
 	case RIG_STREAM:
 	case RIG_STREAM_CUT:
-		stream_begin(visit);
+		stream_begin(session);
 		return;
 	}
 }
 
 /* The store. */
 
+/* Returns the objects of a kind by name, borrowed. */
 static json_t *store_kind(gateway_rig_t *rig, const char *kind)
 {
 	json_t *objects = json_object_get(rig->objects, kind);
@@ -262,6 +277,7 @@
 	return objects;
 }
 
+/* Returns the events of a kind after revision SINCE, as a new array. */
 static json_t *watch_events(const gateway_rig_t *rig, const char *kind,
 			    json_int_t since)
 {
@@ -279,19 +295,21 @@
 	return found;
 }
 
-static bool watch_answer(visit_t *visit, bool even_if_empty)
+/* Responds to a watch if there are events, or EVEN_IF_EMPTY. Returns whether it did. */
+static bool watch_answer(session_t *session, bool even_if_empty)
 {
-	const gateway_rig_t *rig = visit->server->rig;
-	json_t *events = watch_events(rig, visit->kind, visit->since);
+	const gateway_rig_t *rig = session->server->rig;
+	json_t *events = watch_events(rig, session->kind, session->since);
 
 	if (!json_array_size(events) && !even_if_empty) {
 		json_decref(events);
 		return false;
 	}
-	uv_timer_stop(&visit->timer);
-	list_remove(&visit->watch);
-	visit_json(visit, 200,
-		   json_pack("{s:o, s:I}", "events", events, "asOf", rig->revision));
+	uv_timer_stop(&session->timer);
+	list_remove(&session->watch);
+	session_json(session, 200,
+		     json_pack("{s:o, s:I}", "events", events, "asOf",
+			       rig->revision));
 	return true;
 }
 
@@ -300,6 +318,7 @@
 	watch_answer(timer->data, true);
 }
 
+/* Adds an event for OBJECT and responds to the watches that wait for it. */
 static void store_changed(gateway_rig_t *rig, const char *kind, json_t *object,
 			  bool gone)
 {
@@ -310,9 +329,10 @@
 			      json_pack("{s:s, s:I, s:o}", "kind", kind, "at",
 					rig->revision, "event", event));
 	LIST_FOR_EACH_SAFE (it, &rig->watches)
-		watch_answer(LIST_ENTRY(it, visit_t, watch), false);
+		watch_answer(LIST_ENTRY(it, session_t, watch), false);
 }
 
+/* Writes an object at the next revision; takes over SPEC. Returns it, borrowed. */
 static json_t *store_write(gateway_rig_t *rig, const char *kind,
 			   const char *name, json_t *spec)
 {
@@ -324,7 +344,7 @@
 	return object;
 }
 
-/* Puts an object into the store, as operators and upstreams do. */
+/* Writes an object to the store; SPEC is JSON. */
 void rig_put(gateway_rig_t *rig, const char *kind, const char *name,
 	     const char *spec)
 {
@@ -336,7 +356,7 @@
 	store_write(rig, kind, name, value);
 }
 
-/* Takes an object out of the store. */
+/* Deletes an object, which must exist, from the store. */
 void rig_remove(gateway_rig_t *rig, const char *kind, const char *name)
 {
 	json_t *object = json_incref(json_object_get(store_kind(rig, kind), name));
@@ -347,153 +367,163 @@
 	json_decref(object);
 }
 
-static void store_list(visit_t *visit)
+/* Responds with all objects of a kind in a single page. */
+static void store_list(session_t *session)
 {
-	gateway_rig_t *rig = visit->server->rig;
-	bool more = rig->first_page_only && !strcmp(visit->kind, "servers");
+	gateway_rig_t *rig = session->server->rig;
+	bool more = rig->first_page_only && !strcmp(session->kind, "servers");
 	json_t *items = json_array();
 	const char *name;
 	json_t *object;
 
-	json_object_foreach(store_kind(rig, visit->kind), name, object)
+	json_object_foreach(store_kind(rig, session->kind), name, object)
 		json_array_append(items, object);
-	visit_json(visit, 200,
-		   json_pack("{s:o, s:b, s:I}", "items", items, "hasMore", more,
-			     "asOf", rig->revision));
+	session_json(session, 200,
+		     json_pack("{s:o, s:b, s:I}", "items", items, "hasMore",
+			       more, "asOf", rig->revision));
 }
 
-/* Returns whether a write that was done is not answered. */
-static bool store_loses_answer(visit_t *visit)
+/* Returns whether an executed write is left unanswered; those of leases never are. */
+static bool store_drops_answer(session_t *session)
 {
-	gateway_rig_t *rig = visit->server->rig;
+	gateway_rig_t *rig = session->server->rig;
 
-	if (!rig->answers_lost || !strcmp(visit->kind, "leases"))
+	if (!rig->answers_to_drop || !strcmp(session->kind, "leases"))
 		return false;
-	rig->answers_lost--;
+	rig->answers_to_drop--;
 	return true;
 }
 
-static void store_change(visit_t *visit, const char *name)
+/* Executes a conditional write; responds with 409 if the revision has changed. */
+static void store_change(session_t *session, const char *name)
 {
-	gateway_rig_t *rig = visit->server->rig;
+	gateway_rig_t *rig = session->server->rig;
 	json_error_t err;
-	json_t *body = json_loads(visit->body->str, 0, &err);
-	json_t *head = json_object_get(body, "metadata");
-	json_t *known;
-	json_int_t asked =
-		json_integer_value(json_object_get(head, "revision"));
+	json_t *body = json_loads(session->body->str, 0, &err);
+	json_t *metadata = json_object_get(body, "metadata");
+	json_t *stored;
+	json_int_t expected =
+		json_integer_value(json_object_get(metadata, "revision"));
 	bool conflict;
 
 	if (!name)
-		name = json_string_value(json_object_get(head, "name"));
-	known = json_object_get(store_kind(rig, visit->kind), name);
-	conflict = known && asked != json_integer_value(json_object_get(
-					     json_object_get(known, "metadata"),
-					     "revision"));
+		name = json_string_value(json_object_get(metadata, "name"));
+	stored = json_object_get(store_kind(rig, session->kind), name);
+	conflict = stored &&
+		   expected != json_integer_value(json_object_get(
+				       json_object_get(stored, "metadata"),
+				       "revision"));
 	if (conflict) {
-		visit_json(visit, 409, json_incref(known));
+		session_json(session, 409, json_incref(stored));
 	} else {
-		known = store_write(rig, visit->kind, name,
+		stored =
+			store_write(rig, session->kind, name,
 				    json_incref(json_object_get(body, "spec")));
-		if (!store_loses_answer(visit))
-			visit_json(visit, 200, json_incref(known));
+		if (!store_drops_answer(session))
+			session_json(session, 200, json_incref(stored));
 	}
 	json_decref(body);
 }
 
-static void note_reading(gateway_rig_t *rig, const char *kind, bool watch)
+/* Records when upstreams were listed, and first watched after that. */
+static void record_upstreams_read(gateway_rig_t *rig, const char *kind, bool watch)
 {
 	uint64_t now = uv_hrtime() / 1000000;
 
 	if (strcmp(kind, "servers") != 0)
 		return;
 	if (!watch) {
-		rig->listed_ms = now;
-		rig->watched_ms = 0;
-	} else if (!rig->watched_ms) {
-		rig->watched_ms = now;
+		rig->upstreams_listed_ms = now;
+		rig->upstreams_watched_ms = 0;
+	} else if (!rig->upstreams_watched_ms) {
+		rig->upstreams_watched_ms = now;
 	}
 }
 
-static void store_serve(visit_t *visit)
+/* Handles a read, write, listing or watch of the store. */
+static void store_serve(session_t *session)
 {
-	gateway_rig_t *rig = visit->server->rig;
-	char **parts = g_strsplit_set(visit->target, "/?", -1);
-	const char *watch = strstr(visit->target, "watch=");
-	const char *wait = strstr(visit->target, "waitMs=");
+	gateway_rig_t *rig = session->server->rig;
+	char **parts = g_strsplit_set(session->target, "/?", -1);
+	const char *watch = strstr(session->target, "watch=");
+	const char *wait = strstr(session->target, "waitMs=");
 	const char *name = g_strv_length(parts) > 3 && !watch ? parts[3] : NULL;
 
-	g_free(visit->kind);
-	visit->kind = g_strdup(parts[2]);
-	note_reading(rig, visit->kind, watch != NULL);
-	if (strcmp(visit->method, "GET") != 0) {
-		store_change(visit, name);
+	g_free(session->kind);
+	session->kind = g_strdup(parts[2]);
+	record_upstreams_read(rig, session->kind, watch != NULL);
+	if (strcmp(session->method, "GET") != 0) {
+		store_change(session, name);
 	} else if (watch) {
-		visit->since = strtoll(watch + strlen("watch="), NULL, 10);
-		if (!watch_answer(visit, false)) {
-			list_append(&rig->watches, &visit->watch);
-			uv_timer_start(&visit->timer, on_watch_timeout,
+		session->since = strtoll(watch + strlen("watch="), NULL, 10);
+		if (!watch_answer(session, false)) {
+			list_append(&rig->watches, &session->watch);
+			uv_timer_start(&session->timer, on_watch_timeout,
 				       wait ? (uint64_t)atoi(wait + 7) : 0, 0);
 		}
 	} else if (name && *name) {
 		json_t *object =
-			json_object_get(store_kind(rig, visit->kind), name);
+			json_object_get(store_kind(rig, session->kind), name);
 
 		if (object)
-			visit_json(visit, 200, json_incref(object));
+			session_json(session, 200, json_incref(object));
 		else
-			visit_write(visit, 404, "", "{}");
+			session_write(session, 404, "", "{}");
 	} else {
-		store_list(visit);
+		store_list(session);
 	}
 	g_strfreev(parts);
 }
 
-static void cloud_serve(visit_t *visit)
+/* Records a usage report or an order of VMs. */
+static void cloud_serve(session_t *session)
 {
-	gateway_rig_t *rig = visit->server->rig;
-	GPtrArray *into = strstr(visit->target, "usage") ? rig->usage : rig->orders;
+	gateway_rig_t *rig = session->server->rig;
+	GPtrArray *into = strstr(session->target, "usage") ? rig->usage
+							   : rig->orders;
 
-	g_ptr_array_add(into, g_strdup(visit->body->str));
+	g_ptr_array_add(into, g_strdup(session->body->str));
 	if (into == rig->usage || !rig->orders_unanswered)
-		visit_write(visit, 200, "", "{}");
+		session_write(session, 200, "", "{}");
 }
 
-/* The servers. */
+/* All mock servers. */
 
+/* Handles a request that was read completely. */
 static void on_message(void *ctx)
 {
-	visit_t *visit = ctx;
-	rig_server_t *server = visit->server;
+	session_t *session = ctx;
+	rig_server_t *server = session->server;
 	gateway_rig_t *rig = server->rig;
 
 	server->arrivals++;
-	visit->busy = true;
+	session->busy = true;
 	if (server->down) {
-		visit_cut(visit);
+		session_cut(session);
 		return;
 	}
 	if (server->silent) {
 		server->silent_watches +=
-			g_str_has_prefix(visit->target,
+			g_str_has_prefix(session->target,
 					 "/objects/servers?watch=");
 		return;
 	}
 	if (server >= rig->upstreams && server < rig->upstreams + RIG_UPSTREAMS)
-		upstream_serve(visit);
+		upstream_serve(session);
 	else if (server == &rig->cloud)
-		cloud_serve(visit);
+		cloud_serve(session);
 	else
-		store_serve(visit);
+		store_serve(session);
 }
 
+/* Counts clients that disconnect before the response. */
 static void on_end(void *ctx, http1_end_t end)
 {
-	visit_t *visit = ctx;
+	session_t *session = ctx;
 
 	(void)end;
-	visit->server->hang_ups += visit->busy;
-	visit_free(visit);
+	session->server->aborted_calls += session->busy;
+	session_free(session);
 }
 
 static void on_accept(uv_stream_t *listener, int status)
@@ -501,21 +531,22 @@
 	static const http1_events_t events = { on_connected, on_head, on_body,
 					       on_message, on_end };
 	rig_server_t *server = listener->data;
-	visit_t *visit;
+	session_t *session;
 
 	if (status < 0)
 		return;
-	visit = g_new0(visit_t, 1);
-	visit->server = server;
-	visit->body = g_string_new(NULL);
-	list_init(&visit->watch);
-	uv_timer_init(&server->rig->loop, &visit->timer);
-	visit->timer.data = visit;
-	visit->conn =
-		http1_create(&server->rig->loop, HTTP1_SERVER, &events, visit);
-	http1_accept(visit->conn, listener);
-}
-
+	session = g_new0(session_t, 1);
+	session->server = server;
+	session->body = g_string_new(NULL);
+	list_init(&session->watch);
+	uv_timer_init(&server->rig->loop, &session->timer);
+	session->timer.data = session;
+	session->conn =
+		http1_create(&server->rig->loop, HTTP1_SERVER, &events, session);
+	http1_accept(session->conn, listener);
+}
+
+/* Starts a mock server on a free port of loopback. */
 static void server_start(gateway_rig_t *rig, rig_server_t *server, int number)
 {
 	struct sockaddr_in addr;
@@ -533,22 +564,23 @@
 	server->port = ntohs(addr.sin_port);
 }
 
-static void on_pace(uv_timer_t *timer)
+/* Only wakes up the loop, so that conditions are checked again. */
+static void on_tick(uv_timer_t *timer)
 {
 	(void)timer;
 }
 
-/* Starts the stand-ins; gateways are started apart. */
+/* Returns a rig whose mock servers listen, without gateways; owned by the caller. */
 gateway_rig_t *gateway_rig_create(void)
 {
 	gateway_rig_t *rig = g_new0(gateway_rig_t, 1);
 	int i;
 
-	/* A stand-in may write to a gateway that was killed a moment ago. */
+	/* A mock server may write to a gateway that was just killed. */
 	signal(SIGPIPE, SIG_IGN);
 	uv_loop_init(&rig->loop);
-	uv_timer_init(&rig->loop, &rig->pacer);
-	uv_timer_start(&rig->pacer, on_pace, 2, 2);
+	uv_timer_init(&rig->loop, &rig->ticker);
+	uv_timer_start(&rig->ticker, on_tick, 2, 2);
 	rig->dir = g_dir_make_tmp("gateway-XXXXXX", NULL);
 	rig->runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	rig->objects = json_object();
@@ -571,7 +603,7 @@
 		uv_close(handle, NULL);
 }
 
-/* Ends the gateways and the stand-ins. What they hold ends with the test. */
+/* Kills the gateways, closes the mock servers and frees the rig. */
 void gateway_rig_destroy(gateway_rig_t *rig)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++)
@@ -591,15 +623,16 @@
 	g_free(rig);
 }
 
-/* Lets the loop take what is there, waiting for at most a few milliseconds. */
-void rig_turn(gateway_rig_t *rig)
+/* Runs the event loop once; waits for at most 2 ms, the period of the ticker. */
+void rig_run_once(gateway_rig_t *rig)
 {
 	uv_run(&rig->loop, UV_RUN_ONCE);
 }
 
 /*
- * Puts a configuration in force: /safe/, /unsafe/, /stream/ (may be resumed)
- * and /once/ (a stream that may not), all to one service with one account.
+ * Stores a configuration with the routes /safe/, /unsafe/, /stream/ (resumable) and
+ * /once/ (a stream that is not), all to one service with one account. MORE_ROUTES is
+ * appended to the JSON of the routes.
  */
 void rig_put_config(gateway_rig_t *rig, int version, const char *more_routes)
 {
@@ -627,13 +660,15 @@
 	g_string_free(spec, TRUE);
 }
 
-static uint16_t via(uint16_t between, uint16_t port)
+/* Returns PROXY_PORT, or PORT if that is 0. */
+static uint16_t proxy_or_direct(uint16_t proxy_port, uint16_t port)
 {
-	return between ? between : port;
+	return proxy_port ? proxy_port : port;
 }
 
-static void put_entry(gateway_rig_t *rig, int number, const char *state,
-		      const char *more)
+/* Registers an upstream; MORE is appended to the JSON of its spec. */
+static void put_registration(gateway_rig_t *rig, int number, const char *state,
+			     const char *more)
 {
 	char name[16];
 	char spec[256];
@@ -642,36 +677,38 @@
 	snprintf(spec, sizeof(spec),
 		 "{\"service\":\"s\",\"address\":\"127.0.0.1:%u\","
 		 "\"zone\":\"a\",\"slots\":8,\"state\":\"%s\"%s}",
-		 via(rig->upstream_via[number], rig->upstreams[number].port),
+		 proxy_or_direct(rig->upstream_proxy_ports[number],
+				 rig->upstreams[number].port),
 		 state, more);
 	rig_put(rig, "servers", name, spec);
 }
 
-/* Lists an upstream in the store: "ready" or "draining". */
+/* Registers an upstream in the store; STATE is "ready" or "draining". */
 void rig_put_upstream(gateway_rig_t *rig, int number, const char *state)
 {
-	put_entry(rig, number, state, "");
+	put_registration(rig, number, state, "");
 }
 
-/* Lists an upstream that serves and was started at BORN, in milliseconds. */
-void rig_put_started(gateway_rig_t *rig, int number, long born)
+/* Registers a serving upstream that started at STARTED_AT, in ms of wall time. */
+void rig_put_upstream_started_at(gateway_rig_t *rig, int number, long started_at)
 {
 	char more[32];
 
-	snprintf(more, sizeof(more), ",\"born\":%ld", born);
-	put_entry(rig, number, "ready", more);
+	snprintf(more, sizeof(more), ",\"born\":%ld", started_at);
+	put_registration(rig, number, "ready", more);
 }
 
+/* Returns the path of a gateway's settings; the caller owns it. */
 static char *settings_path(const gateway_rig_t *rig, int number)
 {
 	return g_strdup_printf("%s/g%d.toml", rig->dir, number);
 }
 
 /*
- * Writes a gateway's settings: its door to the store, and for seeds the others
- * whose ports are known.
+ * Writes a gateway's settings. It reaches the store by listener STORE; its seeds are the
+ * other gateways whose peer ports are known.
  */
-void rig_write_settings(gateway_rig_t *rig, int number, int door)
+void rig_write_settings(gateway_rig_t *rig, int number, int store)
 {
 	char *path = settings_path(rig, number);
 	GString *seeds = g_string_new(NULL);
@@ -693,7 +730,8 @@
 		"[retry]\nslack = 100\n[stop]\ngrace_s = 8\n"
 		"[duties]\nusage_window_s = 1\nlease_gap_ms = 300\n",
 		number, seeds->str,
-		via(rig->store_via[door], rig->stores[door].port),
+		proxy_or_direct(rig->store_proxy_ports[store],
+				rig->stores[store].port),
 		rig->cloud.port);
 	g_file_set_contents(path, text, -1, NULL);
 	g_free(text);
@@ -701,8 +739,8 @@
 	g_free(path);
 }
 
-/* Spoils a gateway's settings. */
-void rig_spoil_settings(gateway_rig_t *rig, int number)
+/* Replaces a gateway's settings by invalid ones. */
+void rig_write_invalid_settings(gateway_rig_t *rig, int number)
 {
 	char *path = settings_path(rig, number);
 
@@ -710,7 +748,7 @@
 	g_free(path);
 }
 
-/* Starts a gateway on settings of its own. */
+/* Writes the settings of a gateway and starts its process. */
 void rig_start(gateway_rig_t *rig, int number)
 {
 	char *path = settings_path(rig, number);
@@ -727,7 +765,7 @@
 	g_free(path);
 }
 
-/* Returns a port that a gateway has logged, 0 before it has. */
+/* Returns the port that a gateway logged for WHAT, such as "callers"; 0: none yet. */
 uint16_t rig_port(gateway_rig_t *rig, int number, const char *what)
 {
 	process_t *process = rig->gateways[number];
@@ -738,7 +776,7 @@
 	return (uint16_t)port;
 }
 
-/* Opens a caller's connection and sends bytes. */
+/* Connects to a gateway and sends TEXT. Returns the caller, owned by the test. */
 rig_caller_t *rig_call(gateway_rig_t *rig, uint16_t port, const char *text)
 {
 	rig_caller_t *caller = g_new0(rig_caller_t, 1);
@@ -747,24 +785,24 @@
 
 	(void)rig;
 	addr.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-	caller->got = g_string_new(NULL);
+	caller->received = g_string_new(NULL);
 	caller->fd = socket(AF_INET, SOCK_STREAM, 0);
 	if (connect(caller->fd, (struct sockaddr *)&addr, sizeof(addr)) < 0)
 		caller->closed = true;
 	fcntl(caller->fd, F_SETFL, O_NONBLOCK);
-	rig_say(caller, text);
+	rig_send(caller, text);
 	return caller;
 }
 
-/* Sends more bytes. */
-void rig_say(rig_caller_t *caller, const char *text)
+/* Sends TEXT, unless the connection is closed. */
+void rig_send(rig_caller_t *caller, const char *text)
 {
 	if (!caller->closed)
 		(void)send(caller->fd, text, strlen(text), MSG_NOSIGNAL);
 }
 
-/* Takes in one buffer at most of what has come back; false: nothing was there. */
-bool rig_hear_some(rig_caller_t *caller)
+/* Receives up to 4 KB without waiting. Returns whether anything, or the end, came. */
+bool rig_receive_some(rig_caller_t *caller)
 {
 	char buffer[4096];
 	ssize_t len;
@@ -775,32 +813,32 @@
 	if (len < 0 && errno == EAGAIN)
 		return false;
 	if (len > 0)
-		g_string_append_len(caller->got, buffer, len);
+		g_string_append_len(caller->received, buffer, len);
 	else
 		caller->closed = true;
 	return true;
 }
 
-/* Takes in what has come back. */
-void rig_hear(rig_caller_t *caller)
+/* Receives all that is available, without waiting. */
+void rig_receive(rig_caller_t *caller)
 {
-	while (rig_hear_some(caller))
+	while (rig_receive_some(caller))
 		continue;
 }
 
-/* Closes the connection, as a caller does who gives up. */
-void rig_hang_up(rig_caller_t *caller)
+/* Closes the caller's connection before the response is complete. */
+void rig_caller_close(rig_caller_t *caller)
 {
 	close(caller->fd);
 	caller->closed = true;
 	caller->fd = -1;
 }
 
-/* Closes and frees a caller. */
+/* Closes the connection and frees the caller. */
 void rig_caller_destroy(rig_caller_t *caller)
 {
 	if (caller->fd >= 0)
 		close(caller->fd);
-	g_string_free(caller->got, TRUE);
+	g_string_free(caller->received, TRUE);
 	g_free(caller);
 }
--- a/tests/harness/gateway_rig.h
+++ b/tests/harness/gateway_rig.h
@@ -1,7 +1,7 @@
 /*
- * Gateways as real processes between stand-ins that the test plays itself, in
- * one loop: the platform's store and cloud, upstreams that behave as told, and
- * callers.
+ * Runs gateways as real processes against mock servers in the test's own event loop:
+ * the platform's store and cloud, and upstreams that fail on request. Callers are
+ * simulated by sockets.
  */
 #ifndef PISTACHIO_TEST_GATEWAY_RIG_H
 #define PISTACHIO_TEST_GATEWAY_RIG_H
@@ -19,21 +19,21 @@
 #define RIG_TIMEOUT_MS 10000 /* of a wait for a condition */
 
 /* What an upstream does with a request. */
-typedef enum rig_act {
+typedef enum rig_behavior {
 	RIG_ANSWER,
-	RIG_FAIL, /* runs it and says that it failed */
-	RIG_REJECT, /* does not run it and says so */
-	RIG_HANG, /* runs it and never answers */
-	RIG_CUT, /* breaks off in the middle of its answer */
-	RIG_DOUBLE, /* answers another call first */
-	RIG_SLOW, /* answers after RIG_SLOW_MS */
-	RIG_LARGE, /* answers with RIG_LARGE_BYTES */
+	RIG_FAIL, /* runs it and responds with 500 */
+	RIG_REJECT, /* responds that it was not run */
+	RIG_HANG, /* runs it and never responds */
+	RIG_CUT, /* closes the connection in the middle of the response */
+	RIG_DOUBLE, /* sends a response for another call first */
+	RIG_SLOW, /* responds after RIG_SLOW_MS */
+	RIG_LARGE, /* responds with RIG_LARGE_BYTES */
 	RIG_STREAM, /* RIG_EVENTS events, one every 20 ms */
 	RIG_STREAM_CUT /* the same, but stops in the middle of the fourth */
-} rig_act_t;
+} rig_behavior_t;
 
 #define RIG_SLOW_MS 1000
-#define RIG_LARGE_BYTES 12000000 /* more than sockets hold */
+#define RIG_LARGE_BYTES 12000000 /* more than socket buffers hold */
 #define RIG_EVENTS 6
 
 typedef struct gateway_rig gateway_rig_t;
@@ -43,46 +43,47 @@
 	uv_tcp_t listener;
 	uint16_t port;
 	int number;
-	bool down; /* closes every connection at its first request */
-	bool silent; /* never answers the requests that come */
-	unsigned int silent_watches; /* of upstreams that came meanwhile */
+	bool down; /* closes each connection at its first request */
+	bool silent; /* does not respond to requests */
+	unsigned int silent_watches; /* watches of upstreams received while silent */
 	unsigned int arrivals;
-	unsigned int hang_ups; /* callers that left before their answer */
-	rig_act_t act;
+	unsigned int aborted_calls; /* closed by the client before the response */
+	rig_behavior_t behavior;
 	GString *last; /* the last request: head lines, then the body */
 } rig_server_t;
 
 struct gateway_rig {
 	uv_loop_t loop;
-	uv_timer_t pacer;
+	uv_timer_t ticker;
 	char *dir;
-	rig_server_t stores[RIG_GATEWAYS]; /* one store, a door for each */
+	rig_server_t stores[RIG_GATEWAYS]; /* one store; a listener for each gateway */
 	rig_server_t cloud;
 	rig_server_t upstreams[RIG_UPSTREAMS];
 	json_t *objects; /* kind -> name -> object */
 	json_t *events; /* array, in the order of their revisions */
 	json_int_t revision;
-	bool first_page_only; /* of listings of upstreams; the next is refused */
-	unsigned int answers_lost; /* so many writes to a checkpoint get no answer */
-	uint64_t listed_ms; /* when upstreams were listed last */
-	uint64_t watched_ms; /* when they were watched first after that; 0: not yet */
+	bool first_page_only; /* every page of upstreams claims that more follow */
+	unsigned int answers_to_drop; /* number of checkpoint writes to leave unanswered */
+	uint64_t upstreams_listed_ms; /* when upstreams were last listed */
+	uint64_t upstreams_watched_ms; /* first watch after that; 0: none yet */
 	list_node_t watches;
-	GPtrArray *usage; /* bodies of the reports that came in */
-	GPtrArray *orders; /* bodies of the orders that came in */
+	GPtrArray *usage; /* bodies of the usage reports received */
+	GPtrArray *orders; /* bodies of the orders received */
 	bool orders_unanswered;
-	GHashTable *runs; /* call id -> how often it ran, as a pointer */
-	rig_act_t (*choose_act)(void *ctx, const char *target); /* NULL: as set */
-	void *ctx;
-	uint16_t store_via[RIG_GATEWAYS]; /* ports in between; 0: none */
-	uint16_t upstream_via[RIG_UPSTREAMS];
+	GHashTable *runs; /* call id -> GUINT_TO_POINTER(number of runs) */
+	/* behavior of an upstream for a request; NULL: that of the server */
+	rig_behavior_t (*choose_behavior)(void *ctx, const char *target);
+	void *ctx; /* of choose_behavior */
+	uint16_t store_proxy_ports[RIG_GATEWAYS]; /* of proxies in front; 0: none */
+	uint16_t upstream_proxy_ports[RIG_UPSTREAMS]; /* 0: none */
 	process_t *gateways[RIG_GATEWAYS];
 	uint16_t peer_ports[RIG_GATEWAYS];
 };
 
-/* A caller's connection and all that came back on it. */
+/* A caller's connection and all that was received on it. */
 typedef struct rig_caller {
 	int fd;
-	GString *got;
+	GString *received;
 	bool closed;
 } rig_caller_t;
 
@@ -93,31 +94,31 @@
 void rig_remove(gateway_rig_t *rig, const char *kind, const char *name);
 void rig_put_config(gateway_rig_t *rig, int version, const char *more_routes);
 void rig_put_upstream(gateway_rig_t *rig, int number, const char *state);
-void rig_put_started(gateway_rig_t *rig, int number, long born);
-void rig_write_settings(gateway_rig_t *rig, int number, int door);
-void rig_spoil_settings(gateway_rig_t *rig, int number);
+void rig_put_upstream_started_at(gateway_rig_t *rig, int number, long started_at);
+void rig_write_settings(gateway_rig_t *rig, int number, int store);
+void rig_write_invalid_settings(gateway_rig_t *rig, int number);
 void rig_start(gateway_rig_t *rig, int number);
-void rig_turn(gateway_rig_t *rig);
-unsigned int rig_runs(const gateway_rig_t *rig, const char *call_id);
+void rig_run_once(gateway_rig_t *rig);
+unsigned int rig_run_count(const gateway_rig_t *rig, const char *call_id);
 uint16_t rig_port(gateway_rig_t *rig, int number, const char *what);
 rig_caller_t *rig_call(gateway_rig_t *rig, uint16_t port, const char *text);
-void rig_say(rig_caller_t *caller, const char *text);
-void rig_hear(rig_caller_t *caller);
-bool rig_hear_some(rig_caller_t *caller);
-void rig_hang_up(rig_caller_t *caller);
+void rig_send(rig_caller_t *caller, const char *text);
+void rig_receive(rig_caller_t *caller);
+bool rig_receive_some(rig_caller_t *caller);
+void rig_caller_close(rig_caller_t *caller);
 void rig_caller_destroy(rig_caller_t *caller);
 
-/* Turns the loop until a condition holds; fails the test after MS. */
+/* Runs the event loop until a condition holds; fails the test after MS. */
 #define RIG_UNTIL_WITHIN(rig, condition, ms)                             \
 	do {                                                             \
 		uint64_t rig_end = uv_hrtime() / 1000000 + (ms);         \
 		while (!(condition) && uv_hrtime() / 1000000 < rig_end)  \
-			rig_turn(rig);                                   \
+			rig_run_once(rig);                               \
 		if (!(condition))                                        \
 			fail_msg("gave up waiting for: %s", #condition); \
 	} while (0)
 
-/* The same, with the usual timeout. */
+/* The same, with RIG_TIMEOUT_MS. */
 #define RIG_UNTIL(rig, condition) \
 	RIG_UNTIL_WITHIN(rig, condition, RIG_TIMEOUT_MS)
 
--- a/tests/process/test_gateway.c
+++ b/tests/process/test_gateway.c
@@ -1,4 +1,4 @@
-/* A gateway process between a stand-in store and upstreams, seen from outside. */
+/* Tests of a gateway process with a mock store and mock upstreams. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <setjmp.h>
@@ -35,7 +35,7 @@
 	char *log = NULL;
 	bool found;
 
-	rig_turn(rig);
+	rig_run_once(rig);
 	if (!g_file_get_contents(rig->gateways[number]->out_path, &log, NULL, NULL))
 		return false;
 	found = strstr(log, text) != NULL;
@@ -92,19 +92,19 @@
 }
 
 /* Returns the number of calls whose connection to an upstream was closed early. */
-static unsigned int hang_ups(const gateway_rig_t *rig)
+static unsigned int aborted_calls(const gateway_rig_t *rig)
 {
 	unsigned int sum = 0;
 
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
-		sum += rig->upstreams[i].hang_ups;
+		sum += rig->upstreams[i].aborted_calls;
 	return sum;
 }
 
-static void set_all_acts(gateway_rig_t *rig, rig_act_t act)
+static void set_all_behaviors(gateway_rig_t *rig, rig_behavior_t behavior)
 {
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
-		rig->upstreams[i].act = act;
+		rig->upstreams[i].behavior = behavior;
 }
 
 /* Returns the last request that an upstream received, borrowed. */
@@ -186,15 +186,15 @@
 	static const char *const paths[] = { "/safe/", "/unsafe/", "/stream/" };
 	gateway_rig_t *rig = *state;
 
-	set_all_acts(rig, RIG_HANG);
+	set_all_behaviors(rig, RIG_HANG);
 	for (unsigned int i = 0; i < G_N_ELEMENTS(paths); i++) {
 		rig_caller_t *caller = call(rig, paths[i]);
 		uint64_t left_at;
 
 		RIG_UNTIL(rig, arrivals(rig) == i + 1);
-		rig_hang_up(caller);
+		rig_caller_close(caller);
 		left_at = uv_hrtime();
-		RIG_UNTIL(rig, hang_ups(rig) == i + 1);
+		RIG_UNTIL(rig, aborted_calls(rig) == i + 1);
 		assert_true(uv_hrtime() - left_at < 500000000);
 		rig_caller_destroy(caller);
 	}
@@ -210,7 +210,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_CUT);
+	set_all_behaviors(rig, RIG_CUT);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
 	assert_true(rig_heard(caller, "HTTP/1.1 502"));
@@ -222,13 +222,13 @@
 /* The same for a call that may be repeated: it is retried, and the caller gets a 200. */
 static void test_a_safe_call_goes_to_another_upstream(void **state)
 {
-	static const rig_act_t acts[] = { RIG_CUT, RIG_FAIL, RIG_REJECT };
+	static const rig_behavior_t behaviors[] = { RIG_CUT, RIG_FAIL, RIG_REJECT };
 	gateway_rig_t *rig = *state;
 
-	for (size_t i = 0; i < G_N_ELEMENTS(acts); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(behaviors); i++) {
 		rig_caller_t *caller;
 
-		rig->upstreams[0].act = acts[i];
+		rig->upstreams[0].behavior = behaviors[i];
 		for (int tries = 0; tries < 4; tries++) {
 			caller = call(rig, "/safe/");
 			RIG_UNTIL(rig, rig_heard(caller, "from 1"));
@@ -244,7 +244,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_REJECT);
+	set_all_behaviors(rig, RIG_REJECT);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
 	assert_true(rig_heard(caller, "HTTP/1.1 503"));
@@ -261,7 +261,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_DOUBLE);
+	set_all_behaviors(rig, RIG_DOUBLE);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "from "));
 	assert_true(rig_heard(caller, "X-Attempt-Id: c1"));
@@ -272,7 +272,7 @@
 /* Asserts that a caller received each event of a stream once and in order. */
 static void assert_events(rig_caller_t *caller)
 {
-	const char *at = caller->got->str;
+	const char *at = caller->received->str;
 
 	for (int i = 1; i <= RIG_EVENTS; i++) {
 		char event[64];
@@ -293,8 +293,8 @@
 {
 	gateway_rig_t *rig = *state;
 
-	rig->upstreams[0].act = RIG_STREAM_CUT;
-	rig->upstreams[1].act = RIG_STREAM;
+	rig->upstreams[0].behavior = RIG_STREAM_CUT;
+	rig->upstreams[1].behavior = RIG_STREAM;
 	for (int i = 0; i < 4; i++) {
 		rig_caller_t *caller = call(rig, "/stream/");
 
@@ -312,7 +312,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_STREAM_CUT);
+	set_all_behaviors(rig, RIG_STREAM_CUT);
 	caller = call(rig, "/once/");
 	RIG_UNTIL(rig, rig_is_closed(caller));
 	assert_true(rig_heard(caller, "id: 3\n"));
@@ -329,7 +329,7 @@
 	rig_caller_t *caller;
 	uint64_t began = uv_hrtime();
 
-	set_all_acts(rig, RIG_HANG);
+	set_all_behaviors(rig, RIG_HANG);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 504"));
 	assert_true(uv_hrtime() - began < 3500000000);
@@ -343,7 +343,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_SLOW);
+	set_all_behaviors(rig, RIG_SLOW);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, arrivals(rig) == 1);
 	process_signal(rig->gateways[0], SIGTERM);
@@ -377,7 +377,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	set_all_acts(rig, RIG_STREAM);
+	set_all_behaviors(rig, RIG_STREAM);
 	stop_until_long_are_refused(rig);
 	caller = call(rig, "/stream/");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
@@ -419,9 +419,9 @@
 	caller = rig_call(rig, rig_port(rig, 0, "callers"),
 			  "POST /safe/ HTTP/1.1\r\nHost: h\r\n");
 	RIG_UNTIL(rig, uv_hrtime() - since > LISTENER_CLOSED_NS);
-	rig_say(caller, "X-Attempt-Id: c1\r\nX-Deadline-Ms: 3000\r\n"
-			"Authorization: Bearer k\r\n"
-			"Content-Length: 0\r\n\r\n");
+	rig_send(caller, "X-Attempt-Id: c1\r\nX-Deadline-Ms: 3000\r\n"
+			 "Authorization: Bearer k\r\n"
+			 "Content-Length: 0\r\n\r\n");
 	RIG_UNTIL(rig, rig_heard(caller, "from "));
 	assert_true(rig_heard(caller, "Connection: close"));
 	RIG_UNTIL(rig, process_ended(rig->gateways[0]));
@@ -436,17 +436,17 @@
 	rig_caller_t *caller;
 	uint64_t since;
 
-	set_all_acts(rig, RIG_LARGE);
+	set_all_behaviors(rig, RIG_LARGE);
 	caller = call(rig, "/unsafe/");
 	RIG_UNTIL(rig, arrivals(rig) == 1);
 	process_signal(rig->gateways[0], SIGTERM);
 	since = uv_hrtime();
 	while (uv_hrtime() - since < LISTENER_CLOSED_NS) {
-		rig_turn(rig);
-		rig_hear_some(caller);
+		rig_run_once(rig);
+		rig_receive_some(caller);
 	}
 	RIG_UNTIL(rig, rig_is_closed(caller));
-	assert_true(caller->got->len > RIG_LARGE_BYTES);
+	assert_true(caller->received->len > RIG_LARGE_BYTES);
 	RIG_UNTIL(rig, process_ended(rig->gateways[0]));
 	assert_int_equal(rig->gateways[0]->status, 0);
 	rig_caller_destroy(caller);
@@ -492,7 +492,7 @@
 	caller = rig_call_at(rig, 1, "GET", "/new/", "c1");
 	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
 	/* The update takes a moment to arrive; after it the route stays. */
-	while (!strstr(caller->got->str, "HTTP/1.1 200")) {
+	while (!strstr(caller->received->str, "HTTP/1.1 200")) {
 		rig_caller_destroy(caller);
 		caller = rig_call_at(rig, 1, "GET", "/new/", "c1");
 		RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
@@ -555,20 +555,20 @@
 	rig_caller_t *safe;
 	rig_caller_t *unsafe;
 
-	rig_put_started(rig, 0, 1000);
+	rig_put_upstream_started_at(rig, 0, 1000);
 	rig_remove(rig, "servers", "u1");
 	RIG_UNTIL(rig, has_logged(rig, 0, "id=u1 stage=gone"));
-	rig->upstreams[0].act = RIG_HANG;
+	rig->upstreams[0].behavior = RIG_HANG;
 	safe = rig_call_at(rig, 0, "GET", "/safe/x", "s1");
 	unsafe = rig_call_at(rig, 0, "POST", "/unsafe/x", "n1");
-	RIG_UNTIL(rig, rig_runs(rig, "s1") && rig_runs(rig, "n1"));
-	rig_put_started(rig, 1, 1500);
+	RIG_UNTIL(rig, rig_run_count(rig, "s1") && rig_run_count(rig, "n1"));
+	rig_put_upstream_started_at(rig, 1, 1500);
 	RIG_UNTIL(rig, has_logged(rig, 0, "id=u1 stage=serving"));
-	rig_put_started(rig, 0, 2000);
+	rig_put_upstream_started_at(rig, 0, 2000);
 	RIG_UNTIL(rig, rig_heard(safe, "HTTP/1.1 200"));
 	RIG_UNTIL(rig, rig_heard(unsafe, "HTTP/1.1 502"));
 	assert_true(has_logged(rig, 0, "upstream restarted"));
-	assert_int_equal(rig_runs(rig, "n1"), 1);
+	assert_int_equal(rig_run_count(rig, "n1"), 1);
 	rig_caller_destroy(safe);
 	rig_caller_destroy(unsafe);
 }
@@ -620,7 +620,7 @@
 		uint64_t end = uv_hrtime() / 1000000 + 20000;
 
 		while (rig->usage->len < before + 4 && uv_hrtime() / 1000000 < end)
-			rig_turn(rig);
+			rig_run_once(rig);
 		assert_true(rig->usage->len >= before + 4);
 	}
 	for (guint i = 0; i < rig->usage->len; i++) {
@@ -648,7 +648,7 @@
 	/* The limit in the configuration is three seconds. */
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 408"));
 	assert_true(uv_hrtime() / 1000000 - begun < 5000);
-	RIG_UNTIL(rig, (rig_hear(caller), caller->closed));
+	RIG_UNTIL(rig, (rig_receive(caller), caller->closed));
 	rig_caller_destroy(caller);
 }
 
@@ -682,7 +682,7 @@
 		rig_caller_t *caller = rig_call_at(rig, 0, "GET", "/new/", "c1");
 
 		RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
-		served = strstr(caller->got->str, "HTTP/1.1 200") != NULL;
+		served = strstr(caller->received->str, "HTTP/1.1 200") != NULL;
 		rig_caller_destroy(caller);
 	}
 	assert_true(served);
@@ -711,7 +711,7 @@
 	/* A change is only detected after the file was checked once. */
 	RIG_UNTIL(rig, has_logged(rig, 0, "start node="));
 	for (uint64_t end = uv_hrtime() + 50 * 1000000; uv_hrtime() < end;)
-		rig_turn(rig);
+		rig_run_once(rig);
 	rig->stores[0].down = true;
 	rig_write_settings(rig, 0, 2);
 	RIG_UNTIL(rig, has_logged(rig, 0, "key=store.address changed=yes"));
@@ -727,7 +727,7 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller;
 
-	rig_spoil_settings(rig, 0);
+	rig_write_invalid_settings(rig, 0);
 	process_signal(rig->gateways[0], SIGHUP);
 	RIG_UNTIL(rig, has_logged(rig, 0, "settings: reload"));
 	caller = call(rig, "/safe/");
@@ -744,7 +744,7 @@
 	uint64_t end = uv_hrtime() / 1000000 + ms;
 
 	while (uv_hrtime() / 1000000 < end)
-		rig_turn(rig);
+		rig_run_once(rig);
 }
 
 /* Sends LEAVE_CALLS calls at once and asserts that all of them get a 200. */
@@ -784,7 +784,7 @@
 	rig_remove(rig, "servers", "u0");
 	left = uv_hrtime();
 	while (uv_hrtime() - left < DRAIN_NS)
-		rig_turn(rig);
+		rig_run_once(rig);
 	before = rig->upstreams[0].arrivals;
 	make_calls(rig);
 	assert_int_equal(rig->upstreams[0].arrivals, before);
@@ -818,7 +818,7 @@
 {
 	gateway_rig_t *rig = *state;
 	int fillers[BACKLOG_FILLERS];
-	int full = listen_with_full_backlog(&rig->upstream_via[0], fillers);
+	int full = listen_with_full_backlog(&rig->upstream_proxy_ports[0], fillers);
 	rig_caller_t *caller;
 
 	rig_put_config(rig, 1, "");
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -29,7 +29,7 @@
 #define FIRST_WATCH_DELAY_MS 150
 #define DOWNTIME_MS 2500 /* some windows of the rig */
 #define ORDERS_OBSERVED_MS 500 /* less than the timeout of an order, 1.5 s */
-/* of up to 2 s until a started gateway looks at the lease */
+/* of up to 2 s until a started gateway reads the lease */
 #define RESUME_TIMEOUT_MS 300
 #define WINDOW_MS 1000 /* of the rig */
 #define COUNTS_SENT_MS 100 /* upper bound until counts are sent */
@@ -38,17 +38,17 @@
 /* past the time of a report that waits for no counts */
 #define SUSPENDED_MS 3000
 #define BOOT_TIME_SHIFT (3600 * PD_SEC)
-/* until a simulated server has read what killed gateways sent */
+/* until a mock server has read what killed gateways sent */
 #define SOCKET_DRAIN_MS 50
 #define CALL_READ_MS 20 /* until a gateway has certainly read a call */
 
-/* Returns how often TEXT is in the logs of a gateway, over all its starts. */
+/* Returns how often TEXT is in the logs of a gateway, over all its incarnations. */
 static int count_logged(gateway_rig_t *rig, int number, const char *text)
 {
 	char *log = NULL;
 	int times = 0;
 
-	rig_turn(rig);
+	rig_run_once(rig);
 	if (!g_file_get_contents(rig->gateways[number]->out_path, &log, NULL, NULL))
 		return 0;
 	for (const char *at = log; (at = strstr(at, text)) != NULL; at++)
@@ -58,21 +58,22 @@
 }
 
 /*
- * Starts all gateways for the STARTS-th time and waits until they have found
+ * Starts all gateways for the START_COUNT-th time and waits until they have found
  * each other.
  */
-static void start_all(gateway_rig_t *rig, int starts)
+static void start_all(gateway_rig_t *rig, int start_count)
 {
 	memset(rig->peer_ports, 0, sizeof(rig->peer_ports));
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
 		rig_start(rig, i);
-		RIG_UNTIL(rig, count_logged(rig, i, "gateway: start") == starts);
+		RIG_UNTIL(rig,
+			  count_logged(rig, i, "gateway: start") == start_count);
 		rig->peer_ports[i] = rig_port(rig, i, "peers");
 	}
 	for (int i = 0; i < RIG_GATEWAYS; i++)
 		RIG_UNTIL(rig, rig_is_ready(rig, i) &&
 				       count_logged(rig, i, "found=") >=
-					       starts * (RIG_GATEWAYS - 1));
+					       start_count * (RIG_GATEWAYS - 1));
 }
 
 static void run_for(gateway_rig_t *rig, uint64_t ms)
@@ -80,10 +81,10 @@
 	uint64_t end = uv_hrtime() / 1000000 + ms;
 
 	while (uv_hrtime() / 1000000 < end)
-		rig_turn(rig);
+		rig_run_once(rig);
 }
 
-/* Kills all gateways and lets the simulated servers read what they had sent. */
+/* Kills all gateways and lets the mock servers read what they had sent. */
 static void kill_all(gateway_rig_t *rig)
 {
 	for (int i = 0; i < RIG_GATEWAYS; i++) {
@@ -140,7 +141,7 @@
 	const char *name;
 	json_t *object;
 
-	rig_turn(rig);
+	rig_run_once(rig);
 	json_object_foreach(json_object_get(rig->objects, "counts"), name, object)
 	{
 		char *text = json_dumps(json_object_get(object, "spec"), 0);
@@ -235,7 +236,7 @@
 /* Returns whether the current window is in its first quarter. */
 static bool window_has_begun(gateway_rig_t *rig)
 {
-	rig_turn(rig);
+	rig_run_once(rig);
 	return g_get_real_time() / 1000 % WINDOW_MS < WINDOW_MS / 4;
 }
 
@@ -355,7 +356,7 @@
 	rig_caller_t *caller;
 
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
-		rig->upstreams[i].act = RIG_HANG;
+		rig->upstreams[i].behavior = RIG_HANG;
 	caller = rig_call_at(rig, 1, "POST", "/unsafe/x", "c0");
 	RIG_UNTIL(rig, calls_in_flight(rig) == 1);
 	kill_all(rig);
@@ -459,11 +460,11 @@
 	rig_caller_t *caller;
 
 	RIG_UNTIL(rig, find_writer(rig, 0) >= 0);
-	rig->answers_lost = 2;
+	rig->answers_to_drop = 2;
 	caller = rig_call_at(rig, 0, "POST", "/safe/x", "first");
 	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
-	RIG_UNTIL(rig, rig->answers_lost == 0);
+	RIG_UNTIL(rig, rig->answers_to_drop == 0);
 	send_calls(rig);
 	RIG_UNTIL_WITHIN(rig, calls_checkpointed(rig) == CALLS + 1,
 			 WRITER_FAILOVER_MS);
@@ -526,11 +527,12 @@
 
 	kill_all(rig);
 	rig_put(rig, "records", "slot-0", "{\"gateways\":63,\"accounts\":{}}");
-	rig->listed_ms = 0;
-	rig->watched_ms = 0;
+	rig->upstreams_listed_ms = 0;
+	rig->upstreams_watched_ms = 0;
 	rig_start(rig, 0);
-	RIG_UNTIL(rig, rig->listed_ms && rig->watched_ms);
-	assert_true(rig->watched_ms - rig->listed_ms >= FIRST_WATCH_DELAY_MS);
+	RIG_UNTIL(rig, rig->upstreams_listed_ms && rig->upstreams_watched_ms);
+	assert_true(rig->upstreams_watched_ms - rig->upstreams_listed_ms >=
+		    FIRST_WATCH_DELAY_MS);
 }
 
 /*
@@ -551,7 +553,7 @@
 
 static bool has_object(gateway_rig_t *rig, const char *kind, const char *name)
 {
-	rig_turn(rig);
+	rig_run_once(rig);
 	return json_object_get(json_object_get(rig->objects, kind), name);
 }
 
@@ -620,7 +622,7 @@
 {
 	int count = 0;
 
-	rig_turn(rig);
+	rig_run_once(rig);
 	for (guint i = 0; i < rig->orders->len; i++)
 		count += !strstr(g_ptr_array_index(rig->orders, i),
 				 "preemptible");
@@ -664,7 +666,7 @@
 	before = rig->usage->len;
 	RIG_UNTIL(rig, rig->usage->len > before);
 	for (int i = 0; i < RIG_UPSTREAMS; i++)
-		rig->upstreams[i].act = RIG_HANG;
+		rig->upstreams[i].behavior = RIG_HANG;
 	caller = rig_call_at(rig, 0, "POST", "/unsafe/x", "c1");
 	RIG_UNTIL(rig, rig->upstreams[0].arrivals + rig->upstreams[1].arrivals);
 	process_signal(rig->gateways[0], SIGTERM);
