--- a/adapters/explain.c
+++ b/adapters/explain.c
@@ -45,10 +45,10 @@
 		return;
 	record = g_new0(record_t, 1);
 	record->request_id = g_strdup(decision->request_id);
-	record->decision = json_pack("{s:s, s:s, s:s, s:s}", "part",
-				     decision->component, "choice",
-				   decision->choice, "reason", decision->reason,
-				   "passed_over", decision->passed_over);
+	record->decision =
+		json_pack("{s:s, s:s, s:s, s:s}", "part", decision->component,
+			  "choice", decision->choice, "reason", decision->reason,
+			  "passed_over", decision->passed_over);
 	list_append(&explain->records, &record->node);
 	if (++explain->count <= RECORDS_MAX)
 		return;
