--- a/bench/baselines.c
+++ b/bench/baselines.c
@@ -9,7 +9,7 @@
 
 #include "core/hash.h"
 
-static bool usable(const sim_t *sim, unsigned int engine)
+static bool is_usable(const sim_t *sim, unsigned int engine)
 {
 	return !sim_engine(sim, engine)->dead;
 }
@@ -20,7 +20,7 @@
 
 	do {
 		sim->next_engine[entry] = (sim->next_engine[entry] + 1) % count;
-	} while (!usable(sim, sim->next_engine[entry]));
+	} while (!is_usable(sim, sim->next_engine[entry]));
 	return sim->next_engine[entry];
 }
 
@@ -30,7 +30,7 @@
 	unsigned int best = round_robin(sim, entry);
 
 	for (unsigned int i = 0; i < sim->site->engines; i++) {
-		if (usable(sim, i) &&
+		if (is_usable(sim, i) &&
 		    sim->outstanding[entry][i] < sim->outstanding[entry][best])
 			best = i;
 	}
@@ -41,14 +41,14 @@
 {
 	char *text = g_strdup_printf("%" G_GUINT64_FORMAT, prefix);
 	unsigned int best = 0;
-	uint64_t best_rank = 0;
+	uint64_t best_weight = 0;
 
 	for (unsigned int i = 0; i < sim->site->engines; i++) {
-		uint64_t rank = hash_pair(text, sim_engine(sim, i)->id);
+		uint64_t weight = hash_pair(text, sim_engine(sim, i)->id);
 
-		if (usable(sim, i) && rank >= best_rank) {
+		if (is_usable(sim, i) && weight >= best_weight) {
 			best = i;
-			best_rank = rank;
+			best_weight = weight;
 		}
 	}
 	g_free(text);
@@ -56,7 +56,7 @@
 }
 
 /* Sends a call, from its first token, to the engine that the policy names. */
-void baseline_request(sim_t *sim, unsigned int entry, unsigned int index)
+void baseline_submit(sim_t *sim, unsigned int entry, unsigned int index)
 {
 	call_t *call = sim_call(sim, index);
 	job_t job = { .attempt = index + 1,
@@ -65,12 +65,12 @@
 		      .priority = PRIORITY_NORMAL,
 		      .prompt = call->prompt,
 		      .prefix = call->prefix,
-		      .again = call->attempts++ > 0,
+		      .is_retry = call->attempts++ > 0,
 		      .end = call->tokens };
 	unsigned int engine;
 
 	switch (sim->policy) {
-	case POLICY_LEAST:
+	case POLICY_LEAST_OUTSTANDING:
 		engine = least_outstanding(sim, entry);
 		break;
 	case POLICY_PREFIX:
@@ -85,14 +85,14 @@
 }
 
 /* Takes a token; one the caller has already was computed for nothing. */
-void baseline_token(sim_t *sim, const job_t *job, unsigned int engine, bool last)
+void baseline_on_token(sim_t *sim, const job_t *job, unsigned int engine, bool last)
 {
 	call_t *call = sim_call(sim, job->call);
 
-	if (job->offset < call->got) {
+	if (job->offset < call->received_tokens) {
 		sim_engine(sim, engine)->recomputed++;
 	} else {
-		call->got++;
+		call->received_tokens++;
 		if (!call->first_at)
 			call->first_at = sim->now;
 	}
@@ -103,8 +103,8 @@
 }
 
 /* The engine went with this stream in it. */
-void baseline_lost(sim_t *sim, const job_t *job, unsigned int engine)
+void baseline_on_engine_lost(sim_t *sim, const job_t *job, unsigned int engine)
 {
 	sim->outstanding[job->entry][engine]--;
-	baseline_request(sim, job->entry, job->call);
+	baseline_submit(sim, job->entry, job->call);
 }
--- a/bench/bench_decisions.c
+++ b/bench/bench_decisions.c
@@ -16,8 +16,8 @@
 #define FIRST_TARGET_MS 590.0
 #define GAP_TARGET_MS 38.0
 
-static const char *const policy_names[POLICIES] = { "entry", "round-robin",
-						    "least", "prefix" };
+static const char *const policy_names[POLICY_COUNT] = { "entry", "round-robin",
+							"least", "prefix" };
 
 typedef enum measure {
 	M_ASKED,
@@ -69,7 +69,8 @@
 static double bound_ms(const call_t *call)
 {
 	unsigned int suffix = call->prompt - PREFIX_TOKENS;
-	unsigned int iterations = (suffix + ENGINE_CHUNK - 1) / ENGINE_CHUNK;
+	unsigned int iterations =
+		(suffix + ENGINE_CHUNK_TOKENS - 1) / ENGINE_CHUNK_TOKENS;
 
 	return iterations * (ENGINE_BASE_MS + ENGINE_TOKEN_MS) +
 	       suffix * ENGINE_PREFILL_MS;
@@ -78,7 +79,8 @@
 /* Returns the engine's work on a call, in iterations of one slot. */
 static double call_work(const call_t *call)
 {
-	return call->tokens + (double)(call->prompt - PREFIX_TOKENS) / ENGINE_CHUNK;
+	return call->tokens +
+	       (double)(call->prompt - PREFIX_TOKENS) / ENGINE_CHUNK_TOKENS;
 }
 
 static double ms(pd_time_t span)
@@ -223,7 +225,7 @@
 {
 	double(*all)[MEASURES] = g_malloc0(seeds * sizeof(*all));
 
-	for (policy_t policy = 0; policy < POLICIES; policy++) {
+	for (policy_t policy = 0; policy < POLICY_COUNT; policy++) {
 		memset(all, 0, seeds * sizeof(*all));
 		for (unsigned int i = 0; i < seeds; i++) {
 			sim_t *sim = sim_create(policy, site, scenario, i + 1);
@@ -255,7 +257,7 @@
 	for (size_t s = 0; s < G_N_ELEMENTS(sites); s++) {
 		if (argc > 3 && strcmp(argv[3], sites[s].name))
 			continue;
-		for (int k = 0; k < SCENARIOS; k++) {
+		for (int k = 0; k < SCENARIO_COUNT; k++) {
 			if (argc > 2 && strcmp(argv[2], scenario_table[k].name))
 				continue;
 			run_all(&sites[s], &scenario_table[k], seeds);
--- a/bench/fake_engine.c
+++ b/bench/fake_engine.c
@@ -12,7 +12,8 @@
 	engine->zone = g_strdup(zone);
 	engine->running = g_ptr_array_new_with_free_func(g_free);
 	engine->waiting = g_ptr_array_new_with_free_func(g_free);
-	engine->notes = g_array_new(FALSE, FALSE, sizeof(cache_note_t));
+	engine->cache_events =
+		g_array_new(FALSE, FALSE, sizeof(timed_cache_event_t));
 	return engine;
 }
 
@@ -21,7 +22,7 @@
 {
 	g_ptr_array_unref(engine->running);
 	g_ptr_array_unref(engine->waiting);
-	g_array_unref(engine->notes);
+	g_array_unref(engine->cache_events);
 	g_free(engine->id);
 	g_free(engine->zone);
 	g_free(engine);
@@ -33,29 +34,30 @@
 	return engine->running->len + engine->waiting->len;
 }
 
-static void note(fake_engine_t *engine, uint64_t prefix, bool held, pd_time_t now)
+static void record_cache_event(fake_engine_t *engine, uint64_t prefix,
+			       bool cached, pd_time_t now)
 {
-	cache_note_t entry = { { prefix, held }, now };
+	timed_cache_event_t entry = { { prefix, cached }, now };
 
-	g_array_append_val(engine->notes, entry);
+	g_array_append_val(engine->cache_events, entry);
 }
 
 /* Looks a prefix up and makes it the most recent; returns whether it was held. */
-static bool cache_use(fake_engine_t *engine, uint64_t prefix, pd_time_t now)
+static bool cache_access(fake_engine_t *engine, uint64_t prefix, pd_time_t now)
 {
 	unsigned int at = 0;
-	bool held;
+	bool cached;
 
-	while (at < ENGINE_CACHE - 1 && engine->cache[at] != prefix)
+	while (at < ENGINE_CACHE_PREFIXES - 1 && engine->cache[at] != prefix)
 		at++;
-	held = engine->cache[at] == prefix;
-	if (!held && engine->cache[at])
-		note(engine, engine->cache[at], false, now);
+	cached = engine->cache[at] == prefix;
+	if (!cached && engine->cache[at])
+		record_cache_event(engine, engine->cache[at], false, now);
 	memmove(&engine->cache[1], &engine->cache[0], at * sizeof(uint64_t));
 	engine->cache[0] = prefix;
-	if (!held)
-		note(engine, prefix, true, now);
-	return held;
+	if (!cached)
+		record_cache_event(engine, prefix, true, now);
+	return cached;
 }
 
 /* Adds a job behind those that are as urgent; copies it. */
@@ -76,7 +78,7 @@
 		engine->iteration_ends = now;
 }
 
-static bool drop_from(GPtrArray *jobs, unsigned int entry, attempt_id_t attempt)
+static bool remove_job(GPtrArray *jobs, unsigned int entry, attempt_id_t attempt)
 {
 	for (guint i = 0; i < jobs->len; i++) {
 		const job_t *job = g_ptr_array_index(jobs, i);
@@ -93,8 +95,8 @@
 bool fake_engine_cancel(fake_engine_t *engine, unsigned int entry,
 			attempt_id_t attempt)
 {
-	return drop_from(engine->running, entry, attempt) ||
-	       drop_from(engine->waiting, entry, attempt);
+	return remove_job(engine->running, entry, attempt) ||
+	       remove_job(engine->waiting, entry, attempt);
 }
 
 static void admit(fake_engine_t *engine, pd_time_t now)
@@ -104,18 +106,18 @@
 
 		job->prefill_left = job->prompt;
 		engine->admitted++;
-		if (cache_use(engine, job->prefix, now)) {
+		if (cache_access(engine, job->prefix, now)) {
 			job->prefill_left -= MIN(job->prompt, PREFIX_TOKENS);
 			engine->hits++;
 		}
-		if (job->again)
+		if (job->is_retry)
 			engine->recomputed += job->prefill_left;
 		g_ptr_array_add(engine->running, job);
 	}
 }
 
 /* Ends the iteration under way: streams whose prompt is in get a token. */
-static void finish_iteration(fake_engine_t *engine, engine_token_fn_t *told,
+static void finish_iteration(fake_engine_t *engine, engine_token_fn_t *on_token,
 			     void *ctx)
 {
 	for (guint i = engine->running->len; i-- > 0;) {
@@ -127,14 +129,14 @@
 		job->offset++;
 		if (job->offset >= job->end)
 			g_ptr_array_remove_index(engine->running, i);
-		told(ctx, &done, done.offset + 1 >= done.end);
+		on_token(ctx, &done, done.offset + 1 >= done.end);
 	}
 }
 
 /* Starts an iteration; returns its length. */
 static pd_time_t start_iteration(fake_engine_t *engine)
 {
-	unsigned int chunk = ENGINE_CHUNK;
+	unsigned int chunk = ENGINE_CHUNK_TOKENS;
 	double ms = ENGINE_BASE_MS + ENGINE_TOKEN_MS * engine->running->len;
 
 	for (priority_t priority = 0; priority < PRIORITIES; priority++) {
@@ -148,17 +150,17 @@
 			chunk -= part;
 		}
 	}
-	ms += ENGINE_PREFILL_MS * (ENGINE_CHUNK - chunk);
+	ms += ENGINE_PREFILL_MS * (ENGINE_CHUNK_TOKENS - chunk);
 	return (pd_time_t)(ms * PD_MSEC);
 }
 
 /* Moves the engine on to NOW. */
 void fake_engine_step(fake_engine_t *engine, pd_time_t now,
-		      engine_token_fn_t *told, void *ctx)
+		      engine_token_fn_t *on_token, void *ctx)
 {
 	if (engine->dead || !engine->iteration_ends || now < engine->iteration_ends)
 		return;
-	finish_iteration(engine, told, ctx);
+	finish_iteration(engine, on_token, ctx);
 	admit(engine, now);
 	if (!engine->running->len) {
 		engine->iteration_ends = 0;
@@ -170,7 +172,7 @@
 /* Keeps the load as it is now, to be told later. */
 void fake_engine_snapshot(fake_engine_t *engine)
 {
-	unsigned int at = engine->snapshots++ % SNAPSHOTS;
+	unsigned int at = engine->snapshots++ % SNAPSHOT_COUNT;
 
 	engine->load[at] = engine->running->len;
 	engine->queue[at] = engine->waiting->len;
--- a/bench/fake_engine.h
+++ b/bench/fake_engine.h
@@ -12,14 +12,15 @@
 #include "ports/upstream.h"
 
 #define ENGINE_SLOTS 16
-#define ENGINE_CHUNK 128 /* prompt tokens one iteration takes in, at most */
-#define ENGINE_CACHE 12 /* prefixes that fit */
+#define ENGINE_CHUNK_TOKENS \
+	128 /* prompt tokens one iteration takes in, at most */
+#define ENGINE_CACHE_PREFIXES 12 /* prefixes that fit */
 #define ENGINE_BASE_MS 12.0 /* one iteration, however small */
 #define ENGINE_TOKEN_MS 0.25 /* more for each stream in the batch */
 #define ENGINE_PREFILL_MS 0.1 /* more for each prompt token taken in */
 #define PREFIX_TOKENS 256
 #define SNAPSHOT_PERIOD (100 * PD_MSEC)
-#define SNAPSHOTS 128
+#define SNAPSHOT_COUNT 128
 
 /* One attempt as the engine sees it. */
 typedef struct job {
@@ -29,16 +30,16 @@
 	priority_t priority;
 	unsigned int prompt; /* tokens, with those emitted before */
 	uint64_t prefix;
-	bool again; /* an earlier attempt had computed it */
+	bool is_retry; /* an earlier attempt had computed it */
 	unsigned int offset; /* of the next token */
 	unsigned int end;
 	unsigned int prefill_left;
 } job_t;
 
-typedef struct cache_note {
+typedef struct timed_cache_event {
 	cache_event_t event;
 	pd_time_t at;
-} cache_note_t;
+} timed_cache_event_t;
 
 typedef struct fake_engine {
 	char *id;
@@ -48,10 +49,10 @@
 	pd_time_t iteration_ends; /* 0: idle */
 	GPtrArray *running; /* of job_t, owned */
 	GPtrArray *waiting; /* of job_t, owned; most urgent first */
-	uint64_t cache[ENGINE_CACHE]; /* most recently used first */
-	GArray *notes; /* of cache_note_t, oldest first */
-	unsigned int load[SNAPSHOTS]; /* running, as of each snapshot */
-	unsigned int queue[SNAPSHOTS];
+	uint64_t cache[ENGINE_CACHE_PREFIXES]; /* most recently used first */
+	GArray *cache_events; /* of cache_note_t, oldest first */
+	unsigned int load[SNAPSHOT_COUNT]; /* running, as of each snapshot */
+	unsigned int queue[SNAPSHOT_COUNT];
 	unsigned int snapshots;
 	uint64_t recomputed; /* prompt tokens computed once before */
 	uint64_t admitted;
@@ -67,7 +68,7 @@
 bool fake_engine_cancel(fake_engine_t *engine, unsigned int entry,
 			attempt_id_t attempt);
 void fake_engine_step(fake_engine_t *engine, pd_time_t now,
-		      engine_token_fn_t *told, void *ctx);
+		      engine_token_fn_t *on_token, void *ctx);
 void fake_engine_snapshot(fake_engine_t *engine);
 unsigned int fake_engine_jobs(const fake_engine_t *engine);
 
--- a/bench/scenario.c
+++ b/bench/scenario.c
@@ -9,26 +9,26 @@
 #include "bench/fake_engine.h"
 #include "core/hash.h"
 
-#define PROMPT_MIN 306 /* the shared prefix and a question */
-#define PROMPT_MAX 606
-#define PROMPT_MEAN 456
-#define ANSWER_MEAN 40.0
-#define ANSWER_MAX 400
-#define URGENT_ANSWER 16
+#define PROMPT_MIN_TOKENS 306 /* the shared prefix and a question */
+#define PROMPT_MAX_TOKENS 606
+#define PROMPT_MEAN_TOKENS 456
+#define ANSWER_MEAN_TOKENS 40.0
+#define ANSWER_MAX_TOKENS 400
+#define URGENT_ANSWER_TOKENS 16
 #define PREFIX_BYTES 1024
 #define TOKEN_BYTES 4
-#define ORDINARY 0.6 /* of the capacity, the load account limits refer to */
+#define NORMAL_LOAD 0.6 /* of the capacity, the load account limits refer to */
 #define BURST_FROM (6 * PD_SEC)
 #define BURST_UNTIL (36 * PD_SEC)
-#define BURST_TIMES 10.0
-#define FLOOD_TIMES 6.0
+#define BURST_FACTOR 10.0
+#define FLOOD_FACTOR 6.0
 
 const site_t sites[2] = {
 	{ "hanbit", 9, 6, 3, 40 },
 	{ "kaipuzha", 18, 6, 4, 60 },
 };
 
-const scenario_t scenario_table[SCENARIOS] = {
+const scenario_t scenario_table[SCENARIO_COUNT] = {
 	{ SCENARIO_DAY, 0, "day", 0.6, 40 * PD_SEC, 200 * PD_MSEC, 100 },
 	{ SCENARIO_BURST, 0, "burst", 0.15, 40 * PD_SEC, 200 * PD_MSEC, 100 },
 	{ SCENARIO_LAG, 0, "lag10", 0.6, 40 * PD_SEC, 10 * PD_SEC, 100 },
@@ -39,13 +39,13 @@
 	{ SCENARIO_UNEVEN, 0, "uneven", 0.6, 40 * PD_SEC, 200 * PD_MSEC, 100 },
 };
 
-static const double account_shares[ACCOUNTS] = { 0.15, 0.5, 0.2, 0.1, 0.05 };
+static const double account_shares[ACCOUNT_COUNT] = { 0.15, 0.5, 0.2, 0.1, 0.05 };
 
 /* Returns the mean answer's length in tokens. */
-static double answer_mean(void)
+static double answer_mean_tokens(void)
 {
-	return account_shares[URGENT_ACCOUNT] * URGENT_ANSWER +
-	       (1 - account_shares[URGENT_ACCOUNT]) * ANSWER_MEAN;
+	return account_shares[URGENT_ACCOUNT] * URGENT_ANSWER_TOKENS +
+	       (1 - account_shares[URGENT_ACCOUNT]) * ANSWER_MEAN_TOKENS;
 }
 
 /*
@@ -54,8 +54,8 @@
  */
 double site_capacity(const site_t *site)
 {
-	double suffix = PROMPT_MEAN - PREFIX_TOKENS;
-	double iterations = answer_mean() + suffix / ENGINE_CHUNK;
+	double suffix = PROMPT_MEAN_TOKENS - PREFIX_TOKENS;
+	double iterations = answer_mean_tokens() + suffix / ENGINE_CHUNK_TOKENS;
 	double ms = ENGINE_BASE_MS + ENGINE_TOKEN_MS * ENGINE_SLOTS +
 		    ENGINE_PREFILL_MS * suffix * ENGINE_SLOTS / iterations;
 
@@ -65,31 +65,31 @@
 /* Returns the requests a second of that account on an ordinary day. */
 double account_rate(const site_t *site, unsigned int account)
 {
-	return site_capacity(site) * ORDINARY * account_shares[account];
+	return site_capacity(site) * NORMAL_LOAD * account_shares[account];
 }
 
-static double account_times(const scenario_t *scenario, unsigned int account,
-			    pd_time_t at)
+static double account_load_factor(const scenario_t *scenario,
+				  unsigned int account, pd_time_t at)
 {
 	if (scenario->kind == SCENARIO_FLOOD && account == LARGE_ACCOUNT)
-		return FLOOD_TIMES;
+		return FLOOD_FACTOR;
 	if (scenario->kind == SCENARIO_BURST && at >= BURST_FROM && at < BURST_UNTIL)
-		return BURST_TIMES;
+		return BURST_FACTOR;
 	return 1;
 }
 
-static unsigned int draw_answer(GRand *rand, unsigned int account)
+static unsigned int random_answer_tokens(GRand *rand, unsigned int account)
 {
 	double length;
 
 	if (account == URGENT_ACCOUNT)
-		return URGENT_ANSWER;
-	length = -log(1 - g_rand_double(rand)) * ANSWER_MEAN;
-	return CLAMP((unsigned int)length, 1, ANSWER_MAX);
+		return URGENT_ANSWER_TOKENS;
+	length = -log(1 - g_rand_double(rand)) * ANSWER_MEAN_TOKENS;
+	return CLAMP((unsigned int)length, 1, ANSWER_MAX_TOKENS);
 }
 
 /* A few prefixes are asked for much more often than the rest. */
-static unsigned int draw_prefix(GRand *rand, const site_t *site)
+static unsigned int random_prefix(GRand *rand, const site_t *site)
 {
 	double skewed = pow(g_rand_double(rand), 2);
 
@@ -112,20 +112,21 @@
 static void add_call(GArray *calls, GRand *rand, const site_t *site,
 		     unsigned int account, pd_time_t at)
 {
-	unsigned int prefix = draw_prefix(rand, site);
+	unsigned int prefix = random_prefix(rand, site);
 	call_t call = { .at = at, .account = account };
 
 	call.priority = account == URGENT_ACCOUNT  ? PRIORITY_URGENT
 			: account == BATCH_ACCOUNT ? PRIORITY_BATCH
 						   : PRIORITY_NORMAL;
-	call.prompt = (unsigned int)g_rand_int_range(rand, PROMPT_MIN, PROMPT_MAX);
-	call.tokens = draw_answer(rand, account);
+	call.prompt = (unsigned int)g_rand_int_range(rand, PROMPT_MIN_TOKENS,
+						     PROMPT_MAX_TOKENS);
+	call.tokens = random_answer_tokens(rand, account);
 	call.body = make_body(prefix, call.prompt);
 	call.prefix = prefix_cache_hash_prompt(call.body);
 	g_array_append_val(calls, call);
 }
 
-static gint by_time(gconstpointer a, gconstpointer b)
+static gint compare_arrivals(gconstpointer a, gconstpointer b)
 {
 	const call_t *left = a;
 	const call_t *right = b;
@@ -139,20 +140,20 @@
 	GArray *calls = g_array_new(FALSE, FALSE, sizeof(call_t));
 	GRand *rand = g_rand_new_with_seed(seed);
 
-	for (unsigned int account = 0; account < ACCOUNTS; account++) {
+	for (unsigned int account = 0; account < ACCOUNT_COUNT; account++) {
 		double rate = site_capacity(site) * scenario->load *
 			      account_shares[account];
 		pd_time_t at = 0;
 
 		while (at < scenario->duration) {
-			double times = account_times(scenario, account, at);
-			double gap = -log(1 - g_rand_double(rand)) / rate / times;
+			double factor = account_load_factor(scenario, account, at);
+			double gap = -log(1 - g_rand_double(rand)) / rate / factor;
 
 			at += (pd_time_t)(gap * PD_SEC) + 1;
 			add_call(calls, rand, site, account, at);
 		}
 	}
-	g_array_sort(calls, by_time);
+	g_array_sort(calls, compare_arrivals);
 	g_rand_free(rand);
 	return calls;
 }
--- a/bench/scenario.h
+++ b/bench/scenario.h
@@ -9,7 +9,7 @@
 
 #include "core/bundle.h"
 
-#define ACCOUNTS 5
+#define ACCOUNT_COUNT 5
 #define URGENT_ACCOUNT 0 /* the others are normal, and one batch */
 #define LARGE_ACCOUNT 1
 #define BATCH_ACCOUNT 2
@@ -31,12 +31,12 @@
 	SCENARIO_ONE_ZONE,
 	SCENARIO_TWO_ZONES,
 	SCENARIO_UNEVEN, /* one entry gets all calls */
-	SCENARIOS
+	SCENARIO_COUNT
 } scenario_kind_t;
 
 typedef struct scenario {
 	scenario_kind_t kind;
-	unsigned int zones_lost;
+	unsigned int reclaimed_zones;
 	const char *name;
 	double load; /* part of the capacity that is asked for */
 	pd_time_t duration; /* callers come for this long */
@@ -56,14 +56,14 @@
 	pd_time_t first_at; /* 0: no token came */
 	pd_time_t done_at; /* 0: not whole */
 	unsigned int attempts; /* by a baseline */
-	unsigned int got;
+	unsigned int received_tokens;
 	bool refused;
 	pd_time_t refused_at;
 	pd_time_t retry_after;
 } call_t;
 
 extern const site_t sites[2];
-extern const scenario_t scenario_table[SCENARIOS];
+extern const scenario_t scenario_table[SCENARIO_COUNT];
 
 double site_capacity(const site_t *site);
 double account_rate(const site_t *site, unsigned int account);
--- a/bench/sim.c
+++ b/bench/sim.c
@@ -4,12 +4,12 @@
 #include <string.h>
 
 #define STEP (1 * PD_MSEC)
-#define TICK (20 * PD_MSEC)
+#define TICK_PERIOD (20 * PD_MSEC)
 #define RECLAIM_AT (10 * PD_SEC)
-#define RECLAIM_NEXT (30 * PD_SEC) /* the second zone, after the first */
-#define NOTICE (5 * PD_SEC)
-#define SETTLE (3 * PD_SEC) /* before callers come */
-#define DRAIN (40 * PD_SEC) /* after the last caller */
+#define RECLAIM_INTERVAL (30 * PD_SEC) /* the second zone, after the first */
+#define RECLAIM_NOTICE (5 * PD_SEC)
+#define WARM_UP (3 * PD_SEC) /* before callers come */
+#define DRAIN_TIME (40 * PD_SEC) /* after the last caller */
 
 /* Returns the engine of that index, borrowed. */
 fake_engine_t *sim_engine(const sim_t *sim, unsigned int index)
@@ -44,9 +44,9 @@
 	sim->scenario = scenario;
 	sim->rand = g_rand_new_with_seed(seed);
 	sim->calls = scenario_calls(site, scenario, seed);
-	sim->by_body = g_hash_table_new(NULL, NULL);
+	sim->calls_by_body = g_hash_table_new(NULL, NULL);
 	for (guint i = 0; i < sim->calls->len; i++)
-		g_hash_table_insert(sim->by_body, sim_call(sim, i)->body,
+		g_hash_table_insert(sim->calls_by_body, sim_call(sim, i)->body,
 				    GUINT_TO_POINTER(i));
 	sim->messages = g_array_new(FALSE, FALSE, sizeof(sim_peer_msg_t));
 	sim->engines = g_ptr_array_new();
@@ -58,7 +58,7 @@
 		g_free(id);
 		g_free(zone);
 	}
-	sim->now = SETTLE;
+	sim->now = WARM_UP;
 	if (policy == POLICY_ENTRY)
 		entries_create(sim, seed);
 	return sim;
@@ -73,34 +73,34 @@
 		fake_engine_destroy(sim_engine(sim, i));
 	g_ptr_array_unref(sim->engines);
 	g_array_unref(sim->messages);
-	g_hash_table_unref(sim->by_body);
+	g_hash_table_unref(sim->calls_by_body);
 	scenario_calls_free(sim->calls);
 	g_rand_free(sim->rand);
 	g_free(sim);
 }
 
-typedef struct told {
+typedef struct token_ctx {
 	sim_t *sim;
 	unsigned int engine;
-} told_t;
+} token_ctx_t;
 
 static void on_token(void *ctx, const job_t *job, bool last)
 {
-	told_t *told = ctx;
+	token_ctx_t *token_ctx = ctx;
 
-	if (told->sim->policy != POLICY_ENTRY) {
-		baseline_token(told->sim, job, told->engine, last);
+	if (token_ctx->sim->policy != POLICY_ENTRY) {
+		baseline_on_token(token_ctx->sim, job, token_ctx->engine, last);
 		return;
 	}
 	if (job->offset == 0)
-		entries_started(told->sim, job, told->engine);
-	entries_upstream(told->sim, job, UPSTREAM_TOKEN);
+		entries_report_load(token_ctx->sim, job, token_ctx->engine);
+	entries_report_upstream(token_ctx->sim, job, UPSTREAM_TOKEN);
 	if (last)
-		entries_upstream(told->sim, job, UPSTREAM_END);
+		entries_report_upstream(token_ctx->sim, job, UPSTREAM_END);
 }
 
 /* Breaks every stream of an engine whose VM is gone. */
-static void engine_dies(sim_t *sim, unsigned int index)
+static void terminate_engine(sim_t *sim, unsigned int index)
 {
 	fake_engine_t *engine = sim_engine(sim, index);
 	GPtrArray *lost[] = { engine->running, engine->waiting };
@@ -112,34 +112,34 @@
 			job_t *job = g_ptr_array_steal_index(lost[i], 0);
 
 			if (sim->policy == POLICY_ENTRY)
-				entries_upstream(sim, job, UPSTREAM_FAILED);
+				entries_report_upstream(sim, job, UPSTREAM_FAILED);
 			else
-				baseline_lost(sim, job, index);
+				baseline_on_engine_lost(sim, job, index);
 			g_free(job);
 		}
 	}
 }
 
 /* Gives notice to a zone's VMs when its turn has come; takes them when due. */
-static void reclaim(sim_t *sim, pd_time_t start)
+static void reclaim_zones(sim_t *sim, pd_time_t start)
 {
 	for (unsigned int i = 0; i < sim->site->engines; i++) {
 		fake_engine_t *engine = sim_engine(sim, i);
 		unsigned int zone = i % sim->site->zones;
-		pd_time_t at = start + RECLAIM_AT + zone * RECLAIM_NEXT;
+		pd_time_t at = start + RECLAIM_AT + zone * RECLAIM_INTERVAL;
 
-		if (zone >= sim->scenario->zones_lost || engine->dead)
+		if (zone >= sim->scenario->reclaimed_zones || engine->dead)
 			continue;
 		if (!engine->leaves_at && sim->now >= at) {
-			engine->leaves_at = at + NOTICE;
+			engine->leaves_at = at + RECLAIM_NOTICE;
 			sim->vms_changed = true;
 		}
 		if (engine->leaves_at && sim->now >= engine->leaves_at)
-			engine_dies(sim, i);
+			terminate_engine(sim, i);
 	}
 }
 
-static void send_due(sim_t *sim, unsigned int *next, pd_time_t start)
+static void send_due_calls(sim_t *sim, unsigned int *next, pd_time_t start)
 {
 	while (*next < sim->calls->len &&
 	       start + sim_call(sim, *next)->at <= sim->now) {
@@ -152,32 +152,33 @@
 			entry = 0;
 		sim_call(sim, index)->at += start;
 		if (sim->policy == POLICY_ENTRY)
-			entries_request(sim, entry, index);
+			entries_submit(sim, entry, index);
 		else
-			baseline_request(sim, entry, index);
+			baseline_submit(sim, entry, index);
 	}
 }
 
 static void step(sim_t *sim, unsigned int *next, pd_time_t start)
 {
 	for (unsigned int i = 0; i < sim->site->engines; i++) {
-		told_t told = { sim, i };
+		token_ctx_t token_ctx = { sim, i };
 
 		if (sim->now % SNAPSHOT_PERIOD == 0)
 			fake_engine_snapshot(sim_engine(sim, i));
-		fake_engine_step(sim_engine(sim, i), sim->now, on_token, &told);
+		fake_engine_step(sim_engine(sim, i), sim->now, on_token,
+				 &token_ctx);
 	}
-	reclaim(sim, start);
-	if (sim->policy == POLICY_ENTRY && sim->now % TICK == 0)
+	reclaim_zones(sim, start);
+	if (sim->policy == POLICY_ENTRY && sim->now % TICK_PERIOD == 0)
 		entries_tick(sim);
-	send_due(sim, next, start);
+	send_due_calls(sim, next, start);
 }
 
 /* Runs until the last caller has had time to be served. */
 void sim_run(sim_t *sim)
 {
-	pd_time_t start = 2 * SETTLE;
-	pd_time_t end = start + sim->scenario->duration + DRAIN;
+	pd_time_t start = 2 * WARM_UP;
+	pd_time_t end = start + sim->scenario->duration + DRAIN_TIME;
 	unsigned int next = 0;
 
 	for (; sim->now < end; sim->now += STEP)
--- a/bench/sim.h
+++ b/bench/sim.h
@@ -15,9 +15,9 @@
 typedef enum policy {
 	POLICY_ENTRY, /* the entry's core */
 	POLICY_ROUND_ROBIN,
-	POLICY_LEAST, /* least outstanding, restarts from nothing */
+	POLICY_LEAST_OUTSTANDING, /* least outstanding, restarts from nothing */
 	POLICY_PREFIX, /* by the prompt's prefix alone */
-	POLICIES
+	POLICY_COUNT
 } policy_t;
 
 typedef struct sim_peer_msg {
@@ -31,10 +31,10 @@
 	const scenario_t *scenario;
 	GRand *rand;
 	GArray *calls; /* of call_t, owned */
-	GHashTable *by_body; /* body -> index of its call */
+	GHashTable *calls_by_body; /* body -> index of its call */
 	GPtrArray *engines; /* of fake_engine_t, owned */
 	entry_t *entries[SIM_ENTRIES_MAX];
-	size_t notes_told[SIM_ENTRIES_MAX][32]; /* cache news, by engine */
+	size_t cache_events_sent[SIM_ENTRIES_MAX][32]; /* cache news, by engine */
 	GArray *messages; /* of sim_peer_msg_t, on their way */
 	unsigned int next_engine[SIM_ENTRIES_MAX]; /* round robin */
 	unsigned int outstanding[SIM_ENTRIES_MAX][32];
@@ -54,14 +54,16 @@
 void entries_create(sim_t *sim, uint32_t seed);
 void entries_destroy(sim_t *sim);
 void entries_tick(sim_t *sim);
-void entries_vms(sim_t *sim);
-void entries_request(sim_t *sim, unsigned int entry, unsigned int index);
-void entries_upstream(sim_t *sim, const job_t *job, upstream_event_kind_t kind);
-void entries_started(sim_t *sim, const job_t *job, unsigned int index);
+void entries_send_vm_list(sim_t *sim);
+void entries_submit(sim_t *sim, unsigned int entry, unsigned int index);
+void entries_report_upstream(sim_t *sim, const job_t *job,
+			     upstream_event_kind_t kind);
+void entries_report_load(sim_t *sim, const job_t *job, unsigned int index);
 
 /* baselines.c */
-void baseline_request(sim_t *sim, unsigned int entry, unsigned int index);
-void baseline_token(sim_t *sim, const job_t *job, unsigned int engine, bool last);
-void baseline_lost(sim_t *sim, const job_t *job, unsigned int engine);
+void baseline_submit(sim_t *sim, unsigned int entry, unsigned int index);
+void baseline_on_token(sim_t *sim, const job_t *job, unsigned int engine,
+		       bool last);
+void baseline_on_engine_lost(sim_t *sim, const job_t *job, unsigned int engine);
 
 #endif
--- a/bench/sim_entries.c
+++ b/bench/sim_entries.c
@@ -3,16 +3,17 @@
 
 #include "bench/sim.h"
 
-#define GAP_CHANCE 0.05 /* of losing one piece of cache news */
-#define LIST_LAG (2 * PD_SEC)
-#define TIMEOUT (30 * PD_SEC)
-#define NEWS_MAX 64
+#define CACHE_EVENT_LOSS 0.05 /* of losing one piece of cache news */
+#define VM_LIST_PERIOD (2 * PD_SEC)
+#define REQUEST_TIMEOUT (30 * PD_SEC)
+#define CACHE_EVENTS_MAX 64
 
-static const char *const account_keys[ACCOUNTS] = { "k0", "k1", "k2", "k3", "k4" };
+static const char *const account_keys[ACCOUNT_COUNT] = { "k0", "k1", "k2", "k3",
+							 "k4" };
 
-static void carry_out(sim_t *sim, unsigned int entry, list_node_t *actions);
+static void perform_actions(sim_t *sim, unsigned int entry, list_node_t *actions);
 
-static void give(sim_t *sim, unsigned int entry, event_t *event)
+static void handle_event(sim_t *sim, unsigned int entry, event_t *event)
 {
 	list_node_t actions;
 
@@ -20,7 +21,7 @@
 	event->now = sim->now;
 	event->wall = sim->now / PD_SEC;
 	entry_handle(sim->entries[entry], event, &actions);
-	carry_out(sim, entry, &actions);
+	perform_actions(sim, entry, &actions);
 }
 
 static bundle_t *make_bundle(const sim_t *sim)
@@ -29,8 +30,8 @@
 	target_t *target = bundle_add_target(bundle, TARGET_MODEL, "m");
 
 	bundle->generation = 1;
-	target->timeout = TIMEOUT;
-	for (unsigned int i = 0; i < ACCOUNTS; i++) {
+	target->timeout = REQUEST_TIMEOUT;
+	for (unsigned int i = 0; i < ACCOUNT_COUNT; i++) {
 		account_t *account = bundle_add_account(bundle, account_keys[i],
 							account_keys[i]);
 		double rate = account_rate(sim->site, i) * sim->scenario->limit;
@@ -76,15 +77,15 @@
 		event_t bundle = { .kind = EVENT_BUNDLE,
 				   .bundle = { make_bundle(sim), envelope } };
 
-		give(sim, i, &seeds);
-		give(sim, i, &bundle);
+		handle_event(sim, i, &seeds);
+		handle_event(sim, i, &bundle);
 		bundle_destroy(bundle.bundle.bundle);
 	}
 	for (unsigned int i = 0; i < sim->site->entries; i++)
 		member_info_clear(&selves[i]);
 	g_free(selves);
 	g_bytes_unref(envelope);
-	entries_vms(sim);
+	entries_send_vm_list(sim);
 }
 
 /* Frees the entries and the messages between them. */
@@ -98,7 +99,7 @@
 }
 
 /* Gives every entry the VM list as it is. */
-void entries_vms(sim_t *sim)
+void entries_send_vm_list(sim_t *sim)
 {
 	vm_t *vms = g_new0(vm_t, sim->site->engines);
 	size_t count = 0;
@@ -126,12 +127,12 @@
 	event.vm_list.vms = vms;
 	event.vm_list.count = count;
 	for (unsigned int i = 0; i < sim->site->entries; i++)
-		give(sim, i, &event);
+		handle_event(sim, i, &event);
 	g_free(vms);
 }
 
 /* Hands a caller's request to an entry. */
-void entries_request(sim_t *sim, unsigned int entry, unsigned int index)
+void entries_submit(sim_t *sim, unsigned int entry, unsigned int index)
 {
 	const call_t *call = sim_call(sim, index);
 	event_t event = { .kind = EVENT_REQUEST,
@@ -143,11 +144,11 @@
 				       .max_tokens = call->tokens,
 				       .stream = true } };
 
-	give(sim, entry, &event);
+	handle_event(sim, entry, &event);
 }
 
 /* Tells the entry that sent a job what became of it. */
-void entries_upstream(sim_t *sim, const job_t *job, upstream_event_kind_t kind)
+void entries_report_upstream(sim_t *sim, const job_t *job, upstream_event_kind_t kind)
 {
 	event_t event = { .kind = EVENT_UPSTREAM,
 			  .upstream = { .kind = kind,
@@ -157,28 +158,28 @@
 					.len = 4,
 					.written = true } };
 
-	give(sim, job->entry, &event);
+	handle_event(sim, job->entry, &event);
 }
 
 /* Collects the cache news due; returns how many, and whether some was lost. */
-static size_t cache_news(sim_t *sim, unsigned int entry, unsigned int index,
-			 cache_event_t *news, bool *gap)
+static size_t take_cache_events(sim_t *sim, unsigned int entry, unsigned int index,
+				cache_event_t *events, bool *gap)
 {
-	const GArray *notes = sim_engine(sim, index)->notes;
-	size_t *told = &sim->notes_told[entry][index];
+	const GArray *cache_events = sim_engine(sim, index)->cache_events;
+	size_t *sent = &sim->cache_events_sent[entry][index];
 	size_t count = 0;
 
-	while (*told < notes->len && count < NEWS_MAX) {
-		const cache_note_t *note =
-			&g_array_index(notes, cache_note_t, *told);
+	while (*sent < cache_events->len && count < CACHE_EVENTS_MAX) {
+		const timed_cache_event_t *note =
+			&g_array_index(cache_events, timed_cache_event_t, *sent);
 
 		if (note->at + sim->scenario->report_lag > sim->now)
 			break;
-		(*told)++;
-		if (g_rand_double(sim->rand) < GAP_CHANCE)
+		(*sent)++;
+		if (g_rand_double(sim->rand) < CACHE_EVENT_LOSS)
 			*gap = true;
 		else
-			news[count++] = note->event;
+			events[count++] = note->event;
 	}
 	return count;
 }
@@ -187,43 +188,44 @@
 static void fill_load(const sim_t *sim, const fake_engine_t *engine,
 		      load_report_t *load)
 {
-	unsigned int back =
+	unsigned int lag =
 		(unsigned int)(sim->scenario->report_lag / SNAPSHOT_PERIOD);
 	unsigned int at;
 
-	if (engine->snapshots <= back)
+	if (engine->snapshots <= lag)
 		return;
-	at = (engine->snapshots - 1 - back) % SNAPSHOTS;
+	at = (engine->snapshots - 1 - lag) % SNAPSHOT_COUNT;
 	load->running = engine->load[at];
 	load->waiting = engine->queue[at];
 }
 
 /* Tells an entry the load that an engine says with the start of an answer. */
-void entries_started(sim_t *sim, const job_t *job, unsigned int index)
+void entries_report_load(sim_t *sim, const job_t *job, unsigned int index)
 {
 	const fake_engine_t *engine = sim_engine(sim, index);
 	event_t event = { .kind = EVENT_LOAD,
 			  .load = { .vm_id = engine->id, .answered = true } };
 
 	fill_load(sim, engine, &event.load);
-	give(sim, job->entry, &event);
+	handle_event(sim, job->entry, &event);
 }
 
 static void answer_probe(sim_t *sim, unsigned int entry, const char *vm_id)
 {
 	unsigned int index = sim_find_engine(sim, vm_id);
 	const fake_engine_t *engine = sim_engine(sim, index);
-	cache_event_t news[NEWS_MAX];
+	cache_event_t events[CACHE_EVENTS_MAX];
 	event_t event = { .kind = EVENT_LOAD,
-			  .load = { .vm_id = vm_id, .cache = news } };
+			  .load = { .vm_id = vm_id, .cache = events } };
 	load_report_t *load = &event.load;
 
 	load->answered = !engine->dead;
 	load->leaving = engine->leaves_at != 0;
 	load->leaves_in = MAX(engine->leaves_at - sim->now, 0);
 	fill_load(sim, engine, load);
-	load->cache_count = cache_news(sim, entry, index, news, &load->cache_gap);
-	give(sim, entry, &event);
+	load->cache_count =
+		take_cache_events(sim, entry, index, events, &load->cache_gap);
+	handle_event(sim, entry, &event);
 }
 
 static void submit(sim_t *sim, unsigned int entry, const dispatch_t *dispatch)
@@ -237,18 +239,18 @@
 		      .end = dispatch->max_tokens };
 
 	job.call = GPOINTER_TO_UINT(
-		g_hash_table_lookup(sim->by_body, dispatch->body));
+		g_hash_table_lookup(sim->calls_by_body, dispatch->body));
 	call = sim_call(sim, job.call);
 	job.prompt = call->prompt + job.offset;
 	job.prefix = call->prefix;
-	job.again = call->attempts++ > 0;
+	job.is_retry = call->attempts++ > 0;
 	if (sim_engine(sim, index)->dead)
-		entries_upstream(sim, &job, UPSTREAM_FAILED);
+		entries_report_upstream(sim, &job, UPSTREAM_FAILED);
 	else
 		fake_engine_submit(sim_engine(sim, index), &job, sim->now);
 }
 
-static void carry_out_one(sim_t *sim, unsigned int entry, action_t *action)
+static void perform_action(sim_t *sim, unsigned int entry, action_t *action)
 {
 	call_t *call;
 	sim_peer_msg_t message;
@@ -267,7 +269,7 @@
 		break;
 	case ACTION_TOKEN:
 		call = sim_call(sim, (unsigned int)action->reply.caller - 1);
-		call->got++;
+		call->received_tokens++;
 		if (!call->first_at)
 			call->first_at = sim->now;
 		break;
@@ -291,14 +293,14 @@
 	}
 }
 
-static void carry_out(sim_t *sim, unsigned int entry, list_node_t *actions)
+static void perform_actions(sim_t *sim, unsigned int entry, list_node_t *actions)
 {
 	list_node_t *node;
 
 	while ((node = list_pop(actions))) {
 		action_t *action = LIST_ENTRY(node, action_t, node);
 
-		carry_out_one(sim, entry, action);
+		perform_action(sim, entry, action);
 		action_destroy(action);
 	}
 }
@@ -312,7 +314,7 @@
 		sim_peer_msg_t *message = &g_array_index(due, sim_peer_msg_t, i);
 		event_t event = { .kind = EVENT_PEER_MSG, .peer = message->msg };
 
-		give(sim, message->to, &event);
+		handle_event(sim, message->to, &event);
 		peer_msg_destroy(message->msg);
 	}
 	g_array_unref(due);
@@ -322,13 +324,13 @@
 void entries_tick(sim_t *sim)
 {
 	deliver_messages(sim);
-	if (sim->vms_changed && sim->now % LIST_LAG == 0) {
+	if (sim->vms_changed && sim->now % VM_LIST_PERIOD == 0) {
 		sim->vms_changed = false;
-		entries_vms(sim);
+		entries_send_vm_list(sim);
 	}
 	for (unsigned int i = 0; i < sim->site->entries; i++) {
 		event_t event = { .kind = EVENT_TICK };
 
-		give(sim, i, &event);
+		handle_event(sim, i, &event);
 	}
 }
