--- a/bench/fake_engine.c
+++ b/bench/fake_engine.c
@@ -1,9 +1,9 @@
-/* The fake engine's batches and cache. */
+/* Batching and the prefix cache of the fake engine. */
 #include "bench/fake_engine.h"
 
 #include <string.h>
 
-/* Returns an idle engine with an empty cache; the caller owns it. */
+/* Creates an idle engine with an empty cache. The caller owns it. */
 fake_engine_t *fake_engine_create(const char *id, const char *zone)
 {
 	fake_engine_t *engine = g_new0(fake_engine_t, 1);
@@ -28,12 +28,13 @@
 	g_free(engine);
 }
 
-/* Returns how many jobs run or wait. */
+/* Returns the number of running and waiting jobs. */
 unsigned int fake_engine_jobs(const fake_engine_t *engine)
 {
 	return engine->running->len + engine->waiting->len;
 }
 
+/* Records that PREFIX was added to the cache or evicted from it at NOW. */
 static void record_cache_event(fake_engine_t *engine, uint64_t prefix,
 			       bool cached, pd_time_t now)
 {
@@ -42,7 +43,10 @@
 	g_array_append_val(engine->cache_events, entry);
 }
 
-/* Looks a prefix up and makes it the most recent; returns whether it was held. */
+/*
+ * Looks up PREFIX and makes it the most recently used, evicting the least
+ * recently used one on a miss. Returns whether it was cached.
+ */
 static bool cache_access(fake_engine_t *engine, uint64_t prefix, pd_time_t now)
 {
 	unsigned int at = 0;
@@ -60,7 +64,7 @@
 	return cached;
 }
 
-/* Adds a job behind those that are as urgent; copies it. */
+/* Queues a copy of JOB behind waiting jobs of the same or a higher priority. */
 void fake_engine_submit(fake_engine_t *engine, const job_t *job, pd_time_t now)
 {
 	job_t *copy = g_memdup2(job, sizeof(*job));
@@ -78,6 +82,7 @@
 		engine->iteration_ends = now;
 }
 
+/* Removes and frees the job of an attempt. Returns false if JOBS has none. */
 static bool remove_job(GPtrArray *jobs, unsigned int entry, attempt_id_t attempt)
 {
 	for (guint i = 0; i < jobs->len; i++) {
@@ -91,7 +96,7 @@
 	return false;
 }
 
-/* Drops an attempt; returns false if it is not here. */
+/* Cancels an attempt. Returns false if the engine has no such job. */
 bool fake_engine_cancel(fake_engine_t *engine, unsigned int entry,
 			attempt_id_t attempt)
 {
@@ -99,6 +104,10 @@
 	       remove_job(engine->waiting, entry, attempt);
 }
 
+/*
+ * Moves waiting jobs into free slots and accounts for prefix cache hits and
+ * recomputed prompt tokens.
+ */
 static void admit(fake_engine_t *engine, pd_time_t now)
 {
 	while (engine->running->len < ENGINE_SLOTS && engine->waiting->len) {
@@ -116,7 +125,10 @@
 	}
 }
 
-/* Ends the iteration under way: streams whose prompt is in get a token. */
+/*
+ * Completes the current iteration: every stream whose prompt is prefilled emits
+ * one token.
+ */
 static void finish_iteration(fake_engine_t *engine, engine_token_fn_t *on_token,
 			     void *ctx)
 {
@@ -133,7 +145,10 @@
 	}
 }
 
-/* Starts an iteration; returns its length. */
+/*
+ * Starts an iteration, which prefills prompts in order of priority. Returns its
+ * duration.
+ */
 static pd_time_t start_iteration(fake_engine_t *engine)
 {
 	unsigned int chunk = ENGINE_CHUNK_TOKENS;
@@ -154,7 +169,7 @@
 	return (pd_time_t)(ms * PD_MSEC);
 }
 
-/* Moves the engine on to NOW. */
+/* Advances the engine to NOW and calls ON_TOKEN for each token emitted. */
 void fake_engine_step(fake_engine_t *engine, pd_time_t now,
 		      engine_token_fn_t *on_token, void *ctx)
 {
@@ -169,7 +184,7 @@
 	engine->iteration_ends = now + start_iteration(engine);
 }
 
-/* Keeps the load as it is now, to be told later. */
+/* Records the current load, which is reported later. */
 void fake_engine_snapshot(fake_engine_t *engine)
 {
 	unsigned int at = engine->snapshots++ % SNAPSHOT_COUNT;
--- a/bench/fake_engine.h
+++ b/bench/fake_engine.h
@@ -1,7 +1,7 @@
 /*
- * A small fake of a model engine on a simulated clock: continuous batching in
- * iterations, a prefix cache that holds a few prefixes, load that is told late,
- * and cache news that comes late and with gaps.
+ * A fake model engine on a simulated clock: continuous batching in iterations,
+ * a small LRU prefix cache, a history of load snapshots and a log of cache
+ * events, from which the simulation delivers delayed and incomplete reports.
  */
 #ifndef PISTACHIO_BENCH_FAKE_ENGINE_H
 #define PISTACHIO_BENCH_FAKE_ENGINE_H
@@ -13,11 +13,11 @@
 
 #define ENGINE_SLOTS 16
 #define ENGINE_CHUNK_TOKENS \
-	128 /* prompt tokens one iteration takes in, at most */
-#define ENGINE_CACHE_PREFIXES 12 /* prefixes that fit */
-#define ENGINE_BASE_MS 12.0 /* one iteration, however small */
-#define ENGINE_TOKEN_MS 0.25 /* more for each stream in the batch */
-#define ENGINE_PREFILL_MS 0.1 /* more for each prompt token taken in */
+	128 /* prompt tokens prefilled per iteration, at most */
+#define ENGINE_CACHE_PREFIXES 12 /* capacity, in prefixes */
+#define ENGINE_BASE_MS 12.0 /* fixed cost of an iteration */
+#define ENGINE_TOKEN_MS 0.25 /* for each stream in the batch */
+#define ENGINE_PREFILL_MS 0.1 /* for each prefilled token */
 #define PREFIX_TOKENS 256
 #define SNAPSHOT_PERIOD (100 * PD_MSEC)
 #define SNAPSHOT_COUNT 128
@@ -25,13 +25,13 @@
 /* One attempt as the engine sees it. */
 typedef struct job {
 	attempt_id_t attempt;
-	unsigned int entry; /* that sent it */
+	unsigned int entry; /* index of the sender */
 	unsigned int call; /* index of the caller's request */
 	priority_t priority;
-	unsigned int prompt; /* tokens, with those emitted before */
+	unsigned int prompt; /* tokens, including those already emitted */
 	uint64_t prefix;
-	bool is_retry; /* an earlier attempt had computed it */
-	unsigned int offset; /* of the next token */
+	bool is_retry; /* an earlier attempt computed the prompt */
+	unsigned int offset; /* index of the next token */
 	unsigned int end;
 	unsigned int prefill_left;
 } job_t;
@@ -45,21 +45,21 @@
 	char *id;
 	char *zone;
 	bool dead;
-	pd_time_t leaves_at; /* 0: it stays */
+	pd_time_t leaves_at; /* 0: not being reclaimed */
 	pd_time_t iteration_ends; /* 0: idle */
 	GPtrArray *running; /* of job_t, owned */
 	GPtrArray *waiting; /* of job_t, owned; most urgent first */
 	uint64_t cache[ENGINE_CACHE_PREFIXES]; /* most recently used first */
 	GArray *cache_events; /* of cache_note_t, oldest first */
-	unsigned int load[SNAPSHOT_COUNT]; /* running, as of each snapshot */
+	unsigned int load[SNAPSHOT_COUNT]; /* running jobs at each snapshot */
 	unsigned int queue[SNAPSHOT_COUNT];
 	unsigned int snapshots;
-	uint64_t recomputed; /* prompt tokens computed once before */
+	uint64_t recomputed; /* prompt tokens computed more than once */
 	uint64_t admitted;
-	uint64_t hits; /* of the prefix cache */
+	uint64_t hits; /* in the prefix cache */
 } fake_engine_t;
 
-/* Told of each token and of each end; CTX is the simulation. */
+/* Called for each token; LAST is true for the final one of a job. */
 typedef void engine_token_fn_t(void *ctx, const job_t *job, bool last);
 
 fake_engine_t *fake_engine_create(const char *id, const char *zone);
