--- a/bench/scenario.c
+++ b/bench/scenario.c
@@ -1,4 +1,4 @@
-/* The scenarios and their calls. */
+/* The table of scenarios and the generation of their calls. */
 #include "bench/scenario.h"
 
 #include "core/prefix_cache.h"
@@ -9,7 +9,7 @@
 #include "bench/fake_engine.h"
 #include "core/hash.h"
 
-#define PROMPT_MIN_TOKENS 306 /* the shared prefix and a question */
+#define PROMPT_MIN_TOKENS 306 /* shared prefix and question */
 #define PROMPT_MAX_TOKENS 606
 #define PROMPT_MEAN_TOKENS 456
 #define ANSWER_MEAN_TOKENS 40.0
@@ -17,7 +17,8 @@
 #define URGENT_ANSWER_TOKENS 16
 #define PREFIX_BYTES 1024
 #define TOKEN_BYTES 4
-#define NORMAL_LOAD 0.6 /* of the capacity, the load account limits refer to */
+#define NORMAL_LOAD \
+	0.6 /* fraction of the capacity; account limits are relative to it */
 #define BURST_FROM (6 * PD_SEC)
 #define BURST_UNTIL (36 * PD_SEC)
 #define BURST_FACTOR 10.0
@@ -41,7 +42,7 @@
 
 static const double account_shares[ACCOUNT_COUNT] = { 0.15, 0.5, 0.2, 0.1, 0.05 };
 
-/* Returns the mean answer's length in tokens. */
+/* Returns the mean length of a response in tokens, over all accounts. */
 static double answer_mean_tokens(void)
 {
 	return account_shares[URGENT_ACCOUNT] * URGENT_ANSWER_TOKENS +
@@ -49,8 +50,8 @@
 }
 
 /*
- * Returns the requests a second that all engines together can end with full
- * batches and every prefix cached: perfect knowledge could do no better.
+ * Returns an upper bound of the requests per second that all engines together
+ * can complete: full batches, and every prefix cached.
  */
 double site_capacity(const site_t *site)
 {
@@ -62,12 +63,16 @@
 	return site->engines * ENGINE_SLOTS / (iterations * ms / 1000);
 }
 
-/* Returns the requests a second of that account on an ordinary day. */
+/* Returns the requests per second of an account at normal load. */
 double account_rate(const site_t *site, unsigned int account)
 {
 	return site_capacity(site) * NORMAL_LOAD * account_shares[account];
 }
 
+/*
+ * Returns the factor by which an account exceeds the load of the scenario at
+ * AT.
+ */
 static double account_load_factor(const scenario_t *scenario,
 				  unsigned int account, pd_time_t at)
 {
@@ -78,6 +83,10 @@
 	return 1;
 }
 
+/*
+ * Returns a random response length in tokens: fixed for urgent calls, else
+ * exponentially distributed.
+ */
 static unsigned int random_answer_tokens(GRand *rand, unsigned int account)
 {
 	double length;
@@ -88,7 +97,10 @@
 	return CLAMP((unsigned int)length, 1, ANSWER_MAX_TOKENS);
 }
 
-/* A few prefixes are asked for much more often than the rest. */
+/*
+ * Returns the index of a random prefix. The distribution is skewed: a few
+ * prefixes are requested much more often than the others.
+ */
 static unsigned int random_prefix(GRand *rand, const site_t *site)
 {
 	double skewed = pow(g_rand_double(rand), 2);
@@ -96,6 +108,10 @@
 	return (unsigned int)(skewed * site->prefixes);
 }
 
+/*
+ * Returns a body of TOKENS tokens that begins with the given prefix. The caller
+ * owns it.
+ */
 static GBytes *make_body(unsigned int prefix, unsigned int tokens)
 {
 	size_t len = (size_t)tokens * TOKEN_BYTES;
@@ -109,6 +125,7 @@
 	return g_bytes_new_take(body, len);
 }
 
+/* Appends a random call of an account that arrives at AT. */
 static void add_call(GArray *calls, GRand *rand, const site_t *site,
 		     unsigned int account, pd_time_t at)
 {
@@ -126,6 +143,7 @@
 	g_array_append_val(calls, call);
 }
 
+/* Orders calls by arrival time, for g_array_sort(). */
 static gint compare_arrivals(gconstpointer a, gconstpointer b)
 {
 	const call_t *left = a;
@@ -134,7 +152,10 @@
 	return (left->at > right->at) - (left->at < right->at);
 }
 
-/* Returns all calls of a run, in the order of time; freed by the caller. */
+/*
+ * Returns all calls of a run, ordered by arrival time. Free them with
+ * scenario_calls_free().
+ */
 GArray *scenario_calls(const site_t *site, const scenario_t *scenario, uint32_t seed)
 {
 	GArray *calls = g_array_new(FALSE, FALSE, sizeof(call_t));
--- a/bench/scenario.h
+++ b/bench/scenario.h
@@ -1,6 +1,6 @@
 /*
- * What callers do and what fails in one scenario, for one user's size. The
- * calls are drawn from a seed alone, so that each policy meets the same ones.
+ * The workload and the faults of a scenario, for sites of two sizes. The calls
+ * depend only on the seed, so that every policy is given the same ones.
  */
 #ifndef PISTACHIO_BENCH_SCENARIO_H
 #define PISTACHIO_BENCH_SCENARIO_H
@@ -10,7 +10,8 @@
 #include "core/bundle.h"
 
 #define ACCOUNT_COUNT 5
-#define URGENT_ACCOUNT 0 /* the others are normal, and one batch */
+#define URGENT_ACCOUNT \
+	0 /* the others are normal, except for one batch account */
 #define LARGE_ACCOUNT 1
 #define BATCH_ACCOUNT 2
 
@@ -30,7 +31,7 @@
 	SCENARIO_OVERLOAD,
 	SCENARIO_ONE_ZONE,
 	SCENARIO_TWO_ZONES,
-	SCENARIO_UNEVEN, /* one entry gets all calls */
+	SCENARIO_UNEVEN, /* one entry receives all calls */
 	SCENARIO_COUNT
 } scenario_kind_t;
 
@@ -38,10 +39,10 @@
 	scenario_kind_t kind;
 	unsigned int reclaimed_zones;
 	const char *name;
-	double load; /* part of the capacity that is asked for */
-	pd_time_t duration; /* callers come for this long */
+	double load; /* offered load, as a fraction of the capacity */
+	pd_time_t duration; /* for which calls arrive */
 	pd_time_t report_lag;
-	double limit; /* of each account, times its ordinary rate */
+	double limit; /* rate limit of an account, in multiples of its normal rate */
 } scenario_t;
 
 typedef struct call {
@@ -50,12 +51,12 @@
 	priority_t priority;
 	unsigned int prompt; /* tokens */
 	uint64_t prefix;
-	unsigned int tokens; /* of the answer */
+	unsigned int tokens; /* of the response */
 	GBytes *body;
-	/* What became of it. */
-	pd_time_t first_at; /* 0: no token came */
-	pd_time_t done_at; /* 0: not whole */
-	unsigned int attempts; /* by a baseline */
+	/* The result. */
+	pd_time_t first_at; /* 0: no token received */
+	pd_time_t done_at; /* 0: not completed */
+	unsigned int attempts; /* dispatched so far */
 	unsigned int received_tokens;
 	bool refused;
 	pd_time_t refused_at;
