--- a/bench/sim.c
+++ b/bench/sim.c
@@ -1,4 +1,4 @@
-/* The clock, the engines and the reclaims of one run. */
+/* The clock, the engines and the zone reclaims of a simulation. */
 #include "bench/sim.h"
 
 #include <string.h>
@@ -6,24 +6,24 @@
 #define STEP (1 * PD_MSEC)
 #define TICK_PERIOD (20 * PD_MSEC)
 #define RECLAIM_AT (10 * PD_SEC)
-#define RECLAIM_INTERVAL (30 * PD_SEC) /* the second zone, after the first */
+#define RECLAIM_INTERVAL (30 * PD_SEC) /* between the zones */
 #define RECLAIM_NOTICE (5 * PD_SEC)
-#define WARM_UP (3 * PD_SEC) /* before callers come */
-#define DRAIN_TIME (40 * PD_SEC) /* after the last caller */
+#define WARM_UP (3 * PD_SEC) /* before calls arrive */
+#define DRAIN_TIME (40 * PD_SEC) /* after the last call arrives */
 
-/* Returns the engine of that index, borrowed. */
+/* Returns the engine at INDEX, borrowed. */
 fake_engine_t *sim_engine(const sim_t *sim, unsigned int index)
 {
 	return g_ptr_array_index(sim->engines, index);
 }
 
-/* Returns the call of that index, borrowed. */
+/* Returns the call at INDEX, borrowed. */
 call_t *sim_call(const sim_t *sim, unsigned int index)
 {
 	return &g_array_index(sim->calls, call_t, index);
 }
 
-/* Returns the index of the engine of that id. */
+/* Returns the index of the engine with the given id, which must exist. */
 unsigned int sim_find_engine(const sim_t *sim, const char *id)
 {
 	for (unsigned int i = 0; i < sim->site->engines; i++) {
@@ -33,7 +33,10 @@
 	g_assert_not_reached();
 }
 
-/* Returns a run that has not begun; the caller owns it. */
+/*
+ * Creates a simulation without running it. The caller owns it; SITE and
+ * SCENARIO must outlive it.
+ */
 sim_t *sim_create(policy_t policy, const site_t *site,
 		  const scenario_t *scenario, uint32_t seed)
 {
@@ -64,7 +67,7 @@
 	return sim;
 }
 
-/* Frees a run. */
+/* Frees a simulation. */
 void sim_destroy(sim_t *sim)
 {
 	if (sim->policy == POLICY_ENTRY)
@@ -84,6 +87,7 @@
 	unsigned int engine;
 } token_ctx_t;
 
+/* Reports a token of an engine to the policy that sent the job. */
 static void on_token(void *ctx, const job_t *job, bool last)
 {
 	token_ctx_t *token_ctx = ctx;
@@ -99,7 +103,7 @@
 		entries_report_upstream(token_ctx->sim, job, UPSTREAM_END);
 }
 
-/* Breaks every stream of an engine whose VM is gone. */
+/* Terminates the VM of an engine: all of its streams break. */
 static void terminate_engine(sim_t *sim, unsigned int index)
 {
 	fake_engine_t *engine = sim_engine(sim, index);
@@ -120,7 +124,10 @@
 	}
 }
 
-/* Gives notice to a zone's VMs when its turn has come; takes them when due. */
+/*
+ * Sends the reclaim notices that are due, and terminates the VMs whose notice
+ * period has ended.
+ */
 static void reclaim_zones(sim_t *sim, pd_time_t start)
 {
 	for (unsigned int i = 0; i < sim->site->engines; i++) {
@@ -139,6 +146,7 @@
 	}
 }
 
+/* Sends the calls that have arrived by now, each to a random entry. */
 static void send_due_calls(sim_t *sim, unsigned int *next, pd_time_t start)
 {
 	while (*next < sim->calls->len &&
@@ -158,6 +166,7 @@
 	}
 }
 
+/* Advances engines, reclaims, entries and callers by one step. */
 static void step(sim_t *sim, unsigned int *next, pd_time_t start)
 {
 	for (unsigned int i = 0; i < sim->site->engines; i++) {
@@ -174,7 +183,7 @@
 	send_due_calls(sim, next, start);
 }
 
-/* Runs until the last caller has had time to be served. */
+/* Runs the simulation until DRAIN_TIME after the last call. */
 void sim_run(sim_t *sim)
 {
 	pd_time_t start = 2 * WARM_UP;
--- a/bench/sim.h
+++ b/bench/sim.h
@@ -1,7 +1,7 @@
 /*
- * One run of one scenario under one policy, step by step on a simulated clock.
- * The policy is the real entry core, several of them joined by a plain list of
- * messages, or one of the baselines.
+ * A simulation of one scenario under one routing policy on a simulated clock.
+ * The policy is either the real entry core, of which several instances exchange
+ * messages through an in-memory list, or one of the baselines.
  */
 #ifndef PISTACHIO_BENCH_SIM_H
 #define PISTACHIO_BENCH_SIM_H
@@ -13,10 +13,10 @@
 #define SIM_ENTRIES_MAX 6
 
 typedef enum policy {
-	POLICY_ENTRY, /* the entry's core */
+	POLICY_ENTRY, /* the entry core */
 	POLICY_ROUND_ROBIN,
-	POLICY_LEAST_OUTSTANDING, /* least outstanding, restarts from nothing */
-	POLICY_PREFIX, /* by the prompt's prefix alone */
+	POLICY_LEAST_OUTSTANDING, /* fewest requests sent and not completed */
+	POLICY_PREFIX, /* rendezvous hash of the prompt's prefix */
 	POLICY_COUNT
 } policy_t;
 
@@ -31,11 +31,11 @@
 	const scenario_t *scenario;
 	GRand *rand;
 	GArray *calls; /* of call_t, owned */
-	GHashTable *calls_by_body; /* body -> index of its call */
+	GHashTable *calls_by_body; /* body -> index of the call */
 	GPtrArray *engines; /* of fake_engine_t, owned */
 	entry_t *entries[SIM_ENTRIES_MAX];
-	size_t cache_events_sent[SIM_ENTRIES_MAX][32]; /* cache news, by engine */
-	GArray *messages; /* of sim_peer_msg_t, on their way */
+	size_t cache_events_sent[SIM_ENTRIES_MAX][32]; /* by engine */
+	GArray *messages; /* of sim_peer_msg_t, in transit */
 	unsigned int next_engine[SIM_ENTRIES_MAX]; /* round robin */
 	unsigned int outstanding[SIM_ENTRIES_MAX][32];
 	bool vms_changed;
@@ -50,7 +50,7 @@
 call_t *sim_call(const sim_t *sim, unsigned int index);
 unsigned int sim_find_engine(const sim_t *sim, const char *id);
 
-/* sim_entries.c: the policy that is the entry's core. */
+/* sim_entries.c: the policy of the entry core. */
 void entries_create(sim_t *sim, uint32_t seed);
 void entries_destroy(sim_t *sim);
 void entries_tick(sim_t *sim);
--- a/bench/sim_entries.c
+++ b/bench/sim_entries.c
@@ -1,9 +1,9 @@
-/* Drives the entry's cores: events in, actions carried out on the fakes. */
+/* Feeds events to the entry cores and performs their actions on the fakes. */
 #include <string.h>
 
 #include "bench/sim.h"
 
-#define CACHE_EVENT_LOSS 0.05 /* of losing one piece of cache news */
+#define CACHE_EVENT_LOSS 0.05 /* probability that a cache event is lost */
 #define VM_LIST_PERIOD (2 * PD_SEC)
 #define REQUEST_TIMEOUT (30 * PD_SEC)
 #define CACHE_EVENTS_MAX 64
@@ -13,6 +13,7 @@
 
 static void perform_actions(sim_t *sim, unsigned int entry, list_node_t *actions);
 
+/* Passes an event to an entry and performs the resulting actions. */
 static void handle_event(sim_t *sim, unsigned int entry, event_t *event)
 {
 	list_node_t actions;
@@ -24,6 +25,7 @@
 	perform_actions(sim, entry, &actions);
 }
 
+/* Returns a bundle with one model and all accounts. The caller owns it. */
 static bundle_t *make_bundle(const sim_t *sim)
 {
 	bundle_t *bundle = bundle_create();
@@ -47,6 +49,7 @@
 	return bundle;
 }
 
+/* Returns the member information of an entry. The caller owns it. */
 static member_info_t make_self(unsigned int entry, const site_t *site)
 {
 	member_info_t self = { .address = g_strdup("127.0.0.1"),
@@ -58,7 +61,9 @@
 	return self;
 }
 
-/* Makes the entries, tells them of each other, of the VMs and the bundle. */
+/*
+ * Creates the entries and gives them their peers, the bundle and the VM list.
+ */
 void entries_create(sim_t *sim, uint32_t seed)
 {
 	GBytes *envelope = g_bytes_new_static("e", 1);
@@ -88,7 +93,7 @@
 	entries_send_vm_list(sim);
 }
 
-/* Frees the entries and the messages between them. */
+/* Frees the entries and the messages in transit. */
 void entries_destroy(sim_t *sim)
 {
 	for (unsigned int i = 0; i < sim->site->entries; i++)
@@ -98,7 +103,7 @@
 			g_array_index(sim->messages, sim_peer_msg_t, i).msg);
 }
 
-/* Gives every entry the VM list as it is. */
+/* Sends the current VM list to every entry. */
 void entries_send_vm_list(sim_t *sim)
 {
 	vm_t *vms = g_new0(vm_t, sim->site->engines);
@@ -131,7 +136,7 @@
 	g_free(vms);
 }
 
-/* Hands a caller's request to an entry. */
+/* Submits a caller's request to an entry. */
 void entries_submit(sim_t *sim, unsigned int entry, unsigned int index)
 {
 	const call_t *call = sim_call(sim, index);
@@ -147,7 +152,7 @@
 	handle_event(sim, entry, &event);
 }
 
-/* Tells the entry that sent a job what became of it. */
+/* Reports an upstream event of a job to the entry that sent it. */
 void entries_report_upstream(sim_t *sim, const job_t *job, upstream_event_kind_t kind)
 {
 	event_t event = { .kind = EVENT_UPSTREAM,
@@ -161,7 +166,10 @@
 	handle_event(sim, job->entry, &event);
 }
 
-/* Collects the cache news due; returns how many, and whether some was lost. */
+/*
+ * Collects at most CACHE_EVENTS_MAX cache events that are due and not sent yet,
+ * of which some are lost. Returns their number, and sets *GAP if any was lost.
+ */
 static size_t take_cache_events(sim_t *sim, unsigned int entry, unsigned int index,
 				cache_event_t *events, bool *gap)
 {
@@ -170,21 +178,21 @@
 	size_t count = 0;
 
 	while (*sent < cache_events->len && count < CACHE_EVENTS_MAX) {
-		const timed_cache_event_t *note =
+		const timed_cache_event_t *timed =
 			&g_array_index(cache_events, timed_cache_event_t, *sent);
 
-		if (note->at + sim->scenario->report_lag > sim->now)
+		if (timed->at + sim->scenario->report_lag > sim->now)
 			break;
 		(*sent)++;
 		if (g_rand_double(sim->rand) < CACHE_EVENT_LOSS)
 			*gap = true;
 		else
-			events[count++] = note->event;
+			events[count++] = timed->event;
 	}
 	return count;
 }
 
-/* Fills in the load as the engine says it, which is as late as its reports. */
+/* Fills in the load of an engine as it was REPORT_LAG ago. */
 static void fill_load(const sim_t *sim, const fake_engine_t *engine,
 		      load_report_t *load)
 {
@@ -199,7 +207,10 @@
 	load->waiting = engine->queue[at];
 }
 
-/* Tells an entry the load that an engine says with the start of an answer. */
+/*
+ * Reports to the sender of a job the load that the engine returns when its
+ * response starts.
+ */
 void entries_report_load(sim_t *sim, const job_t *job, unsigned int index)
 {
 	const fake_engine_t *engine = sim_engine(sim, index);
@@ -210,6 +221,10 @@
 	handle_event(sim, job->entry, &event);
 }
 
+/*
+ * Answers a probe of an engine by an entry: load, reclaim notice and cache
+ * events.
+ */
 static void answer_probe(sim_t *sim, unsigned int entry, const char *vm_id)
 {
 	unsigned int index = sim_find_engine(sim, vm_id);
@@ -228,6 +243,7 @@
 	handle_event(sim, entry, &event);
 }
 
+/* Submits a dispatch to its engine, or reports a failure if the VM is gone. */
 static void submit(sim_t *sim, unsigned int entry, const dispatch_t *dispatch)
 {
 	unsigned int index = sim_find_engine(sim, dispatch->vm_id);
@@ -250,6 +266,7 @@
 		fake_engine_submit(sim_engine(sim, index), &job, sim->now);
 }
 
+/* Performs one action of an entry and records what the caller receives. */
 static void perform_action(sim_t *sim, unsigned int entry, action_t *action)
 {
 	call_t *call;
@@ -293,6 +310,7 @@
 	}
 }
 
+/* Performs and frees all actions of an entry. */
 static void perform_actions(sim_t *sim, unsigned int entry, list_node_t *actions)
 {
 	list_node_t *node;
@@ -305,6 +323,10 @@
 	}
 }
 
+/*
+ * Delivers the messages in transit. Those sent in response wait for the next
+ * tick.
+ */
 static void deliver_messages(sim_t *sim)
 {
 	GArray *due = sim->messages;
@@ -320,7 +342,10 @@
 	g_array_unref(due);
 }
 
-/* Ticks every entry; brings messages and, every two seconds, the VM list. */
+/*
+ * Ticks every entry, after delivering messages and, every VM_LIST_PERIOD, a
+ * changed VM list.
+ */
 void entries_tick(sim_t *sim)
 {
 	deliver_messages(sim);
