--- a/bench/baselines.c
+++ b/bench/baselines.c
@@ -1,7 +1,7 @@
 /*
- * Routing as it is commonly done, to compare with: each entry for itself, no
- * admission, no queue of its own, no word of load, cache or reclaim. A stream
- * whose engine went starts again from nothing.
+ * Common routing policies as baselines: entries do not cooperate, there is no
+ * admission control and no queue, and load, cache contents and reclaim notices
+ * are ignored. A stream whose engine is lost restarts from the first token.
  */
 #include "bench/sim.h"
 
@@ -9,11 +9,13 @@
 
 #include "core/hash.h"
 
+/* Returns whether the engine has not been terminated. */
 static bool is_usable(const sim_t *sim, unsigned int engine)
 {
 	return !sim_engine(sim, engine)->dead;
 }
 
+/* Returns the next usable engine of an entry in turn. */
 static unsigned int round_robin(sim_t *sim, unsigned int entry)
 {
 	unsigned int count = sim->site->engines;
@@ -24,7 +26,11 @@
 	return sim->next_engine[entry];
 }
 
-/* Ties go round, or each entry would load the first engines first. */
+/*
+ * Returns the engine to which the entry has the fewest outstanding requests.
+ * The search starts at a rotating position: otherwise every entry would prefer
+ * the first engines on ties.
+ */
 static unsigned int least_outstanding(sim_t *sim, unsigned int entry)
 {
 	unsigned int best = round_robin(sim, entry);
@@ -37,6 +43,9 @@
 	return best;
 }
 
+/*
+ * Returns the usable engine with the highest rendezvous weight for the prefix.
+ */
 static unsigned int prefix_affinity(const sim_t *sim, uint64_t prefix)
 {
 	char *text = g_strdup_printf("%" G_GUINT64_FORMAT, prefix);
@@ -55,7 +64,7 @@
 	return best;
 }
 
-/* Sends a call, from its first token, to the engine that the policy names. */
+/* Sends a call, from its first token, to the engine that the policy selects. */
 void baseline_submit(sim_t *sim, unsigned int entry, unsigned int index)
 {
 	call_t *call = sim_call(sim, index);
@@ -84,7 +93,7 @@
 	fake_engine_submit(sim_engine(sim, engine), &job, sim->now);
 }
 
-/* Takes a token; one the caller has already was computed for nothing. */
+/* Records a token. One that the caller already has counts as recomputed. */
 void baseline_on_token(sim_t *sim, const job_t *job, unsigned int engine, bool last)
 {
 	call_t *call = sim_call(sim, job->call);
@@ -102,7 +111,7 @@
 	}
 }
 
-/* The engine went with this stream in it. */
+/* Restarts a stream whose engine was lost. */
 void baseline_on_engine_lost(sim_t *sim, const job_t *job, unsigned int engine)
 {
 	sim->outstanding[job->entry][engine]--;
