--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -40,7 +40,7 @@
 
 		sum.cost += day.cost / SEEDS;
 		sum.bound += day.bound / SEEDS;
-		sum.insured += day.insured / SEEDS;
+		sum.bound_with_spares += day.bound_with_spares / SEEDS;
 		sum.requests += day.requests;
 		sum.late += day.late;
 		sum.urgent += day.urgent;
@@ -59,8 +59,8 @@
 	       user->name, rule_names[rule], headroom,
 	       100 * sum->late / sum->requests,
 	       100 * sum->urgent_late / sum->urgent, sum->cost,
-	       on_demand > 0 ? sum->cost / on_demand : 1.0,
-	       sum->cost / sum->bound, sum->cost / sum->insured, sum->moved,
+	       on_demand > 0 ? sum->cost / on_demand : 1.0, sum->cost / sum->bound,
+	       sum->cost / sum->bound_with_spares, sum->moved,
 	       (double)sum->bought / SEEDS, (double)sum->refused / SEEDS);
 	fflush(stdout);
 }
--- a/bench/placement_cloud.c
+++ b/bench/placement_cloud.c
@@ -4,20 +4,20 @@
 #include <glib.h>
 #include <string.h>
 
-#define ZONES 4
-#define CLASSES 2
-#define KINDS 2
-#define OFFERS (ZONES * CLASSES * KINDS)
+#define ZONE_COUNT 4
+#define CLASS_COUNT 2
+#define KIND_COUNT 2
+#define OFFER_COUNT (ZONE_COUNT * CLASS_COUNT * KIND_COUNT)
 #define VMS_MAX 4096
-#define WAVES 3
+#define RECLAIM_COUNT 3
 #define PRICE_UNIT 1e6
 #define BOOT_SECONDS 60
-#define LOAD_SECONDS 10 /* of the weight store, for one VM */
+#define WEIGHTS_SECONDS 10 /* of the weight store, for one VM */
 #define NOTICE_SECONDS 30
-#define REFUSED_SECONDS 600
+#define START_REFUSAL_SECONDS 600
 #define DRAIN_SECONDS 20
-#define FLIP_SECONDS 1800
-#define SECOND_ZONE_AFTER 40
+#define PRICE_CHANGE_SECONDS 1800
+#define SECOND_ZONE_DELAY_SECONDS 40
 
 typedef enum state { GONE, STARTING, LIVE, DRAINING, LEAVING } state_t;
 
@@ -29,60 +29,60 @@
 	unsigned int at; /* when the state ends by itself */
 } cloud_vm_t;
 
-typedef struct wave {
+typedef struct reclaim {
 	unsigned int at;
 	unsigned int zone;
 	int second_zone; /* -1: none */
-} wave_t;
+} reclaim_t;
 
 struct cloud {
 	const char *const *zones;
 	GRand *random;
-	offer_t offers[OFFERS];
-	unsigned int flip_at[OFFERS];
-	unsigned int refused_until[ZONES]; /* reclaimable starts */
-	wave_t waves[WAVES];
+	offer_t offers[OFFER_COUNT];
+	unsigned int price_changes_at[OFFER_COUNT];
+	unsigned int starts_refused_until[ZONE_COUNT]; /* reclaimable starts */
+	reclaim_t reclaims[RECLAIM_COUNT];
 	cloud_vm_t vms[VMS_MAX];
 	unsigned int count;
-	unsigned int loads_until; /* the weight store is busy till then */
+	unsigned int weights_busy_until; /* the weight store is busy till then */
 	unsigned int version;
-	vm_t rows[VMS_MAX + CLOUD_SERVICE_VMS];
+	vm_t list[VMS_MAX + CLOUD_SERVICE_VMS];
 	double cost;
 };
 
 static unsigned int offer_zone(unsigned int offer)
 {
-	return offer / (CLASSES * KINDS);
+	return offer / (CLASS_COUNT * KIND_COUNT);
 }
 
 /* On demand differs by a tenth by zone; reclaimable is 0.2 to 0.5 of it. */
 static void set_price(cloud_t *cloud, unsigned int i)
 {
-	static const double base[CLASSES] = { 1.0, 1.9 };
+	static const double base[CLASS_COUNT] = { 1.0, 1.9 };
 	offer_t *offer = &cloud->offers[i];
 	double zone = 1 + 0.03 * offer_zone(i);
-	double price = base[i / KINDS % CLASSES] * zone;
+	double price = base[i / KIND_COUNT % CLASS_COUNT] * zone;
 
 	if (offer->reclaimable)
 		price *= 0.2 + 0.3 * g_rand_double(cloud->random);
 	offer->price = (int64_t)(price * PRICE_UNIT);
-	cloud->flip_at[i] +=
-		(unsigned int)(FLIP_SECONDS / 2.0 +
-			       FLIP_SECONDS * g_rand_double(cloud->random));
+	cloud->price_changes_at[i] +=
+		(unsigned int)(PRICE_CHANGE_SECONDS / 2.0 +
+			       PRICE_CHANGE_SECONDS * g_rand_double(cloud->random));
 }
 
-static void make_offers(cloud_t *cloud)
+static void create_offers(cloud_t *cloud)
 {
-	static const char *const classes[CLASSES] = { "small", "large" };
-	static const unsigned int slots[CLASSES] = { 8, 16 };
+	static const char *const classes[CLASS_COUNT] = { "small", "large" };
+	static const unsigned int slots[CLASS_COUNT] = { 8, 16 };
 
-	for (unsigned int i = 0; i < OFFERS; i++) {
-		unsigned int class_index = i / KINDS % CLASSES;
+	for (unsigned int i = 0; i < OFFER_COUNT; i++) {
+		unsigned int class_index = i / KIND_COUNT % CLASS_COUNT;
 
 		cloud->offers[i] = (offer_t){
 			.zone = (char *)cloud->zones[offer_zone(i)],
 			.machine_class = (char *)classes[class_index],
-			.reclaimable = i % KINDS == 1,
+			.reclaimable = i % KIND_COUNT == 1,
 			.slots = slots[class_index],
 		};
 		set_price(cloud, i);
@@ -90,16 +90,17 @@
 }
 
 /* One wave takes two zones within a minute, the others one. */
-static void make_waves(cloud_t *cloud, unsigned int seconds)
+static void schedule_reclaims(cloud_t *cloud, unsigned int seconds)
 {
-	for (int i = 0; i < WAVES; i++) {
-		wave_t *wave = &cloud->waves[i];
-		double part = (i + g_rand_double(cloud->random)) / WAVES;
-
-		wave->at = (unsigned int)(part * seconds);
-		wave->zone =
-			(unsigned int)g_rand_int_range(cloud->random, 0, ZONES);
-		wave->second_zone = i == 1 ? (int)((wave->zone + 1) % ZONES) : -1;
+	for (int i = 0; i < RECLAIM_COUNT; i++) {
+		reclaim_t *reclaim = &cloud->reclaims[i];
+		double part = (i + g_rand_double(cloud->random)) / RECLAIM_COUNT;
+
+		reclaim->at = (unsigned int)(part * seconds);
+		reclaim->zone = (unsigned int)g_rand_int_range(cloud->random, 0,
+							       ZONE_COUNT);
+		reclaim->second_zone =
+			i == 1 ? (int)((reclaim->zone + 1) % ZONE_COUNT) : -1;
 	}
 }
 
@@ -111,8 +112,8 @@
 	cloud->zones = zones;
 	cloud->random = g_rand_new_with_seed(seed);
 	cloud->version = 1;
-	make_offers(cloud);
-	make_waves(cloud, seconds);
+	create_offers(cloud);
+	schedule_reclaims(cloud, seconds);
 	return cloud;
 }
 
@@ -125,7 +126,7 @@
 
 static void reclaim_zone(cloud_t *cloud, unsigned int zone, unsigned int second)
 {
-	cloud->refused_until[zone] = second + REFUSED_SECONDS;
+	cloud->starts_refused_until[zone] = second + START_REFUSAL_SECONDS;
 	for (unsigned int i = 0; i < cloud->count; i++) {
 		cloud_vm_t *vm = &cloud->vms[i];
 
@@ -156,17 +157,18 @@
 /* Lets one second go by. */
 void cloud_step(cloud_t *cloud, unsigned int second)
 {
-	for (unsigned int i = 0; i < OFFERS; i++) {
-		if (second >= cloud->flip_at[i])
+	for (unsigned int i = 0; i < OFFER_COUNT; i++) {
+		if (second >= cloud->price_changes_at[i])
 			set_price(cloud, i);
 	}
-	for (int i = 0; i < WAVES; i++) {
-		const wave_t *wave = &cloud->waves[i];
-
-		if (second == wave->at)
-			reclaim_zone(cloud, wave->zone, second);
-		if (wave->second_zone >= 0 && second == wave->at + SECOND_ZONE_AFTER)
-			reclaim_zone(cloud, (unsigned int)wave->second_zone,
+	for (int i = 0; i < RECLAIM_COUNT; i++) {
+		const reclaim_t *reclaim = &cloud->reclaims[i];
+
+		if (second == reclaim->at)
+			reclaim_zone(cloud, reclaim->zone, second);
+		if (reclaim->second_zone >= 0 &&
+		    second == reclaim->at + SECOND_ZONE_DELAY_SECONDS)
+			reclaim_zone(cloud, (unsigned int)reclaim->second_zone,
 				     second);
 	}
 	for (unsigned int i = 0; i < cloud->count; i++)
@@ -175,7 +177,7 @@
 
 static int find_offer(const cloud_t *cloud, const intent_t *intent)
 {
-	for (unsigned int i = 0; i < OFFERS; i++) {
+	for (unsigned int i = 0; i < OFFER_COUNT; i++) {
 		const offer_t *offer = &cloud->offers[i];
 
 		if (!strcmp(offer->zone, intent->zone) &&
@@ -195,16 +197,17 @@
 	if (offer < 0 || cloud->count == VMS_MAX)
 		return STORE_DOWN;
 	if (intent->reclaimable &&
-	    second < cloud->refused_until[offer_zone((unsigned int)offer)])
+	    second < cloud->starts_refused_until[offer_zone((unsigned int)offer)])
 		return STORE_DOWN;
 	vm = &cloud->vms[cloud->count++];
 	g_snprintf(vm->id, sizeof(vm->id), "vm-%u", cloud->count);
 	g_strlcpy(vm->tag, intent->tag, sizeof(vm->tag));
 	vm->offer = (unsigned int)offer;
 	vm->state = STARTING;
-	cloud->loads_until =
-		MAX(cloud->loads_until, second + BOOT_SECONDS) + LOAD_SECONDS;
-	vm->at = cloud->loads_until;
+	cloud->weights_busy_until =
+		MAX(cloud->weights_busy_until, second + BOOT_SECONDS) +
+		WEIGHTS_SECONDS;
+	vm->at = cloud->weights_busy_until;
 	cloud->version++;
 	return STORE_OK;
 }
@@ -240,7 +243,7 @@
 /* Returns the offers at their prices of now, borrowed. */
 const offer_t *cloud_offers(const cloud_t *cloud, size_t *count)
 {
-	*count = OFFERS;
+	*count = OFFER_COUNT;
 	return cloud->offers;
 }
 
@@ -261,7 +264,7 @@
 	};
 
 	for (*count = 0; *count < CLOUD_SERVICE_VMS; (*count)++) {
-		cloud->rows[*count] = (vm_t){ .id = (char *)"service",
+		cloud->list[*count] = (vm_t){ .id = (char *)"service",
 					      .zone = (char *)cloud->zones[*count],
 					      .machine_class = (char *)"small",
 					      .address = (char *)"127.0.0.1",
@@ -276,7 +279,7 @@
 
 		if (vm->state == GONE)
 			continue;
-		cloud->rows[(*count)++] =
+		cloud->list[(*count)++] =
 			(vm_t){ .id = vm->id,
 				.tag = vm->tag,
 				.zone = offer->zone,
@@ -288,11 +291,11 @@
 				.reclaimable = offer->reclaimable,
 				.slots = offer->slots };
 	}
-	return cloud->rows;
+	return cloud->list;
 }
 
 /* Returns the requests that all VMs together take now. */
-double cloud_slots(const cloud_t *cloud)
+double cloud_live_slots(const cloud_t *cloud)
 {
 	double slots = 0;
 
@@ -310,11 +313,11 @@
 }
 
 /* Returns the lowest price of a slot for an hour. */
-double cloud_cheapest(const cloud_t *cloud, bool reclaimable)
+double cloud_min_slot_price(const cloud_t *cloud, bool reclaimable)
 {
 	double best = G_MAXDOUBLE;
 
-	for (unsigned int i = 0; i < OFFERS; i++) {
+	for (unsigned int i = 0; i < OFFER_COUNT; i++) {
 		const offer_t *offer = &cloud->offers[i];
 		double price = (double)offer->price / PRICE_UNIT / offer->slots;
 
@@ -325,12 +328,12 @@
 }
 
 /* Returns an hour's price of the cheapest whole VMs that meet a need. */
-double cloud_price_of(const cloud_t *cloud, const mix_need_t *need)
+double cloud_min_price(const cloud_t *cloud, const mix_need_t *need)
 {
-	mix_option_t options[OFFERS];
+	mix_option_t options[OFFER_COUNT];
 	double price = 0;
 
-	for (unsigned int i = 0; i < OFFERS; i++) {
+	for (unsigned int i = 0; i < OFFER_COUNT; i++) {
 		const offer_t *offer = &cloud->offers[i];
 
 		options[i] = (mix_option_t){ .zone = offer_zone(i),
@@ -339,8 +342,8 @@
 					     .price = offer->price,
 					     .max = UINT32_MAX };
 	}
-	mix_choose(MIX_SWEEP, need, options, OFFERS);
-	for (unsigned int i = 0; i < OFFERS; i++)
+	mix_choose(MIX_SWEEP, need, options, OFFER_COUNT);
+	for (unsigned int i = 0; i < OFFER_COUNT; i++)
 		price += options[i].desired * (double)options[i].price / PRICE_UNIT;
 	return price;
 }
--- a/bench/placement_cloud.h
+++ b/bench/placement_cloud.h
@@ -22,9 +22,9 @@
 const offer_t *cloud_offers(const cloud_t *cloud, size_t *count);
 unsigned int cloud_list_version(const cloud_t *cloud);
 const vm_t *cloud_list(cloud_t *cloud, size_t *count);
-double cloud_slots(const cloud_t *cloud);
+double cloud_live_slots(const cloud_t *cloud);
 double cloud_cost(const cloud_t *cloud);
-double cloud_cheapest(const cloud_t *cloud, bool reclaimable);
-double cloud_price_of(const cloud_t *cloud, const mix_need_t *need);
+double cloud_min_slot_price(const cloud_t *cloud, bool reclaimable);
+double cloud_min_price(const cloud_t *cloud, const mix_need_t *need);
 
 #endif
--- a/bench/placement_world.c
+++ b/bench/placement_world.c
@@ -7,25 +7,26 @@
 #include "bench/placement_cloud.h"
 
 #define DAY_SECONDS 14400
-#define BURSTS 4
+#define BURST_COUNT 4
 #define RAMP_SECONDS 180.0
 #define SERVICE_SECONDS 7.6 /* 200 tokens, 38 ms apart */
 #define PREFILL_SECONDS 0.25
-#define TARGET_SECONDS 0.59
+#define FIRST_TOKEN_TARGET_SECONDS 0.59
 #define URGENT_SHARE 0.3
 #define BASE_SHARE 0.15
-#define REPORT_PERIOD 10
-#define RATE_SECONDS 20 /* over which entries smooth the rate of arrivals */
-#define CLEAR_SECONDS 60 /* in which what waits is to be served */
-#define PRICE_PERIOD 60
+#define DEMAND_PERIOD_SECONDS 10
+#define RATE_SMOOTHING_SECONDS \
+	20 /* over which entries smooth the rate of arrivals */
+#define BACKLOG_SECONDS 60 /* in which what waits is to be served */
+#define PRICE_PERIOD_SECONDS 60
 #define RECLAIMABLE_PERCENT 59
-#define BOUND_PERIOD 10
-#define LATE_ALLOWED 0.05
+#define BOUND_PERIOD_SECONDS 10
+#define LATE_FRACTION_MAX 0.05
 
 typedef struct burst {
-	double begins;
-	double lasts;
-	double height;
+	double start;
+	double duration;
+	double peak_share;
 } burst_t;
 
 /* The requests in hand, and the same had there been room for all at once. */
@@ -41,7 +42,7 @@
 	const day_config_t *config;
 	GRand *arrivals;
 	GRand *departures;
-	burst_t bursts[BURSTS];
+	burst_t bursts[BURST_COUNT];
 	load_t load;
 	cloud_t *cloud;
 	placer_t *placer;
@@ -50,7 +51,7 @@
 	day_result_t result;
 } day_t;
 
-static double gauss(GRand *random)
+static double random_normal(GRand *random)
 {
 	double u = 1 - g_rand_double(random);
 	double v = g_rand_double(random);
@@ -58,24 +59,25 @@
 	return sqrt(-2 * log(u)) * cos(2 * G_PI * v);
 }
 
-static double draw_count(GRand *random, double mean)
+static double random_count(GRand *random, double mean)
 {
-	double count = round(mean + sqrt(mean) * gauss(random));
+	double count = round(mean + sqrt(mean) * random_normal(random));
 
 	return MAX(count, 0);
 }
 
-static void make_bursts(day_t *day)
+static void create_bursts(day_t *day)
 {
-	for (int i = 0; i < BURSTS; i++) {
-		double span = (double)DAY_SECONDS / BURSTS;
+	for (int i = 0; i < BURST_COUNT; i++) {
+		double span = (double)DAY_SECONDS / BURST_COUNT;
 
-		day->bursts[i].begins =
+		day->bursts[i].start =
 			span * (i + 0.1 + 0.3 * g_rand_double(day->arrivals));
-		day->bursts[i].lasts = 600 + 600 * g_rand_double(day->arrivals);
-		day->bursts[i].height = 0.5 + 0.5 * g_rand_double(day->arrivals);
+		day->bursts[i].duration = 600 + 600 * g_rand_double(day->arrivals);
+		day->bursts[i].peak_share =
+			0.5 + 0.5 * g_rand_double(day->arrivals);
 	}
-	day->bursts[1].height = 1;
+	day->bursts[1].peak_share = 1;
 }
 
 /* Returns the share of the peak that callers ask for at a second. */
@@ -83,20 +85,21 @@
 {
 	double share = BASE_SHARE;
 
-	for (int i = 0; i < BURSTS; i++) {
+	for (int i = 0; i < BURST_COUNT; i++) {
 		const burst_t *burst = &day->bursts[i];
-		double in = (second - burst->begins) / RAMP_SECONDS;
-		double out = (burst->begins + burst->lasts - second) / RAMP_SECONDS;
+		double in = (second - burst->start) / RAMP_SECONDS;
+		double out = (burst->start + burst->duration - second) /
+			     RAMP_SECONDS;
 		double shape = CLAMP(MIN(in, out), 0, 1);
 
-		share = MAX(share, burst->height * shape);
+		share = MAX(share, burst->peak_share * shape);
 	}
 	return share;
 }
 
-static void perform(day_t *day, placer_action_t *action);
+static void perform_action(day_t *day, placer_action_t *action);
 
-static void handle(day_t *day, placer_event_t *event)
+static void handle_event(day_t *day, placer_event_t *event)
 {
 	list_node_t actions;
 	list_node_t *node;
@@ -107,7 +110,7 @@
 	while ((node = list_pop(&actions))) {
 		placer_action_t *action = LIST_ENTRY(node, placer_action_t, node);
 
-		perform(day, action);
+		perform_action(day, action);
 		placer_action_destroy(action);
 	}
 }
@@ -123,10 +126,10 @@
 		event.lease.status = STORE_OK;
 		event.lease.version = action->lease.version + 1;
 	}
-	handle(day, &event);
+	handle_event(day, &event);
 }
 
-static void perform(day_t *day, placer_action_t *action)
+static void perform_action(day_t *day, placer_action_t *action)
 {
 	placer_event_t event = { .kind = PLACER_TICK };
 
@@ -142,7 +145,7 @@
 			cloud_buy(day->cloud, &action->buy.intent, day->second);
 		day->result.bought += event.bought.status == STORE_OK;
 		day->result.refused += event.bought.status != STORE_OK;
-		handle(day, &event);
+		handle_event(day, &event);
 		break;
 	case PLACER_RELEASE:
 		cloud_release(day->cloud, action->release.vm_id);
@@ -152,14 +155,14 @@
 		event.engine.vm_id = action->engine.vm_id;
 		event.engine.running =
 			cloud_drain(day->cloud, action->engine.vm_id, day->second);
-		handle(day, &event);
+		handle_event(day, &event);
 		break;
 	case PLACER_DECISION:
 		break;
 	}
 }
 
-static void give_bundle(day_t *day)
+static void send_bundle(day_t *day)
 {
 	bundle_t *bundle = bundle_create();
 	target_t *target = bundle_add_target(bundle, TARGET_MODEL, CLOUD_TARGET);
@@ -170,32 +173,32 @@
 	target->machine_class = g_strdup("any");
 	bundle->headroom_percent = day->config->headroom;
 	bundle->reclaimable_percent = RECLAIMABLE_PERCENT;
-	handle(day, &event);
+	handle_event(day, &event);
 }
 
-static void inform(day_t *day)
+static void send_events(day_t *day)
 {
 	placer_event_t tick = { .kind = PLACER_TICK };
 	double backlog = day->load.waiting + day->load.urgent_waiting;
 	double requests =
-		(day->load.rate + backlog / CLEAR_SECONDS) * SERVICE_SECONDS;
+		(day->load.rate + backlog / BACKLOG_SECONDS) * SERVICE_SECONDS;
 	const demand_t demand = {
 		.target = CLOUD_TARGET,
 		.requests = (unsigned int)ceil(requests),
 		.urgent = (unsigned int)ceil(requests * URGENT_SHARE),
 	};
 
-	if (day->second % PRICE_PERIOD == 0) {
+	if (day->second % PRICE_PERIOD_SECONDS == 0) {
 		placer_event_t event = { .kind = PLACER_PRICES };
 
 		event.prices.offers = cloud_offers(day->cloud, &event.prices.count);
-		handle(day, &event);
+		handle_event(day, &event);
 	}
-	if (day->second % REPORT_PERIOD == 0) {
+	if (day->second % DEMAND_PERIOD_SECONDS == 0) {
 		placer_event_t event = { .kind = PLACER_DEMAND,
 					 .demand = { &demand, 1 } };
 
-		handle(day, &event);
+		handle_event(day, &event);
 	}
 	/* As the runner does, which reads the list only while it acts. */
 	if (placer_is_active(day->placer) &&
@@ -204,28 +207,28 @@
 
 		day->list_version = cloud_list_version(day->cloud);
 		event.vm_list.vms = cloud_list(day->cloud, &event.vm_list.count);
-		handle(day, &event);
+		handle_event(day, &event);
 	}
-	handle(day, &tick);
+	handle_event(day, &tick);
 }
 
 /* Urgent requests wait only for urgent ones; others wait for all. */
-static void serve(day_t *day)
+static void serve_requests(day_t *day)
 {
 	load_t *load = &day->load;
-	double slots = cloud_slots(day->cloud);
+	double slots = cloud_live_slots(day->cloud);
 	double share = demand_share(day, day->second);
 	double rate = share * day->config->peak / SERVICE_SECONDS;
-	double arrived = draw_count(day->arrivals, rate);
+	double arrived = random_count(day->arrivals, rate);
 	double urgent = round(arrived * URGENT_SHARE);
-	double noise = gauss(day->departures);
+	double noise = random_normal(day->departures);
 	double leaving = load->running / SERVICE_SECONDS;
-	double turns = MAX(slots, 1) / SERVICE_SECONDS;
-	double room = TARGET_SECONDS - PREFILL_SECONDS;
+	double slots_freed_per_s = MAX(slots, 1) / SERVICE_SECONDS;
+	double max_queue_seconds = FIRST_TOKEN_TARGET_SECONDS - PREFILL_SECONDS;
 	double moved = MAX(0, load->running - slots);
 	double start;
 
-	load->rate += (arrived - load->rate) / RATE_SECONDS;
+	load->rate += (arrived - load->rate) / RATE_SMOOTHING_SECONDS;
 	load->unbounded += arrived - load->unbounded / SERVICE_SECONDS;
 	load->running -= CLAMP(leaving + sqrt(leaving) * noise, 0, load->running);
 	if (moved > 0) {
@@ -246,11 +249,14 @@
 	day->result.urgent += urgent;
 	/* Whoever stands further back than the room allows is late. */
 	day->result.urgent_late +=
-		CLAMP(load->urgent_waiting - room * turns, 0, urgent);
-	day->result.late += CLAMP(load->urgent_waiting - room * turns, 0, urgent);
-	day->result.late +=
-		CLAMP(load->waiting + load->urgent_waiting - room * turns, 0,
-		      arrived - urgent);
+		CLAMP(load->urgent_waiting - max_queue_seconds * slots_freed_per_s,
+		      0, urgent);
+	day->result.late += CLAMP(load->urgent_waiting -
+					  max_queue_seconds * slots_freed_per_s,
+				  0, urgent);
+	day->result.late += CLAMP(load->waiting + load->urgent_waiting -
+					  max_queue_seconds * slots_freed_per_s,
+				  0, arrived - urgent);
 }
 
 /*
@@ -259,14 +265,15 @@
  * VM, with no start-up and no spares. The share of reclaimable VMs is left out:
  * beside the services' VMs all of the few that the mean load takes may be.
  */
-static void add_bound(day_t *day)
+static void add_cost_bounds(day_t *day)
 {
-	double reclaimable = cloud_cheapest(day->cloud, true);
-	double on_demand = cloud_cheapest(day->cloud, false);
+	double reclaimable = cloud_min_slot_price(day->cloud, true);
+	double on_demand = cloud_min_slot_price(day->cloud, false);
 	double price = MIN(reclaimable, on_demand);
 
-	day->result.bound += day->load.unbounded * (1 - LATE_ALLOWED) * price / 3600;
-	if (day->second % BOUND_PERIOD == 0) {
+	day->result.bound +=
+		day->load.unbounded * (1 - LATE_FRACTION_MAX) * price / 3600;
+	if (day->second % BOUND_PERIOD_SECONDS == 0) {
 		const mix_need_t need = {
 			.slots = (unsigned int)ceil(day->load.unbounded),
 			.urgent = (unsigned int)ceil(day->load.unbounded *
@@ -277,8 +284,9 @@
 			.other_vms = CLOUD_SERVICE_VMS,
 		};
 
-		day->result.insured +=
-			cloud_price_of(day->cloud, &need) * BOUND_PERIOD / 3600;
+		day->result.bound_with_spares +=
+			cloud_min_price(day->cloud, &need) *
+			BOUND_PERIOD_SECONDS / 3600;
 	}
 }
 
@@ -296,13 +304,13 @@
 	day.departures = g_rand_new_with_seed(config->seed + 1000);
 	day.cloud = cloud_create(zones, config->seed + 2000, DAY_SECONDS);
 	day.placer = placer_create(&placer);
-	make_bursts(&day);
-	give_bundle(&day);
+	create_bursts(&day);
+	send_bundle(&day);
 	for (day.second = 0; day.second < DAY_SECONDS; day.second++) {
 		cloud_step(day.cloud, day.second);
-		serve(&day);
-		inform(&day);
-		add_bound(&day);
+		serve_requests(&day);
+		send_events(&day);
+		add_cost_bounds(&day);
 	}
 	day.result.cost = cloud_cost(day.cloud);
 	placer_destroy(day.placer);
--- a/bench/placement_world.h
+++ b/bench/placement_world.h
@@ -22,7 +22,7 @@
 typedef struct day_result {
 	double cost; /* in prices of one hour of the small class */
 	double bound; /* the least with perfect knowledge */
-	double insured; /* the same, with VMs whole and spare zones kept */
+	double bound_with_spares; /* the same, with VMs whole and spare zones kept */
 	double requests;
 	double late;
 	double urgent;
