--- a/bench/placement_cloud.c
+++ b/bench/placement_cloud.c
@@ -1,4 +1,4 @@
-/* The cloud that the placement bench buys from. */
+/* The in-memory cloud of the placement benchmark. */
 #include "bench/placement_cloud.h"
 
 #include <glib.h>
@@ -12,7 +12,7 @@
 #define RECLAIM_COUNT 3
 #define PRICE_UNIT 1e6
 #define BOOT_SECONDS 60
-#define WEIGHTS_SECONDS 10 /* of the weight store, for one VM */
+#define WEIGHTS_SECONDS 10 /* that the weight store takes for one VM */
 #define NOTICE_SECONDS 30
 #define START_REFUSAL_SECONDS 600
 #define DRAIN_SECONDS 20
@@ -26,7 +26,7 @@
 	char tag[48];
 	unsigned int offer;
 	state_t state;
-	unsigned int at; /* when the state ends by itself */
+	unsigned int at; /* second at which the state ends */
 } cloud_vm_t;
 
 typedef struct reclaim {
@@ -40,22 +40,26 @@
 	GRand *random;
 	offer_t offers[OFFER_COUNT];
 	unsigned int price_changes_at[OFFER_COUNT];
-	unsigned int starts_refused_until[ZONE_COUNT]; /* reclaimable starts */
+	unsigned int starts_refused_until[ZONE_COUNT]; /* for reclaimable VMs */
 	reclaim_t reclaims[RECLAIM_COUNT];
 	cloud_vm_t vms[VMS_MAX];
 	unsigned int count;
-	unsigned int weights_busy_until; /* the weight store is busy till then */
+	unsigned int weights_busy_until; /* the weight store */
 	unsigned int version;
 	vm_t list[VMS_MAX + CLOUD_SERVICE_VMS];
 	double cost;
 };
 
+/* Returns the index of the zone of an offer. */
 static unsigned int offer_zone(unsigned int offer)
 {
 	return offer / (CLASS_COUNT * KIND_COUNT);
 }
 
-/* On demand differs by a tenth by zone; reclaimable is 0.2 to 0.5 of it. */
+/*
+ * Sets a new price and the time of the next change. On-demand prices differ by
+ * up to a tenth between zones; reclaimable VMs cost 0.2 to 0.5 of that.
+ */
 static void set_price(cloud_t *cloud, unsigned int i)
 {
 	static const double base[CLASS_COUNT] = { 1.0, 1.9 };
@@ -71,6 +75,7 @@
 			       PRICE_CHANGE_SECONDS * g_rand_double(cloud->random));
 }
 
+/* Creates one offer for each zone, class and kind. */
 static void create_offers(cloud_t *cloud)
 {
 	static const char *const classes[CLASS_COUNT] = { "small", "large" };
@@ -89,7 +94,10 @@
 	}
 }
 
-/* One wave takes two zones within a minute, the others one. */
+/*
+ * Schedules the reclaims of the day. One of them takes two zones within a
+ * minute, the others one.
+ */
 static void schedule_reclaims(cloud_t *cloud, unsigned int seconds)
 {
 	for (int i = 0; i < RECLAIM_COUNT; i++) {
@@ -104,7 +112,10 @@
 	}
 }
 
-/* Returns a cloud over four ZONES, borrowed, for a day of that many seconds. */
+/*
+ * Creates a cloud with four ZONES, borrowed, for a day of SECONDS. The caller
+ * owns it.
+ */
 cloud_t *cloud_create(const char *const *zones, uint32_t seed, unsigned int seconds)
 {
 	cloud_t *cloud = g_new0(cloud_t, 1);
@@ -117,13 +128,17 @@
 	return cloud;
 }
 
-/* Frees the cloud. */
+/* Frees a cloud. */
 void cloud_destroy(cloud_t *cloud)
 {
 	g_rand_free(cloud->random);
 	g_free(cloud);
 }
 
+/*
+ * Sends the reclaim notice to all reclaimable VMs of a zone, and refuses new
+ * ones there for a time.
+ */
 static void reclaim_zone(cloud_t *cloud, unsigned int zone, unsigned int second)
 {
 	cloud->starts_refused_until[zone] = second + START_REFUSAL_SECONDS;
@@ -140,6 +155,7 @@
 	}
 }
 
+/* Adds the cost of a VM for one second and ends a state that is due. */
 static void step_vm(cloud_t *cloud, cloud_vm_t *vm, unsigned int second)
 {
 	if (vm->state == GONE)
@@ -154,7 +170,7 @@
 	}
 }
 
-/* Lets one second go by. */
+/* Advances the cloud by one second. */
 void cloud_step(cloud_t *cloud, unsigned int second)
 {
 	for (unsigned int i = 0; i < OFFER_COUNT; i++) {
@@ -175,6 +191,7 @@
 		step_vm(cloud, &cloud->vms[i], second);
 }
 
+/* Returns the index of the offer that matches an intent, or -1. */
 static int find_offer(const cloud_t *cloud, const intent_t *intent)
 {
 	for (unsigned int i = 0; i < OFFER_COUNT; i++) {
@@ -188,7 +205,10 @@
 	return -1;
 }
 
-/* Starts a VM, or refuses; weights are loaded one VM after the other. */
+/*
+ * Starts a VM. Returns STORE_DOWN if the start is refused. Weights are loaded
+ * by one VM after another.
+ */
 store_status_t cloud_buy(cloud_t *cloud, const intent_t *intent, unsigned int second)
 {
 	int offer = find_offer(cloud, intent);
@@ -212,6 +232,7 @@
 	return STORE_OK;
 }
 
+/* Returns the VM with that id, or NULL. */
 static cloud_vm_t *find_vm(cloud_t *cloud, const char *vm_id)
 {
 	for (unsigned int i = 0; i < cloud->count; i++) {
@@ -221,14 +242,14 @@
 	return NULL;
 }
 
-/* Ends a VM. */
+/* Terminates a VM, which must exist. */
 void cloud_release(cloud_t *cloud, const char *vm_id)
 {
 	find_vm(cloud, vm_id)->state = GONE;
 	cloud->version++;
 }
 
-/* Drains a VM; returns whether it has requests still. */
+/* Begins to drain a live VM. Returns 1 while it still has requests, else 0. */
 unsigned int cloud_drain(cloud_t *cloud, const char *vm_id, unsigned int second)
 {
 	cloud_vm_t *vm = find_vm(cloud, vm_id);
@@ -240,20 +261,20 @@
 	return vm->state == DRAINING && second < vm->at;
 }
 
-/* Returns the offers at their prices of now, borrowed. */
+/* Returns the offers at current prices, borrowed. */
 const offer_t *cloud_offers(const cloud_t *cloud, size_t *count)
 {
 	*count = OFFER_COUNT;
 	return cloud->offers;
 }
 
-/* Returns a number that grows when the list changes. */
+/* Returns a number that increases when the VM list changes. */
 unsigned int cloud_list_version(const cloud_t *cloud)
 {
 	return cloud->version;
 }
 
-/* Returns the list of VMs, borrowed until the next call. */
+/* Returns the VM list, borrowed until the next call. */
 const vm_t *cloud_list(cloud_t *cloud, size_t *count)
 {
 	static const vm_state_t states[] = {
@@ -294,7 +315,7 @@
 	return cloud->list;
 }
 
-/* Returns the requests that all VMs together take now. */
+/* Returns the number of slots of all live VMs. */
 double cloud_live_slots(const cloud_t *cloud)
 {
 	double slots = 0;
@@ -306,13 +327,13 @@
 	return slots;
 }
 
-/* Returns what all VMs have cost up to now. */
+/* Returns the total cost of all VMs so far. */
 double cloud_cost(const cloud_t *cloud)
 {
 	return cloud->cost;
 }
 
-/* Returns the lowest price of a slot for an hour. */
+/* Returns the lowest hourly price of a slot. */
 double cloud_min_slot_price(const cloud_t *cloud, bool reclaimable)
 {
 	double best = G_MAXDOUBLE;
@@ -327,7 +348,7 @@
 	return best;
 }
 
-/* Returns an hour's price of the cheapest whole VMs that meet a need. */
+/* Returns the hourly price of the cheapest whole VMs that meet NEED. */
 double cloud_min_price(const cloud_t *cloud, const mix_need_t *need)
 {
 	mix_option_t options[OFFER_COUNT];
--- a/bench/placement_cloud.h
+++ b/bench/placement_cloud.h
@@ -1,4 +1,4 @@
-/* A cloud in memory: offers with prices that flip, waves of reclaims, starts. */
+/* An in-memory cloud with changing prices, zone reclaims and VM starts. */
 #ifndef PISTACHIO_PLACEMENT_CLOUD_H
 #define PISTACHIO_PLACEMENT_CLOUD_H
 
@@ -6,7 +6,7 @@
 #include "ports/placer_event.h"
 
 #define CLOUD_TARGET "m"
-/* Line terminals or the trace application: one in each zone, on demand. */
+/* On-demand VMs of a service, one in each zone. */
 #define CLOUD_SERVICE_VMS 4
 
 typedef struct cloud cloud_t;
--- a/bench/placement_world.c
+++ b/bench/placement_world.c
@@ -1,4 +1,4 @@
-/* Runs one day: time goes by seconds, load is in requests side by side. */
+/* Simulates a day in steps of a second. Load is in concurrent requests. */
 #include "bench/placement_world.h"
 
 #include <math.h>
@@ -15,9 +15,8 @@
 #define URGENT_SHARE 0.3
 #define BASE_SHARE 0.15
 #define DEMAND_PERIOD_SECONDS 10
-#define RATE_SMOOTHING_SECONDS \
-	20 /* over which entries smooth the rate of arrivals */
-#define BACKLOG_SECONDS 60 /* in which what waits is to be served */
+#define RATE_SMOOTHING_SECONDS 20 /* by which entries smooth the arrival rate */
+#define BACKLOG_SECONDS 60 /* within which the backlog is to be served */
 #define PRICE_PERIOD_SECONDS 60
 #define RECLAIMABLE_PERCENT 59
 #define BOUND_PERIOD_SECONDS 10
@@ -29,13 +28,13 @@
 	double peak_share;
 } burst_t;
 
-/* The requests in hand, and the same had there been room for all at once. */
+/* The current load; UNBOUNDED is the load if no request ever waited. */
 typedef struct load {
 	double running;
 	double waiting;
 	double urgent_waiting;
 	double unbounded;
-	double rate; /* of arrivals, a second, smoothed */
+	double rate; /* arrivals per second, smoothed */
 } load_t;
 
 typedef struct day {
@@ -47,10 +46,11 @@
 	cloud_t *cloud;
 	placer_t *placer;
 	unsigned int second;
-	unsigned int list_version; /* handed to the placer */
+	unsigned int list_version; /* last one sent to the placer */
 	day_result_t result;
 } day_t;
 
+/* Returns a random number of the standard normal distribution. */
 static double random_normal(GRand *random)
 {
 	double u = 1 - g_rand_double(random);
@@ -59,6 +59,9 @@
 	return sqrt(-2 * log(u)) * cos(2 * G_PI * v);
 }
 
+/*
+ * Returns a random count: the normal approximation of a Poisson distribution.
+ */
 static double random_count(GRand *random, double mean)
 {
 	double count = round(mean + sqrt(mean) * random_normal(random));
@@ -66,6 +69,7 @@
 	return MAX(count, 0);
 }
 
+/* Chooses the bursts of demand of the day. One of them reaches the peak. */
 static void create_bursts(day_t *day)
 {
 	for (int i = 0; i < BURST_COUNT; i++) {
@@ -80,7 +84,7 @@
 	day->bursts[1].peak_share = 1;
 }
 
-/* Returns the share of the peak that callers ask for at a second. */
+/* Returns the demand at SECOND, as a share of the peak. */
 static double demand_share(const day_t *day, double second)
 {
 	double share = BASE_SHARE;
@@ -99,6 +103,7 @@
 
 static void perform_action(day_t *day, placer_action_t *action);
 
+/* Passes an event to the placer and performs the resulting actions. */
 static void handle_event(day_t *day, placer_event_t *event)
 {
 	list_node_t actions;
@@ -115,6 +120,7 @@
 	}
 }
 
+/* Answers a lease operation. The only placer always obtains the lease. */
 static void perform_lease(day_t *day, const placer_action_t *action)
 {
 	placer_event_t event = { .kind = PLACER_LEASE_REPLY,
@@ -129,6 +135,7 @@
 	handle_event(day, &event);
 }
 
+/* Performs one action of the placer and reports its result. */
 static void perform_action(day_t *day, placer_action_t *action)
 {
 	placer_event_t event = { .kind = PLACER_TICK };
@@ -162,6 +169,7 @@
 	}
 }
 
+/* Sends the placer a bundle with one model. */
 static void send_bundle(day_t *day)
 {
 	bundle_t *bundle = bundle_create();
@@ -176,6 +184,7 @@
 	handle_event(day, &event);
 }
 
+/* Sends the placer the prices, demand and VM list that are due, and a tick. */
 static void send_events(day_t *day)
 {
 	placer_event_t tick = { .kind = PLACER_TICK };
@@ -200,7 +209,7 @@
 
 		handle_event(day, &event);
 	}
-	/* As the runner does, which reads the list only while it acts. */
+	/* Like the runner, which reads the list only while it is active. */
 	if (placer_is_active(day->placer) &&
 	    cloud_list_version(day->cloud) != day->list_version) {
 		placer_event_t event = { .kind = PLACER_VM_LIST };
@@ -212,7 +221,10 @@
 	handle_event(day, &tick);
 }
 
-/* Urgent requests wait only for urgent ones; others wait for all. */
+/*
+ * Serves requests for one second. Urgent ones wait only for other urgent ones,
+ * the rest wait for all.
+ */
 static void serve_requests(day_t *day)
 {
 	load_t *load = &day->load;
@@ -247,7 +259,7 @@
 	load->running += start;
 	day->result.requests += arrived;
 	day->result.urgent += urgent;
-	/* Whoever stands further back than the room allows is late. */
+	/* Those behind the requests that start within the wait are late. */
 	day->result.urgent_late +=
 		CLAMP(load->urgent_waiting - max_queue_seconds * slots_freed_per_s,
 		      0, urgent);
@@ -260,10 +272,13 @@
 }
 
 /*
- * The least that any policy could pay: what ran if nothing ever waited, less
- * the share that may be late, on the cheapest slot of the moment, in parts of a
- * VM, with no start-up and no spares. The share of reclaimable VMs is left out:
- * beside the services' VMs all of the few that the mean load takes may be.
+ * Adds a second of the lower bounds of the cost. BOUND is the load that would
+ * run if nothing ever waited, less the share that may be late, at the cheapest
+ * slot price of the moment, in fractions of a VM, without start-up times or
+ * spares. It ignores the limit on the share of reclaimable VMs: next to the VMs
+ * of the services, all of the few that the mean load needs may be reclaimable.
+ * BOUND_WITH_SPARES is the price of whole VMs, with spares for the loss of a
+ * zone.
  */
 static void add_cost_bounds(day_t *day)
 {
@@ -290,7 +305,10 @@
 	}
 }
 
-/* Runs a day from its seed; the same seed gives every rule the same day. */
+/*
+ * Simulates a day and returns its result. The same seed gives every rule the
+ * same day.
+ */
 day_result_t day_run(const day_config_t *config)
 {
 	static const char *const zones[] = { "a", "b", "c", "d", NULL };
--- a/bench/placement_world.h
+++ b/bench/placement_world.h
@@ -1,7 +1,7 @@
 /*
- * A day of one user on a simulated clock: a cloud whose prices flip, that
- * reclaims zones and refuses starts, and a plain queue for the served load. The
- * placer's core acts on it.
+ * Simulates a day of one user: a cloud whose prices change and that reclaims
+ * zones and refuses to start VMs, a queue model of the served load, and the
+ * core of the placer, which buys and releases the VMs.
  */
 #ifndef PISTACHIO_PLACEMENT_WORLD_H
 #define PISTACHIO_PLACEMENT_WORLD_H
@@ -12,17 +12,17 @@
 
 typedef struct day_config {
 	const char *user;
-	unsigned int peak; /* requests side by side in the highest burst */
+	unsigned int peak; /* concurrent requests in the highest burst */
 	unsigned int most_workers;
 	uint32_t seed;
 	mix_rule_t rule;
-	unsigned int headroom; /* per cent */
+	unsigned int headroom; /* percent */
 } day_config_t;
 
 typedef struct day_result {
-	double cost; /* in prices of one hour of the small class */
-	double bound; /* the least with perfect knowledge */
-	double bound_with_spares; /* the same, with VMs whole and spare zones kept */
+	double cost; /* in hourly on-demand prices of the small class */
+	double bound; /* lower bound, with perfect knowledge */
+	double bound_with_spares; /* the same, with whole VMs and spare zones */
 	double requests;
 	double late;
 	double urgent;
