--- a/bench/bench_claims.c
+++ b/bench/bench_claims.c
@@ -13,12 +13,12 @@
 #define STORE_WRITES 300 /* a second */
 #define STORE_BURST 30
 #define STORE_DELAY (3 * PD_MSEC) /* one way */
-#define WORK_TIME (20 * PD_MSEC) /* of a call at its service */
+#define SERVICE_TIME (20 * PD_MSEC) /* of a call at its service */
 #define STEP PD_MSEC
 #define RUN_TIME (20 * PD_SEC)
 #define RETENTION (24 * 3600 * PD_SEC)
 #define ENTRIES_MAX 48
-#define LATENCY_SLOTS 8192 /* of a millisecond */
+#define LATENCY_BUCKETS 8192 /* of a millisecond */
 
 typedef struct object {
 	uint64_t version;
@@ -31,7 +31,7 @@
 	unsigned int entry;
 	action_t *action;
 	pd_time_t due;
-	bool served;
+	bool processed;
 	store_reply_t reply;
 } message_t;
 
@@ -49,16 +49,16 @@
 	GHashTable *objects; /* name -> object_t */
 	list_node_t messages;
 	list_node_t running;
-	GArray *asked_at; /* ticket -> pd_time_t */
+	GArray *started_at; /* ticket -> pd_time_t */
 	pd_time_t now;
 	double tokens;
 	uint64_t version;
 	unsigned int writes;
 	unsigned int conflicts;
-	unsigned int too_many;
-	unsigned int done;
+	unsigned int rate_limited;
+	unsigned int completed;
 	unsigned int not_run;
-	unsigned int latency[LATENCY_SLOTS];
+	unsigned int latency[LATENCY_BUCKETS];
 } bench_t;
 
 static char *ticket_key(uint64_t ticket)
@@ -74,7 +74,7 @@
 	g_free(object);
 }
 
-static object_t *bench_object(bench_t *bench, const char *name)
+static object_t *bench_get_object(bench_t *bench, const char *name)
 {
 	object_t *object = g_hash_table_lookup(bench->objects, name);
 
@@ -85,11 +85,11 @@
 	return object;
 }
 
-static store_status_t serve_write(bench_t *bench, object_t *object,
-				  const action_t *action)
+static store_status_t process_write(bench_t *bench, object_t *object,
+				    const action_t *action)
 {
 	if (bench->tokens < 1) {
-		bench->too_many++;
+		bench->rate_limited++;
 		return STORE_DOWN;
 	}
 	bench->tokens -= 1;
@@ -104,15 +104,16 @@
 	return STORE_OK;
 }
 
-static void message_serve(bench_t *bench, message_t *message)
+static void message_process(bench_t *bench, message_t *message)
 {
-	object_t *object = bench_object(bench, message->action->store.key);
+	object_t *object = bench_get_object(bench, message->action->store.key);
 
-	message->served = true;
+	message->processed = true;
 	message->due = bench->now + STORE_DELAY;
 	message->reply.op = message->action->store.op;
 	if (message->action->kind == ACTION_STORE_WRITE) {
-		message->reply.status = serve_write(bench, object, message->action);
+		message->reply.status =
+			process_write(bench, object, message->action);
 	} else {
 		message->reply.status = object->table ? STORE_OK : STORE_MISSING;
 		if (object->table)
@@ -129,15 +130,15 @@
 	g_free(message);
 }
 
-static void bench_messages(bench_t *bench)
+static void bench_deliver_messages(bench_t *bench)
 {
 	LIST_FOR_EACH_SAFE (it, &bench->messages) {
 		message_t *message = LIST_ENTRY(it, message_t, node);
 
 		if (message->due > bench->now)
 			continue;
-		if (!message->served) {
-			message_serve(bench, message);
+		if (!message->processed) {
+			message_process(bench, message);
 			continue;
 		}
 		claims_handle_store_reply(bench->claims[message->entry],
@@ -146,22 +147,23 @@
 	}
 }
 
-static void bench_hear(bench_t *bench, unsigned int entry,
-		       const claim_result_t *result)
+static void bench_handle_result(bench_t *bench, unsigned int entry,
+				const claim_result_t *result)
 {
-	pd_time_t asked = g_array_index(bench->asked_at, pd_time_t, result->ticket);
-	pd_time_t waited = (bench->now - asked) / PD_MSEC;
+	pd_time_t started =
+		g_array_index(bench->started_at, pd_time_t, result->ticket);
+	pd_time_t waited = (bench->now - started) / PD_MSEC;
 	running_t *running;
 
 	if (result->outcome != CLAIM_WON) {
 		bench->not_run++;
 		return;
 	}
-	bench->latency[MIN(waited, LATENCY_SLOTS - 1)]++;
+	bench->latency[MIN(waited, LATENCY_BUCKETS - 1)]++;
 	running = g_new0(running_t, 1);
 	running->entry = entry;
 	running->ticket = result->ticket;
-	running->ends = bench->now + WORK_TIME;
+	running->ends = bench->now + SERVICE_TIME;
 	list_append(&bench->running, &running->node);
 }
 
@@ -186,13 +188,13 @@
 	while ((node = list_pop(&results))) {
 		claim_result_t *result = LIST_ENTRY(node, claim_result_t, node);
 
-		bench_hear(bench, entry, result);
+		bench_handle_result(bench, entry, result);
 		claim_result_destroy(result);
 	}
 }
 
 /* Records the answers of the calls whose work is done. */
-static void bench_answers(bench_t *bench)
+static void bench_complete_calls(bench_t *bench)
 {
 	LIST_FOR_EACH_SAFE (it, &bench->running) {
 		running_t *running = LIST_ENTRY(it, running_t, node);
@@ -203,19 +205,19 @@
 		key = ticket_key(running->ticket);
 		claims_complete(bench->claims[running->entry], key, key, 200,
 				"{}", bench->now);
-		bench->done++;
+		bench->completed++;
 		list_remove(&running->node);
 		g_free(running);
 		g_free(key);
 	}
 }
 
-static void bench_ask(bench_t *bench)
+static void bench_start_call(bench_t *bench)
 {
-	uint64_t ticket = bench->asked_at->len;
+	uint64_t ticket = bench->started_at->len;
 	char *key = ticket_key(ticket);
 
-	g_array_append_val(bench->asked_at, bench->now);
+	g_array_append_val(bench->started_at, bench->now);
 	claims_acquire(bench->claims[ticket % bench->entries], ticket, key, key,
 		       "digest", bench->now);
 	g_free(key);
@@ -227,14 +229,14 @@
 	unsigned int total = 0;
 	unsigned int seen = 0;
 
-	for (int i = 0; i < LATENCY_SLOTS; i++)
+	for (int i = 0; i < LATENCY_BUCKETS; i++)
 		total += bench->latency[i];
-	for (int i = 0; i < LATENCY_SLOTS; i++) {
+	for (int i = 0; i < LATENCY_BUCKETS; i++) {
 		seen += bench->latency[i];
 		if (seen * 100 >= total * percent)
 			return i;
 	}
-	return LATENCY_SLOTS;
+	return LATENCY_BUCKETS;
 }
 
 static void bench_step(bench_t *bench, double offered)
@@ -243,23 +245,23 @@
 
 	bench->tokens += STORE_WRITES * (double)STEP / PD_SEC;
 	bench->tokens = MIN(bench->tokens, STORE_BURST);
-	while (bench->asked_at->len < due)
-		bench_ask(bench);
-	bench_messages(bench);
-	bench_answers(bench);
+	while (bench->started_at->len < due)
+		bench_start_call(bench);
+	bench_deliver_messages(bench);
+	bench_complete_calls(bench);
 	for (unsigned int i = 0; i < bench->entries; i++)
 		bench_run_entry(bench, i);
 	bench->now += STEP;
 }
 
-static void bench_one(unsigned int entries, unsigned int offered)
+static void bench_run(unsigned int entries, unsigned int offered)
 {
 	bench_t bench = { .entries = entries, .now = STEP };
 	double seconds = (double)RUN_TIME / PD_SEC;
 
 	bench.objects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					      object_free);
-	bench.asked_at = g_array_new(FALSE, FALSE, sizeof(pd_time_t));
+	bench.started_at = g_array_new(FALSE, FALSE, sizeof(pd_time_t));
 	list_init(&bench.messages);
 	list_init(&bench.running);
 	for (unsigned int i = 0; i < entries; i++)
@@ -269,17 +271,18 @@
 	while (bench.now < RUN_TIME)
 		bench_step(&bench, offered);
 	printf("%u,%u,%.0f,%.1f,%d,%d,%.0f,%.0f,%.0f\n", entries, offered,
-	       bench.done / seconds, 100.0 * bench.not_run / bench.asked_at->len,
+	       bench.completed / seconds,
+	       100.0 * bench.not_run / bench.started_at->len,
 	       bench_latency(&bench, 50), bench_latency(&bench, 95),
 	       bench.writes / seconds, bench.conflicts / seconds,
-	       bench.too_many / seconds);
+	       bench.rate_limited / seconds);
 	LIST_FOR_EACH_SAFE (it, &bench.messages)
 		message_free(LIST_ENTRY(it, message_t, node));
 	LIST_FOR_EACH_SAFE (it, &bench.running)
 		g_free(LIST_ENTRY(it, running_t, node));
 	for (unsigned int i = 0; i < entries; i++)
 		claims_destroy(bench.claims[i]);
-	g_array_unref(bench.asked_at);
+	g_array_unref(bench.started_at);
 	g_hash_table_unref(bench.objects);
 }
 
@@ -293,7 +296,7 @@
 	     "claim_p95_ms,writes_per_s,conflicts_per_s,refused_429_per_s");
 	for (size_t i = 0; i < G_N_ELEMENTS(entries); i++) {
 		for (size_t j = 0; j < G_N_ELEMENTS(offered); j++)
-			bench_one(entries[i], offered[j]);
+			bench_run(entries[i], offered[j]);
 	}
 	return 0;
 }
--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -17,9 +17,9 @@
 #include "core/queue.h"
 #include "tests/harness/drive.h"
 
-#define SLOTS 64
-#define STREAMS 1000
-#define QUEUED 200
+#define SLOTS_PER_VM 64
+#define STREAM_COUNT 1000
+#define QUEUED_REQUESTS 200
 
 static attempt_id_t start_stream(drive_t *drive)
 {
@@ -35,7 +35,7 @@
 }
 
 /* The choice alone, with a prompt that has a prefix which three engines hold. */
-static void cost_route(drive_t *drive, unsigned int count)
+static void run_route(drive_t *drive, unsigned int count)
 {
 	target_t target = { .kind = TARGET_MODEL, .name = (char *)"m" };
 	route_query_t query = { .target = &target,
@@ -60,7 +60,7 @@
 	}
 }
 
-static void cost_token(drive_t *drive, unsigned int count)
+static void run_token(drive_t *drive, unsigned int count)
 {
 	attempt_id_t attempt = start_stream(drive);
 
@@ -71,11 +71,11 @@
 }
 
 /* A token's event while many urgent requests wait, which may always queue. */
-static void cost_queued(drive_t *drive, unsigned int count)
+static void run_queued(drive_t *drive, unsigned int count)
 {
 	attempt_id_t attempt = start_stream(drive);
 
-	while (drive->entry->queued[PRIORITY_URGENT] < QUEUED)
+	while (drive->entry->queued[PRIORITY_URGENT] < QUEUED_REQUESTS)
 		drive_urgent_request(drive, "m");
 	drive_clear(drive);
 	for (unsigned int i = 0; i < count; i++) {
@@ -84,7 +84,7 @@
 	}
 }
 
-static void cost_heartbeat(unsigned int entries, unsigned int count)
+static void run_heartbeat(unsigned int entries, unsigned int count)
 {
 	drive_t *drive = drive_create("entry-0", "zone-a", 7);
 	member_info_t *infos = g_new0(member_info_t, entries);
@@ -124,15 +124,15 @@
 	struct mallinfo2 after;
 
 	drive_bundle(drive, 1);
-	drive_vms(drive, 24, 0, SLOTS);
+	drive_vms(drive, 24, 0, SLOTS_PER_VM);
 	drive_clear(drive);
 	before = mallinfo2();
-	for (unsigned int i = 0; i < STREAMS; i++)
+	for (unsigned int i = 0; i < STREAM_COUNT; i++)
 		start_stream(drive);
 	after = mallinfo2();
 	printf("measure,streams,bytes_each\n");
-	printf("open_stream,%u,%.0f\n", STREAMS,
-	       (double)(after.uordblks - before.uordblks) / STREAMS);
+	printf("open_stream,%u,%.0f\n", STREAM_COUNT,
+	       (double)(after.uordblks - before.uordblks) / STREAM_COUNT);
 	drive_destroy(drive);
 }
 
@@ -147,19 +147,19 @@
 		return 0;
 	}
 	if (!strcmp(argv[1], "heartbeat")) {
-		cost_heartbeat(size, count);
+		run_heartbeat(size, count);
 		return 0;
 	}
 	drive = drive_create("entry-1", "zone-a", 7);
 	drive_bundle(drive, 1);
-	drive_vms(drive, size, 0, !strcmp(argv[1], "queued") ? 2 : SLOTS);
+	drive_vms(drive, size, 0, !strcmp(argv[1], "queued") ? 2 : SLOTS_PER_VM);
 	drive_clear(drive);
 	if (!strcmp(argv[1], "route"))
-		cost_route(drive, count);
+		run_route(drive, count);
 	else if (!strcmp(argv[1], "token"))
-		cost_token(drive, count);
+		run_token(drive, count);
 	else if (!strcmp(argv[1], "queued"))
-		cost_queued(drive, count);
+		run_queued(drive, count);
 	drive_destroy(drive);
 	return 0;
 }
--- a/bench/bench_decisions.c
+++ b/bench/bench_decisions.c
@@ -12,15 +12,15 @@
 
 #include "bench/sim.h"
 
-#define SEEDS_DEFAULT 10
-#define FIRST_TARGET_MS 590.0
-#define GAP_TARGET_MS 38.0
+#define DEFAULT_SEED_COUNT 10
+#define FIRST_TOKEN_TARGET_MS 590.0
+#define TOKEN_GAP_TARGET_MS 38.0
 
 static const char *const policy_names[POLICY_COUNT] = { "entry", "round-robin",
 							"least", "prefix" };
 
 typedef enum measure {
-	M_ASKED,
+	M_OFFERED,
 	M_DONE,
 	M_REFUSED,
 	M_URGENT_REFUSED,
@@ -32,15 +32,15 @@
 	M_GAP_P95,
 	M_IN_TARGET, /* of those not refused */
 	M_GOODPUT, /* part of the capacity */
-	M_OTHERS_OUT, /* small accounts' calls refused or late */
+	M_SMALL_FAILED, /* small accounts' calls refused or late */
 	M_RECOMPUTED,
 	M_HITS, /* of the engines' prefix caches, a part */
-	M_HELD_MS, /* longest wait that ended in a refusal */
-	M_UNSAID, /* refusals without Retry-After */
-	MEASURES
+	M_REFUSAL_WAIT_MS, /* longest wait that ended in a refusal */
+	M_NO_RETRY_AFTER, /* refusals without Retry-After */
+	MEASURE_COUNT
 } measure_t;
 
-static const char *const measure_names[MEASURES] = {
+static const char *const measure_names[MEASURE_COUNT] = {
 	"asked",	  "done",	"refused",    "urgent_refused",
 	"first_p50",	  "first_p95",	"urgent_p99", "urgent_bound_p99",
 	"first_bound",	  "gap_p95",	"in_target",  "goodput",
@@ -48,7 +48,7 @@
 	"no_retry_after",
 };
 
-static gint by_value(gconstpointer a, gconstpointer b)
+static gint compare_doubles(gconstpointer a, gconstpointer b)
 {
 	double left = *(const double *)a;
 	double right = *(const double *)b;
@@ -60,7 +60,7 @@
 {
 	if (!values->len)
 		return 0;
-	g_array_sort(values, by_value);
+	g_array_sort(values, compare_doubles);
 	return g_array_index(values, double,
 			     (guint)(part * (values->len - 1) + 0.5));
 }
@@ -83,47 +83,48 @@
 	       (double)(call->prompt - PREFIX_TOKENS) / ENGINE_CHUNK_TOKENS;
 }
 
-static double ms(pd_time_t span)
+static double to_ms(pd_time_t span)
 {
 	return (double)span / PD_MSEC;
 }
 
 static double gap_ms(const call_t *call)
 {
-	return call->tokens < 2
-		       ? 0
-		       : ms(call->done_at - call->first_at) / (call->tokens - 1);
+	return call->tokens < 2 ? 0
+				: to_ms(call->done_at - call->first_at) /
+					  (call->tokens - 1);
 }
 
 typedef struct tally {
 	GArray *first, *urgent, *bound, *urgent_bound, *gap;
 	double answered, in_target, good, work;
-	double small, small_out;
+	double small, small_failed;
 } tally_t;
 
 static void count_call(const call_t *call, tally_t *tally, double *m)
 {
 	bool urgent = call->priority == PRIORITY_URGENT;
-	double first = ms(call->first_at - call->at);
+	double first = to_ms(call->first_at - call->at);
 	double bound = bound_ms(call);
 	double gap = gap_ms(call);
-	bool good = call->done_at && first <= FIRST_TARGET_MS &&
-		    gap <= GAP_TARGET_MS;
+	bool good = call->done_at && first <= FIRST_TOKEN_TARGET_MS &&
+		    gap <= TOKEN_GAP_TARGET_MS;
 
-	m[M_ASKED]++;
+	m[M_OFFERED]++;
 	tally->work += call_work(call);
 	g_array_append_val(tally->bound, bound);
 	if (urgent)
 		g_array_append_val(tally->urgent_bound, bound);
 	if (call->account > BATCH_ACCOUNT) {
 		tally->small++;
-		tally->small_out += !good;
+		tally->small_failed += !good;
 	}
 	if (call->refused) {
 		m[M_REFUSED]++;
 		m[M_URGENT_REFUSED] += urgent;
-		m[M_UNSAID] += call->retry_after == 0;
-		m[M_HELD_MS] = MAX(m[M_HELD_MS], ms(call->refused_at - call->at));
+		m[M_NO_RETRY_AFTER] += call->retry_after == 0;
+		m[M_REFUSAL_WAIT_MS] = MAX(m[M_REFUSAL_WAIT_MS],
+					   to_ms(call->refused_at - call->at));
 		return;
 	}
 	tally->answered++;
@@ -139,19 +140,19 @@
 		g_array_append_val(tally->urgent, first);
 }
 
-static GArray *doubles(void)
+static GArray *new_double_array(void)
 {
 	return g_array_new(FALSE, FALSE, sizeof(double));
 }
 
 static void measure(const sim_t *sim, double *m)
 {
-	tally_t tally = { .first = doubles(),
-			  .urgent = doubles(),
-			  .bound = doubles(),
-			  .urgent_bound = doubles(),
-			  .gap = doubles() };
-	double asked_rate;
+	tally_t tally = { .first = new_double_array(),
+			  .urgent = new_double_array(),
+			  .bound = new_double_array(),
+			  .urgent_bound = new_double_array(),
+			  .gap = new_double_array() };
+	double offered_rate;
 	double hits = 0;
 	double admitted = 0;
 
@@ -171,11 +172,11 @@
 	m[M_FIRST_BOUND] = percentile(tally.bound, 0.95);
 	m[M_GAP_P95] = percentile(tally.gap, 0.95);
 	m[M_IN_TARGET] = tally.answered ? tally.in_target / tally.answered : 0;
-	asked_rate = (double)sim->calls->len /
-		     ((double)sim->scenario->duration / PD_SEC);
-	m[M_GOODPUT] =
-		tally.good / tally.work * asked_rate / site_capacity(sim->site);
-	m[M_OTHERS_OUT] = tally.small ? tally.small_out / tally.small : 0;
+	offered_rate = (double)sim->calls->len /
+		       ((double)sim->scenario->duration / PD_SEC);
+	m[M_GOODPUT] = tally.good / tally.work * offered_rate /
+		       site_capacity(sim->site);
+	m[M_SMALL_FAILED] = tally.small ? tally.small_failed / tally.small : 0;
 	g_array_unref(tally.first);
 	g_array_unref(tally.urgent);
 	g_array_unref(tally.bound);
@@ -187,7 +188,7 @@
 		      const char *policy, unsigned int seed, const double *m)
 {
 	printf("%s,%s,%s,%u", site, scenario, policy, seed);
-	for (int i = 0; i < MEASURES; i++)
+	for (int i = 0; i < MEASURE_COUNT; i++)
 		printf(",%.3f", m[i]);
 	printf("\n");
 	fflush(stdout);
@@ -195,13 +196,14 @@
 
 /* Prints mean and standard deviation of the measures a reader looks at. */
 static void print_summary(const char *site, const char *scenario,
-			  const char *policy, double all[][MEASURES],
+			  const char *policy, double all[][MEASURE_COUNT],
 			  unsigned int seeds)
 {
-	static const measure_t shown[] = {
-		M_FIRST_P95,  M_URGENT_P99, M_GAP_P95, M_IN_TARGET,  M_GOODPUT,
-		M_OTHERS_OUT, M_REFUSED,    M_HITS,    M_RECOMPUTED, M_HELD_MS
-	};
+	static const measure_t shown[] = { M_FIRST_P95,	 M_URGENT_P99,
+					   M_GAP_P95,	 M_IN_TARGET,
+					   M_GOODPUT,	 M_SMALL_FAILED,
+					   M_REFUSED,	 M_HITS,
+					   M_RECOMPUTED, M_REFUSAL_WAIT_MS };
 
 	fprintf(stderr, "%-9s%-10s%-12s", site, scenario, policy);
 	for (size_t k = 0; k < G_N_ELEMENTS(shown); k++) {
@@ -223,7 +225,7 @@
 static void run_all(const site_t *site, const scenario_t *scenario,
 		    unsigned int seeds)
 {
-	double(*all)[MEASURES] = g_malloc0(seeds * sizeof(*all));
+	double(*all)[MEASURE_COUNT] = g_malloc0(seeds * sizeof(*all));
 
 	for (policy_t policy = 0; policy < POLICY_COUNT; policy++) {
 		memset(all, 0, seeds * sizeof(*all));
@@ -244,10 +246,11 @@
 
 int main(int argc, char **argv)
 {
-	unsigned int seeds = argc > 1 ? (unsigned int)atoi(argv[1]) : SEEDS_DEFAULT;
+	unsigned int seeds = argc > 1 ? (unsigned int)atoi(argv[1])
+				      : DEFAULT_SEED_COUNT;
 
 	printf("site,scenario,policy,seed");
-	for (int i = 0; i < MEASURES; i++)
+	for (int i = 0; i < MEASURE_COUNT; i++)
 		printf(",%s", measure_names[i]);
 	printf("\n");
 	fprintf(stderr, "site     scenario  policy       first_p95 ms      "
--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -19,21 +19,22 @@
 
 #include "tests/harness/gateway_rig.h"
 
-#define AT_ONCE 20 /* calls under way, so that the ticks between weigh little */
+#define BATCH_SIZE \
+	20 /* calls under way, so that the ticks between weigh little */
 
-static const char *kind;
-static unsigned int count;
+static const char *route;
+static unsigned int call_count;
 
 static void send_batch(gateway_rig_t *rig, uint16_t port, unsigned int calls)
 {
-	rig_caller_t *callers[AT_ONCE];
+	rig_caller_t *callers[BATCH_SIZE];
 
 	for (unsigned int i = 0; i < calls; i++) {
 		char *text = g_strdup_printf(
 			"POST /%s/ HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: c%u\r\n"
 			"X-Deadline-Ms: 60000\r\nAuthorization: Bearer k\r\n"
 			"Connection: close\r\nContent-Length: 4\r\n\r\nbody",
-			kind, i);
+			route, i);
 
 		callers[i] = rig_call(rig, port, text);
 		g_free(text);
@@ -53,8 +54,8 @@
 	(void)state;
 	rig_put_config(rig, 1, "");
 	for (int i = 0; i < RIG_UPSTREAMS; i++) {
-		rig->upstreams[i].act = strcmp(kind, "safe") ? RIG_STREAM
-							     : RIG_ANSWER;
+		rig->upstreams[i].act = strcmp(route, "safe") ? RIG_STREAM
+							      : RIG_ANSWER;
 		rig_put_upstream(rig, i, "ready");
 	}
 	rig_start(rig, 0);
@@ -64,11 +65,11 @@
 	for (uint64_t end = uv_hrtime() / 1000000 + 3000;
 	     uv_hrtime() / 1000000 < end;)
 		rig_turn(rig);
-	for (unsigned int left = count; left;) {
-		unsigned int calls = MIN(left, AT_ONCE);
+	for (unsigned int remaining = call_count; remaining;) {
+		unsigned int calls = MIN(remaining, BATCH_SIZE);
 
 		send_batch(rig, port, calls);
-		left -= calls;
+		remaining -= calls;
 	}
 	process_signal(rig->gateways[0], SIGTERM);
 	RIG_UNTIL(rig, process_ended(rig->gateways[0]));
@@ -79,7 +80,8 @@
 {
 	const struct CMUnitTest tests[] = { cmocka_unit_test(bench) };
 
-	kind = argc > 1 ? argv[1] : "safe";
-	count = argc > 2 ? (unsigned int)strtoul(argv[2], NULL, 10) : AT_ONCE;
+	route = argc > 1 ? argv[1] : "safe";
+	call_count = argc > 2 ? (unsigned int)strtoul(argv[2], NULL, 10)
+			      : BATCH_SIZE;
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -8,8 +8,8 @@
 
 #include "bench/placement_world.h"
 
-#define SEEDS 10
-#define LATE_MOST 0.05
+#define SEED_COUNT 10
+#define LATE_FRACTION_MAX 0.05
 
 typedef struct user {
 	const char *name;
@@ -29,7 +29,7 @@
 {
 	day_result_t sum = { 0 };
 
-	for (uint32_t seed = 1; seed <= SEEDS; seed++) {
+	for (uint32_t seed = 1; seed <= SEED_COUNT; seed++) {
 		const day_config_t config = { .user = user->name,
 					      .peak = user->peak,
 					      .most_workers = user->most_workers,
@@ -38,14 +38,14 @@
 					      .headroom = headroom };
 		day_result_t day = day_run(&config);
 
-		sum.cost += day.cost / SEEDS;
-		sum.bound += day.bound / SEEDS;
-		sum.bound_with_spares += day.bound_with_spares / SEEDS;
+		sum.cost += day.cost / SEED_COUNT;
+		sum.bound += day.bound / SEED_COUNT;
+		sum.bound_with_spares += day.bound_with_spares / SEED_COUNT;
 		sum.requests += day.requests;
 		sum.late += day.late;
 		sum.urgent += day.urgent;
 		sum.urgent_late += day.urgent_late;
-		sum.moved += day.moved / SEEDS;
+		sum.moved += day.moved / SEED_COUNT;
 		sum.bought += day.bought;
 		sum.refused += day.refused;
 	}
@@ -59,9 +59,10 @@
 	       user->name, rule_names[rule], headroom,
 	       100 * sum->late / sum->requests,
 	       100 * sum->urgent_late / sum->urgent, sum->cost,
-	       on_demand > 0 ? sum->cost / on_demand : 1.0, sum->cost / sum->bound,
-	       sum->cost / sum->bound_with_spares, sum->moved,
-	       (double)sum->bought / SEEDS, (double)sum->refused / SEEDS);
+	       on_demand > 0 ? sum->cost / on_demand : 1.0,
+	       sum->cost / sum->bound, sum->cost / sum->bound_with_spares,
+	       sum->moved, (double)sum->bought / SEED_COUNT,
+	       (double)sum->refused / SEED_COUNT);
 	fflush(stdout);
 }
 
@@ -75,8 +76,8 @@
 
 	for (i = 0; i < G_N_ELEMENTS(headrooms); i++) {
 		sum = run_days(user, rule, headrooms[i]);
-		if (sum.late <= LATE_MOST * sum.requests &&
-		    sum.urgent_late <= LATE_MOST * sum.urgent)
+		if (sum.late <= LATE_FRACTION_MAX * sum.requests &&
+		    sum.urgent_late <= LATE_FRACTION_MAX * sum.urgent)
 			break;
 	}
 	i = MIN(i, G_N_ELEMENTS(headrooms) - 1);
