--- a/bench/bench_claims.c
+++ b/bench/bench_claims.c
@@ -1,8 +1,8 @@
 /*
- * How many not-repeatable calls a second the claims machines complete while the
- * store takes 300 writes a second in all. The machines are driven step by step
- * against a fake store on a simulated clock, so each run gives the same figures
- * on any machine. Prints CSV.
+ * Measures how many non-repeatable calls per second complete when the store
+ * accepts 300 writes per second in total. The claim state machines run against a
+ * fake store on a simulated clock, so results do not depend on the machine.
+ * Prints CSV.
  */
 #include <stdio.h>
 #include <string.h>
@@ -10,22 +10,22 @@
 #include "core/claims.h"
 #include "ports/event.h"
 
-#define STORE_WRITES 300 /* a second */
+#define STORE_WRITES 300 /* per second */
 #define STORE_BURST 30
 #define STORE_DELAY (3 * PD_MSEC) /* one way */
-#define SERVICE_TIME (20 * PD_MSEC) /* of a call at its service */
+#define SERVICE_TIME (20 * PD_MSEC) /* of a call */
 #define STEP PD_MSEC
 #define RUN_TIME (20 * PD_SEC)
 #define RETENTION (24 * 3600 * PD_SEC)
 #define ENTRIES_MAX 48
-#define LATENCY_BUCKETS 8192 /* of a millisecond */
+#define LATENCY_BUCKETS 8192 /* of one millisecond */
 
 typedef struct object {
 	uint64_t version;
 	claim_table_t *table;
 } object_t;
 
-/* One read or write, first on its way to the store and then back. */
+/* A read or write in transit to the store or, once processed, back. */
 typedef struct message {
 	list_node_t node;
 	unsigned int entry;
@@ -35,7 +35,7 @@
 	store_reply_t reply;
 } message_t;
 
-/* A call that won its claim and runs. */
+/* A call that has acquired its claim and runs. */
 typedef struct running {
 	list_node_t node;
 	unsigned int entry;
@@ -61,11 +61,13 @@
 	unsigned int latency[LATENCY_BUCKETS];
 } bench_t;
 
+/* Returns the idempotency key of a ticket. The caller owns it. */
 static char *ticket_key(uint64_t ticket)
 {
 	return g_strdup_printf("key-%" G_GUINT64_FORMAT, ticket);
 }
 
+/* Frees an object, for GHashTable. */
 static void object_free(void *data)
 {
 	object_t *object = data;
@@ -74,6 +76,7 @@
 	g_free(object);
 }
 
+/* Returns the object NAME, borrowed, and creates it if it is missing. */
 static object_t *bench_get_object(bench_t *bench, const char *name)
 {
 	object_t *object = g_hash_table_lookup(bench->objects, name);
@@ -85,6 +88,10 @@
 	return object;
 }
 
+/*
+ * Applies a write if the rate limit and the version permit it, and counts the
+ * outcome.
+ */
 static store_status_t process_write(bench_t *bench, object_t *object,
 				    const action_t *action)
 {
@@ -104,6 +111,7 @@
 	return STORE_OK;
 }
 
+/* Processes a message at the store and sends the reply on its way. */
 static void message_process(bench_t *bench, message_t *message)
 {
 	object_t *object = bench_get_object(bench, message->action->store.key);
@@ -122,6 +130,7 @@
 	message->reply.version = object->version;
 }
 
+/* Removes a message from its list and frees it. */
 static void message_free(message_t *message)
 {
 	list_remove(&message->node);
@@ -130,6 +139,10 @@
 	g_free(message);
 }
 
+/*
+ * Processes requests that have reached the store, and delivers replies that
+ * have reached their entry.
+ */
 static void bench_deliver_messages(bench_t *bench)
 {
 	LIST_FOR_EACH_SAFE (it, &bench->messages) {
@@ -147,6 +160,10 @@
 	}
 }
 
+/*
+ * Records the outcome of a claim, and starts the call if the claim was
+ * acquired.
+ */
 static void bench_handle_result(bench_t *bench, unsigned int entry,
 				const claim_result_t *result)
 {
@@ -167,6 +184,7 @@
 	list_append(&bench->running, &running->node);
 }
 
+/* Runs the claims of an entry, and sends its store operations. */
 static void bench_run_entry(bench_t *bench, unsigned int entry)
 {
 	list_node_t actions;
@@ -193,7 +211,7 @@
 	}
 }
 
-/* Records the answers of the calls whose work is done. */
+/* Records the responses of the calls whose service time has ended. */
 static void bench_complete_calls(bench_t *bench)
 {
 	LIST_FOR_EACH_SAFE (it, &bench->running) {
@@ -212,6 +230,7 @@
 	}
 }
 
+/* Starts a call at the next entry in turn. */
 static void bench_start_call(bench_t *bench)
 {
 	uint64_t ticket = bench->started_at->len;
@@ -223,7 +242,7 @@
 	g_free(key);
 }
 
-/* Returns the time within which that share of the claims was won. */
+/* Returns the time in ms within which PERCENT of the claims were acquired. */
 static int bench_latency(const bench_t *bench, unsigned int percent)
 {
 	unsigned int total = 0;
@@ -239,6 +258,7 @@
 	return LATENCY_BUCKETS;
 }
 
+/* Advances the simulation by one step, with OFFERED calls per second. */
 static void bench_step(bench_t *bench, double offered)
 {
 	double due = offered * (double)bench->now / PD_SEC;
@@ -254,6 +274,7 @@
 	bench->now += STEP;
 }
 
+/* Runs one simulation and prints its result as a line of CSV. */
 static void bench_run(unsigned int entries, unsigned int offered)
 {
 	bench_t bench = { .entries = entries, .now = STEP };
--- a/bench/bench_cost.c
+++ b/bench/bench_cost.c
@@ -1,12 +1,13 @@
 /*
- * A driver for instruction counts, which repeat on a busy machine where times do
- * not. It does one thing many times; run twice with different counts, the
- * difference is what one costs.
+ * Repeats one operation, so that its instructions can be counted: unlike times,
+ * these are reproducible on a busy machine. The difference of two runs with
+ * different counts, divided by the difference of the counts, is the cost of one
+ * operation.
  *
  *   valgrind --tool=callgrind bench_cost route UPSTREAMS COUNT
  *   (likewise: token, queued UPSTREAMS COUNT; heartbeat MEMBERS COUNT)
  *
- * Without arguments it prints the bytes that an open stream takes, as CSV.
+ * Without arguments it prints the memory per open stream in bytes, as CSV.
  */
 #include <malloc.h>
 #include <stdio.h>
@@ -21,6 +22,7 @@
 #define STREAM_COUNT 1000
 #define QUEUED_REQUESTS 200
 
+/* Starts a stream and returns its attempt, or 0 if it was not dispatched. */
 static attempt_id_t start_stream(drive_t *drive)
 {
 	action_t *action;
@@ -34,7 +36,10 @@
 	return attempt;
 }
 
-/* The choice alone, with a prompt that has a prefix which three engines hold. */
+/*
+ * Repeats only the choice of an upstream, for a prompt whose prefix three
+ * engines have cached.
+ */
 static void run_route(drive_t *drive, unsigned int count)
 {
 	target_t target = { .kind = TARGET_MODEL, .name = (char *)"m" };
@@ -60,6 +65,7 @@
 	}
 }
 
+/* Handles COUNT tokens of one stream. */
 static void run_token(drive_t *drive, unsigned int count)
 {
 	attempt_id_t attempt = start_stream(drive);
@@ -70,7 +76,10 @@
 	}
 }
 
-/* A token's event while many urgent requests wait, which may always queue. */
+/*
+ * Handles COUNT tokens while many requests wait. These are urgent, as urgent
+ * requests are always queued.
+ */
 static void run_queued(drive_t *drive, unsigned int count)
 {
 	attempt_id_t attempt = start_stream(drive);
@@ -84,6 +93,7 @@
 	}
 }
 
+/* Handles COUNT pings from the other members. */
 static void run_heartbeat(unsigned int entries, unsigned int count)
 {
 	drive_t *drive = drive_create("entry-0", "zone-a", 7);
@@ -117,6 +127,7 @@
 	drive_destroy(drive);
 }
 
+/* Prints the heap memory per open stream. */
 static void print_memory(void)
 {
 	drive_t *drive = drive_create("entry-1", "zone-a", 7);
--- a/bench/bench_decisions.c
+++ b/bench/bench_decisions.c
@@ -1,7 +1,7 @@
 /*
- * The entry's decisions under load against three common ways to route and
- * against what perfect knowledge could reach, in every scenario, for both users'
- * sizes, over fixed seeds. CSV goes to stdout, a table to stderr.
+ * Compares the routing of the entry core under load with three common policies
+ * and with bounds for perfect knowledge, in every scenario, for both sites, over
+ * fixed seeds. Writes CSV to stdout and a table to stderr.
  *
  *   bench_decisions [SEEDS [SCENARIO [SITE]]]
  */
@@ -30,11 +30,11 @@
 	M_URGENT_BOUND,
 	M_FIRST_BOUND,
 	M_GAP_P95,
-	M_IN_TARGET, /* of those not refused */
-	M_GOODPUT, /* part of the capacity */
-	M_SMALL_FAILED, /* small accounts' calls refused or late */
+	M_IN_TARGET, /* fraction of the calls not refused */
+	M_GOODPUT, /* fraction of the capacity */
+	M_SMALL_FAILED, /* fraction of small accounts' calls refused or late */
 	M_RECOMPUTED,
-	M_HITS, /* of the engines' prefix caches, a part */
+	M_HITS, /* hit rate of the engines' prefix caches */
 	M_REFUSAL_WAIT_MS, /* longest wait that ended in a refusal */
 	M_NO_RETRY_AFTER, /* refusals without Retry-After */
 	MEASURE_COUNT
@@ -48,6 +48,7 @@
 	"no_retry_after",
 };
 
+/* Orders doubles, for g_array_sort(). */
 static gint compare_doubles(gconstpointer a, gconstpointer b)
 {
 	double left = *(const double *)a;
@@ -56,6 +57,7 @@
 	return (left > right) - (left < right);
 }
 
+/* Returns the nearest-rank percentile PART, from 0 to 1, and sorts VALUES. */
 static double percentile(GArray *values, double part)
 {
 	if (!values->len)
@@ -65,7 +67,9 @@
 			     (guint)(part * (values->len - 1) + 0.5));
 }
 
-/* Returns the first-token time on an idle engine that holds the prefix. */
+/*
+ * Returns the time to first token on an idle engine that has cached the prefix.
+ */
 static double bound_ms(const call_t *call)
 {
 	unsigned int suffix = call->prompt - PREFIX_TOKENS;
@@ -76,18 +80,20 @@
 	       suffix * ENGINE_PREFILL_MS;
 }
 
-/* Returns the engine's work on a call, in iterations of one slot. */
+/* Returns the work of a call on an engine, in iterations of one slot. */
 static double call_work(const call_t *call)
 {
 	return call->tokens +
 	       (double)(call->prompt - PREFIX_TOKENS) / ENGINE_CHUNK_TOKENS;
 }
 
+/* Converts a time span to milliseconds. */
 static double to_ms(pd_time_t span)
 {
 	return (double)span / PD_MSEC;
 }
 
+/* Returns the mean time between the tokens of a call in milliseconds. */
 static double gap_ms(const call_t *call)
 {
 	return call->tokens < 2 ? 0
@@ -101,6 +107,7 @@
 	double small, small_failed;
 } tally_t;
 
+/* Adds a call to the tally and to the counters of M. */
 static void count_call(const call_t *call, tally_t *tally, double *m)
 {
 	bool urgent = call->priority == PRIORITY_URGENT;
@@ -140,11 +147,13 @@
 		g_array_append_val(tally->urgent, first);
 }
 
+/* Creates an empty array of doubles. The caller owns it. */
 static GArray *new_double_array(void)
 {
 	return g_array_new(FALSE, FALSE, sizeof(double));
 }
 
+/* Computes all measures of a completed simulation into M. */
 static void measure(const sim_t *sim, double *m)
 {
 	tally_t tally = { .first = new_double_array(),
@@ -184,6 +193,7 @@
 	g_array_unref(tally.gap);
 }
 
+/* Prints the measures of one run as a line of CSV. */
 static void print_row(const char *site, const char *scenario,
 		      const char *policy, unsigned int seed, const double *m)
 {
@@ -194,7 +204,7 @@
 	fflush(stdout);
 }
 
-/* Prints mean and standard deviation of the measures a reader looks at. */
+/* Prints the mean and standard deviation of the main measures to stderr. */
 static void print_summary(const char *site, const char *scenario,
 			  const char *policy, double all[][MEASURE_COUNT],
 			  unsigned int seeds)
@@ -222,6 +232,7 @@
 	fprintf(stderr, "\n");
 }
 
+/* Runs a scenario under every policy with each seed and prints the results. */
 static void run_all(const site_t *site, const scenario_t *scenario,
 		    unsigned int seeds)
 {
--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -1,7 +1,8 @@
 /*
- * A driver for instruction counts of the gateway program: sends so many calls
- * through one gateway and stops it. Run twice under callgrind with different
- * counts, the difference is what one call costs.
+ * Sends a number of calls through one gateway process and stops it, so that its
+ * instructions can be counted. The difference of two runs under callgrind with
+ * different counts, divided by the difference of the counts, is the cost of a
+ * call.
  *
  *   bench_gateway [safe|stream [COUNT]]
  *
@@ -19,12 +20,13 @@
 
 #include "tests/harness/gateway_rig.h"
 
-#define BATCH_SIZE \
-	20 /* calls under way, so that the ticks between weigh little */
+/* Concurrent calls; more of them reduce the share of the timer ticks. */
+#define BATCH_SIZE 20
 
 static const char *route;
 static unsigned int call_count;
 
+/* Sends CALLS concurrent calls and waits for their responses. */
 static void send_batch(gateway_rig_t *rig, uint16_t port, unsigned int calls)
 {
 	rig_caller_t *callers[BATCH_SIZE];
@@ -46,6 +48,7 @@
 	}
 }
 
+/* Runs the gateway and sends CALL_COUNT calls in batches. */
 static void bench(void **state)
 {
 	gateway_rig_t *rig = gateway_rig_create();
@@ -61,7 +64,7 @@
 	rig_start(rig, 0);
 	RIG_UNTIL(rig, rig_port(rig, 0, "health"));
 	port = rig_port(rig, 0, "callers");
-	/* Ready once it has both lists; a call before that is refused. */
+	/* Calls are refused until the gateway has read both lists. */
 	for (uint64_t end = uv_hrtime() / 1000000 + 3000;
 	     uv_hrtime() / 1000000 < end;)
 		rig_turn(rig);
--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -1,8 +1,8 @@
 /*
- * What placement costs at the latency target, by rule, for both users' sizes:
- * ten days from fixed seeds. Each rule gets the smallest headroom at which 95 in
- * 100 first tokens come in time, of all requests and of the urgent ones, over
- * the ten days together; what it paid there is compared.
+ * Compares the cost of the placement rules at the latency target, for both
+ * users' sizes, over ten simulated days with fixed seeds. Each rule is given the
+ * smallest headroom at which 95 % of first tokens meet the target, both of all
+ * requests and of the urgent ones, over all days together.
  */
 #include <stdio.h>
 
@@ -24,6 +24,10 @@
 	[MIX_CHEAPEST] = "cheapest",
 };
 
+/*
+ * Simulates a day for each seed and returns counts of requests and VM starts as
+ * sums, and costs and moves as means.
+ */
 static day_result_t run_days(const user_t *user, mix_rule_t rule,
 			     unsigned int headroom)
 {
@@ -52,6 +56,7 @@
 	return sum;
 }
 
+/* Prints the result of a rule as a line of CSV. */
 static void print_row(const user_t *user, mix_rule_t rule, unsigned int headroom,
 		      const day_result_t *sum, double on_demand)
 {
@@ -66,7 +71,10 @@
 	fflush(stdout);
 }
 
-/* Returns the rule's cost at the target, or where the headrooms end. */
+/*
+ * Prints the result of a rule at the smallest sufficient headroom, or at the
+ * largest if none suffices. Returns its cost.
+ */
 static double measure(const user_t *user, mix_rule_t rule, double on_demand)
 {
 	static const unsigned int headrooms[] = { 0,  10, 20,  30, 40,
