--- a/bench/bench_lease.c
+++ b/bench/bench_lease.c
@@ -8,121 +8,127 @@
 #include "core/lease.h"
 
 #define STEP (50 * PD_MSEC)
-#define STEPS_A_SECOND (PD_SEC / STEP)
+#define STEPS_PER_SECOND (PD_SEC / STEP)
 #define SETTLE_SECONDS 120
 #define MEASURE_SECONDS 600
-#define TAKEOVER_LIMIT (200 * PD_SEC)
+#define TAKEOVER_TIMEOUT (200 * PD_SEC)
 #define PLACERS_MAX 320
 
-typedef struct fake {
+typedef struct simulation {
 	lease_t *leases[PLACERS_MAX];
 	unsigned int count;
 	uint64_t version;
 	lease_record_t *record;
 	unsigned int calls;
 	unsigned int conflicts;
-	unsigned int dead; /* index plus one of a placer that died */
+	unsigned int terminated; /* index plus one of a placer that died */
 	pd_time_t now;
-} fake_t;
+} simulation_t;
 
-static void answer(fake_t *fake, lease_t *lease, const placer_action_t *action)
+static void handle_lease_call(simulation_t *simulation, lease_t *lease,
+			      const placer_action_t *action)
 {
 	lease_reply_t reply = { .op = action->lease.op };
 
-	fake->calls++;
+	simulation->calls++;
 	if (action->kind == PLACER_LEASE_READ) {
-		reply.status = fake->record ? STORE_OK : STORE_MISSING;
-		reply.record = fake->record;
-	} else if (action->lease.version != fake->version) {
+		reply.status = simulation->record ? STORE_OK : STORE_MISSING;
+		reply.record = simulation->record;
+	} else if (action->lease.version != simulation->version) {
 		reply.status = STORE_CONFLICT;
-		fake->conflicts++;
+		simulation->conflicts++;
 	} else {
-		lease_record_destroy(fake->record);
-		fake->record = lease_record_copy(action->lease.record);
-		fake->version++;
+		lease_record_destroy(simulation->record);
+		simulation->record = lease_record_copy(action->lease.record);
+		simulation->version++;
 	}
-	reply.version = fake->version;
-	lease_handle_reply(lease, &reply, fake->now);
+	reply.version = simulation->version;
+	lease_handle_reply(lease, &reply, simulation->now);
 }
 
 /* Answers come after all have asked, so that those who ask at once collide. */
-static void step(fake_t *fake)
+static void step(simulation_t *simulation)
 {
-	list_node_t asked[PLACERS_MAX];
-
-	fake->now += STEP;
-	for (unsigned int i = 0; i < fake->count; i++) {
-		list_init(&asked[i]);
-		if (i + 1 != fake->dead)
-			lease_run(fake->leases[i], fake->now, &asked[i]);
+	list_node_t actions[PLACERS_MAX];
+
+	simulation->now += STEP;
+	for (unsigned int i = 0; i < simulation->count; i++) {
+		list_init(&actions[i]);
+		if (i + 1 != simulation->terminated)
+			lease_run(simulation->leases[i], simulation->now,
+				  &actions[i]);
 	}
-	for (unsigned int i = 0; i < fake->count; i++) {
+	for (unsigned int i = 0; i < simulation->count; i++) {
 		list_node_t *node;
 
-		while ((node = list_pop(&asked[i]))) {
+		while ((node = list_pop(&actions[i]))) {
 			placer_action_t *action =
 				LIST_ENTRY(node, placer_action_t, node);
 
-			answer(fake, fake->leases[i], action);
+			handle_lease_call(simulation, simulation->leases[i],
+					  action);
 			placer_action_destroy(action);
 		}
 	}
 }
 
-static unsigned int holder(const fake_t *fake)
+static unsigned int find_leader(const simulation_t *simulation)
 {
-	for (unsigned int i = 0; i < fake->count; i++) {
-		if (i + 1 != fake->dead && lease_is_held(fake->leases[i], fake->now))
+	for (unsigned int i = 0; i < simulation->count; i++) {
+		if (i + 1 != simulation->terminated &&
+		    lease_is_held(simulation->leases[i], simulation->now))
 			return i + 1;
 	}
 	return 0;
 }
 
 /* Returns the most calls in any second, and all in TOTAL. */
-static unsigned int run_seconds(fake_t *fake, unsigned int seconds,
+static unsigned int run_seconds(simulation_t *simulation, unsigned int seconds,
 				unsigned int *total)
 {
 	unsigned int peak = 0;
 
 	*total = 0;
 	for (unsigned int second = 0; second < seconds; second++) {
-		fake->calls = 0;
-		for (unsigned int i = 0; i < STEPS_A_SECOND; i++)
-			step(fake);
-		peak = MAX(peak, fake->calls);
-		*total += fake->calls;
+		simulation->calls = 0;
+		for (unsigned int i = 0; i < STEPS_PER_SECOND; i++)
+			step(simulation);
+		peak = MAX(peak, simulation->calls);
+		*total += simulation->calls;
 	}
 	return peak;
 }
 
 static void measure(unsigned int count, uint32_t seed)
 {
-	fake_t fake = { .count = count, .now = PD_SEC };
+	simulation_t simulation = { .count = count, .now = PD_SEC };
 	unsigned int start_peak;
 	unsigned int peak;
 	unsigned int total;
-	pd_time_t died_at;
+	pd_time_t terminated_at;
 
 	for (unsigned int i = 0; i < count; i++) {
 		char *id = g_strdup_printf("placer-%u", i);
 
-		fake.leases[i] = lease_create(id, &lease_timing_placer,
-					      seed * PLACERS_MAX + i);
+		simulation.leases[i] = lease_create(id, &lease_timing_placer,
+						    seed * PLACERS_MAX + i);
 		g_free(id);
 	}
-	start_peak = run_seconds(&fake, SETTLE_SECONDS, &total);
-	peak = run_seconds(&fake, MEASURE_SECONDS, &total);
-	fake.conflicts = 0;
-	fake.dead = holder(&fake);
-	died_at = fake.now;
-	while (!holder(&fake) && fake.now - died_at < TAKEOVER_LIMIT)
-		step(&fake);
+	start_peak = run_seconds(&simulation, SETTLE_SECONDS, &total);
+	peak = run_seconds(&simulation, MEASURE_SECONDS, &total);
+	simulation.conflicts = 0;
+	simulation.terminated = find_leader(&simulation);
+	terminated_at = simulation.now;
+	while (!find_leader(&simulation) &&
+	       simulation.now - terminated_at < TAKEOVER_TIMEOUT)
+		step(&simulation);
 	printf("%u,%u,%.1f,%u,%u,%.1f,%u\n", count, seed,
 	       (double)total / MEASURE_SECONDS, peak, start_peak,
-	       (double)(fake.now - died_at) / PD_SEC, fake.conflicts);
+	       (double)(simulation.now - terminated_at) / PD_SEC,
+	       simulation.conflicts);
 	for (unsigned int i = 0; i < count; i++)
-		lease_destroy(fake.leases[i]);
-	lease_record_destroy(fake.record);
+		lease_destroy(simulation.leases[i]);
+	lease_record_destroy(simulation.record);
 }
 
 int main(void)
--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -9,26 +9,26 @@
 #include "tests/harness/gossip.h"
 
 #define SEED 20261202
-#define SETTLE (60 * PD_SEC)
+#define SETTLE_TIME (60 * PD_SEC)
 #define STEADY_SECONDS 120
-#define LIMIT (120 * PD_SEC)
-#define WAVE_VMS 72
-#define WAVE_SECONDS 10
-#define FREEZE (8 * PD_SEC)
+#define MEASURE_TIMEOUT (120 * PD_SEC)
+#define RECLAIM_VMS 72
+#define RECLAIM_SECONDS 10
+#define FREEZE_TIME (8 * PD_SEC)
 
 typedef struct result {
 	double first_dead_s; /* after the death: the first that calls it dead */
 	double all_dead_s;
-	unsigned int suspected; /* second by second: pairs of living members */
-	unsigned int called_dead;
+	unsigned int suspected_pairs; /* second by second: pairs of living members */
+	unsigned int dead_pairs;
 	double leaving_s; /* until every member knows */
 	double generation_s;
 	double messages; /* a node a second, quiet */
 	double bytes;
-	double wave_bytes; /* a node, in the busiest second of the news */
-	double wave_s; /* until every member knows of a zone's VMs */
-	double wave_peak; /* bytes a node in the busiest second of that */
-	double wave_mean; /* bytes a node a second, over ten seconds */
+	double update_bytes; /* a node, in the busiest second of the news */
+	double reclaim_s; /* until every member knows of a zone's VMs */
+	double reclaim_peak; /* bytes a node in the busiest second of that */
+	double reclaim_mean; /* bytes a node a second, over ten seconds */
 	uint64_t largest; /* bytes of a message */
 } result_t;
 
@@ -50,7 +50,7 @@
 	return sum;
 }
 
-static void count_doubts(const gossip_t *gossip, result_t *result)
+static void count_false_suspicions(const gossip_t *gossip, result_t *result)
 {
 	for (unsigned int i = 0; i < gossip->size; i++) {
 		unsigned int dead;
@@ -59,8 +59,8 @@
 		    gossip->now < gossip->nodes[i].frozen_until)
 			continue;
 		dead = gossip_viewers(gossip, i, MEMBER_DEAD);
-		result->called_dead += dead;
-		result->suspected +=
+		result->dead_pairs += dead;
+		result->suspected_pairs +=
 			gossip_viewers(gossip, i, MEMBER_SUSPECT) - dead;
 	}
 }
@@ -75,25 +75,26 @@
 		/* A tenth of the fleet pauses by turns, as VMs do. */
 		if (frozen && second % 20 == 0)
 			for (unsigned int i = 0; i < gossip->size; i += 10)
-				gossip->nodes[i].frozen_until = gossip->now + FREEZE;
+				gossip->nodes[i].frozen_until =
+					gossip->now + FREEZE_TIME;
 		gossip_run(gossip, PD_SEC);
-		count_doubts(gossip, result);
+		count_false_suspicions(gossip, result);
 	}
 	result->bytes = (double)(sum_bytes(gossip) - bytes) / node_seconds;
 	result->messages = (double)(sum_messages(gossip) - messages) / node_seconds;
 }
 
-static void measure_death(gossip_t *gossip, result_t *result)
+static void measure_failure(gossip_t *gossip, result_t *result)
 {
-	unsigned int victim = gossip->size / 2;
+	unsigned int failed = gossip->size / 2;
 	pd_time_t since = gossip->now;
 
-	gossip_kill(gossip, victim);
-	while (gossip->now - since < LIMIT) {
+	gossip_kill(gossip, failed);
+	while (gossip->now - since < MEASURE_TIMEOUT) {
 		unsigned int viewers;
 
 		gossip_run(gossip, 5 * GOSSIP_STEP);
-		viewers = gossip_viewers(gossip, victim, MEMBER_DEAD);
+		viewers = gossip_viewers(gossip, failed, MEMBER_DEAD);
 		if (viewers && result->first_dead_s == 0)
 			result->first_dead_s =
 				(double)(gossip->now - since) / PD_SEC;
@@ -103,15 +104,15 @@
 	result->all_dead_s = (double)(gossip->now - since) / PD_SEC;
 }
 
-static void measure_news(gossip_t *gossip, result_t *result)
+static void measure_updates(gossip_t *gossip, result_t *result)
 {
 	pd_time_t since = gossip->now;
 	uint64_t bytes = sum_bytes(gossip);
 
 	gossip_tell(gossip, 0, 1, true);
 	gossip_run(gossip, PD_SEC);
-	result->wave_bytes = (double)(sum_bytes(gossip) - bytes) / gossip->size;
-	gossip_run(gossip, LIMIT - PD_SEC);
+	result->update_bytes = (double)(sum_bytes(gossip) - bytes) / gossip->size;
+	gossip_run(gossip, MEASURE_TIMEOUT - PD_SEC);
 	for (unsigned int i = 0; i < gossip->size; i++) {
 		const gossip_node_t *node = &gossip->nodes[i];
 
@@ -121,43 +122,43 @@
 			MAX(result->leaving_s,
 			    node->has_leaving
 				    ? (double)(node->leaving_at - since) / PD_SEC
-				    : (double)LIMIT / PD_SEC);
+				    : (double)MEASURE_TIMEOUT / PD_SEC);
 		result->generation_s =
 			MAX(result->generation_s,
 			    node->generation
 				    ? (double)(node->generation_at - since) / PD_SEC
-				    : (double)LIMIT / PD_SEC);
+				    : (double)MEASURE_TIMEOUT / PD_SEC);
 	}
 }
 
 /* A zone's VMs, 72 at the planned size, are all told to leave. */
-static void measure_wave(gossip_t *gossip, result_t *result)
+static void measure_reclaim(gossip_t *gossip, result_t *result)
 {
 	pd_time_t since = gossip->now;
 	uint64_t first = sum_bytes(gossip);
 
-	for (unsigned int vm = 0; vm < WAVE_VMS; vm++)
+	for (unsigned int vm = 0; vm < RECLAIM_VMS; vm++)
 		gossip_tell_wave(gossip, 0, vm);
-	for (int second = 0; second < WAVE_SECONDS; second++) {
+	for (int second = 0; second < RECLAIM_SECONDS; second++) {
 		uint64_t bytes = sum_bytes(gossip);
 		double sent;
 
 		gossip_run(gossip, PD_SEC);
 		sent = (double)(sum_bytes(gossip) - bytes) / gossip->size;
-		result->wave_peak = MAX(result->wave_peak, sent);
+		result->reclaim_peak = MAX(result->reclaim_peak, sent);
 	}
-	result->wave_mean = (double)(sum_bytes(gossip) - first) / gossip->size /
-			    WAVE_SECONDS;
-	gossip_run(gossip, LIMIT);
+	result->reclaim_mean = (double)(sum_bytes(gossip) - first) /
+			       gossip->size / RECLAIM_SECONDS;
+	gossip_run(gossip, MEASURE_TIMEOUT);
 	for (unsigned int i = 0; i < gossip->size; i++) {
 		const gossip_node_t *node = &gossip->nodes[i];
-		bool all = node->wave_known == WAVE_VMS;
+		bool all = node->wave_known == RECLAIM_VMS;
 
 		if (!node->dead)
-			result->wave_s =
-				MAX(result->wave_s,
-				    (double)(all ? node->wave_at - since : LIMIT) /
-					    PD_SEC);
+			result->reclaim_s = MAX(result->reclaim_s,
+						(double)(all ? node->wave_at - since
+							     : MEASURE_TIMEOUT) /
+							PD_SEC);
 	}
 }
 
@@ -166,22 +167,22 @@
 	gossip_t *gossip = gossip_create(size, SEED, loss);
 	result_t result = { 0 };
 
-	gossip_run(gossip, SETTLE);
+	gossip_run(gossip, SETTLE_TIME);
 	measure_steady(gossip, frozen, &result);
-	gossip_run(gossip, SETTLE);
-	measure_death(gossip, &result);
-	gossip_run(gossip, SETTLE);
-	measure_news(gossip, &result);
-	measure_wave(gossip, &result);
+	gossip_run(gossip, SETTLE_TIME);
+	measure_failure(gossip, &result);
+	gossip_run(gossip, SETTLE_TIME);
+	measure_updates(gossip, &result);
+	measure_reclaim(gossip, &result);
 	for (unsigned int i = 0; i < size; i++)
 		result.largest = MAX(result.largest, gossip->nodes[i].bytes_most);
 	printf("%u,%.2f,%s,%.1f,%.1f,%u,%u,%.2f,%.2f,%.2f,%.0f,%.0f,%.1f,%.0f,%"
 	       ".0f,%u\n",
 	       size, loss, frozen ? "yes" : "no", result.first_dead_s,
-	       result.all_dead_s, result.suspected, result.called_dead,
-	       result.leaving_s, result.generation_s, result.messages,
-	       result.bytes, result.wave_bytes, result.wave_s, result.wave_peak,
-	       result.wave_mean, (unsigned int)result.largest);
+	       result.all_dead_s, result.suspected_pairs, result.dead_pairs,
+	       result.leaving_s, result.generation_s, result.messages, result.bytes,
+	       result.update_bytes, result.reclaim_s, result.reclaim_peak,
+	       result.reclaim_mean, (unsigned int)result.largest);
 	gossip_destroy(gossip);
 }
 
--- a/bench/bench_moves.c
+++ b/bench/bench_moves.c
@@ -13,47 +13,47 @@
 #include "core/prefix.h"
 #include "tests/harness/drive.h"
 
-#define ENGINES 12
-#define ZONES 4
-#define SLOTS 16
-#define STREAMS 120
-#define DOCUMENTS 12 /* that prompts begin with, each shared by some */
+#define ENGINE_COUNT 12
+#define ZONE_COUNT 4
+#define SLOTS_PER_ENGINE 16
+#define STREAM_COUNT 120
+#define DOCUMENT_COUNT 12 /* that prompts begin with, each shared by some */
 #define DOCUMENT_BYTES 6000
 #define QUESTION_BYTES 400
-#define TOKENS 800
+#define BASE_TOKENS 800
 #define TOKEN_GAP (20 * PD_MSEC)
 #define STEP (20 * PD_MSEC) /* that the entry ticks and engines work in */
-#define RECOMPUTE_US 300 /* an engine, a token */
-#define TRANSFER_US 30
+#define PREFILL_TOKEN_US 300 /* an engine, a token */
+#define TRANSFER_TOKEN_US 30
 #define CACHE_BLOCKS 2400 /* of an engine; some 25 prompts */
 #define RECLAIM_AT (8 * PD_SEC)
 #define NOTICE_MS_DEFAULT 5000
 #define END_AT (300 * PD_SEC)
-#define TEXT "x"
+#define TOKEN_TEXT "x"
 
 typedef enum policy {
 	POLICY_MOVES,
 	POLICY_TEXT_ONLY, /* resumes when broken; no notice, export or cache news */
 	POLICY_RESTART, /* as that, and an attempt begins at token 0 */
-	POLICIES
+	POLICY_COUNT
 } policy_t;
 
-static const char *const policy_names[POLICIES] = { "moves", "text-only",
-						    "restart" };
+static const char *const policy_names[POLICY_COUNT] = { "moves", "text-only",
+							"restart" };
 
 typedef struct engine {
 	char id[16];
 	char zone[16];
-	bool gone;
+	bool terminated;
 	pd_time_t busy_until;
 	GHashTable *cache; /* prefix -> NULL */
-	GQueue cached; /* oldest first */
-	GArray *news; /* of cache_event_t, not told yet */
+	GQueue cached_blocks; /* oldest first */
+	GArray *cache_events; /* of cache_event_t, not told yet */
 	unsigned int running;
 } engine_t;
 
 /* One attempt on an engine. */
-typedef struct work {
+typedef struct job {
 	list_node_t node;
 	attempt_id_t attempt;
 	engine_t *engine;
@@ -65,29 +65,29 @@
 	pd_time_t next_at;
 	unsigned int recomputed;
 	bool started;
-} work_t;
+} job_t;
 
 typedef struct bench {
 	drive_t *drive;
 	policy_t policy;
 	pd_time_t notice;
 	GRand *rand;
-	engine_t engines[ENGINES];
-	list_node_t works;
-	unsigned int ended;
+	engine_t engines[ENGINE_COUNT];
+	list_node_t jobs;
+	unsigned int completed;
 	unsigned int refused;
-	bool wave; /* attempts from now on recompute */
+	bool reclaim_started; /* attempts from now on recompute */
 	uint64_t recomputed; /* tokens set up or generated a second time */
 	uint64_t moved;
 	pd_time_t last_end;
 	pd_time_t longest_setup; /* of a moved stream */
 } bench_t;
 
-static void cache_note(engine_t *engine, uint64_t prefix, bool held)
+static void record_cache_event(engine_t *engine, uint64_t prefix, bool cached)
 {
-	cache_event_t news = { prefix, held };
+	cache_event_t event = { prefix, cached };
 
-	g_array_append_val(engine->news, news);
+	g_array_append_val(engine->cache_events, event);
 }
 
 static void cache_add(engine_t *engine, const char *text)
@@ -102,31 +102,32 @@
 			continue;
 		prefix = g_memdup2(&hashes[i], sizeof(hashes[i]));
 		g_hash_table_add(engine->cache, prefix);
-		g_queue_push_tail(&engine->cached, prefix);
-		cache_note(engine, hashes[i], true);
+		g_queue_push_tail(&engine->cached_blocks, prefix);
+		record_cache_event(engine, hashes[i], true);
 	}
-	while (g_queue_get_length(&engine->cached) > CACHE_BLOCKS) {
-		uint64_t *prefix = g_queue_pop_head(&engine->cached);
+	while (g_queue_get_length(&engine->cached_blocks) > CACHE_BLOCKS) {
+		uint64_t *prefix = g_queue_pop_head(&engine->cached_blocks);
 
-		cache_note(engine, *prefix, false);
+		record_cache_event(engine, *prefix, false);
 		g_hash_table_remove(engine->cache, prefix);
 	}
 }
 
-static unsigned int cache_covers(const engine_t *engine, const char *text)
+static unsigned int cache_count_tokens(const engine_t *engine, const char *text)
 {
 	uint64_t hashes[PREFIX_BLOCKS_MAX];
 	size_t count = prefix_hashes(text, strlen(text), hashes, PREFIX_BLOCKS_MAX);
-	size_t held = 0;
+	size_t cached = 0;
 
-	while (held < count && g_hash_table_contains(engine->cache, &hashes[held]))
-		held++;
-	return (unsigned int)(held * PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
+	while (cached < count &&
+	       g_hash_table_contains(engine->cache, &hashes[cached]))
+		cached++;
+	return (unsigned int)(cached * PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
 }
 
-static engine_t *engine_find(bench_t *bench, const char *id)
+static engine_t *find_engine(bench_t *bench, const char *id)
 {
-	for (unsigned int i = 0; i < ENGINES; i++) {
+	for (unsigned int i = 0; i < ENGINE_COUNT; i++) {
 		if (!strcmp(bench->engines[i].id, id))
 			return &bench->engines[i];
 	}
@@ -134,85 +135,86 @@
 }
 
 /* Says whether the engine that is to export is still there. */
-static bool can_import(bench_t *bench, const dispatch_t *dispatch)
+static bool can_import_kv(bench_t *bench, const dispatch_t *dispatch)
 {
 	if (!dispatch->kv_address || bench->policy != POLICY_MOVES)
 		return false;
-	return !bench->engines[dispatch->kv_port].gone;
+	return !bench->engines[dispatch->kv_port].terminated;
 }
 
 /* Takes a dispatch on, and works out what it costs to set up. */
-static void work_add(bench_t *bench, const dispatch_t *dispatch)
+static void job_create(bench_t *bench, const dispatch_t *dispatch)
 {
-	work_t *work = g_new0(work_t, 1);
+	job_t *job = g_new0(job_t, 1);
 	pd_time_t now = bench->drive->now;
 	gsize len;
 	const char *prompt = g_bytes_get_data(dispatch->body, &len);
 	bool restart = bench->policy == POLICY_RESTART;
 	char *text = g_strndup(prompt, len);
-	unsigned int length;
-	pd_time_t takes;
-
-	list_init(&work->node);
-	work->attempt = dispatch->attempt;
-	work->engine = engine_find(bench, dispatch->vm_id);
-	work->text = g_strconcat(text, restart ? "" : dispatch->emitted, NULL);
-	work->offset = restart ? 0 : dispatch->offset;
-	work->from = work->offset;
-	work->end = dispatch->max_tokens;
-	length = (unsigned int)(len / PREFIX_BYTES_PER_TOKEN + work->offset);
-	work->recomputed = length;
-	work->recomputed -= MIN(cache_covers(work->engine, work->text), length);
-	takes = work->recomputed * RECOMPUTE_US;
-	if (can_import(bench, dispatch)) {
-		work->recomputed = 0;
-		takes = length * TRANSFER_US;
+	unsigned int context_tokens;
+	pd_time_t setup_time;
+
+	list_init(&job->node);
+	job->attempt = dispatch->attempt;
+	job->engine = find_engine(bench, dispatch->vm_id);
+	job->text = g_strconcat(text, restart ? "" : dispatch->emitted, NULL);
+	job->offset = restart ? 0 : dispatch->offset;
+	job->from = job->offset;
+	job->end = dispatch->max_tokens;
+	context_tokens = (unsigned int)(len / PREFIX_BYTES_PER_TOKEN + job->offset);
+	job->recomputed = context_tokens;
+	job->recomputed -=
+		MIN(cache_count_tokens(job->engine, job->text), context_tokens);
+	setup_time = job->recomputed * PREFILL_TOKEN_US;
+	if (can_import_kv(bench, dispatch)) {
+		job->recomputed = 0;
+		setup_time = context_tokens * TRANSFER_TOKEN_US;
 	}
-	work->engine->busy_until = MAX(now, work->engine->busy_until) + takes;
-	work->starts_at = work->engine->busy_until;
-	work->engine->running++;
-	if (bench->wave) {
+	job->engine->busy_until = MAX(now, job->engine->busy_until) + setup_time;
+	job->starts_at = job->engine->busy_until;
+	job->engine->running++;
+	if (bench->reclaim_started) {
 		bench->moved++;
-		bench->recomputed += work->recomputed;
+		bench->recomputed += job->recomputed;
 		/* What the caller has is generated once more. */
 		if (restart)
 			bench->recomputed += dispatch->offset;
 		bench->longest_setup =
-			MAX(bench->longest_setup, work->starts_at - now);
+			MAX(bench->longest_setup, job->starts_at - now);
 	}
-	list_append(&bench->works, &work->node);
+	list_append(&bench->jobs, &job->node);
 	g_free(text);
 }
 
-static void work_end(work_t *work)
+static void job_destroy(job_t *job)
 {
-	list_remove(&work->node);
-	work->engine->running--;
-	g_free(work->text);
-	g_free(work);
+	list_remove(&job->node);
+	job->engine->running--;
+	g_free(job->text);
+	g_free(job);
 }
 
-static void work_cancel(bench_t *bench, attempt_id_t attempt)
+static void job_cancel(bench_t *bench, attempt_id_t attempt)
 {
-	LIST_FOR_EACH_SAFE (it, &bench->works) {
-		work_t *work = LIST_ENTRY(it, work_t, node);
+	LIST_FOR_EACH_SAFE (it, &bench->jobs) {
+		job_t *job = LIST_ENTRY(it, job_t, node);
 
-		if (work->attempt == attempt)
-			work_end(work);
+		if (job->attempt == attempt)
+			job_destroy(job);
 	}
 }
 
 /* An engine that is gone refuses the connection. */
-static void take_dispatch(bench_t *bench, const dispatch_t *dispatch)
+static void handle_dispatch(bench_t *bench, const dispatch_t *dispatch)
 {
-	if (engine_find(bench, dispatch->vm_id)->gone)
+	if (find_engine(bench, dispatch->vm_id)->terminated)
 		drive_upstream(bench->drive, UPSTREAM_FAILED, dispatch->attempt,
 			       0, false);
 	else
-		work_add(bench, dispatch);
+		job_create(bench, dispatch);
 }
 
-static void take_actions(bench_t *bench)
+static void handle_actions(bench_t *bench)
 {
 	list_node_t *node;
 
@@ -220,11 +222,11 @@
 		action_t *action = LIST_ENTRY(node, action_t, node);
 
 		if (action->kind == ACTION_DISPATCH)
-			take_dispatch(bench, &action->dispatch);
+			handle_dispatch(bench, &action->dispatch);
 		else if (action->kind == ACTION_CANCEL)
-			work_cancel(bench, action->attempt);
+			job_cancel(bench, action->attempt);
 		else if (action->kind == ACTION_END)
-			bench->ended++;
+			bench->completed++;
 		else if (action->kind == ACTION_REFUSE)
 			bench->refused++;
 		if (action->kind == ACTION_END)
@@ -233,16 +235,16 @@
 	}
 }
 
-static void report_started(bench_t *bench, work_t *work)
+static void report_started(bench_t *bench, job_t *job)
 {
 	event_t event = { .kind = EVENT_UPSTREAM,
 			  .upstream = { .kind = UPSTREAM_STARTED,
-					.attempt = work->attempt,
-					.recomputed = work->recomputed } };
+					.attempt = job->attempt,
+					.recomputed = job->recomputed } };
 
-	work->started = true;
-	work->next_at = work->starts_at + TOKEN_GAP;
-	cache_add(work->engine, work->text);
+	job->started = true;
+	job->next_at = job->starts_at + TOKEN_GAP;
+	cache_add(job->engine, job->text);
 	drive_event(bench->drive, &event);
 }
 
@@ -252,27 +254,27 @@
 			  .upstream = { .kind = UPSTREAM_TOKEN,
 					.attempt = attempt,
 					.offset = offset,
-					.data = TEXT,
-					.len = strlen(TEXT) } };
+					.data = TOKEN_TEXT,
+					.len = strlen(TOKEN_TEXT) } };
 
 	drive_event(bench->drive, &event);
 }
 
 /* Lets one attempt do what is due. */
-static void work_run(bench_t *bench, work_t *work)
+static void job_run(bench_t *bench, job_t *job)
 {
 	pd_time_t now = bench->drive->now;
 
-	if (!work->started && now >= work->starts_at)
-		report_started(bench, work);
-	while (work->started && now >= work->next_at) {
-		if (work->offset >= work->end) {
-			drive_upstream(bench->drive, UPSTREAM_END,
-				       work->attempt, 0, true);
+	if (!job->started && now >= job->starts_at)
+		report_started(bench, job);
+	while (job->started && now >= job->next_at) {
+		if (job->offset >= job->end) {
+			drive_upstream(bench->drive, UPSTREAM_END, job->attempt,
+				       0, true);
 			return;
 		}
-		report_token(bench, work->attempt, work->offset++);
-		work->next_at += TOKEN_GAP;
+		report_token(bench, job->attempt, job->offset++);
+		job->next_at += TOKEN_GAP;
 	}
 }
 
@@ -280,25 +282,26 @@
 {
 	event_t event = { .kind = EVENT_LOAD,
 			  .load = { .vm_id = engine->id,
-				    .answered = !engine->gone,
+				    .answered = !engine->terminated,
 				    .leaving = leaving,
 				    .leaves_in = bench->notice,
 				    .running = engine->running } };
 
 	if (bench->policy == POLICY_MOVES) {
-		event.load.cache = (const cache_event_t *)(void *)engine->news->data;
-		event.load.cache_count = engine->news->len;
+		event.load.cache =
+			(const cache_event_t *)(void *)engine->cache_events->data;
+		event.load.cache_count = engine->cache_events->len;
 	}
 	drive_event(bench->drive, &event);
-	g_array_set_size(engine->news, 0);
+	g_array_set_size(engine->cache_events, 0);
 }
 
-static void list_vms(bench_t *bench)
+static void send_vm_list(bench_t *bench)
 {
-	vm_t *vms = g_new0(vm_t, ENGINES);
+	vm_t *vms = g_new0(vm_t, ENGINE_COUNT);
 	event_t event = { .kind = EVENT_VM_LIST };
 
-	for (unsigned int i = 0; i < ENGINES; i++) {
+	for (unsigned int i = 0; i < ENGINE_COUNT; i++) {
 		vms[i] = (vm_t){ .id = bench->engines[i].id,
 				 .zone = bench->engines[i].zone,
 				 .machine_class = (char *)"any",
@@ -306,11 +309,11 @@
 				 .port = (uint16_t)i,
 				 .role = VM_MODEL,
 				 .state = VM_LIVE,
-				 .slots = SLOTS,
+				 .slots = SLOTS_PER_ENGINE,
 				 .serves = (char *)"m" };
 	}
 	event.vm_list.vms = vms;
-	event.vm_list.count = ENGINES;
+	event.vm_list.count = ENGINE_COUNT;
 	drive_event(bench->drive, &event);
 	g_free(vms);
 }
@@ -318,7 +321,7 @@
 static char *make_prompt(bench_t *bench, unsigned int number)
 {
 	GString *prompt = g_string_new(NULL);
-	unsigned int document = number % DOCUMENTS;
+	unsigned int document = number % DOCUMENT_COUNT;
 
 	while (prompt->len < DOCUMENT_BYTES)
 		g_string_append_printf(prompt, "document %u line %u. ",
@@ -329,25 +332,24 @@
 	return g_string_free(prompt, FALSE);
 }
 
-static void ask(bench_t *bench, unsigned int number)
+static void send_request(bench_t *bench, unsigned int number)
 {
 	char *prompt = make_prompt(bench, number);
 	GBytes *body = g_bytes_new_take(prompt, strlen(prompt));
-	event_t event = {
-		.kind = EVENT_REQUEST,
-		.request = { .caller = number + 1,
-			     .kind = TARGET_MODEL,
-			     .key_hash = DRIVE_KEY_HASH,
-			     .target = "m",
-			     .path = "/",
-			     .body = body,
-			     .max_tokens = (unsigned int)g_rand_int_range(
-				     bench->rand, TOKENS / 4, 2 * TOKENS) }
-	};
+	event_t event = { .kind = EVENT_REQUEST,
+			  .request = { .caller = number + 1,
+				       .kind = TARGET_MODEL,
+				       .key_hash = DRIVE_KEY_HASH,
+				       .target = "m",
+				       .path = "/",
+				       .body = body,
+				       .max_tokens = (unsigned int)g_rand_int_range(
+					       bench->rand, BASE_TOKENS / 4,
+					       2 * BASE_TOKENS) } };
 
 	drive_event(bench->drive, &event);
 	g_bytes_unref(body);
-	take_actions(bench);
+	handle_actions(bench);
 }
 
 static bool in_first_zone(const engine_t *engine)
@@ -356,43 +358,43 @@
 }
 
 /* The engines of the first zone are gone: what runs there breaks. */
-static void kill_zone(bench_t *bench)
+static void terminate_zone(bench_t *bench)
 {
-	for (unsigned int i = 0; i < ENGINES; i++)
-		bench->engines[i].gone |= in_first_zone(&bench->engines[i]);
-	LIST_FOR_EACH_SAFE (it, &bench->works) {
-		work_t *work = LIST_ENTRY(it, work_t, node);
+	for (unsigned int i = 0; i < ENGINE_COUNT; i++)
+		bench->engines[i].terminated |= in_first_zone(&bench->engines[i]);
+	LIST_FOR_EACH_SAFE (it, &bench->jobs) {
+		job_t *job = LIST_ENTRY(it, job_t, node);
 
-		if (work->engine->gone)
+		if (job->engine->terminated)
 			drive_upstream(bench->drive, UPSTREAM_FAILED,
-				       work->attempt, 0, true);
+				       job->attempt, 0, true);
 	}
-	take_actions(bench);
+	handle_actions(bench);
 }
 
 static void step(bench_t *bench, pd_time_t elapsed)
 {
 	drive_tick(bench->drive, STEP);
-	take_actions(bench);
-	LIST_FOR_EACH_SAFE (it, &bench->works) {
-		work_t *work = LIST_ENTRY(it, work_t, node);
+	handle_actions(bench);
+	LIST_FOR_EACH_SAFE (it, &bench->jobs) {
+		job_t *job = LIST_ENTRY(it, job_t, node);
 
-		if (!work->engine->gone)
-			work_run(bench, work);
+		if (!job->engine->terminated)
+			job_run(bench, job);
 	}
-	take_actions(bench);
+	handle_actions(bench);
 	if (elapsed % PD_SEC == 0) {
-		for (unsigned int i = 0; i < ENGINES; i++)
+		for (unsigned int i = 0; i < ENGINE_COUNT; i++)
 			report_load(bench, &bench->engines[i], false);
-		take_actions(bench);
+		handle_actions(bench);
 	}
 }
 
-static void give_notice(bench_t *bench)
+static void send_notice(bench_t *bench)
 {
-	bench->wave = true;
+	bench->reclaim_started = true;
 	/* Without a policy of moves nobody acts on a notice. */
-	for (unsigned int i = 0; i < ENGINES; i++) {
+	for (unsigned int i = 0; i < ENGINE_COUNT; i++) {
 		if (in_first_zone(&bench->engines[i]) &&
 		    bench->policy == POLICY_MOVES)
 			report_load(bench, &bench->engines[i], true);
@@ -404,30 +406,31 @@
 	bench->policy = policy;
 	bench->rand = g_rand_new_with_seed(seed);
 	bench->drive = drive_create("entry-1", "zone-b", seed);
-	list_init(&bench->works);
-	for (unsigned int i = 0; i < ENGINES; i++) {
+	list_init(&bench->jobs);
+	for (unsigned int i = 0; i < ENGINE_COUNT; i++) {
 		engine_t *engine = &bench->engines[i];
 
 		snprintf(engine->id, sizeof(engine->id), "m-%u", i + 1);
 		snprintf(engine->zone, sizeof(engine->zone), "zone-%c",
-			 'a' + (char)(i % ZONES));
+			 'a' + (char)(i % ZONE_COUNT));
 		engine->cache = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						      g_free, NULL);
-		engine->news = g_array_new(FALSE, FALSE, sizeof(cache_event_t));
+		engine->cache_events =
+			g_array_new(FALSE, FALSE, sizeof(cache_event_t));
 	}
 	drive_bundle(bench->drive, 1);
-	list_vms(bench);
-	take_actions(bench);
+	send_vm_list(bench);
+	handle_actions(bench);
 }
 
 static void destroy(bench_t *bench)
 {
-	LIST_FOR_EACH_SAFE (it, &bench->works)
-		work_end(LIST_ENTRY(it, work_t, node));
-	for (unsigned int i = 0; i < ENGINES; i++) {
-		g_queue_clear(&bench->engines[i].cached);
+	LIST_FOR_EACH_SAFE (it, &bench->jobs)
+		job_destroy(LIST_ENTRY(it, job_t, node));
+	for (unsigned int i = 0; i < ENGINE_COUNT; i++) {
+		g_queue_clear(&bench->engines[i].cached_blocks);
 		g_hash_table_unref(bench->engines[i].cache);
-		g_array_unref(bench->engines[i].news);
+		g_array_unref(bench->engines[i].cache_events);
 	}
 	drive_destroy(bench->drive);
 	g_rand_free(bench->rand);
@@ -436,31 +439,32 @@
 static void run(policy_t policy, uint32_t seed, uint32_t notice_ms)
 {
 	bench_t bench = { .notice = notice_ms * PD_MSEC };
-	unsigned int asked = 0;
-	pd_time_t began;
+	unsigned int requests_sent = 0;
+	pd_time_t started_at;
 
 	create(&bench, policy, seed);
-	began = bench.drive->now;
+	started_at = bench.drive->now;
 	for (pd_time_t at = 0; at < END_AT; at += STEP) {
-		if (asked < STREAMS)
-			ask(&bench, asked++);
+		if (requests_sent < STREAM_COUNT)
+			send_request(&bench, requests_sent++);
 		if (at == RECLAIM_AT)
-			give_notice(&bench);
+			send_notice(&bench);
 		if (at == RECLAIM_AT + bench.notice)
-			kill_zone(&bench);
+			terminate_zone(&bench);
 		step(&bench, at);
-		if (bench.ended + bench.refused == STREAMS)
+		if (bench.completed + bench.refused == STREAM_COUNT)
 			break;
 	}
 	printf("%u,%u,%s,%u,%u,%" G_GUINT64_FORMAT ",%" G_GUINT64_FORMAT
 	       ",%.0f,%.1f\n",
-	       seed, notice_ms, policy_names[policy], bench.ended, bench.refused,
-	       bench.moved, bench.recomputed, (double)bench.longest_setup / PD_MSEC,
-	       (double)(bench.last_end - began) / PD_SEC);
+	       seed, notice_ms, policy_names[policy], bench.completed,
+	       bench.refused, bench.moved, bench.recomputed,
+	       (double)bench.longest_setup / PD_MSEC,
+	       (double)(bench.last_end - started_at) / PD_SEC);
 	destroy(&bench);
 }
 
-static uint32_t number_of(const char *name, uint32_t fallback)
+static uint32_t get_env_number(const char *name, uint32_t fallback)
 {
 	const char *text = getenv(name);
 
@@ -469,12 +473,12 @@
 
 int main(void)
 {
-	uint32_t seed = number_of("SEED", 1);
-	uint32_t notice_ms = number_of("NOTICE_MS", NOTICE_MS_DEFAULT);
+	uint32_t seed = get_env_number("SEED", 1);
+	uint32_t notice_ms = get_env_number("NOTICE_MS", NOTICE_MS_DEFAULT);
 
 	printf("seed,notice_ms,policy,whole,refused,moved,recomputed_tokens,"
 	       "longest_setup_ms,last_end_s\n");
-	for (int policy = 0; policy < POLICIES; policy++)
+	for (int policy = 0; policy < POLICY_COUNT; policy++)
 		run((policy_t)policy, seed, notice_ms);
 	return 0;
 }
--- a/bench/bench_relay.c
+++ b/bench/bench_relay.c
@@ -16,16 +16,16 @@
 #include "adapters/sse.h"
 #include "tests/harness/fleet.h"
 
-#define ROUNDS 60
-#define TOKENS 50
+#define ROUND_COUNT 60
+#define TOKENS_PER_STREAM 50
 
 typedef struct samples {
-	double first[ROUNDS]; /* ms */
-	double gap[ROUNDS]; /* ms, mean of one stream */
+	double first[ROUND_COUNT]; /* ms */
+	double gap[ROUND_COUNT]; /* ms, mean of one stream */
 	int count;
 } samples_t;
 
-static int by_value(const void *a, const void *b)
+static int compare_doubles(const void *a, const void *b)
 {
 	double left = *(const double *)a;
 	double right = *(const double *)b;
@@ -35,35 +35,37 @@
 
 static double median(double *values, int count)
 {
-	qsort(values, (size_t)count, sizeof(*values), by_value);
+	qsort(values, (size_t)count, sizeof(*values), compare_doubles);
 	return values[count / 2];
 }
 
-static void sample(samples_t *samples, call_t *call)
+static void add_sample(samples_t *samples, call_t *call)
 {
 	int i = samples->count++;
 
 	call_wait(call);
 	assert_false(call->failed);
 	samples->first[i] = (double)(call->first_token_at - call->sent_at) / 1000;
-	samples->gap[i] =
-		(double)(call->done_at - call->first_token_at) / 1000 / TOKENS;
+	samples->gap[i] = (double)(call->done_at - call->first_token_at) /
+			  1000 / TOKENS_PER_STREAM;
 	call_destroy(call);
 }
 
 static void run(fleet_t *fleet, samples_t *direct, samples_t *relayed)
 {
-	for (int i = 0; i < ROUNDS; i++) {
+	for (int i = 0; i < ROUND_COUNT; i++) {
 		char *body = g_strdup_printf("{\"request_id\":\"d%d\","
 					     "\"prompt\":\"page %d\","
 					     "\"max_tokens\":%d}",
-					     i, i, TOKENS);
+					     i, i, TOKENS_PER_STREAM);
 		char *prompt = g_strdup_printf("page %d", i);
 
-		sample(direct, call_start(fleet, fleet->engines[0].port, "POST",
-					  "/generate", NULL, NULL, NULL, body));
-		sample(relayed, completion_start(fleet, fleet->entries[0].port,
-						 prompt, TOKENS, true));
+		add_sample(direct,
+			   call_start(fleet, fleet->engines[0].port, "POST",
+				      "/generate", NULL, NULL, NULL, body));
+		add_sample(relayed,
+			   completion_start(fleet, fleet->entries[0].port,
+					    prompt, TOKENS_PER_STREAM, true));
 		g_free(body);
 		g_free(prompt);
 	}
@@ -79,10 +81,10 @@
 	double gap[2];
 
 	run(fleet, &direct, &relayed);
-	first[0] = median(direct.first, ROUNDS);
-	first[1] = median(relayed.first, ROUNDS);
-	gap[0] = median(direct.gap, ROUNDS);
-	gap[1] = median(relayed.gap, ROUNDS);
+	first[0] = median(direct.first, ROUND_COUNT);
+	first[1] = median(relayed.first, ROUND_COUNT);
+	gap[0] = median(direct.gap, ROUND_COUNT);
+	gap[1] = median(relayed.gap, ROUND_COUNT);
 	printf("measure,direct_ms,through_entry_ms,ratio\n");
 	printf("first_token,%.3f,%.3f,%.3f\n", first[0], first[1],
 	       first[1] / first[0]);
--- a/bench/capacity/capacity.c
+++ b/bench/capacity/capacity.c
@@ -20,19 +20,19 @@
 #include "adapters/json.h"
 #include "tests/harness/fleet.h"
 
-#define WINDOW_MS 10000
+#define MEASURE_MS 10000
 /* The news of a start is repeated for a while; idle cost begins after it. */
 #define SETTLE_MS 20000
-#define SERIES_MAX 16
-#define STREAMS 200
+#define SERIES_POINTS_MAX 16
+#define STREAM_COUNT 200
 #define STREAM_TOKENS 400
 
 /* One series of points and what it says per unit of size. */
 typedef struct series {
 	const char *name;
 	const char *unit;
-	double x[SERIES_MAX];
-	double y[SERIES_MAX];
+	double x[SERIES_POINTS_MAX];
+	double y[SERIES_POINTS_MAX];
 	int count;
 } series_t;
 
@@ -118,7 +118,7 @@
 }
 
 /* Lets time pass; a measurement of idle cost has no condition to wait for. */
-static void pass(fleet_t *fleet, int64_t ms)
+static void run_for(fleet_t *fleet, int64_t ms)
 {
 	fleet_wait_ms(fleet, never, NULL, ms);
 }
@@ -137,9 +137,9 @@
 	double n = series->count;
 	double sx = 0, sy = 0, sxx = 0, sxy = 0, syy = 0;
 	double slope;
-	double base;
+	double intercept;
 	double spread;
-	double fit;
+	double correlation;
 
 	for (int i = 0; i < series->count; i++) {
 		sx += series->x[i];
@@ -149,24 +149,24 @@
 		syy += series->y[i] * series->y[i];
 	}
 	slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-	base = (sy - slope * sx) / n;
+	intercept = (sy - slope * sx) / n;
 	spread = (n * sxx - sx * sx) * (n * syy - sy * sy);
-	fit = spread > 0 ? (n * sxy - sx * sy) / sqrt(spread) : 1;
+	correlation = spread > 0 ? (n * sxy - sx * sy) / sqrt(spread) : 1;
 	printf("slope,%s,%.6g,%s,base,%.4g,r2,%.3f\n", series->name, slope,
-	       series->unit, base, fit * fit);
+	       series->unit, intercept, correlation * correlation);
 }
 
 /* Measures the idle cost of one entry of a fleet over a window. */
-static void idle_cost(fleet_t *fleet, double size, series_t *cpu,
-		      series_t *bytes, series_t *calls, series_t *rss)
+static void measure_idle_cost(fleet_t *fleet, double size, series_t *cpu,
+			      series_t *bytes, series_t *calls, series_t *rss)
 {
-	double seconds = WINDOW_MS / 1000.0;
+	double seconds = MEASURE_MS / 1000.0;
 	usage_t before;
 	usage_t after;
 
-	pass(fleet, SETTLE_MS);
+	run_for(fleet, SETTLE_MS);
 	before = read_usage(fleet);
-	pass(fleet, WINDOW_MS);
+	run_for(fleet, MEASURE_MS);
 	after = read_usage(fleet);
 	series_add(cpu, size, (after.cpu_s - before.cpu_s) / seconds * 100);
 	if (bytes)
@@ -190,7 +190,7 @@
 		const fleet_config_t config = { .entries = sizes[i], .engines = 4 };
 		fleet_t *fleet = fleet_create(&config);
 
-		idle_cost(fleet, sizes[i], &cpu, &bytes, &calls, &rss);
+		measure_idle_cost(fleet, sizes[i], &cpu, &bytes, &calls, &rss);
 		fleet_destroy(fleet);
 	}
 	series_fit(&cpu);
@@ -199,10 +199,10 @@
 	series_fit(&rss);
 }
 
-static void add_rows(fleet_t *fleet, unsigned int from, unsigned int to)
+static void add_vms(fleet_t *fleet, unsigned int from, unsigned int to)
 {
 	for (unsigned int i = from; i < to; i++) {
-		char *row = g_strdup_printf(
+		char *vm = g_strdup_printf(
 			"{\"id\":\"extra-%u\",\"zone\":\"zone-%c\","
 			"\"address\":\"127.0.0.1\",\"port\":%d,"
 			"\"role\":\"model\",\"state\":\"live\","
@@ -210,8 +210,8 @@
 			"\"reclaimable\":true,\"machine_class\":\"any\"}",
 			i, 'a' + (char)(i % 4), fleet->engines[0].port);
 
-		fleet_post(fleet, fleet->platform.port, "/standin/vms", row);
-		g_free(row);
+		fleet_post(fleet, fleet->platform.port, "/standin/vms", vm);
+		g_free(vm);
 	}
 }
 
@@ -222,12 +222,12 @@
 	fleet_t *fleet = fleet_create(&config);
 	series_t cpu = { .name = "list_cpu_percent", .unit = "%/upstream" };
 	series_t rss = { .name = "list_rss_kb", .unit = "kB/upstream" };
-	unsigned int have = 1;
+	unsigned int vm_count = 1;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-		add_rows(fleet, have, sizes[i]);
-		have = sizes[i];
-		idle_cost(fleet, sizes[i], &cpu, NULL, NULL, &rss);
+		add_vms(fleet, vm_count, sizes[i]);
+		vm_count = sizes[i];
+		measure_idle_cost(fleet, sizes[i], &cpu, NULL, NULL, &rss);
 	}
 	fleet_destroy(fleet);
 	series_fit(&cpu);
@@ -235,7 +235,7 @@
 }
 
 /* Returns TOML for as many models as make a bundle of about that size. */
-static char *filler(unsigned int kilobytes)
+static char *make_filler_models(unsigned int kilobytes)
 {
 	GString *text = g_string_new(NULL);
 
@@ -249,14 +249,14 @@
 	return g_string_free(text, FALSE);
 }
 
-typedef struct force_wait {
+typedef struct bundle_wait {
 	fleet_t *fleet;
 	uint64_t generation;
-} force_wait_t;
+} bundle_wait_t;
 
-static bool in_force_everywhere(void *ctx)
+static bool is_bundle_applied(void *ctx)
 {
-	force_wait_t *wait = ctx;
+	bundle_wait_t *wait = ctx;
 
 	for (unsigned int i = 0; i < wait->fleet->config.entries; i++) {
 		json_t *status = fleet_get(wait->fleet,
@@ -280,14 +280,14 @@
 	series_t rss = { .name = "bundle_rss_kb", .unit = "kB/KB" };
 
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-		force_wait_t wait = { fleet, i + 2 };
-		char *extra = filler(sizes[i]);
+		bundle_wait_t wait = { fleet, i + 2 };
+		char *extra = make_filler_models(sizes[i]);
 		int64_t began;
 
 		fleet->config.bundle_extra = extra;
 		fleet_rollout(fleet, wait.generation);
 		began = g_get_monotonic_time();
-		fleet_wait(fleet, in_force_everywhere, &wait, "the bundle");
+		fleet_wait(fleet, is_bundle_applied, &wait, "the bundle");
 		series_add(&time, sizes[i],
 			   (double)(g_get_monotonic_time() - began) / 1000);
 		series_add(&rss, sizes[i],
@@ -304,7 +304,7 @@
 {
 	call_t **calls = ctx;
 
-	for (int i = 0; i < STREAMS; i++) {
+	for (int i = 0; i < STREAM_COUNT; i++) {
 		if (calls[i] && !calls[i]->done)
 			return false;
 	}
@@ -324,18 +324,18 @@
 	pid_t pid = fleet->entries[0].process->pid;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-		call_t *calls[STREAMS] = { NULL };
+		call_t *calls[STREAM_COUNT] = { NULL };
 		double before = read_cpu(pid);
-		double held;
+		double rss_under_load;
 
 		for (int k = 0; k < sizes[i]; k++)
 			calls[k] = completion_start(fleet, fleet->entries[0].port,
 						    "page", STREAM_TOKENS, true);
-		pass(fleet, 2000);
-		held = read_rss(pid);
+		run_for(fleet, 2000);
+		rss_under_load = read_rss(pid);
 		fleet_wait(fleet, calls_done, calls, "the streams");
 		series_add(&cpu, sizes[i] * STREAM_TOKENS, read_cpu(pid) - before);
-		series_add(&rss, sizes[i], held);
+		series_add(&rss, sizes[i], rss_under_load);
 		for (int k = 0; k < sizes[i]; k++)
 			call_destroy(calls[k]);
 	}
