--- a/bench/bench_lease.c
+++ b/bench/bench_lease.c
@@ -1,6 +1,7 @@
 /*
- * What placers that stand by cost the platform, and how fast one takes over, by
- * the number of placers: their leases on a simulated clock and one fake object.
+ * Measures the calls that standby placers make to the platform and the time of a
+ * takeover, by the number of placers: their leases compete for one fake object
+ * on a simulated clock.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -21,10 +22,11 @@
 	lease_record_t *record;
 	unsigned int calls;
 	unsigned int conflicts;
-	unsigned int terminated; /* index plus one of a placer that died */
+	unsigned int terminated; /* index plus one of the terminated placer; 0: none */
 	pd_time_t now;
 } simulation_t;
 
+/* Answers a read or write of the lease object. */
 static void handle_lease_call(simulation_t *simulation, lease_t *lease,
 			      const placer_action_t *action)
 {
@@ -46,7 +48,10 @@
 	lease_handle_reply(lease, &reply, simulation->now);
 }
 
-/* Answers come after all have asked, so that those who ask at once collide. */
+/*
+ * Advances the simulation by one step. Calls are answered only after all
+ * placers have run, so that simultaneous writes conflict.
+ */
 static void step(simulation_t *simulation)
 {
 	list_node_t actions[PLACERS_MAX];
@@ -72,6 +77,7 @@
 	}
 }
 
+/* Returns the index plus one of the placer that holds the lease, or 0. */
 static unsigned int find_leader(const simulation_t *simulation)
 {
 	for (unsigned int i = 0; i < simulation->count; i++) {
@@ -82,7 +88,10 @@
 	return 0;
 }
 
-/* Returns the most calls in any second, and all in TOTAL. */
+/*
+ * Runs for SECONDS. Returns the largest number of calls in any second, and
+ * stores the total in TOTAL.
+ */
 static unsigned int run_seconds(simulation_t *simulation, unsigned int seconds,
 				unsigned int *total)
 {
@@ -99,6 +108,7 @@
 	return peak;
 }
 
+/* Runs one simulation and prints its result as a line of CSV. */
 static void measure(unsigned int count, uint32_t seed)
 {
 	simulation_t simulation = { .count = count, .now = PD_SEC };
--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -1,8 +1,8 @@
 /*
- * Measures membership on a simulated clock, at sizes from today's to the
- * planned one: how soon a death is known, how often the living are doubted, how
- * fast urgent news spreads, and what a node sends. Bytes are those of frames
- * and their answers, without TCP and IP.
+ * Measures the membership protocol on a simulated clock at several cluster
+ * sizes: failure detection time, false suspicions, dissemination time of urgent
+ * updates, and traffic per node. Bytes are those of frames and their replies,
+ * without TCP and IP headers.
  */
 #include <stdio.h>
 
@@ -17,21 +17,22 @@
 #define FREEZE_TIME (8 * PD_SEC)
 
 typedef struct result {
-	double first_dead_s; /* after the death: the first that calls it dead */
+	double first_dead_s; /* from the failure until the first node declares it */
 	double all_dead_s;
-	unsigned int suspected_pairs; /* second by second: pairs of living members */
+	unsigned int suspected_pairs; /* pairs of live members, sampled every second */
 	unsigned int dead_pairs;
-	double leaving_s; /* until every member knows */
+	double leaving_s; /* until every member has the update */
 	double generation_s;
-	double messages; /* a node a second, quiet */
+	double messages; /* per node and second, without updates */
 	double bytes;
-	double update_bytes; /* a node, in the busiest second of the news */
-	double reclaim_s; /* until every member knows of a zone's VMs */
-	double reclaim_peak; /* bytes a node in the busiest second of that */
-	double reclaim_mean; /* bytes a node a second, over ten seconds */
-	uint64_t largest; /* bytes of a message */
+	double update_bytes; /* per node, in the second after the updates */
+	double reclaim_s; /* until every member has those of a zone's VMs */
+	double reclaim_peak; /* bytes per node in the busiest second of these */
+	double reclaim_mean; /* bytes per node and second, over RECLAIM_SECONDS */
+	uint64_t largest; /* message, in bytes */
 } result_t;
 
+/* Returns the bytes that all nodes have sent. */
 static uint64_t sum_bytes(const gossip_t *gossip)
 {
 	uint64_t sum = 0;
@@ -41,6 +42,7 @@
 	return sum;
 }
 
+/* Returns the messages that all nodes have sent. */
 static uint64_t sum_messages(const gossip_t *gossip)
 {
 	uint64_t sum = 0;
@@ -50,6 +52,10 @@
 	return sum;
 }
 
+/*
+ * Counts the pairs in which a member suspects another one that runs, or has
+ * declared it dead.
+ */
 static void count_false_suspicions(const gossip_t *gossip, result_t *result)
 {
 	for (unsigned int i = 0; i < gossip->size; i++) {
@@ -65,6 +71,10 @@
 	}
 }
 
+/*
+ * Measures traffic and false suspicions in steady state. If FROZEN, some nodes
+ * freeze regularly.
+ */
 static void measure_steady(gossip_t *gossip, unsigned int frozen, result_t *result)
 {
 	uint64_t bytes = sum_bytes(gossip);
@@ -72,7 +82,7 @@
 	double node_seconds = (double)gossip->size * STEADY_SECONDS;
 
 	for (int second = 0; second < STEADY_SECONDS; second++) {
-		/* A tenth of the fleet pauses by turns, as VMs do. */
+		/* VMs may pause: a tenth of the fleet freezes at a time. */
 		if (frozen && second % 20 == 0)
 			for (unsigned int i = 0; i < gossip->size; i += 10)
 				gossip->nodes[i].frozen_until =
@@ -84,6 +94,10 @@
 	result->messages = (double)(sum_messages(gossip) - messages) / node_seconds;
 }
 
+/*
+ * Fails one node, and measures when the first and the last of the others
+ * declare it dead.
+ */
 static void measure_failure(gossip_t *gossip, result_t *result)
 {
 	unsigned int failed = gossip->size / 2;
@@ -104,6 +118,10 @@
 	result->all_dead_s = (double)(gossip->now - since) / PD_SEC;
 }
 
+/*
+ * Measures how long a leaving notice and a new bundle generation take to reach
+ * every member.
+ */
 static void measure_updates(gossip_t *gossip, result_t *result)
 {
 	pd_time_t since = gossip->now;
@@ -131,7 +149,10 @@
 	}
 }
 
-/* A zone's VMs, 72 at the planned size, are all told to leave. */
+/*
+ * Measures the dissemination of the leaving notices of all VMs of a zone, 72 at
+ * the planned size.
+ */
 static void measure_reclaim(gossip_t *gossip, result_t *result)
 {
 	pd_time_t since = gossip->now;
@@ -162,6 +183,7 @@
 	}
 }
 
+/* Runs all measurements at one size and prints the result as a line of CSV. */
 static void measure(unsigned int size, double loss, unsigned int frozen)
 {
 	gossip_t *gossip = gossip_create(size, SEED, loss);
--- a/bench/bench_moves.c
+++ b/bench/bench_moves.c
@@ -1,10 +1,10 @@
 /*
- * Tokens recomputed when a zone is reclaimed under full load: by the policy of
- * moves, by resuming from the text without KV exports or knowledge of caches,
- * and by starting every answer anew. One entry's core runs against small fake
- * engines on a simulated clock, so that the same run gives the same figures.
- * Prints CSV; SEED=N chooses the prompts, NOTICE_MS=N (a
- * multiple of 20) the time from notice to reclaim.
+ * Measures the tokens recomputed when a zone is reclaimed under full load, under
+ * three policies: moving streams before the reclaim, resuming from the text
+ * without KV exports or cache events, and restarting every response. One entry
+ * core runs against small fake engines on a simulated clock, so that results are
+ * reproducible. Prints CSV. SEED=N seeds the prompts; NOTICE_MS=N, a multiple of
+ * 20, is the time from the notice to the reclaim.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,15 +17,15 @@
 #define ZONE_COUNT 4
 #define SLOTS_PER_ENGINE 16
 #define STREAM_COUNT 120
-#define DOCUMENT_COUNT 12 /* that prompts begin with, each shared by some */
+#define DOCUMENT_COUNT 12 /* shared prompt prefixes */
 #define DOCUMENT_BYTES 6000
 #define QUESTION_BYTES 400
 #define BASE_TOKENS 800
 #define TOKEN_GAP (20 * PD_MSEC)
-#define STEP (20 * PD_MSEC) /* that the entry ticks and engines work in */
-#define PREFILL_TOKEN_US 300 /* an engine, a token */
-#define TRANSFER_TOKEN_US 30
-#define CACHE_BLOCKS 2400 /* of an engine; some 25 prompts */
+#define STEP (20 * PD_MSEC) /* of the entry and the engines */
+#define PREFILL_TOKEN_US 300 /* prefill of one token */
+#define TRANSFER_TOKEN_US 30 /* KV import of one token */
+#define CACHE_BLOCKS 2400 /* per engine; about 25 prompts */
 #define RECLAIM_AT (8 * PD_SEC)
 #define NOTICE_MS_DEFAULT 5000
 #define END_AT (300 * PD_SEC)
@@ -33,8 +33,8 @@
 
 typedef enum policy {
 	POLICY_MOVES,
-	POLICY_TEXT_ONLY, /* resumes when broken; no notice, export or cache news */
-	POLICY_RESTART, /* as that, and an attempt begins at token 0 */
+	POLICY_TEXT_ONLY, /* resumes broken streams; no notice, export or events */
+	POLICY_RESTART, /* the same, but attempts start at token 0 */
 	POLICY_COUNT
 } policy_t;
 
@@ -48,7 +48,7 @@
 	pd_time_t busy_until;
 	GHashTable *cache; /* prefix -> NULL */
 	GQueue cached_blocks; /* oldest first */
-	GArray *cache_events; /* of cache_event_t, not told yet */
+	GArray *cache_events; /* of cache_event_t, not reported yet */
 	unsigned int running;
 } engine_t;
 
@@ -57,7 +57,7 @@
 	list_node_t node;
 	attempt_id_t attempt;
 	engine_t *engine;
-	char *text; /* prompt and what was emitted before */
+	char *text; /* prompt and the text emitted so far */
 	uint64_t offset;
 	uint64_t from; /* first token that the engine generates */
 	uint64_t end;
@@ -76,13 +76,14 @@
 	list_node_t jobs;
 	unsigned int completed;
 	unsigned int refused;
-	bool reclaim_started; /* attempts from now on recompute */
-	uint64_t recomputed; /* tokens set up or generated a second time */
+	bool reclaim_started; /* count recomputed tokens from now on */
+	uint64_t recomputed; /* tokens prefilled or generated again */
 	uint64_t moved;
 	pd_time_t last_end;
-	pd_time_t longest_setup; /* of a moved stream */
+	pd_time_t longest_setup; /* of the moved streams */
 } bench_t;
 
+/* Records that PREFIX was cached or evicted, until the next load report. */
 static void record_cache_event(engine_t *engine, uint64_t prefix, bool cached)
 {
 	cache_event_t event = { prefix, cached };
@@ -90,6 +91,10 @@
 	g_array_append_val(engine->cache_events, event);
 }
 
+/*
+ * Adds the prefix blocks of TEXT to the cache, and evicts the oldest ones
+ * beyond its capacity.
+ */
 static void cache_add(engine_t *engine, const char *text)
 {
 	uint64_t hashes[PREFIX_BLOCKS_MAX];
@@ -113,6 +118,7 @@
 	}
 }
 
+/* Returns the number of leading tokens of TEXT that are cached. */
 static unsigned int cache_count_tokens(const engine_t *engine, const char *text)
 {
 	uint64_t hashes[PREFIX_BLOCKS_MAX];
@@ -125,6 +131,7 @@
 	return (unsigned int)(cached * PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
 }
 
+/* Returns the engine with that id, borrowed, or NULL. */
 static engine_t *find_engine(bench_t *bench, const char *id)
 {
 	for (unsigned int i = 0; i < ENGINE_COUNT; i++) {
@@ -134,7 +141,7 @@
 	return NULL;
 }
 
-/* Says whether the engine that is to export is still there. */
+/* Returns whether the engine that is to export the KV cache still exists. */
 static bool can_import_kv(bench_t *bench, const dispatch_t *dispatch)
 {
 	if (!dispatch->kv_address || bench->policy != POLICY_MOVES)
@@ -142,7 +149,10 @@
 	return !bench->engines[dispatch->kv_port].terminated;
 }
 
-/* Takes a dispatch on, and works out what it costs to set up. */
+/*
+ * Starts a dispatch on its engine, and computes its setup time and recomputed
+ * tokens.
+ */
 static void job_create(bench_t *bench, const dispatch_t *dispatch)
 {
 	job_t *job = g_new0(job_t, 1);
@@ -176,7 +186,7 @@
 	if (bench->reclaim_started) {
 		bench->moved++;
 		bench->recomputed += job->recomputed;
-		/* What the caller has is generated once more. */
+		/* The tokens that the caller has are generated again. */
 		if (restart)
 			bench->recomputed += dispatch->offset;
 		bench->longest_setup =
@@ -186,6 +196,7 @@
 	g_free(text);
 }
 
+/* Removes a job from its engine and frees it. */
 static void job_destroy(job_t *job)
 {
 	list_remove(&job->node);
@@ -194,6 +205,7 @@
 	g_free(job);
 }
 
+/* Removes the job of an attempt, if there is one. */
 static void job_cancel(bench_t *bench, attempt_id_t attempt)
 {
 	LIST_FOR_EACH_SAFE (it, &bench->jobs) {
@@ -204,7 +216,7 @@
 	}
 }
 
-/* An engine that is gone refuses the connection. */
+/* Starts a dispatch. A terminated engine refuses the connection. */
 static void handle_dispatch(bench_t *bench, const dispatch_t *dispatch)
 {
 	if (find_engine(bench, dispatch->vm_id)->terminated)
@@ -214,6 +226,7 @@
 		job_create(bench, dispatch);
 }
 
+/* Performs and frees the actions of the entry. */
 static void handle_actions(bench_t *bench)
 {
 	list_node_t *node;
@@ -235,6 +248,7 @@
 	}
 }
 
+/* Reports that an attempt has started, with the tokens it recomputed. */
 static void report_started(bench_t *bench, job_t *job)
 {
 	event_t event = { .kind = EVENT_UPSTREAM,
@@ -248,6 +262,7 @@
 	drive_event(bench->drive, &event);
 }
 
+/* Reports one token of an attempt. */
 static void report_token(bench_t *bench, attempt_id_t attempt, uint64_t offset)
 {
 	event_t event = { .kind = EVENT_UPSTREAM,
@@ -260,7 +275,7 @@
 	drive_event(bench->drive, &event);
 }
 
-/* Lets one attempt do what is due. */
+/* Reports the start, the tokens and the end of a job as they are due. */
 static void job_run(bench_t *bench, job_t *job)
 {
 	pd_time_t now = bench->drive->now;
@@ -278,6 +293,7 @@
 	}
 }
 
+/* Reports the load of an engine and, under POLICY_MOVES, its cache events. */
 static void report_load(bench_t *bench, engine_t *engine, bool leaving)
 {
 	event_t event = { .kind = EVENT_LOAD,
@@ -296,6 +312,7 @@
 	g_array_set_size(engine->cache_events, 0);
 }
 
+/* Sends the entry a VM list with all engines. */
 static void send_vm_list(bench_t *bench)
 {
 	vm_t *vms = g_new0(vm_t, ENGINE_COUNT);
@@ -318,6 +335,7 @@
 	g_free(vms);
 }
 
+/* Returns a prompt: shared document and random question. The caller owns it. */
 static char *make_prompt(bench_t *bench, unsigned int number)
 {
 	GString *prompt = g_string_new(NULL);
@@ -332,6 +350,7 @@
 	return g_string_free(prompt, FALSE);
 }
 
+/* Sends request NUMBER with a random response length. */
 static void send_request(bench_t *bench, unsigned int number)
 {
 	char *prompt = make_prompt(bench, number);
@@ -352,12 +371,13 @@
 	handle_actions(bench);
 }
 
+/* Returns whether the engine is in the zone that is reclaimed. */
 static bool in_first_zone(const engine_t *engine)
 {
 	return !strcmp(engine->zone, "zone-a");
 }
 
-/* The engines of the first zone are gone: what runs there breaks. */
+/* Terminates the engines of the first zone, and breaks their streams. */
 static void terminate_zone(bench_t *bench)
 {
 	for (unsigned int i = 0; i < ENGINE_COUNT; i++)
@@ -372,6 +392,7 @@
 	handle_actions(bench);
 }
 
+/* Advances the simulation by one step. Loads are reported every second. */
 static void step(bench_t *bench, pd_time_t elapsed)
 {
 	drive_tick(bench->drive, STEP);
@@ -390,10 +411,11 @@
 	}
 }
 
+/* Reports the reclaim notice for the first zone, under POLICY_MOVES only. */
 static void send_notice(bench_t *bench)
 {
 	bench->reclaim_started = true;
-	/* Without a policy of moves nobody acts on a notice. */
+	/* The other policies ignore notices. */
 	for (unsigned int i = 0; i < ENGINE_COUNT; i++) {
 		if (in_first_zone(&bench->engines[i]) &&
 		    bench->policy == POLICY_MOVES)
@@ -401,6 +423,7 @@
 	}
 }
 
+/* Initializes a simulation. */
 static void create(bench_t *bench, policy_t policy, uint32_t seed)
 {
 	bench->policy = policy;
@@ -423,6 +446,7 @@
 	handle_actions(bench);
 }
 
+/* Frees the contents of a simulation. */
 static void destroy(bench_t *bench)
 {
 	LIST_FOR_EACH_SAFE (it, &bench->jobs)
@@ -436,6 +460,7 @@
 	g_rand_free(bench->rand);
 }
 
+/* Runs one simulation and prints its result as a line of CSV. */
 static void run(policy_t policy, uint32_t seed, uint32_t notice_ms)
 {
 	bench_t bench = { .notice = notice_ms * PD_MSEC };
@@ -464,6 +489,7 @@
 	destroy(&bench);
 }
 
+/* Returns an environment variable as a number, or FALLBACK if it is unset. */
 static uint32_t get_env_number(const char *name, uint32_t fallback)
 {
 	const char *text = getenv(name);
--- a/bench/bench_relay.c
+++ b/bench/bench_relay.c
@@ -1,7 +1,7 @@
 /*
- * What an entry adds to a stream: time to the first token and between tokens,
- * through an entry and from the engine directly, in one run. The runs take
- * turns, so that a busy machine slows both alike.
+ * Measures the latency that an entry adds to a stream: time to first token and
+ * time between tokens, through an entry and directly from the engine. Direct and
+ * relayed streams alternate, so that load on the machine affects both alike.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,10 +21,11 @@
 
 typedef struct samples {
 	double first[ROUND_COUNT]; /* ms */
-	double gap[ROUND_COUNT]; /* ms, mean of one stream */
+	double gap[ROUND_COUNT]; /* ms, mean over a stream */
 	int count;
 } samples_t;
 
+/* Orders doubles, for qsort(). */
 static int compare_doubles(const void *a, const void *b)
 {
 	double left = *(const double *)a;
@@ -33,12 +34,14 @@
 	return (left > right) - (left < right);
 }
 
+/* Returns the median of VALUES, and sorts them. */
 static double median(double *values, int count)
 {
 	qsort(values, (size_t)count, sizeof(*values), compare_doubles);
 	return values[count / 2];
 }
 
+/* Waits for a call, adds its latencies to SAMPLES and frees it. */
 static void add_sample(samples_t *samples, call_t *call)
 {
 	int i = samples->count++;
@@ -51,6 +54,7 @@
 	call_destroy(call);
 }
 
+/* Measures direct and relayed streams in alternation. */
 static void run(fleet_t *fleet, samples_t *direct, samples_t *relayed)
 {
 	for (int i = 0; i < ROUND_COUNT; i++) {
--- a/bench/capacity/capacity.c
+++ b/bench/capacity/capacity.c
@@ -1,8 +1,8 @@
 /*
- * Measures what an entry costs while it serves nobody, against the size of the
- * fleet, of the VM list and of the bundle, and what a relayed token costs.
- * Prints CSV and fits a line to each series; docs/CAPACITY.md multiplies the
- * slopes by the planned size.
+ * Measures the resources that an idle entry uses, by the size of the fleet, of
+ * the VM list and of the bundle, and the cost of a relayed token. Prints CSV and
+ * fits a line to each series; docs/CAPACITY.md extrapolates the slopes to the
+ * planned size.
  */
 #include <math.h>
 #include <setjmp.h>
@@ -21,13 +21,13 @@
 #include "tests/harness/fleet.h"
 
 #define MEASURE_MS 10000
-/* The news of a start is repeated for a while; idle cost begins after it. */
+/* Updates about a start are retransmitted for a while; this excludes them. */
 #define SETTLE_MS 20000
 #define SERIES_POINTS_MAX 16
 #define STREAM_COUNT 200
 #define STREAM_TOKENS 400
 
-/* One series of points and what it says per unit of size. */
+/* A series of points, and the unit of its slope. */
 typedef struct series {
 	const char *name;
 	const char *unit;
@@ -36,14 +36,15 @@
 	int count;
 } series_t;
 
-/* What one entry has used so far. */
+/* The resources that one entry has used so far. */
 typedef struct usage {
 	double cpu_s;
 	double rss_kb;
 	double peer_bytes;
-	double calls; /* reads and writes at the platform, all entries */
+	double calls; /* platform reads and writes of all entries */
 } usage_t;
 
+/* Returns the CPU time of a process in seconds, or 0 on error. */
 static double read_cpu(pid_t pid)
 {
 	char *path = g_strdup_printf("/proc/%d/stat", (int)pid);
@@ -65,6 +66,7 @@
 	return (double)(user + system) / (double)sysconf(_SC_CLK_TCK);
 }
 
+/* Returns the resident set size of a process in kB, or 0 on error. */
 static double read_rss(pid_t pid)
 {
 	char *path = g_strdup_printf("/proc/%d/statm", (int)pid);
@@ -79,6 +81,7 @@
 	return (double)pages * (double)sysconf(_SC_PAGESIZE) / 1024;
 }
 
+/* Returns the value of a metric, or 0 if the node does not export it. */
 static double read_metric(fleet_t *fleet, int port, const char *name)
 {
 	call_t *call = call_start(fleet, port, "GET", "/metrics", NULL, NULL,
@@ -94,6 +97,7 @@
 	return value;
 }
 
+/* Returns the current resource usage of the first entry. */
 static usage_t read_usage(fleet_t *fleet)
 {
 	const fleet_node_t *entry = &fleet->entries[0];
@@ -111,18 +115,20 @@
 	return usage;
 }
 
+/* Returns false, as a condition that never holds. */
 static bool never(void *ctx)
 {
 	(void)ctx;
 	return false;
 }
 
-/* Lets time pass; a measurement of idle cost has no condition to wait for. */
+/* Runs the fleet for MS milliseconds. */
 static void run_for(fleet_t *fleet, int64_t ms)
 {
 	fleet_wait_ms(fleet, never, NULL, ms);
 }
 
+/* Adds a point to a series and prints it. */
 static void series_add(series_t *series, double x, double y)
 {
 	series->x[series->count] = x;
@@ -131,7 +137,7 @@
 	fflush(stdout);
 }
 
-/* Fits a line by least squares and prints slope, base and how well it fits. */
+/* Fits a line by least squares, and prints slope, intercept and r2. */
 static void series_fit(const series_t *series)
 {
 	double n = series->count;
@@ -156,7 +162,9 @@
 	       series->unit, intercept, correlation * correlation);
 }
 
-/* Measures the idle cost of one entry of a fleet over a window. */
+/*
+ * Adds to each series the idle cost of one entry. BYTES and CALLS may be NULL.
+ */
 static void measure_idle_cost(fleet_t *fleet, double size, series_t *cpu,
 			      series_t *bytes, series_t *calls, series_t *rss)
 {
@@ -177,6 +185,7 @@
 	series_add(rss, size, after.rss_kb);
 }
 
+/* Measures the idle cost by the number of entries. */
 static void measure_fleets(void)
 {
 	static const unsigned int sizes[] = { 6, 12, 24, 48 };
@@ -199,6 +208,7 @@
 	series_fit(&rss);
 }
 
+/* Adds VMs FROM to TO - 1 to the VM list of the platform. */
 static void add_vms(fleet_t *fleet, unsigned int from, unsigned int to)
 {
 	for (unsigned int i = from; i < to; i++) {
@@ -215,6 +225,7 @@
 	}
 }
 
+/* Measures the idle cost by the length of the VM list. */
 static void measure_lists(void)
 {
 	static const unsigned int sizes[] = { 18, 100, 400, 790 };
@@ -234,7 +245,10 @@
 	series_fit(&rss);
 }
 
-/* Returns TOML for as many models as make a bundle of about that size. */
+/*
+ * Returns TOML with enough models for a bundle of about KILOBYTES. The caller
+ * owns it.
+ */
 static char *make_filler_models(unsigned int kilobytes)
 {
 	GString *text = g_string_new(NULL);
@@ -254,6 +268,10 @@
 	uint64_t generation;
 } bundle_wait_t;
 
+/*
+ * Returns whether every entry has applied the generation of CTX, a
+ * bundle_wait_t.
+ */
 static bool is_bundle_applied(void *ctx)
 {
 	bundle_wait_t *wait = ctx;
@@ -271,6 +289,10 @@
 	return true;
 }
 
+/*
+ * Measures the time of a rollout to all entries, and the memory, by bundle
+ * size.
+ */
 static void measure_bundles(void)
 {
 	static const unsigned int sizes[] = { 10, 100, 300, 700 };
@@ -300,6 +322,7 @@
 	series_fit(&rss);
 }
 
+/* Returns whether all calls of CTX have ended. */
 static bool calls_done(void *ctx)
 {
 	call_t **calls = ctx;
@@ -311,7 +334,10 @@
 	return true;
 }
 
-/* Relays streams side by side; gives processor time a token, memory a stream.*/
+/*
+ * Relays concurrent streams, and measures CPU time per token and memory per
+ * stream.
+ */
 static void measure_streams(void)
 {
 	static const int sizes[] = { 50, 100, 200 };
