--- a/bench/baselines.c
+++ b/bench/baselines.c
@@ -12,7 +12,7 @@
 /* Returns whether the engine has not been terminated. */
 static bool is_usable(const sim_t *sim, unsigned int engine)
 {
-	return !sim_engine(sim, engine)->dead;
+	return !sim_engine(sim, engine)->terminated;
 }
 
 /* Returns the next usable engine of an entry in turn. */
--- a/bench/fake_engine.c
+++ b/bench/fake_engine.c
@@ -173,7 +173,8 @@
 void fake_engine_step(fake_engine_t *engine, pd_time_t now,
 		      engine_token_fn_t *on_token, void *ctx)
 {
-	if (engine->dead || !engine->iteration_ends || now < engine->iteration_ends)
+	if (engine->terminated || !engine->iteration_ends ||
+	    now < engine->iteration_ends)
 		return;
 	finish_iteration(engine, on_token, ctx);
 	admit(engine, now);
--- a/bench/fake_engine.h
+++ b/bench/fake_engine.h
@@ -44,7 +44,7 @@
 typedef struct fake_engine {
 	char *id;
 	char *zone;
-	bool dead;
+	bool terminated;
 	pd_time_t leaves_at; /* 0: not being reclaimed */
 	pd_time_t iteration_ends; /* 0: idle */
 	GPtrArray *running; /* of job_t, owned */
--- a/bench/placement_cloud.c
+++ b/bench/placement_cloud.c
@@ -19,13 +19,19 @@
 #define PRICE_CHANGE_SECONDS 1800
 #define SECOND_ZONE_DELAY_SECONDS 40
 
-typedef enum state { GONE, STARTING, LIVE, DRAINING, LEAVING } state_t;
+typedef enum cloud_vm_state {
+	TERMINATED,
+	STARTING,
+	LIVE,
+	DRAINING,
+	LEAVING
+} cloud_vm_state_t;
 
 typedef struct cloud_vm {
 	char id[16];
 	char tag[48];
 	unsigned int offer;
-	state_t state;
+	cloud_vm_state_t state;
 	unsigned int at; /* second at which the state ends */
 } cloud_vm_t;
 
@@ -145,7 +151,7 @@
 	for (unsigned int i = 0; i < cloud->count; i++) {
 		cloud_vm_t *vm = &cloud->vms[i];
 
-		if (vm->state == GONE || vm->state == LEAVING ||
+		if (vm->state == TERMINATED || vm->state == LEAVING ||
 		    offer_zone(vm->offer) != zone ||
 		    !cloud->offers[vm->offer].reclaimable)
 			continue;
@@ -158,14 +164,14 @@
 /* Adds the cost of a VM for one second and ends a state that is due. */
 static void step_vm(cloud_t *cloud, cloud_vm_t *vm, unsigned int second)
 {
-	if (vm->state == GONE)
+	if (vm->state == TERMINATED)
 		return;
 	cloud->cost += (double)cloud->offers[vm->offer].price / PRICE_UNIT / 3600;
 	if (vm->state == STARTING && second >= vm->at) {
 		vm->state = LIVE;
 		cloud->version++;
 	} else if (vm->state == LEAVING && second >= vm->at) {
-		vm->state = GONE;
+		vm->state = TERMINATED;
 		cloud->version++;
 	}
 }
@@ -245,7 +251,7 @@
 /* Terminates a VM, which must exist. */
 void cloud_release(cloud_t *cloud, const char *vm_id)
 {
-	find_vm(cloud, vm_id)->state = GONE;
+	find_vm(cloud, vm_id)->state = TERMINATED;
 	cloud->version++;
 }
 
@@ -298,7 +304,7 @@
 		cloud_vm_t *vm = &cloud->vms[i];
 		const offer_t *offer = &cloud->offers[vm->offer];
 
-		if (vm->state == GONE)
+		if (vm->state == TERMINATED)
 			continue;
 		cloud->list[(*count)++] =
 			(vm_t){ .id = vm->id,
--- a/bench/sim.c
+++ b/bench/sim.c
@@ -109,7 +109,7 @@
 	fake_engine_t *engine = sim_engine(sim, index);
 	GPtrArray *lost[] = { engine->running, engine->waiting };
 
-	engine->dead = true;
+	engine->terminated = true;
 	sim->vms_changed = true;
 	for (size_t i = 0; i < G_N_ELEMENTS(lost); i++) {
 		while (lost[i]->len) {
@@ -135,7 +135,7 @@
 		unsigned int zone = i % sim->site->zones;
 		pd_time_t at = start + RECLAIM_AT + zone * RECLAIM_INTERVAL;
 
-		if (zone >= sim->scenario->reclaimed_zones || engine->dead)
+		if (zone >= sim->scenario->reclaimed_zones || engine->terminated)
 			continue;
 		if (!engine->leaves_at && sim->now >= at) {
 			engine->leaves_at = at + RECLAIM_NOTICE;
--- a/bench/sim_entries.c
+++ b/bench/sim_entries.c
@@ -36,7 +36,8 @@
 	for (unsigned int i = 0; i < ACCOUNT_COUNT; i++) {
 		account_t *account = bundle_add_account(bundle, account_keys[i],
 							account_keys[i]);
-		double rate = account_rate(sim->site, i) * sim->scenario->limit;
+		double rate = account_rate(sim->site, i) *
+			      sim->scenario->limit_factor;
 
 		account->requests_per_second = rate;
 		account->burst = rate;
@@ -113,7 +114,7 @@
 	for (unsigned int i = 0; i < sim->site->engines; i++) {
 		const fake_engine_t *engine = sim_engine(sim, i);
 
-		if (engine->dead)
+		if (engine->terminated)
 			continue;
 		vms[count++] = (vm_t){
 			.id = engine->id,
@@ -234,7 +235,7 @@
 			  .load = { .vm_id = vm_id, .cache = events } };
 	load_report_t *load = &event.load;
 
-	load->answered = !engine->dead;
+	load->answered = !engine->terminated;
 	load->leaving = engine->leaves_at != 0;
 	load->leaves_in = MAX(engine->leaves_at - sim->now, 0);
 	fill_load(sim, engine, load);
@@ -260,7 +261,7 @@
 	job.prompt = call->prompt + job.offset;
 	job.prefix = call->prefix;
 	job.is_retry = call->attempts++ > 0;
-	if (sim_engine(sim, index)->dead)
+	if (sim_engine(sim, index)->terminated)
 		entries_report_upstream(sim, &job, UPSTREAM_FAILED);
 	else
 		fake_engine_submit(sim_engine(sim, index), &job, sim->now);
