--- a/bench/bench_lease.c
+++ b/bench/bench_lease.c
@@ -22,7 +22,7 @@
 	lease_record_t *record;
 	unsigned int calls;
 	unsigned int conflicts;
-	unsigned int terminated; /* index plus one of the terminated placer; 0: none */
+	unsigned int terminated; /* index plus one of that placer; 0: none */
 	pd_time_t now;
 } simulation_t;
 
