--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -1,8 +1,8 @@
 /*
- * Measures the membership protocol on a simulated clock at several cluster
- * sizes: failure detection time, false suspicions, dissemination time of urgent
- * updates, and traffic per node. Bytes are those of frames and their replies,
- * without TCP and IP headers.
+ * Measures the membership protocol on a simulated clock, for sizes from the
+ * present one to the planned one: failure detection time, false suspicions,
+ * dissemination time of urgent updates, and traffic per node. Bytes are those of
+ * frames and their replies, without TCP and IP headers.
  */
 #include <stdio.h>
 
@@ -19,7 +19,7 @@
 typedef struct result {
 	double first_dead_s; /* from the failure until the first node declares it */
 	double all_dead_s;
-	unsigned int suspected_pairs; /* pairs of live members, sampled every second */
+	unsigned int suspected_pairs; /* pairs of live members, per second */
 	unsigned int dead_pairs;
 	double leaving_s; /* until every member has the update */
 	double generation_s;
--- a/bench/scenario.h
+++ b/bench/scenario.h
@@ -42,7 +42,7 @@
 	double load; /* offered load, as a fraction of the capacity */
 	pd_time_t duration; /* for which calls arrive */
 	pd_time_t report_lag;
-	double limit_factor; /* rate limit of an account, in multiples of its normal rate */
+	double limit_factor; /* account rate limit / normal rate */
 } scenario_t;
 
 typedef struct call {
