--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -1,37 +1,38 @@
 /*
- * Measures membership on a simulated clock, at sizes from today's to the
- * planned one: how soon a death is known, how often the living are doubted, how
- * fast urgent news spreads, and what a node sends. Bytes are those of frames
- * and their answers, without TCP and IP.
+ * Measures the membership protocol on a simulated clock, for sizes from the
+ * present one to the planned one: failure detection time, false suspicions,
+ * dissemination time of urgent updates, and traffic per node. Bytes are those of
+ * frames and their replies, without TCP and IP headers.
  */
 #include <stdio.h>
 
 #include "tests/harness/gossip.h"
 
 #define SEED 20261202
-#define SETTLE (60 * PD_SEC)
+#define SETTLE_TIME (60 * PD_SEC)
 #define STEADY_SECONDS 120
-#define LIMIT (120 * PD_SEC)
-#define WAVE_VMS 72
-#define WAVE_SECONDS 10
-#define FREEZE (8 * PD_SEC)
+#define MEASURE_TIMEOUT (120 * PD_SEC)
+#define RECLAIM_VMS 72
+#define RECLAIM_SECONDS 10
+#define FREEZE_TIME (8 * PD_SEC)
 
 typedef struct result {
-	double first_dead_s; /* after the death: the first that calls it dead */
+	double first_dead_s; /* from the failure until the first node declares it */
 	double all_dead_s;
-	unsigned int suspected; /* second by second: pairs of living members */
-	unsigned int called_dead;
-	double leaving_s; /* until every member knows */
+	unsigned int suspected_pairs; /* pairs of live members, per second */
+	unsigned int dead_pairs;
+	double leaving_s; /* until every member has the update */
 	double generation_s;
-	double messages; /* a node a second, quiet */
+	double messages; /* per node and second, without updates */
 	double bytes;
-	double wave_bytes; /* a node, in the busiest second of the news */
-	double wave_s; /* until every member knows of a zone's VMs */
-	double wave_peak; /* bytes a node in the busiest second of that */
-	double wave_mean; /* bytes a node a second, over ten seconds */
-	uint64_t largest; /* bytes of a message */
+	double update_bytes; /* per node, in the second after the updates */
+	double reclaim_s; /* until every member has those of a zone's VMs */
+	double reclaim_peak; /* bytes per node in the busiest second of these */
+	double reclaim_mean; /* bytes per node and second, over RECLAIM_SECONDS */
+	uint64_t largest; /* message, in bytes */
 } result_t;
 
+/* Returns the bytes that all nodes have sent. */
 static uint64_t sum_bytes(const gossip_t *gossip)
 {
 	uint64_t sum = 0;
@@ -41,6 +42,7 @@
 	return sum;
 }
 
+/* Returns the messages that all nodes have sent. */
 static uint64_t sum_messages(const gossip_t *gossip)
 {
 	uint64_t sum = 0;
@@ -50,7 +52,11 @@
 	return sum;
 }
 
-static void count_doubts(const gossip_t *gossip, result_t *result)
+/*
+ * Counts the pairs in which a member suspects another one that runs, or has
+ * declared it dead.
+ */
+static void count_false_suspicions(const gossip_t *gossip, result_t *result)
 {
 	for (unsigned int i = 0; i < gossip->size; i++) {
 		unsigned int dead;
@@ -59,12 +65,16 @@
 		    gossip->now < gossip->nodes[i].frozen_until)
 			continue;
 		dead = gossip_viewers(gossip, i, MEMBER_DEAD);
-		result->called_dead += dead;
-		result->suspected +=
+		result->dead_pairs += dead;
+		result->suspected_pairs +=
 			gossip_viewers(gossip, i, MEMBER_SUSPECT) - dead;
 	}
 }
 
+/*
+ * Measures traffic and false suspicions in steady state. If FROZEN, some nodes
+ * freeze regularly.
+ */
 static void measure_steady(gossip_t *gossip, unsigned int frozen, result_t *result)
 {
 	uint64_t bytes = sum_bytes(gossip);
@@ -72,28 +82,33 @@
 	double node_seconds = (double)gossip->size * STEADY_SECONDS;
 
 	for (int second = 0; second < STEADY_SECONDS; second++) {
-		/* A tenth of the fleet pauses by turns, as VMs do. */
+		/* VMs may pause: a tenth of the fleet freezes at a time. */
 		if (frozen && second % 20 == 0)
 			for (unsigned int i = 0; i < gossip->size; i += 10)
-				gossip->nodes[i].frozen_until = gossip->now + FREEZE;
+				gossip->nodes[i].frozen_until =
+					gossip->now + FREEZE_TIME;
 		gossip_run(gossip, PD_SEC);
-		count_doubts(gossip, result);
+		count_false_suspicions(gossip, result);
 	}
 	result->bytes = (double)(sum_bytes(gossip) - bytes) / node_seconds;
 	result->messages = (double)(sum_messages(gossip) - messages) / node_seconds;
 }
 
-static void measure_death(gossip_t *gossip, result_t *result)
+/*
+ * Fails one node, and measures when the first and the last of the others
+ * declare it dead.
+ */
+static void measure_failure(gossip_t *gossip, result_t *result)
 {
-	unsigned int victim = gossip->size / 2;
+	unsigned int failed = gossip->size / 2;
 	pd_time_t since = gossip->now;
 
-	gossip_kill(gossip, victim);
-	while (gossip->now - since < LIMIT) {
+	gossip_kill(gossip, failed);
+	while (gossip->now - since < MEASURE_TIMEOUT) {
 		unsigned int viewers;
 
 		gossip_run(gossip, 5 * GOSSIP_STEP);
-		viewers = gossip_viewers(gossip, victim, MEMBER_DEAD);
+		viewers = gossip_viewers(gossip, failed, MEMBER_DEAD);
 		if (viewers && result->first_dead_s == 0)
 			result->first_dead_s =
 				(double)(gossip->now - since) / PD_SEC;
@@ -103,15 +118,19 @@
 	result->all_dead_s = (double)(gossip->now - since) / PD_SEC;
 }
 
-static void measure_news(gossip_t *gossip, result_t *result)
+/*
+ * Measures how long a leaving notice and a new bundle generation take to reach
+ * every member.
+ */
+static void measure_updates(gossip_t *gossip, result_t *result)
 {
 	pd_time_t since = gossip->now;
 	uint64_t bytes = sum_bytes(gossip);
 
 	gossip_tell(gossip, 0, 1, true);
 	gossip_run(gossip, PD_SEC);
-	result->wave_bytes = (double)(sum_bytes(gossip) - bytes) / gossip->size;
-	gossip_run(gossip, LIMIT - PD_SEC);
+	result->update_bytes = (double)(sum_bytes(gossip) - bytes) / gossip->size;
+	gossip_run(gossip, MEASURE_TIMEOUT - PD_SEC);
 	for (unsigned int i = 0; i < gossip->size; i++) {
 		const gossip_node_t *node = &gossip->nodes[i];
 
@@ -121,67 +140,71 @@
 			MAX(result->leaving_s,
 			    node->has_leaving
 				    ? (double)(node->leaving_at - since) / PD_SEC
-				    : (double)LIMIT / PD_SEC);
+				    : (double)MEASURE_TIMEOUT / PD_SEC);
 		result->generation_s =
 			MAX(result->generation_s,
 			    node->generation
 				    ? (double)(node->generation_at - since) / PD_SEC
-				    : (double)LIMIT / PD_SEC);
+				    : (double)MEASURE_TIMEOUT / PD_SEC);
 	}
 }
 
-/* A zone's VMs, 72 at the planned size, are all told to leave. */
-static void measure_wave(gossip_t *gossip, result_t *result)
+/*
+ * Measures the dissemination of the leaving notices of all VMs of a zone, 72 at
+ * the planned size.
+ */
+static void measure_reclaim(gossip_t *gossip, result_t *result)
 {
 	pd_time_t since = gossip->now;
 	uint64_t first = sum_bytes(gossip);
 
-	for (unsigned int vm = 0; vm < WAVE_VMS; vm++)
+	for (unsigned int vm = 0; vm < RECLAIM_VMS; vm++)
 		gossip_tell_wave(gossip, 0, vm);
-	for (int second = 0; second < WAVE_SECONDS; second++) {
+	for (int second = 0; second < RECLAIM_SECONDS; second++) {
 		uint64_t bytes = sum_bytes(gossip);
 		double sent;
 
 		gossip_run(gossip, PD_SEC);
 		sent = (double)(sum_bytes(gossip) - bytes) / gossip->size;
-		result->wave_peak = MAX(result->wave_peak, sent);
+		result->reclaim_peak = MAX(result->reclaim_peak, sent);
 	}
-	result->wave_mean = (double)(sum_bytes(gossip) - first) / gossip->size /
-			    WAVE_SECONDS;
-	gossip_run(gossip, LIMIT);
+	result->reclaim_mean = (double)(sum_bytes(gossip) - first) /
+			       gossip->size / RECLAIM_SECONDS;
+	gossip_run(gossip, MEASURE_TIMEOUT);
 	for (unsigned int i = 0; i < gossip->size; i++) {
 		const gossip_node_t *node = &gossip->nodes[i];
-		bool all = node->wave_known == WAVE_VMS;
+		bool all = node->wave_known == RECLAIM_VMS;
 
 		if (!node->dead)
-			result->wave_s =
-				MAX(result->wave_s,
-				    (double)(all ? node->wave_at - since : LIMIT) /
-					    PD_SEC);
+			result->reclaim_s = MAX(result->reclaim_s,
+						(double)(all ? node->wave_at - since
+							     : MEASURE_TIMEOUT) /
+							PD_SEC);
 	}
 }
 
+/* Runs all measurements at one size and prints the result as a line of CSV. */
 static void measure(unsigned int size, double loss, unsigned int frozen)
 {
 	gossip_t *gossip = gossip_create(size, SEED, loss);
 	result_t result = { 0 };
 
-	gossip_run(gossip, SETTLE);
+	gossip_run(gossip, SETTLE_TIME);
 	measure_steady(gossip, frozen, &result);
-	gossip_run(gossip, SETTLE);
-	measure_death(gossip, &result);
-	gossip_run(gossip, SETTLE);
-	measure_news(gossip, &result);
-	measure_wave(gossip, &result);
+	gossip_run(gossip, SETTLE_TIME);
+	measure_failure(gossip, &result);
+	gossip_run(gossip, SETTLE_TIME);
+	measure_updates(gossip, &result);
+	measure_reclaim(gossip, &result);
 	for (unsigned int i = 0; i < size; i++)
 		result.largest = MAX(result.largest, gossip->nodes[i].bytes_most);
 	printf("%u,%.2f,%s,%.1f,%.1f,%u,%u,%.2f,%.2f,%.2f,%.0f,%.0f,%.1f,%.0f,%"
 	       ".0f,%u\n",
 	       size, loss, frozen ? "yes" : "no", result.first_dead_s,
-	       result.all_dead_s, result.suspected, result.called_dead,
-	       result.leaving_s, result.generation_s, result.messages,
-	       result.bytes, result.wave_bytes, result.wave_s, result.wave_peak,
-	       result.wave_mean, (unsigned int)result.largest);
+	       result.all_dead_s, result.suspected_pairs, result.dead_pairs,
+	       result.leaving_s, result.generation_s, result.messages, result.bytes,
+	       result.update_bytes, result.reclaim_s, result.reclaim_peak,
+	       result.reclaim_mean, (unsigned int)result.largest);
 	gossip_destroy(gossip);
 }
 
--- a/bench/bench_placement.c
+++ b/bench/bench_placement.c
@@ -1,15 +1,15 @@
 /*
- * What placement costs at the latency target, by rule, for both users' sizes:
- * ten days from fixed seeds. Each rule gets the smallest headroom at which 95 in
- * 100 first tokens come in time, of all requests and of the urgent ones, over
- * the ten days together; what it paid there is compared.
+ * Compares the cost of the placement rules at the latency target, for both
+ * users' sizes, over ten simulated days with fixed seeds. Each rule is given the
+ * smallest headroom at which 95 % of first tokens meet the target, both of all
+ * requests and of the urgent ones, over all days together.
  */
 #include <stdio.h>
 
 #include "bench/placement_world.h"
 
-#define SEEDS 10
-#define LATE_MOST 0.05
+#define SEED_COUNT 10
+#define LATE_FRACTION_MAX 0.05
 
 typedef struct user {
 	const char *name;
@@ -24,12 +24,16 @@
 	[MIX_CHEAPEST] = "cheapest",
 };
 
+/*
+ * Simulates a day for each seed and returns counts of requests and VM starts as
+ * sums, and costs and moves as means.
+ */
 static day_result_t run_days(const user_t *user, mix_rule_t rule,
 			     unsigned int headroom)
 {
 	day_result_t sum = { 0 };
 
-	for (uint32_t seed = 1; seed <= SEEDS; seed++) {
+	for (uint32_t seed = 1; seed <= SEED_COUNT; seed++) {
 		const day_config_t config = { .user = user->name,
 					      .peak = user->peak,
 					      .most_workers = user->most_workers,
@@ -38,20 +42,21 @@
 					      .headroom = headroom };
 		day_result_t day = day_run(&config);
 
-		sum.cost += day.cost / SEEDS;
-		sum.bound += day.bound / SEEDS;
-		sum.insured += day.insured / SEEDS;
+		sum.cost += day.cost / SEED_COUNT;
+		sum.bound += day.bound / SEED_COUNT;
+		sum.bound_with_spares += day.bound_with_spares / SEED_COUNT;
 		sum.requests += day.requests;
 		sum.late += day.late;
 		sum.urgent += day.urgent;
 		sum.urgent_late += day.urgent_late;
-		sum.moved += day.moved / SEEDS;
+		sum.moved += day.moved / SEED_COUNT;
 		sum.bought += day.bought;
 		sum.refused += day.refused;
 	}
 	return sum;
 }
 
+/* Prints the result of a rule as a line of CSV. */
 static void print_row(const user_t *user, mix_rule_t rule, unsigned int headroom,
 		      const day_result_t *sum, double on_demand)
 {
@@ -60,12 +65,16 @@
 	       100 * sum->late / sum->requests,
 	       100 * sum->urgent_late / sum->urgent, sum->cost,
 	       on_demand > 0 ? sum->cost / on_demand : 1.0,
-	       sum->cost / sum->bound, sum->cost / sum->insured, sum->moved,
-	       (double)sum->bought / SEEDS, (double)sum->refused / SEEDS);
+	       sum->cost / sum->bound, sum->cost / sum->bound_with_spares,
+	       sum->moved, (double)sum->bought / SEED_COUNT,
+	       (double)sum->refused / SEED_COUNT);
 	fflush(stdout);
 }
 
-/* Returns the rule's cost at the target, or where the headrooms end. */
+/*
+ * Prints the result of a rule at the smallest sufficient headroom, or at the
+ * largest if none suffices. Returns its cost.
+ */
 static double measure(const user_t *user, mix_rule_t rule, double on_demand)
 {
 	static const unsigned int headrooms[] = { 0,  10, 20,  30, 40,
@@ -75,8 +84,8 @@
 
 	for (i = 0; i < G_N_ELEMENTS(headrooms); i++) {
 		sum = run_days(user, rule, headrooms[i]);
-		if (sum.late <= LATE_MOST * sum.requests &&
-		    sum.urgent_late <= LATE_MOST * sum.urgent)
+		if (sum.late <= LATE_FRACTION_MAX * sum.requests &&
+		    sum.urgent_late <= LATE_FRACTION_MAX * sum.urgent)
 			break;
 	}
 	i = MIN(i, G_N_ELEMENTS(headrooms) - 1);
--- a/bench/bench_relay.c
+++ b/bench/bench_relay.c
@@ -1,7 +1,7 @@
 /*
- * What an entry adds to a stream: time to the first token and between tokens,
- * through an entry and from the engine directly, in one run. The runs take
- * turns, so that a busy machine slows both alike.
+ * Measures the latency that an entry adds to a stream: time to first token and
+ * time between tokens, through an entry and directly from the engine. Direct and
+ * relayed streams alternate, so that load on the machine affects both alike.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,16 +16,17 @@
 #include "adapters/sse.h"
 #include "tests/harness/fleet.h"
 
-#define ROUNDS 60
-#define TOKENS 50
+#define ROUND_COUNT 60
+#define TOKENS_PER_STREAM 50
 
 typedef struct samples {
-	double first[ROUNDS]; /* ms */
-	double gap[ROUNDS]; /* ms, mean of one stream */
+	double first[ROUND_COUNT]; /* ms */
+	double gap[ROUND_COUNT]; /* ms, mean over a stream */
 	int count;
 } samples_t;
 
-static int by_value(const void *a, const void *b)
+/* Orders doubles, for qsort(). */
+static int compare_doubles(const void *a, const void *b)
 {
 	double left = *(const double *)a;
 	double right = *(const double *)b;
@@ -33,37 +34,42 @@
 	return (left > right) - (left < right);
 }
 
+/* Returns the median of VALUES, and sorts them. */
 static double median(double *values, int count)
 {
-	qsort(values, (size_t)count, sizeof(*values), by_value);
+	qsort(values, (size_t)count, sizeof(*values), compare_doubles);
 	return values[count / 2];
 }
 
-static void sample(samples_t *samples, call_t *call)
+/* Waits for a call, adds its latencies to SAMPLES and frees it. */
+static void add_sample(samples_t *samples, call_t *call)
 {
 	int i = samples->count++;
 
 	call_wait(call);
 	assert_false(call->failed);
 	samples->first[i] = (double)(call->first_token_at - call->sent_at) / 1000;
-	samples->gap[i] =
-		(double)(call->done_at - call->first_token_at) / 1000 / TOKENS;
+	samples->gap[i] = (double)(call->done_at - call->first_token_at) /
+			  1000 / TOKENS_PER_STREAM;
 	call_destroy(call);
 }
 
+/* Measures direct and relayed streams in alternation. */
 static void run(fleet_t *fleet, samples_t *direct, samples_t *relayed)
 {
-	for (int i = 0; i < ROUNDS; i++) {
+	for (int i = 0; i < ROUND_COUNT; i++) {
 		char *body = g_strdup_printf("{\"request_id\":\"d%d\","
 					     "\"prompt\":\"page %d\","
 					     "\"max_tokens\":%d}",
-					     i, i, TOKENS);
+					     i, i, TOKENS_PER_STREAM);
 		char *prompt = g_strdup_printf("page %d", i);
 
-		sample(direct, call_start(fleet, fleet->engines[0].port, "POST",
-					  "/generate", NULL, NULL, NULL, body));
-		sample(relayed, completion_start(fleet, fleet->entries[0].port,
-						 prompt, TOKENS, true));
+		add_sample(direct,
+			   call_start(fleet, fleet->engines[0].port, "POST",
+				      "/generate", NULL, NULL, NULL, body));
+		add_sample(relayed,
+			   completion_start(fleet, fleet->entries[0].port,
+					    prompt, TOKENS_PER_STREAM, true));
 		g_free(body);
 		g_free(prompt);
 	}
@@ -79,10 +85,10 @@
 	double gap[2];
 
 	run(fleet, &direct, &relayed);
-	first[0] = median(direct.first, ROUNDS);
-	first[1] = median(relayed.first, ROUNDS);
-	gap[0] = median(direct.gap, ROUNDS);
-	gap[1] = median(relayed.gap, ROUNDS);
+	first[0] = median(direct.first, ROUND_COUNT);
+	first[1] = median(relayed.first, ROUND_COUNT);
+	gap[0] = median(direct.gap, ROUND_COUNT);
+	gap[1] = median(relayed.gap, ROUND_COUNT);
 	printf("measure,direct_ms,through_entry_ms,ratio\n");
 	printf("first_token,%.3f,%.3f,%.3f\n", first[0], first[1],
 	       first[1] / first[0]);
--- a/bench/placement_cloud.h
+++ b/bench/placement_cloud.h
@@ -1,4 +1,4 @@
-/* A cloud in memory: offers with prices that flip, waves of reclaims, starts. */
+/* An in-memory cloud with changing prices, zone reclaims and VM starts. */
 #ifndef PISTACHIO_PLACEMENT_CLOUD_H
 #define PISTACHIO_PLACEMENT_CLOUD_H
 
@@ -6,7 +6,7 @@
 #include "ports/placer_event.h"
 
 #define CLOUD_TARGET "m"
-/* Line terminals or the trace application: one in each zone, on demand. */
+/* On-demand VMs of a service, one in each zone. */
 #define CLOUD_SERVICE_VMS 4
 
 typedef struct cloud cloud_t;
@@ -22,9 +22,9 @@
 const offer_t *cloud_offers(const cloud_t *cloud, size_t *count);
 unsigned int cloud_list_version(const cloud_t *cloud);
 const vm_t *cloud_list(cloud_t *cloud, size_t *count);
-double cloud_slots(const cloud_t *cloud);
+double cloud_live_slots(const cloud_t *cloud);
 double cloud_cost(const cloud_t *cloud);
-double cloud_cheapest(const cloud_t *cloud, bool reclaimable);
-double cloud_price_of(const cloud_t *cloud, const mix_need_t *need);
+double cloud_min_slot_price(const cloud_t *cloud, bool reclaimable);
+double cloud_min_price(const cloud_t *cloud, const mix_need_t *need);
 
 #endif
--- a/bench/placement_world.c
+++ b/bench/placement_world.c
@@ -1,4 +1,4 @@
-/* Runs one day: time goes by seconds, load is in requests side by side. */
+/* Simulates a day in steps of a second. Load is in concurrent requests. */
 #include "bench/placement_world.h"
 
 #include <math.h>
@@ -7,50 +7,51 @@
 #include "bench/placement_cloud.h"
 
 #define DAY_SECONDS 14400
-#define BURSTS 4
+#define BURST_COUNT 4
 #define RAMP_SECONDS 180.0
 #define SERVICE_SECONDS 7.6 /* 200 tokens, 38 ms apart */
 #define PREFILL_SECONDS 0.25
-#define TARGET_SECONDS 0.59
+#define FIRST_TOKEN_TARGET_SECONDS 0.59
 #define URGENT_SHARE 0.3
 #define BASE_SHARE 0.15
-#define REPORT_PERIOD 10
-#define RATE_SECONDS 20 /* over which entries smooth the rate of arrivals */
-#define CLEAR_SECONDS 60 /* in which what waits is to be served */
-#define PRICE_PERIOD 60
+#define DEMAND_PERIOD_SECONDS 10
+#define RATE_SMOOTHING_SECONDS 20 /* by which entries smooth the arrival rate */
+#define BACKLOG_SECONDS 60 /* within which the backlog is to be served */
+#define PRICE_PERIOD_SECONDS 60
 #define RECLAIMABLE_PERCENT 59
-#define BOUND_PERIOD 10
-#define LATE_ALLOWED 0.05
+#define BOUND_PERIOD_SECONDS 10
+#define LATE_FRACTION_MAX 0.05
 
 typedef struct burst {
-	double begins;
-	double lasts;
-	double height;
+	double start;
+	double duration;
+	double peak_share;
 } burst_t;
 
-/* The requests in hand, and the same had there been room for all at once. */
+/* The current load; UNBOUNDED is the load if no request ever waited. */
 typedef struct load {
 	double running;
 	double waiting;
 	double urgent_waiting;
 	double unbounded;
-	double rate; /* of arrivals, a second, smoothed */
+	double rate; /* arrivals per second, smoothed */
 } load_t;
 
 typedef struct day {
 	const day_config_t *config;
 	GRand *arrivals;
 	GRand *departures;
-	burst_t bursts[BURSTS];
+	burst_t bursts[BURST_COUNT];
 	load_t load;
 	cloud_t *cloud;
 	placer_t *placer;
 	unsigned int second;
-	unsigned int list_version; /* handed to the placer */
+	unsigned int list_version; /* last one sent to the placer */
 	day_result_t result;
 } day_t;
 
-static double gauss(GRand *random)
+/* Returns a random number of the standard normal distribution. */
+static double random_normal(GRand *random)
 {
 	double u = 1 - g_rand_double(random);
 	double v = g_rand_double(random);
@@ -58,45 +59,52 @@
 	return sqrt(-2 * log(u)) * cos(2 * G_PI * v);
 }
 
-static double draw_count(GRand *random, double mean)
+/*
+ * Returns a random count: the normal approximation of a Poisson distribution.
+ */
+static double random_count(GRand *random, double mean)
 {
-	double count = round(mean + sqrt(mean) * gauss(random));
+	double count = round(mean + sqrt(mean) * random_normal(random));
 
 	return MAX(count, 0);
 }
 
-static void make_bursts(day_t *day)
+/* Chooses the bursts of demand of the day. One of them reaches the peak. */
+static void create_bursts(day_t *day)
 {
-	for (int i = 0; i < BURSTS; i++) {
-		double span = (double)DAY_SECONDS / BURSTS;
+	for (int i = 0; i < BURST_COUNT; i++) {
+		double span = (double)DAY_SECONDS / BURST_COUNT;
 
-		day->bursts[i].begins =
+		day->bursts[i].start =
 			span * (i + 0.1 + 0.3 * g_rand_double(day->arrivals));
-		day->bursts[i].lasts = 600 + 600 * g_rand_double(day->arrivals);
-		day->bursts[i].height = 0.5 + 0.5 * g_rand_double(day->arrivals);
+		day->bursts[i].duration = 600 + 600 * g_rand_double(day->arrivals);
+		day->bursts[i].peak_share =
+			0.5 + 0.5 * g_rand_double(day->arrivals);
 	}
-	day->bursts[1].height = 1;
+	day->bursts[1].peak_share = 1;
 }
 
-/* Returns the share of the peak that callers ask for at a second. */
+/* Returns the demand at SECOND, as a share of the peak. */
 static double demand_share(const day_t *day, double second)
 {
 	double share = BASE_SHARE;
 
-	for (int i = 0; i < BURSTS; i++) {
+	for (int i = 0; i < BURST_COUNT; i++) {
 		const burst_t *burst = &day->bursts[i];
-		double in = (second - burst->begins) / RAMP_SECONDS;
-		double out = (burst->begins + burst->lasts - second) / RAMP_SECONDS;
+		double in = (second - burst->start) / RAMP_SECONDS;
+		double out = (burst->start + burst->duration - second) /
+			     RAMP_SECONDS;
 		double shape = CLAMP(MIN(in, out), 0, 1);
 
-		share = MAX(share, burst->height * shape);
+		share = MAX(share, burst->peak_share * shape);
 	}
 	return share;
 }
 
-static void perform(day_t *day, placer_action_t *action);
+static void perform_action(day_t *day, placer_action_t *action);
 
-static void handle(day_t *day, placer_event_t *event)
+/* Passes an event to the placer and performs the resulting actions. */
+static void handle_event(day_t *day, placer_event_t *event)
 {
 	list_node_t actions;
 	list_node_t *node;
@@ -107,11 +115,12 @@
 	while ((node = list_pop(&actions))) {
 		placer_action_t *action = LIST_ENTRY(node, placer_action_t, node);
 
-		perform(day, action);
+		perform_action(day, action);
 		placer_action_destroy(action);
 	}
 }
 
+/* Answers a lease operation. The only placer always obtains the lease. */
 static void perform_lease(day_t *day, const placer_action_t *action)
 {
 	placer_event_t event = { .kind = PLACER_LEASE_REPLY,
@@ -123,10 +132,11 @@
 		event.lease.status = STORE_OK;
 		event.lease.version = action->lease.version + 1;
 	}
-	handle(day, &event);
+	handle_event(day, &event);
 }
 
-static void perform(day_t *day, placer_action_t *action)
+/* Performs one action of the placer and reports its result. */
+static void perform_action(day_t *day, placer_action_t *action)
 {
 	placer_event_t event = { .kind = PLACER_TICK };
 
@@ -142,7 +152,7 @@
 			cloud_buy(day->cloud, &action->buy.intent, day->second);
 		day->result.bought += event.purchase.status == STORE_OK;
 		day->result.refused += event.purchase.status != STORE_OK;
-		handle(day, &event);
+		handle_event(day, &event);
 		break;
 	case PLACER_RELEASE:
 		cloud_release(day->cloud, action->release.vm_id);
@@ -152,14 +162,15 @@
 		event.engine.vm_id = action->engine.vm_id;
 		event.engine.running =
 			cloud_drain(day->cloud, action->engine.vm_id, day->second);
-		handle(day, &event);
+		handle_event(day, &event);
 		break;
 	case PLACER_DECISION:
 		break;
 	}
 }
 
-static void give_bundle(day_t *day)
+/* Sends the placer a bundle with one model. */
+static void send_bundle(day_t *day)
 {
 	bundle_t *bundle = bundle_create();
 	target_t *target = bundle_add_target(bundle, TARGET_MODEL, CLOUD_TARGET);
@@ -170,62 +181,66 @@
 	target->machine_class = g_strdup("any");
 	bundle->headroom_percent = day->config->headroom;
 	bundle->reclaimable_percent = RECLAIMABLE_PERCENT;
-	handle(day, &event);
+	handle_event(day, &event);
 }
 
-static void inform(day_t *day)
+/* Sends the placer the prices, demand and VM list that are due, and a tick. */
+static void send_events(day_t *day)
 {
 	placer_event_t tick = { .kind = PLACER_TICK };
 	double backlog = day->load.waiting + day->load.urgent_waiting;
 	double requests =
-		(day->load.rate + backlog / CLEAR_SECONDS) * SERVICE_SECONDS;
+		(day->load.rate + backlog / BACKLOG_SECONDS) * SERVICE_SECONDS;
 	const demand_t demand = {
 		.target = CLOUD_TARGET,
 		.requests = (unsigned int)ceil(requests),
 		.urgent = (unsigned int)ceil(requests * URGENT_SHARE),
 	};
 
-	if (day->second % PRICE_PERIOD == 0) {
+	if (day->second % PRICE_PERIOD_SECONDS == 0) {
 		placer_event_t event = { .kind = PLACER_PRICES };
 
 		event.prices.offers = cloud_offers(day->cloud, &event.prices.count);
-		handle(day, &event);
+		handle_event(day, &event);
 	}
-	if (day->second % REPORT_PERIOD == 0) {
+	if (day->second % DEMAND_PERIOD_SECONDS == 0) {
 		placer_event_t event = { .kind = PLACER_DEMAND,
 					 .demand = { &demand, 1 } };
 
-		handle(day, &event);
+		handle_event(day, &event);
 	}
-	/* As the runner does, which reads the list only while it acts. */
+	/* Like the runner, which reads the list only while it is active. */
 	if (placer_is_active(day->placer) &&
 	    cloud_list_version(day->cloud) != day->list_version) {
 		placer_event_t event = { .kind = PLACER_VM_LIST };
 
 		day->list_version = cloud_list_version(day->cloud);
 		event.vm_list.vms = cloud_list(day->cloud, &event.vm_list.count);
-		handle(day, &event);
+		handle_event(day, &event);
 	}
-	handle(day, &tick);
+	handle_event(day, &tick);
 }
 
-/* Urgent requests wait only for urgent ones; others wait for all. */
-static void serve(day_t *day)
+/*
+ * Serves requests for one second. Urgent ones wait only for other urgent ones,
+ * the rest wait for all.
+ */
+static void serve_requests(day_t *day)
 {
 	load_t *load = &day->load;
-	double slots = cloud_slots(day->cloud);
+	double slots = cloud_live_slots(day->cloud);
 	double share = demand_share(day, day->second);
 	double rate = share * day->config->peak / SERVICE_SECONDS;
-	double arrived = draw_count(day->arrivals, rate);
+	double arrived = random_count(day->arrivals, rate);
 	double urgent = round(arrived * URGENT_SHARE);
-	double noise = gauss(day->departures);
+	double noise = random_normal(day->departures);
 	double leaving = load->running / SERVICE_SECONDS;
-	double turns = MAX(slots, 1) / SERVICE_SECONDS;
-	double room = TARGET_SECONDS - PREFILL_SECONDS;
+	double slots_freed_per_s = MAX(slots, 1) / SERVICE_SECONDS;
+	double max_queue_seconds = FIRST_TOKEN_TARGET_SECONDS - PREFILL_SECONDS;
 	double moved = MAX(0, load->running - slots);
 	double start;
 
-	load->rate += (arrived - load->rate) / RATE_SECONDS;
+	load->rate += (arrived - load->rate) / RATE_SMOOTHING_SECONDS;
 	load->unbounded += arrived - load->unbounded / SERVICE_SECONDS;
 	load->running -= CLAMP(leaving + sqrt(leaving) * noise, 0, load->running);
 	if (moved > 0) {
@@ -244,29 +259,36 @@
 	load->running += start;
 	day->result.requests += arrived;
 	day->result.urgent += urgent;
-	/* Whoever stands further back than the room allows is late. */
+	/* Those behind the requests that start within the wait are late. */
 	day->result.urgent_late +=
-		CLAMP(load->urgent_waiting - room * turns, 0, urgent);
-	day->result.late += CLAMP(load->urgent_waiting - room * turns, 0, urgent);
-	day->result.late +=
-		CLAMP(load->waiting + load->urgent_waiting - room * turns, 0,
-		      arrived - urgent);
+		CLAMP(load->urgent_waiting - max_queue_seconds * slots_freed_per_s,
+		      0, urgent);
+	day->result.late += CLAMP(load->urgent_waiting -
+					  max_queue_seconds * slots_freed_per_s,
+				  0, urgent);
+	day->result.late += CLAMP(load->waiting + load->urgent_waiting -
+					  max_queue_seconds * slots_freed_per_s,
+				  0, arrived - urgent);
 }
 
 /*
- * The least that any policy could pay: what ran if nothing ever waited, less
- * the share that may be late, on the cheapest slot of the moment, in parts of a
- * VM, with no start-up and no spares. The share of reclaimable VMs is left out:
- * beside the services' VMs all of the few that the mean load takes may be.
+ * Adds a second of the lower bounds of the cost. BOUND is the load that would
+ * run if nothing ever waited, less the share that may be late, at the cheapest
+ * slot price of the moment, in fractions of a VM, without start-up times or
+ * spares. It ignores the limit on the share of reclaimable VMs: next to the VMs
+ * of the services, all of the few that the mean load needs may be reclaimable.
+ * BOUND_WITH_SPARES is the price of whole VMs, with spares for the loss of a
+ * zone.
  */
-static void add_bound(day_t *day)
+static void add_cost_bounds(day_t *day)
 {
-	double reclaimable = cloud_cheapest(day->cloud, true);
-	double on_demand = cloud_cheapest(day->cloud, false);
+	double reclaimable = cloud_min_slot_price(day->cloud, true);
+	double on_demand = cloud_min_slot_price(day->cloud, false);
 	double price = MIN(reclaimable, on_demand);
 
-	day->result.bound += day->load.unbounded * (1 - LATE_ALLOWED) * price / 3600;
-	if (day->second % BOUND_PERIOD == 0) {
+	day->result.bound +=
+		day->load.unbounded * (1 - LATE_FRACTION_MAX) * price / 3600;
+	if (day->second % BOUND_PERIOD_SECONDS == 0) {
 		const mix_need_t need = {
 			.slots = (unsigned int)ceil(day->load.unbounded),
 			.urgent = (unsigned int)ceil(day->load.unbounded *
@@ -277,12 +299,16 @@
 			.other_vms = CLOUD_SERVICE_VMS,
 		};
 
-		day->result.insured +=
-			cloud_price_of(day->cloud, &need) * BOUND_PERIOD / 3600;
+		day->result.bound_with_spares +=
+			cloud_min_price(day->cloud, &need) *
+			BOUND_PERIOD_SECONDS / 3600;
 	}
 }
 
-/* Runs a day from its seed; the same seed gives every rule the same day. */
+/*
+ * Simulates a day and returns its result. The same seed gives every rule the
+ * same day.
+ */
 day_result_t day_run(const day_config_t *config)
 {
 	static const char *const zones[] = { "a", "b", "c", "d", NULL };
@@ -296,13 +322,13 @@
 	day.departures = g_rand_new_with_seed(config->seed + 1000);
 	day.cloud = cloud_create(zones, config->seed + 2000, DAY_SECONDS);
 	day.placer = placer_create(&placer);
-	make_bursts(&day);
-	give_bundle(&day);
+	create_bursts(&day);
+	send_bundle(&day);
 	for (day.second = 0; day.second < DAY_SECONDS; day.second++) {
 		cloud_step(day.cloud, day.second);
-		serve(&day);
-		inform(&day);
-		add_bound(&day);
+		serve_requests(&day);
+		send_events(&day);
+		add_cost_bounds(&day);
 	}
 	day.result.cost = cloud_cost(day.cloud);
 	placer_destroy(day.placer);
--- a/bench/sim_entries.c
+++ b/bench/sim_entries.c
@@ -1,18 +1,20 @@
-/* Drives the entry's cores: events in, actions carried out on the fakes. */
+/* Feeds events to the entry cores and performs their actions on the fakes. */
 #include <string.h>
 
 #include "bench/sim.h"
 
-#define GAP_CHANCE 0.05 /* of losing one piece of cache news */
-#define LIST_LAG (2 * PD_SEC)
-#define TIMEOUT (30 * PD_SEC)
-#define NEWS_MAX 64
+#define CACHE_EVENT_LOSS 0.05 /* probability that a cache event is lost */
+#define VM_LIST_PERIOD (2 * PD_SEC)
+#define REQUEST_TIMEOUT (30 * PD_SEC)
+#define CACHE_EVENTS_MAX 64
 
-static const char *const account_keys[ACCOUNTS] = { "k0", "k1", "k2", "k3", "k4" };
+static const char *const account_keys[ACCOUNT_COUNT] = { "k0", "k1", "k2", "k3",
+							 "k4" };
 
-static void carry_out(sim_t *sim, unsigned int entry, list_node_t *actions);
+static void perform_actions(sim_t *sim, unsigned int entry, list_node_t *actions);
 
-static void give(sim_t *sim, unsigned int entry, event_t *event)
+/* Passes an event to an entry and performs the resulting actions. */
+static void handle_event(sim_t *sim, unsigned int entry, event_t *event)
 {
 	list_node_t actions;
 
@@ -20,20 +22,22 @@
 	event->now = sim->now;
 	event->wall = sim->now / PD_SEC;
 	entry_handle(sim->entries[entry], event, &actions);
-	carry_out(sim, entry, &actions);
+	perform_actions(sim, entry, &actions);
 }
 
+/* Returns a bundle with one model and all accounts. The caller owns it. */
 static bundle_t *make_bundle(const sim_t *sim)
 {
 	bundle_t *bundle = bundle_create();
 	target_t *target = bundle_add_target(bundle, TARGET_MODEL, "m");
 
 	bundle->generation = 1;
-	target->timeout = TIMEOUT;
-	for (unsigned int i = 0; i < ACCOUNTS; i++) {
+	target->timeout = REQUEST_TIMEOUT;
+	for (unsigned int i = 0; i < ACCOUNT_COUNT; i++) {
 		account_t *account = bundle_add_account(bundle, account_keys[i],
 							account_keys[i]);
-		double rate = account_rate(sim->site, i) * sim->scenario->limit;
+		double rate = account_rate(sim->site, i) *
+			      sim->scenario->limit_factor;
 
 		account->requests_per_second = rate;
 		account->burst = rate;
@@ -46,6 +50,7 @@
 	return bundle;
 }
 
+/* Returns the member information of an entry. The caller owns it. */
 static member_info_t make_self(unsigned int entry, const site_t *site)
 {
 	member_info_t self = { .address = g_strdup("127.0.0.1"),
@@ -57,7 +62,9 @@
 	return self;
 }
 
-/* Makes the entries, tells them of each other, of the VMs and the bundle. */
+/*
+ * Creates the entries and gives them their peers, the bundle and the VM list.
+ */
 void entries_create(sim_t *sim, uint32_t seed)
 {
 	GBytes *envelope = g_bytes_new_static("e", 1);
@@ -76,18 +83,18 @@
 		event_t bundle = { .kind = EVENT_BUNDLE,
 				   .bundle = { make_bundle(sim), envelope } };
 
-		give(sim, i, &seeds);
-		give(sim, i, &bundle);
+		handle_event(sim, i, &seeds);
+		handle_event(sim, i, &bundle);
 		bundle_destroy(bundle.bundle.bundle);
 	}
 	for (unsigned int i = 0; i < sim->site->entries; i++)
 		member_info_clear(&selves[i]);
 	g_free(selves);
 	g_bytes_unref(envelope);
-	entries_vms(sim);
+	entries_send_vm_list(sim);
 }
 
-/* Frees the entries and the messages between them. */
+/* Frees the entries and the messages in transit. */
 void entries_destroy(sim_t *sim)
 {
 	for (unsigned int i = 0; i < sim->site->entries; i++)
@@ -97,8 +104,8 @@
 			g_array_index(sim->messages, sim_peer_msg_t, i).msg);
 }
 
-/* Gives every entry the VM list as it is. */
-void entries_vms(sim_t *sim)
+/* Sends the current VM list to every entry. */
+void entries_send_vm_list(sim_t *sim)
 {
 	vm_t *vms = g_new0(vm_t, sim->site->engines);
 	size_t count = 0;
@@ -107,7 +114,7 @@
 	for (unsigned int i = 0; i < sim->site->engines; i++) {
 		const fake_engine_t *engine = sim_engine(sim, i);
 
-		if (engine->dead)
+		if (engine->terminated)
 			continue;
 		vms[count++] = (vm_t){
 			.id = engine->id,
@@ -126,12 +133,12 @@
 	event.vm_list.vms = vms;
 	event.vm_list.count = count;
 	for (unsigned int i = 0; i < sim->site->entries; i++)
-		give(sim, i, &event);
+		handle_event(sim, i, &event);
 	g_free(vms);
 }
 
-/* Hands a caller's request to an entry. */
-void entries_request(sim_t *sim, unsigned int entry, unsigned int index)
+/* Submits a caller's request to an entry. */
+void entries_submit(sim_t *sim, unsigned int entry, unsigned int index)
 {
 	const call_t *call = sim_call(sim, index);
 	event_t event = { .kind = EVENT_REQUEST,
@@ -143,11 +150,11 @@
 				       .max_tokens = call->tokens,
 				       .stream = true } };
 
-	give(sim, entry, &event);
+	handle_event(sim, entry, &event);
 }
 
-/* Tells the entry that sent a job what became of it. */
-void entries_upstream(sim_t *sim, const job_t *job, upstream_event_kind_t kind)
+/* Reports an upstream event of a job to the entry that sent it. */
+void entries_report_upstream(sim_t *sim, const job_t *job, upstream_event_kind_t kind)
 {
 	event_t event = { .kind = EVENT_UPSTREAM,
 			  .upstream = { .kind = kind,
@@ -157,75 +164,87 @@
 					.len = 4,
 					.written = true } };
 
-	give(sim, job->entry, &event);
+	handle_event(sim, job->entry, &event);
 }
 
-/* Collects the cache news due; returns how many, and whether some was lost. */
-static size_t cache_news(sim_t *sim, unsigned int entry, unsigned int index,
-			 cache_event_t *news, bool *gap)
+/*
+ * Collects at most CACHE_EVENTS_MAX cache events that are due and not sent yet,
+ * of which some are lost. Returns their number, and sets *GAP if any was lost.
+ */
+static size_t take_cache_events(sim_t *sim, unsigned int entry, unsigned int index,
+				cache_event_t *events, bool *gap)
 {
-	const GArray *notes = sim_engine(sim, index)->notes;
-	size_t *told = &sim->notes_told[entry][index];
+	const GArray *cache_events = sim_engine(sim, index)->cache_events;
+	size_t *sent = &sim->cache_events_sent[entry][index];
 	size_t count = 0;
 
-	while (*told < notes->len && count < NEWS_MAX) {
-		const cache_note_t *note =
-			&g_array_index(notes, cache_note_t, *told);
+	while (*sent < cache_events->len && count < CACHE_EVENTS_MAX) {
+		const timed_cache_event_t *timed =
+			&g_array_index(cache_events, timed_cache_event_t, *sent);
 
-		if (note->at + sim->scenario->report_lag > sim->now)
+		if (timed->at + sim->scenario->report_lag > sim->now)
 			break;
-		(*told)++;
-		if (g_rand_double(sim->rand) < GAP_CHANCE)
+		(*sent)++;
+		if (g_rand_double(sim->rand) < CACHE_EVENT_LOSS)
 			*gap = true;
 		else
-			news[count++] = note->event;
+			events[count++] = timed->event;
 	}
 	return count;
 }
 
-/* Fills in the load as the engine says it, which is as late as its reports. */
+/* Fills in the load of an engine as it was REPORT_LAG ago. */
 static void fill_load(const sim_t *sim, const fake_engine_t *engine,
 		      load_report_t *load)
 {
-	unsigned int back =
+	unsigned int lag =
 		(unsigned int)(sim->scenario->report_lag / SNAPSHOT_PERIOD);
 	unsigned int at;
 
-	if (engine->snapshots <= back)
+	if (engine->snapshots <= lag)
 		return;
-	at = (engine->snapshots - 1 - back) % SNAPSHOTS;
+	at = (engine->snapshots - 1 - lag) % SNAPSHOT_COUNT;
 	load->running = engine->load[at];
 	load->waiting = engine->queue[at];
 }
 
-/* Tells an entry the load that an engine says with the start of an answer. */
-void entries_started(sim_t *sim, const job_t *job, unsigned int index)
+/*
+ * Reports to the sender of a job the load that the engine returns when its
+ * response starts.
+ */
+void entries_report_load(sim_t *sim, const job_t *job, unsigned int index)
 {
 	const fake_engine_t *engine = sim_engine(sim, index);
 	event_t event = { .kind = EVENT_LOAD,
 			  .load = { .vm_id = engine->id, .answered = true } };
 
 	fill_load(sim, engine, &event.load);
-	give(sim, job->entry, &event);
+	handle_event(sim, job->entry, &event);
 }
 
+/*
+ * Answers a probe of an engine by an entry: load, reclaim notice and cache
+ * events.
+ */
 static void answer_probe(sim_t *sim, unsigned int entry, const char *vm_id)
 {
 	unsigned int index = sim_find_engine(sim, vm_id);
 	const fake_engine_t *engine = sim_engine(sim, index);
-	cache_event_t news[NEWS_MAX];
+	cache_event_t events[CACHE_EVENTS_MAX];
 	event_t event = { .kind = EVENT_LOAD,
-			  .load = { .vm_id = vm_id, .cache = news } };
+			  .load = { .vm_id = vm_id, .cache = events } };
 	load_report_t *load = &event.load;
 
-	load->answered = !engine->dead;
+	load->answered = !engine->terminated;
 	load->leaving = engine->leaves_at != 0;
 	load->leaves_in = MAX(engine->leaves_at - sim->now, 0);
 	fill_load(sim, engine, load);
-	load->cache_count = cache_news(sim, entry, index, news, &load->cache_gap);
-	give(sim, entry, &event);
+	load->cache_count =
+		take_cache_events(sim, entry, index, events, &load->cache_gap);
+	handle_event(sim, entry, &event);
 }
 
+/* Submits a dispatch to its engine, or reports a failure if the VM is gone. */
 static void submit(sim_t *sim, unsigned int entry, const dispatch_t *dispatch)
 {
 	unsigned int index = sim_find_engine(sim, dispatch->vm_id);
@@ -237,18 +256,19 @@
 		      .end = dispatch->max_tokens };
 
 	job.call = GPOINTER_TO_UINT(
-		g_hash_table_lookup(sim->by_body, dispatch->body));
+		g_hash_table_lookup(sim->calls_by_body, dispatch->body));
 	call = sim_call(sim, job.call);
 	job.prompt = call->prompt + job.offset;
 	job.prefix = call->prefix;
-	job.again = call->attempts++ > 0;
-	if (sim_engine(sim, index)->dead)
-		entries_upstream(sim, &job, UPSTREAM_FAILED);
+	job.is_retry = call->attempts++ > 0;
+	if (sim_engine(sim, index)->terminated)
+		entries_report_upstream(sim, &job, UPSTREAM_FAILED);
 	else
 		fake_engine_submit(sim_engine(sim, index), &job, sim->now);
 }
 
-static void carry_out_one(sim_t *sim, unsigned int entry, action_t *action)
+/* Performs one action of an entry and records what the caller receives. */
+static void perform_action(sim_t *sim, unsigned int entry, action_t *action)
 {
 	call_t *call;
 	sim_peer_msg_t message;
@@ -267,7 +287,7 @@
 		break;
 	case ACTION_TOKEN:
 		call = sim_call(sim, (unsigned int)action->reply.caller - 1);
-		call->got++;
+		call->received_tokens++;
 		if (!call->first_at)
 			call->first_at = sim->now;
 		break;
@@ -291,18 +311,23 @@
 	}
 }
 
-static void carry_out(sim_t *sim, unsigned int entry, list_node_t *actions)
+/* Performs and frees all actions of an entry. */
+static void perform_actions(sim_t *sim, unsigned int entry, list_node_t *actions)
 {
 	list_node_t *node;
 
 	while ((node = list_pop(actions))) {
 		action_t *action = LIST_ENTRY(node, action_t, node);
 
-		carry_out_one(sim, entry, action);
+		perform_action(sim, entry, action);
 		action_destroy(action);
 	}
 }
 
+/*
+ * Delivers the messages in transit. Those sent in response wait for the next
+ * tick.
+ */
 static void deliver_messages(sim_t *sim)
 {
 	GArray *due = sim->messages;
@@ -312,23 +337,26 @@
 		sim_peer_msg_t *message = &g_array_index(due, sim_peer_msg_t, i);
 		event_t event = { .kind = EVENT_PEER_MSG, .peer = message->msg };
 
-		give(sim, message->to, &event);
+		handle_event(sim, message->to, &event);
 		peer_msg_destroy(message->msg);
 	}
 	g_array_unref(due);
 }
 
-/* Ticks every entry; brings messages and, every two seconds, the VM list. */
+/*
+ * Ticks every entry, after delivering messages and, every VM_LIST_PERIOD, a
+ * changed VM list.
+ */
 void entries_tick(sim_t *sim)
 {
 	deliver_messages(sim);
-	if (sim->vms_changed && sim->now % LIST_LAG == 0) {
+	if (sim->vms_changed && sim->now % VM_LIST_PERIOD == 0) {
 		sim->vms_changed = false;
-		entries_vms(sim);
+		entries_send_vm_list(sim);
 	}
 	for (unsigned int i = 0; i < sim->site->entries; i++) {
 		event_t event = { .kind = EVENT_TICK };
 
-		give(sim, i, &event);
+		handle_event(sim, i, &event);
 	}
 }
