--- a/adapters/gateway/checkpoint.c
+++ b/adapters/gateway/checkpoint.c
@@ -8,7 +8,7 @@
 #include "adapters/gateway/duties.h"
 #include "adapters/gateway/gateway.h"
 #include "adapters/gateway/peers.h"
-#include "adapters/gateway/request_inflight.h"
+#include "adapters/gateway/request_flight.h"
 #include "adapters/gateway/usage_table.h"
 #include "adapters/log_glib.h"
 #include "core/forward/call_pacer.h"
--- a/adapters/gateway/inflight_pack.c
+++ b/adapters/gateway/flight_pack.c
@@ -1,5 +1,5 @@
 /* Packs and unpacks snapshots of the requests in flight. */
-#include "adapters/gateway/inflight_pack.h"
+#include "adapters/gateway/flight_pack.h"
 
 #include "adapters/msgpack_fields.h"
 #include "adapters/msgpack_write.h"
@@ -14,7 +14,7 @@
 }
 
 /* Packs the in-flight snapshot of one incarnation. */
-void inflight_pack(msgpack_packer *packer, const inflight_snapshot_t *snapshot)
+void flight_pack(msgpack_packer *packer, const inflight_snapshot_t *snapshot)
 {
 	const GArray *expected = snapshot->expected;
 
@@ -38,7 +38,7 @@
  * malformed. Out-of-range times are clamped; accounts that are no text are
  * skipped.
  */
-inflight_snapshot_t *inflight_unpack(const msgpack_object *object)
+inflight_snapshot_t *flight_unpack(const msgpack_object *object)
 {
 	uint32_t count = 0;
 	const msgpack_object *fields =
--- a/adapters/gateway/inflight_pack.h
+++ b/adapters/gateway/flight_pack.h
@@ -3,14 +3,14 @@
  * checkpoint: [incarnation, boot time, start, time taken, window, account,
  * count, account, count...], times in ms.
  */
-#ifndef PISTACHIO_GATEWAY_INFLIGHT_PACK_H
-#define PISTACHIO_GATEWAY_INFLIGHT_PACK_H
+#ifndef PISTACHIO_GATEWAY_FLIGHT_PACK_H
+#define PISTACHIO_GATEWAY_FLIGHT_PACK_H
 
 #include <msgpack.h>
 
 #include "core/forward/usage_inflight.h"
 
-void inflight_pack(msgpack_packer *packer, const inflight_snapshot_t *snapshot);
-inflight_snapshot_t *inflight_unpack(const msgpack_object *object);
+void flight_pack(msgpack_packer *packer, const inflight_snapshot_t *snapshot);
+inflight_snapshot_t *flight_unpack(const msgpack_object *object);
 
 #endif
--- a/adapters/gateway/peer_pack.c
+++ b/adapters/gateway/peer_pack.c
@@ -1,8 +1,8 @@
 /* Encodes the messages between gateways. */
 #include "adapters/gateway/fleet_feed.h"
-#include "adapters/gateway/inflight_pack.h"
+#include "adapters/gateway/flight_pack.h"
 #include "adapters/gateway/peer_state.h"
-#include "adapters/gateway/request_inflight.h"
+#include "adapters/gateway/request_flight.h"
 #include "adapters/msgpack_write.h"
 
 /* Number of top-ranked members listed in each message. */
@@ -242,7 +242,7 @@
 	list_writer_end(&usage, buffer, &packer);
 	list_writer_end(&uses, buffer, &packer);
 	if (snapshot)
-		inflight_pack(&packer, snapshot);
+		flight_pack(&packer, snapshot);
 	else
 		msgpack_pack_nil(&packer);
 	peers->snapshot_sent_at = snapshot ? snapshot->taken_at : 0;
--- a/adapters/gateway/peer_take.c
+++ b/adapters/gateway/peer_take.c
@@ -1,7 +1,7 @@
 /* Decodes and applies the messages of other gateways. */
 #include <string.h>
 
-#include "adapters/gateway/inflight_pack.h"
+#include "adapters/gateway/flight_pack.h"
 #include "adapters/gateway/gateway.h"
 #include "adapters/gateway/peer_state.h"
 #include "adapters/log_glib.h"
@@ -710,7 +710,7 @@
 /* Merges a peer's in-flight snapshot; malformed ones are ignored. */
 static void merge_inflight(gateway_t *gateway, const msgpack_object *object)
 {
-	inflight_snapshot_t *snapshot = inflight_unpack(object);
+	inflight_snapshot_t *snapshot = flight_unpack(object);
 
 	if (snapshot)
 		usage_inflight_update(gateway->inflight, snapshot);
--- a/adapters/gateway/request_inflight.c
+++ b/adapters/gateway/request_flight.c
@@ -1,5 +1,5 @@
 /* The snapshot of this gateway's requests in flight. */
-#include "adapters/gateway/request_inflight.h"
+#include "adapters/gateway/request_flight.h"
 
 #include "adapters/gateway/request_state.h"
 
--- a/adapters/gateway/request_inflight.h
+++ b/adapters/gateway/request_flight.h
@@ -1,6 +1,6 @@
 /* A snapshot of this gateway's requests in flight, for the usage counts. */
-#ifndef PISTACHIO_GATEWAY_REQUEST_INFLIGHT_H
-#define PISTACHIO_GATEWAY_REQUEST_INFLIGHT_H
+#ifndef PISTACHIO_GATEWAY_REQUEST_FLIGHT_H
+#define PISTACHIO_GATEWAY_REQUEST_FLIGHT_H
 
 #include "adapters/gateway/gateway_state.h"
 
--- a/adapters/gateway/usage_table.c
+++ b/adapters/gateway/usage_table.c
@@ -7,7 +7,7 @@
  *  "in_flight": base64 of msgpack [snapshot, snapshot...]}
  *
  * A row is [window, incarnation, account index, count, account index,
- * count...]; a snapshot is as in inflight_pack.h.
+ * count...]; a snapshot is as in flight_pack.h.
  */
 #include "adapters/gateway/usage_table.h"
 
@@ -15,7 +15,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "adapters/gateway/inflight_pack.h"
+#include "adapters/gateway/flight_pack.h"
 #include "adapters/json.h"
 #include "adapters/msgpack_check.h"
 #include "adapters/msgpack_fields.h"
@@ -133,7 +133,7 @@
 	list_writer_t *writer = ctx;
 
 	writer->count++;
-	inflight_pack(&writer->packer, snapshot);
+	flight_pack(&writer->packer, snapshot);
 }
 
 /*
@@ -302,7 +302,7 @@
 
 	packed_list_open(&list, encoded, 0);
 	for (uint32_t i = 0; i < list.count; i++) {
-		inflight_snapshot_t *snapshot = inflight_unpack(&list.items[i]);
+		inflight_snapshot_t *snapshot = flight_unpack(&list.items[i]);
 
 		if (snapshot)
 			usage_inflight_update(inflight, snapshot);
--- a/tests/unit/test_inflight_pack.c
+++ b/tests/unit/test_flight_pack.c
@@ -9,7 +9,7 @@
 
 #include <cmocka.h>
 
-#include "adapters/gateway/inflight_pack.h"
+#include "adapters/gateway/flight_pack.h"
 
 /*
  * Returns the unpacked snapshot, owned by the caller, or NULL if it is
@@ -25,7 +25,7 @@
 	assert_int_equal(msgpack_unpack_next(&unpacked, buffer->data,
 					     buffer->size, &offset),
 			 MSGPACK_UNPACK_SUCCESS);
-	snapshot = inflight_unpack(&unpacked.data);
+	snapshot = flight_unpack(&unpacked.data);
 	msgpack_unpacked_destroy(&unpacked);
 	return snapshot;
 }
@@ -47,7 +47,7 @@
 	inflight_snapshot_add(snapshot, "gin \"\\", 1);
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-	inflight_pack(&packer, snapshot);
+	flight_pack(&packer, snapshot);
 	read = unpack_snapshot(&buffer);
 	assert_non_null(read);
 	assert_true(read->incarnation_id == snapshot->incarnation_id);
