--- a/tests/standins/engine_orders.h
+++ b/tests/standins/engine_orders.h
@@ -1,8 +1,9 @@
 /*
- * The orders that an engine stand-in takes: POST /order names the model and the
- * role it is to have. With fencing checked an old number is refused; without it
- * the order is taken, as some deployments' engines do. GET /standin/orders shows
- * what was taken. All in the header, since each stand-in is one object file.
+ * Role orders to the engine stand-in. POST /order names the model and the role
+ * to take. With the fencing check on, a stale fencing token is rejected with 409;
+ * without it every order is accepted, as some deployed engines do. GET
+ * /standin/orders lists the accepted roles. Header only, since each stand-in is
+ * built from one object file.
  */
 #ifndef PISTACHIO_ENGINE_ORDERS_H
 #define PISTACHIO_ENGINE_ORDERS_H
@@ -16,11 +17,12 @@
 typedef struct engine_orders {
 	bool checks_fencing;
 	bool draining;
-	uint64_t fence; /* the highest seen */
+	uint64_t fence; /* highest fencing token seen */
 	int64_t refused;
-	json_t *record; /* of the roles ordered, in order */
+	json_t *record; /* accepted roles, oldest first */
 } engine_orders_t;
 
+/* Applies an order, or rejects it with 409 if its fencing token is stale. */
 static inline void engine_orders_carry_out(engine_orders_t *orders,
 					   http_exchange_t *exchange,
 					   unsigned int running)
@@ -43,7 +45,7 @@
 	json_decref(body);
 }
 
-/* Answers if the request is about orders; says whether it was. */
+/* Handles requests for the order paths; returns false for any other path. */
 static inline bool engine_orders_take(engine_orders_t *orders,
 				      http_exchange_t *exchange,
 				      unsigned int running)
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -1,4 +1,4 @@
-/* The common part of the stand-ins. */
+/* HTTP server, replies and timers shared by the stand-ins. */
 #include "tests/standins/standin.h"
 
 #include <glib.h>
@@ -17,7 +17,10 @@
 	void *ctx;
 } later_t;
 
-/* Serves on a port the kernel picks and prints it; exits on failure. */
+/*
+ * Serves on an ephemeral loopback port and prints "port N" to standard output.
+ * Exits with status 1 if it can't listen.
+ */
 http_server_t *standin_serve(uv_loop_t *loop, standin_handler_t handler, void *ctx)
 {
 	const http_server_config_t config = { .address = "127.0.0.1",
@@ -36,14 +39,14 @@
 	return server;
 }
 
-/* Runs until the process is told to end. */
+/* Runs the loop until the process is killed. */
 void standin_run(uv_loop_t *loop)
 {
 	signal(SIGPIPE, SIG_IGN);
 	uv_run(loop, UV_RUN_DEFAULT);
 }
 
-/* Answers with a JSON body, which is taken over. */
+/* Replies with a JSON body and releases BODY. */
 void standin_json(http_exchange_t *exchange, int status, json_t *body)
 {
 	char *text = json_dumps(body, JSON_COMPACT | JSON_SORT_KEYS);
@@ -53,7 +56,7 @@
 	json_decref(body);
 }
 
-/* Answers with a text and, if ETAG is given, that entity tag. */
+/* Replies with LEN bytes of JSON text and, unless it is NULL, an ETag. */
 void standin_text(http_exchange_t *exchange, int status, const char *etag,
 		  const char *body, size_t len)
 {
@@ -65,7 +68,10 @@
 	http_exchange_reply(exchange, status, headers, etag ? 2 : 1, body, len);
 }
 
-/* Returns the request's JSON body, or an empty object; the caller owns it. */
+/*
+ * Returns the request's JSON body, or an empty object if it isn't valid JSON. The
+ * caller owns it.
+ */
 json_t *standin_body(http_exchange_t *exchange)
 {
 	pd_error_t err;
@@ -89,7 +95,7 @@
 	uv_close((uv_handle_t *)timer, later_closed);
 }
 
-/* Calls RUN once after a delay. */
+/* Calls RUN with CTX once, after DELAY_MS. */
 void standin_after(uv_loop_t *loop, uint64_t delay_ms, void (*run)(void *ctx),
 		   void *ctx)
 {
--- a/tests/standins/standin.h
+++ b/tests/standins/standin.h
@@ -1,4 +1,4 @@
-/* What the stand-ins share: an HTTP server on a port that the kernel picks. */
+/* Shared by the stand-ins: an HTTP server on an ephemeral port, and replies. */
 #ifndef PISTACHIO_STANDIN_H
 #define PISTACHIO_STANDIN_H
 
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -1,9 +1,9 @@
 /*
- * Stands in for a model engine: answers a prompt with tokens that depend on it
- * alone, one every few milliseconds, from any offset. It sets up prompts one
- * after the other, in time that grows with the tokens its prefix cache lacks,
- * exports and imports KV caches, and lets requests wait in the order of their
- * priority. It keeps a record of what it ran, and says in /load how much it has.
+ * Stand-in for a model engine. The tokens it generates depend only on the prompt
+ * and the offset, so that an answer can be checked and resumed from any offset.
+ * Prefills run one at a time and take time in proportion to the tokens missing
+ * from the prefix cache. It exports and imports KV caches, queues requests by
+ * priority, records what it ran, and reports its load at /load.
  */
 #include <glib.h>
 #include <stdlib.h>
@@ -18,13 +18,13 @@
 #include "tests/standins/engine_orders.h"
 #include "tests/standins/standin.h"
 
-#define COMFORT_MS 500 /* between signs of life to streams that wait */
-#define KV_KEPT 1024 /* streams whose KV cache is kept after they ended */
-#define NEWS_KEPT 4096 /* cache events; older ones are lost */
-#define NEWS_LAG_US 100000 /* a cache event is told this much later */
+#define COMFORT_MS 500 /* between keep-alive comments to queued streams */
+#define KV_KEPT 1024 /* streams whose KV cache is kept, the newest */
+#define NEWS_KEPT 4096 /* cache events; beyond it the older half is discarded */
+#define NEWS_LAG_US 100000 /* delay before a cache event is reported */
 #define IO_TIMEOUT (5 * PD_SEC)
 
-/* One cache event. */
+/* A prefix block that entered or left the prefix cache. */
 typedef struct news {
 	uint64_t prefix;
 	bool held;
@@ -35,56 +35,56 @@
 	uv_loop_t *loop;
 	uv_timer_t comfort;
 	http_client_t *client;
-	uint64_t token_ms;
-	uint64_t first_ms;
-	int64_t prefill_us; /* a token */
-	int64_t transfer_us; /* a token of an exported KV cache */
+	uint64_t token_ms; /* between tokens */
+	uint64_t first_ms; /* to the first token, besides the prefill */
+	int64_t prefill_us; /* per token */
+	int64_t transfer_us; /* per token of an exported KV cache */
 	unsigned int slots;
 	unsigned int queue_max;
 	unsigned int cache_blocks;
 	unsigned int running;
 	unsigned int waiting;
 	list_node_t queues[PRIORITIES];
-	int64_t busy_until; /* setting up prompts; monotonic microseconds */
+	int64_t busy_until; /* end of the last prefill; monotonic microseconds */
 	GHashTable *cache; /* prefix -> NULL */
-	GQueue cached; /* of prefixes, oldest first */
-	GHashTable *kv; /* request id -> tokens held, as a pointer */
-	GQueue kv_order; /* of request ids, borrowed from KV */
+	GQueue cached; /* prefixes, oldest first; owned by CACHE */
+	GHashTable *kv; /* request id -> tokens cached, as a pointer */
+	GQueue kv_order; /* request ids, oldest first; owned by KV */
 	GArray *news; /* of news_t */
-	uint64_t news_first; /* number of the first in NEWS */
+	uint64_t news_first; /* sequence number of NEWS[0] */
 	bool leaving;
-	int64_t leaves_in_ms; /* from the notice on */
-	bool accepts; /* new work though it leaves */
-	int64_t tell; /* so many more askers of its notice; -1: all */
-	bool silent; /* accepts and never answers */
-	json_t *record; /* of request ids, in the order they ran */
-	json_t *arrivals; /* request ids and times, since the notice */
-	int64_t notice_at;
+	int64_t leaves_in_ms; /* counted from the notice */
+	bool accepts; /* accepts new requests while leaving */
+	int64_t tell; /* load queries still to be told of the notice; -1: all */
+	bool silent; /* accepts requests but sends nothing */
+	json_t *record; /* request ids, in execution order */
+	json_t *arrivals; /* request ids and arrival times since the notice */
+	int64_t notice_at; /* monotonic microseconds; 0: none */
 	int64_t tokens; /* generated */
-	int64_t recomputed; /* tokens of prompts set up */
-	int64_t imported;
-	int64_t refused; /* for being full or leaving */
-	int64_t dropped; /* streams whose caller left before the end */
+	int64_t recomputed; /* tokens prefilled */
+	int64_t imported; /* KV caches */
+	int64_t refused; /* requests rejected as full, draining or leaving */
+	int64_t dropped; /* streams whose caller disconnected before the end */
 	engine_orders_t orders;
 } engine_t;
 
 typedef struct stream {
-	list_node_t node; /* of its queue, while it waits */
+	list_node_t node; /* in its queue while it waits for a slot */
 	engine_t *engine;
-	http_exchange_t *exchange; /* NULL once the caller is gone */
-	http_call_t *import; /* under way, or NULL */
+	http_exchange_t *exchange; /* NULL once the caller has disconnected */
+	http_call_t *import; /* in progress, or NULL */
 	GString *import_body;
 	char *request_id;
-	char *text; /* prompt and what was emitted before */
-	uint64_t seed;
-	uint64_t offset;
-	uint64_t end;
-	unsigned int held_by_import;
+	char *text; /* prompt and the tokens already emitted */
+	uint64_t seed; /* hash of the prompt */
+	uint64_t offset; /* of the next token */
+	uint64_t end; /* offset at which the answer ends */
+	unsigned int held_by_import; /* tokens of an imported KV cache */
 	bool is_running;
 	uv_timer_t timer;
 } stream_t;
 
-/* Returns the token at that offset of the answer to the seeded prompt. */
+/* Returns the token at OFFSET of the answer for SEED; the caller owns it. */
 static char *make_token(uint64_t seed, uint64_t offset)
 {
 	char *place = g_strdup_printf("%" G_GUINT64_FORMAT, offset);
@@ -98,6 +98,7 @@
 	return token;
 }
 
+/* Records a cache event; discards the older half of them if there are too many. */
 static void news_add(engine_t *engine, uint64_t prefix, bool held)
 {
 	news_t news = { prefix, held, g_get_monotonic_time() };
@@ -109,7 +110,7 @@
 	}
 }
 
-/* Caches the blocks of a text, dropping the oldest ones for them. */
+/* Caches the blocks of a text and evicts the oldest blocks beyond the capacity. */
 static void cache_add(engine_t *engine, const char *text)
 {
 	uint64_t hashes[PREFIX_BLOCKS_MAX];
@@ -133,7 +134,7 @@
 	}
 }
 
-/* Returns how many tokens of the stream's text the cache holds. */
+/* Returns the number of leading tokens of TEXT that are in the prefix cache. */
 static unsigned int cache_covers(const engine_t *engine, const char *text)
 {
 	uint64_t hashes[PREFIX_BLOCKS_MAX];
@@ -145,12 +146,13 @@
 	return (unsigned int)(held * PREFIX_BLOCK_BYTES / PREFIX_BYTES_PER_TOKEN);
 }
 
-/* Returns how many tokens a stream stands on when it begins. */
+/* Returns the number of tokens to prefill: the prompt and what was emitted. */
 static unsigned int stream_length(const stream_t *stream)
 {
 	return (unsigned int)(strlen(stream->text) / PREFIX_BYTES_PER_TOKEN);
 }
 
+/* Keeps a stream's KV cache for export; evicts the oldest beyond KV_KEPT. */
 static void kv_keep(engine_t *engine, const stream_t *stream)
 {
 	unsigned int tokens = stream_length(stream) + (unsigned int)stream->end;
@@ -183,6 +185,7 @@
 	engine_start_next(engine);
 }
 
+/* Removes a stream from its queue, cancels its import and frees it later. */
 static void stream_close(stream_t *stream)
 {
 	if (!list_empty(&stream->node)) {
@@ -205,6 +208,7 @@
 	stream_close(stream);
 }
 
+/* Sends the next token, or the end event after the last one. */
 static void stream_step(uv_timer_t *timer)
 {
 	static const char end[] = "event: end\ndata: {}\n\n";
@@ -231,7 +235,7 @@
 	g_free(token);
 }
 
-/* The prompt is set up: says so, and begins with the tokens. */
+/* Ends the prefill: sends the start event and starts generating tokens. */
 static void stream_begin(uv_timer_t *timer)
 {
 	stream_t *stream = timer->data;
@@ -254,7 +258,7 @@
 	uv_timer_start(timer, stream_step, engine->token_ms, engine->token_ms);
 }
 
-/* Sets the prompt up, after those that are being set up already. */
+/* Schedules the prefill behind those already scheduled. */
 static void stream_prefill(stream_t *stream)
 {
 	engine_t *engine = stream->engine;
@@ -278,7 +282,7 @@
 	g_string_append_len(stream->import_body, data, (gssize)len);
 }
 
-/* An export that failed is no harm: the prompt is computed instead. */
+/* Starts the prefill; if the import failed, all of the prompt is recomputed. */
 static void import_on_done(void *ctx, const pd_error_t *err)
 {
 	stream_t *stream = ctx;
@@ -296,6 +300,7 @@
 	stream_prefill(stream);
 }
 
+/* Starts to fetch the stream's KV cache from another engine. */
 static void stream_import(stream_t *stream, const char *address, uint16_t port)
 {
 	static const http_call_handlers_t handlers = {
@@ -312,6 +317,7 @@
 	g_free(path);
 }
 
+/* Gives the stream a slot. An import in progress starts the prefill at its end. */
 static void stream_run(stream_t *stream)
 {
 	engine_t *engine = stream->engine;
@@ -323,7 +329,7 @@
 		stream_prefill(stream);
 }
 
-/* Gives a free slot to the most urgent of those that wait. */
+/* Gives a free slot to the first stream of the highest non-empty priority. */
 static void engine_start_next(engine_t *engine)
 {
 	for (int i = 0; i < PRIORITIES && engine->running < engine->slots; i++) {
@@ -337,7 +343,7 @@
 	}
 }
 
-/* Lets those that wait know that they are not forgotten. */
+/* Sends a keep-alive comment to every queued stream. */
 static void on_comfort(uv_timer_t *timer)
 {
 	engine_t *engine = timer->data;
@@ -351,6 +357,7 @@
 	}
 }
 
+/* Returns a stream for a request body; stream_close() frees it. */
 static stream_t *stream_create(engine_t *engine, http_exchange_t *exchange,
 			       const json_t *body)
 {
@@ -372,6 +379,7 @@
 	return stream;
 }
 
+/* Returns true if a new request must be rejected with 503. */
 static bool engine_refuses(const engine_t *engine)
 {
 	return (engine->leaving && !engine->accepts) || engine->orders.draining ||
@@ -379,6 +387,7 @@
 		engine->waiting >= engine->queue_max);
 }
 
+/* Runs or queues a request, or rejects it with 503. */
 static void on_generate(engine_t *engine, http_exchange_t *exchange)
 {
 	const http_header_t type = { "content-type", "text/event-stream" };
@@ -403,7 +412,7 @@
 	stream = stream_create(engine, exchange, body);
 	http_exchange_on_gone(exchange, stream_gone, stream);
 	http_exchange_begin(exchange, 200, &type, 1);
-	/* A caller learns only from the head that its request was taken. */
+	/* Sends the head at once: it tells the caller of the acceptance. */
 	http_exchange_send(exchange, ":\n\n", 3);
 	if (engine->running >= engine->slots) {
 		list_append(&engine->queues[priority], &stream->node);
@@ -419,7 +428,7 @@
 
 typedef struct export
 {
-	http_exchange_t *exchange; /* NULL once the caller is gone */
+	http_exchange_t *exchange; /* NULL once the caller has disconnected */
 	unsigned int tokens;
 }
 export_t;
@@ -443,7 +452,7 @@
 	g_free(export);
 }
 
-/* Sends the KV cache of a stream, which takes time by its length. */
+/* Exports a stream's KV cache, after a transfer time in proportion to its size. */
 static void on_kv(engine_t *engine, http_exchange_t *exchange, const char *id)
 {
 	gpointer tokens = g_hash_table_lookup(engine->kv, id);
@@ -462,7 +471,11 @@
 		      export_done, export);
 }
 
-/* Tells the cache events after a number, as far as they are kept and old. */
+/*
+ * Returns the cache events with a sequence number above AFTER that are at least
+ * NEWS_LAG_US old, and sets *LAST to the number of the last one. The caller owns
+ * the list.
+ */
 static json_t *news_since(const engine_t *engine, uint64_t after, uint64_t *last)
 {
 	json_t *list = json_array();
@@ -486,12 +499,13 @@
 	return list;
 }
 
+/* Reports the load, the reclaim notice and the cache events since a number. */
 static void on_load(engine_t *engine, http_exchange_t *exchange)
 {
 	const char *query = http_exchange_query(exchange, "cache_after");
 	uint64_t after = query ? g_ascii_strtoull(query, NULL, 10) : 0;
 	bool tells = engine->leaving && engine->tell != 0;
-	/* An engine ordered to drain takes nothing new either. */
+	/* An engine ordered to drain accepts no new requests either. */
 	bool leaving = tells || engine->orders.draining;
 	int64_t since = (g_get_monotonic_time() - engine->notice_at) / 1000;
 	int64_t leaves_in = MAX(engine->leaves_in_ms - since, 0);
@@ -500,7 +514,7 @@
 
 	if (tells && engine->tell > 0)
 		engine->tell--;
-	/* The asker knew an engine that has restarted since. */
+	/* The number stems from before a restart: report from the start. */
 	if (after >= engine->news_first + engine->news->len)
 		after = 0;
 	news = news_since(engine, after, &last);
@@ -513,7 +527,7 @@
 			       "cache_gap", after + 1 < engine->news_first));
 }
 
-/* Tests tell the engine of its own reclaim, or silence it. */
+/* Sets the reclaim notice and the faults that a test asks for. */
 static void on_faults(engine_t *engine, http_exchange_t *exchange)
 {
 	json_t *body = standin_body(exchange);
@@ -529,7 +543,7 @@
 	json_decref(body);
 }
 
-/* Tests set what the engine's work costs. */
+/* Sets the costs and capacities that a test asks for. */
 static void on_settings(engine_t *engine, http_exchange_t *exchange)
 {
 	json_t *body = standin_body(exchange);
@@ -546,6 +560,7 @@
 	json_decref(body);
 }
 
+/* Replies with the record and the counters. */
 static void on_record(engine_t *engine, http_exchange_t *exchange)
 {
 	standin_json(exchange, 200,
@@ -582,7 +597,7 @@
 		standin_text(exchange, 404, NULL, "{}", 2);
 }
 
-/* Arguments: ms a token, ms to the first, slots, whether fencing is checked. */
+/* Arguments: ms per token, ms to the first, slots, 1 to check fencing tokens. */
 int main(int argc, char **argv)
 {
 	engine_t engine = { .loop = uv_default_loop(),
--- a/tests/standins/standin_service.c
+++ b/tests/standins/standin_service.c
@@ -1,7 +1,7 @@
 /*
- * Stands in for a plain service, such as the one that takes station calls. It
- * runs whatever it gets, as often as it gets it, and keeps a record by key, so
- * that a call that ran twice shows.
+ * Stand-in for a plain service, such as station-call. It runs every request
+ * without deduplication and counts the runs of each idempotency key, so that
+ * tests can detect a call that ran twice.
  */
 #include <glib.h>
 #include <stdlib.h>
@@ -12,20 +12,20 @@
 
 typedef struct service {
 	uv_loop_t *loop;
-	uint64_t work_ms;
+	uint64_t work_ms; /* duration of a call */
 	bool checks_fencing;
-	uint64_t fence; /* the highest seen */
-	bool silent; /* runs the call and never answers */
-	json_t *runs; /* idempotency key -> times run */
-	json_t *ran; /* request ids, in the order they ran */
-	int64_t running;
+	uint64_t fence; /* highest fencing token seen */
+	bool silent; /* runs calls but never replies */
+	json_t *runs; /* idempotency key -> number of runs */
+	json_t *ran; /* request ids, in execution order */
+	int64_t running; /* calls in progress */
 } service_t;
 
 typedef struct call {
 	service_t *service;
-	http_exchange_t *exchange; /* NULL once the caller is gone */
+	http_exchange_t *exchange; /* NULL once the caller has disconnected */
 	char *key;
-	json_int_t run;
+	json_int_t run; /* 1 for the first run of KEY */
 } call_t;
 
 static void call_gone(void *ctx)
@@ -35,6 +35,7 @@
 	call->exchange = NULL;
 }
 
+/* Replies after the call's working time, unless silent, and frees the call. */
 static void call_done(void *ctx)
 {
 	call_t *call = ctx;
@@ -48,6 +49,10 @@
 	g_free(call);
 }
 
+/*
+ * Returns true if fencing is checked and the request's token is stale. A token
+ * that is not stale becomes the highest seen.
+ */
 static bool is_fenced_off(service_t *service, const http_exchange_t *exchange)
 {
 	const char *text = http_exchange_header(exchange, "x-fencing-number");
@@ -61,6 +66,7 @@
 	return false;
 }
 
+/* Counts a run of the request's key and replies after WORK_MS. */
 static void on_call(service_t *service, http_exchange_t *exchange)
 {
 	const char *key = http_exchange_header(exchange, "idempotency-key");
@@ -83,6 +89,7 @@
 	standin_after(service->loop, service->work_ms, call_done, call);
 }
 
+/* Sets the faults that a test asks for. */
 static void on_faults(service_t *service, http_exchange_t *exchange)
 {
 	json_t *body = standin_body(exchange);
@@ -113,7 +120,7 @@
 		on_call(service, exchange);
 }
 
-/* Arguments: milliseconds a call, and whether fencing is checked (0 or 1). */
+/* Arguments: duration of a call in ms; 1 to check fencing tokens, else 0. */
 int main(int argc, char **argv)
 {
 	service_t service = { .loop = uv_default_loop(), .work_ms = 5 };
