--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -1,7 +1,8 @@
 /*
- * Stands in for the platform: an object API with versions, conditional writes
- * and watches, a VM list that lags, a cloud API, and a weight store with a rate
- * limit. Paths under /standin/ are for tests: they set faults and VMs.
+ * Stand-in for the platform: an object store with versions, conditional writes
+ * and long-poll watches, a VM list that is published late, a cloud API, prices,
+ * and a rate-limited weight store. Tests set faults and VMs by paths under
+ * /standin/.
  */
 #include <glib.h>
 #include <string.h>
@@ -32,55 +33,57 @@
 	g_free(object);
 }
 
-/* A watch that waits, or any call that is answered later. */
+/* A pending long poll for a newer version of an object. */
 typedef struct waiter {
 	list_node_t node;
-	http_exchange_t *exchange; /* NULL once the caller is gone */
+	http_exchange_t *exchange; /* NULL once the caller has disconnected */
 	char *key;
-	uint64_t after;
-	uint64_t until_ms;
+	uint64_t after; /* version that the caller has */
+	uint64_t until_ms; /* deadline, by the loop's clock */
 } waiter_t;
 
+/* A token bucket that holds at most a second's tokens. */
 typedef struct bucket {
 	double tokens;
-	double rate;
-	gint64 filled_at;
+	double rate; /* tokens per second */
+	gint64 filled_at; /* last refill; monotonic microseconds */
 } bucket_t;
 
 typedef struct platform {
 	uv_loop_t *loop;
 	GHashTable *objects; /* key -> object_t */
-	uint64_t version;
+	uint64_t version; /* of the last write */
 	list_node_t waiters;
 	uv_timer_t sweep;
-	json_t *vms; /* id -> row, as it is */
-	char *vms_seen; /* the list, as it is shown */
+	json_t *vms; /* id -> item of the list, current */
+	char *vms_seen; /* the list as last published, in JSON */
 	uint64_t vms_version;
-	int64_t lag_ms;
-	bool store_down;
-	bool starts_refused;
-	int64_t lose_answers; /* so many writes take effect unanswered */
-	int64_t delay_ms; /* of every object call */
-	/* The rest befalls writes of claims only. */
-	int64_t late_answers_ms; /* takes effect now, is answered later */
-	int64_t late_writes_ms; /* cut off now, takes effect later */
-	int64_t conflicts; /* so many are refused as conflicts */
-	int64_t too_many; /* so many are answered 429 */
+	int64_t lag_ms; /* from a change to its publication */
+	bool store_down; /* object calls fail with 503 */
+	bool starts_refused; /* purchases fail with 503 */
+	int64_t lose_answers; /* number of writes to apply without a reply */
+	int64_t delay_ms; /* added to every object call */
+	/* The following faults apply only to writes of claims. */
+	int64_t late_answers_ms; /* applied at once, reply delayed */
+	int64_t late_writes_ms; /* connection aborted at once, applied later */
+	int64_t conflicts; /* number of writes to reject with 412 */
+	int64_t too_many; /* number of writes to reject with 429 */
 	bucket_t writes;
 	bucket_t reads;
 	bucket_t weights;
-	int64_t counts[3]; /* writes, reads, conflicts */
-	GHashTable *bought; /* tags that made a VM */
-	bool forgets_tags; /* a second order of a tag makes a second VM */
-	int64_t lose_purchases; /* so many are carried out unanswered */
-	json_t *orders; /* tag -> purchases asked for */
-	uint64_t fence; /* the highest seen */
-	int64_t stale_orders; /* with a lower number than seen before */
+	int64_t counts[3]; /* by COUNT_* */
+	GHashTable *bought; /* tags for which a VM was started */
+	bool forgets_tags; /* a repeated tag starts another VM */
+	int64_t lose_purchases; /* number of purchases to carry out without a reply */
+	json_t *orders; /* tag -> number of purchase requests */
+	uint64_t fence; /* highest fencing token seen */
+	int64_t stale_orders; /* orders whose fencing token was stale */
 	json_t *prices;
 } platform_t;
 
 enum { COUNT_WRITES, COUNT_READS, COUNT_CONFLICTS };
 
+/* Takes one token; returns false if there is none. */
 static bool bucket_take(bucket_t *bucket)
 {
 	gint64 now = g_get_monotonic_time();
@@ -99,6 +102,7 @@
 	standin_text(exchange, status, NULL, "{}", 2);
 }
 
+/* Replies with an object and its version as ETag. */
 static void reply_object(http_exchange_t *exchange, const object_t *object)
 {
 	char *etag = g_strdup_printf("\"%" G_GUINT64_FORMAT "\"", object->version);
@@ -121,6 +125,7 @@
 	g_free(waiter);
 }
 
+/* Answers the watches of an object that are behind its version. */
 static void waiters_wake(platform_t *platform, const object_t *object)
 {
 	LIST_FOR_EACH_SAFE (it, &platform->waiters) {
@@ -135,6 +140,7 @@
 	}
 }
 
+/* Ends watches that have timed out, with 304, or whose caller disconnected. */
 static void on_sweep(uv_timer_t *timer)
 {
 	platform_t *platform = timer->data;
@@ -151,6 +157,7 @@
 	}
 }
 
+/* Replies with an object, or waits up to "wait_ms" for a version above "after". */
 static void object_get(platform_t *platform, http_exchange_t *exchange,
 		       const char *key)
 {
@@ -178,6 +185,7 @@
 	list_append(&platform->waiters, &waiter->node);
 }
 
+/* Lists the objects whose key has the prefix of the query, in no order. */
 static void object_list(platform_t *platform, http_exchange_t *exchange)
 {
 	const char *prefix = http_exchange_query(exchange, "prefix");
@@ -199,16 +207,16 @@
 	standin_json(exchange, 200, json_pack("{s:o}", "objects", items));
 }
 
-/* One write, with what it needs once its caller is gone. */
+/* A write. It owns copies of its parameters, as it can outlive the exchange. */
 typedef struct write {
 	platform_t *platform;
-	http_exchange_t *exchange; /* NULL once the caller is gone */
+	http_exchange_t *exchange; /* NULL once the caller has disconnected */
 	char *key;
 	char *body;
 	size_t len;
-	char *match; /* version that must be current, or NULL */
-	bool none; /* there must be no object */
-	uint64_t version; /* that it made */
+	char *match; /* required current version, or NULL */
+	bool none; /* the object must not exist */
+	uint64_t version; /* created by the write */
 } write_t;
 
 static write_t *write_create(platform_t *platform, http_exchange_t *exchange,
@@ -241,6 +249,7 @@
 	write->exchange = NULL;
 }
 
+/* Returns true if the write's precondition holds for OBJECT, which may be NULL. */
 static bool write_allowed(const write_t *write, const object_t *object)
 {
 	if (write->none)
@@ -251,7 +260,7 @@
 	       g_ascii_strtoull(write->match + 1, NULL, 10) == object->version;
 }
 
-/* Makes the write take effect; returns false if it conflicts. */
+/* Applies a write; returns false if its precondition fails. */
 static bool write_apply(write_t *write)
 {
 	platform_t *platform = write->platform;
@@ -276,6 +285,7 @@
 	return true;
 }
 
+/* Replies to a write that was applied, and frees it. */
 static void write_answer(void *ctx)
 {
 	write_t *write = ctx;
@@ -289,6 +299,7 @@
 	write_free(write);
 }
 
+/* Applies a write whose caller was cut off, and frees it. */
 static void write_land(void *ctx)
 {
 	write_t *write = ctx;
@@ -297,7 +308,7 @@
 	write_free(write);
 }
 
-/* Refuses a write of claims as the faults say; says whether it did. */
+/* Rejects a write of claims if a fault is set; returns true if it did. */
 static bool write_refused(platform_t *platform, http_exchange_t *exchange)
 {
 	int status = 0;
@@ -315,6 +326,7 @@
 	return status != 0;
 }
 
+/* Applies a conditional write, subject to the faults that are set. */
 static void object_put(platform_t *platform, http_exchange_t *exchange,
 		       const char *key)
 {
@@ -355,6 +367,7 @@
 	reply_status(exchange, 200);
 }
 
+/* Dispatches a call to the object store, within its rate limits. */
 static void on_objects(platform_t *platform, http_exchange_t *exchange)
 {
 	static const char prefix[] = "/objects/";
@@ -385,7 +398,7 @@
 		object_get(platform, exchange, path + strlen(prefix));
 }
 
-/* Makes the list as it is now the list that is shown. */
+/* Publishes the current VM list. Spare VMs are left out. */
 static void vms_publish(void *ctx)
 {
 	platform_t *platform = ctx;
@@ -406,6 +419,7 @@
 	json_decref(list);
 }
 
+/* Publishes the VM list after the configured lag. */
 static void vms_changed(platform_t *platform)
 {
 	if (platform->lag_ms == 0)
@@ -415,6 +429,7 @@
 			      vms_publish, platform);
 }
 
+/* Replies with the published VM list, or 304 if it is at version "after". */
 static void vms_get(platform_t *platform, http_exchange_t *exchange)
 {
 	const char *after = http_exchange_query(exchange, "after");
@@ -430,7 +445,7 @@
 	g_free(etag);
 }
 
-/* This cloud takes orders whatever their fencing number; it only counts. */
+/* Counts orders with a stale fencing token. They are carried out all the same. */
 static void note_fence(platform_t *platform, uint64_t fence)
 {
 	if (fence < platform->fence)
@@ -438,6 +453,7 @@
 	platform->fence = MAX(platform->fence, fence);
 }
 
+/* Returns a spare VM of that zone and service, borrowed, or NULL. */
 static json_t *find_spare(platform_t *platform, const char *zone, const char *serves)
 {
 	const char *id;
@@ -453,6 +469,7 @@
 	return NULL;
 }
 
+/* Makes a spare VM live under the order's tag. */
 static void start_vm(platform_t *platform, json_t *row, json_t *order)
 {
 	const char *tag = json_string_or(order, "tag", "");
@@ -464,7 +481,10 @@
 	vms_changed(platform);
 }
 
-/* A purchase turns a spare VM of that zone and name into a live one. */
+/*
+ * Makes a spare VM of the order's zone and service live. Returns the HTTP status:
+ * 201 if a VM was started, 200 if the tag has one already, 503 if none is spare.
+ */
 static int carry_out_purchase(platform_t *platform, json_t *order)
 {
 	const char *tag = json_string_or(order, "tag", "");
@@ -483,6 +503,7 @@
 	return 201;
 }
 
+/* Carries out a purchase; aborts the connection if its reply is to be lost. */
 static void vms_buy(platform_t *platform, http_exchange_t *exchange)
 {
 	json_t *order = standin_body(exchange);
@@ -497,6 +518,7 @@
 	json_decref(order);
 }
 
+/* Releases a VM, which becomes spare. */
 static void vms_delete(platform_t *platform, http_exchange_t *exchange,
 		       const char *id)
 {
@@ -530,7 +552,7 @@
 	}
 }
 
-/* Tests add VMs with rows as the list shows them. */
+/* Adds a VM; the body is its item in the VM list. */
 static void standin_add_vm(platform_t *platform, http_exchange_t *exchange)
 {
 	json_t *row = standin_body(exchange);
@@ -541,6 +563,7 @@
 	reply_status(exchange, 200);
 }
 
+/* Gives a VM its reclaim notice; by default it leaves in 30 s. */
 static void standin_notice(platform_t *platform, http_exchange_t *exchange)
 {
 	json_t *body = standin_body(exchange);
@@ -558,6 +581,7 @@
 	json_decref(body);
 }
 
+/* Sets the faults; those that the body lacks are cleared, but for the lag. */
 static void standin_faults(platform_t *platform, http_exchange_t *exchange)
 {
 	json_t *body = standin_body(exchange);
@@ -590,7 +614,7 @@
 			       (json_int_t)platform->counts[COUNT_CONFLICTS]));
 }
 
-/* Tests ask what was ordered, and set prices. */
+/* Replies with the purchases by tag and the number of stale orders. */
 static void standin_orders(platform_t *platform, http_exchange_t *exchange)
 {
 	standin_json(exchange, 200,
@@ -598,6 +622,7 @@
 			       "stale_orders", (json_int_t)platform->stale_orders));
 }
 
+/* Replaces the body that /prices replies with. */
 static void standin_prices(platform_t *platform, http_exchange_t *exchange)
 {
 	json_decref(platform->prices);
@@ -623,9 +648,10 @@
 		standin_counts(platform, exchange);
 }
 
+/* An object call that is held back for the configured delay. */
 typedef struct delayed {
 	platform_t *platform;
-	http_exchange_t *exchange; /* NULL once the caller is gone */
+	http_exchange_t *exchange; /* NULL once the caller has disconnected */
 } delayed_t;
 
 static void delayed_gone(void *ctx)
