--- a/tests/harness/calls.c
+++ b/tests/harness/calls.c
@@ -1,4 +1,4 @@
-/* HTTP calls to a fleet, and what they brought back. */
+/* HTTP calls to a fleet and their responses. */
 #include "tests/harness/fleet.h"
 
 #include <setjmp.h>
@@ -51,7 +51,10 @@
 	call->http = NULL;
 }
 
-/* Starts a call; NULL headers are left out. The caller destroys it. */
+/*
+ * Starts a call to a port on loopback. KEY is the account's API key; it, the other
+ * headers and the body may be NULL. The caller destroys the call.
+ */
 call_t *call_start(fleet_t *fleet, int port, const char *method,
 		   const char *path, const char *key, const char *idempotency_key,
 		   const char *last_event_id, const char *body)
@@ -94,13 +97,13 @@
 	return ((call_t *)ctx)->done;
 }
 
-/* Waits until the call has ended, one way or the other. */
+/* Waits until the call has completed or failed. */
 void call_wait(call_t *call)
 {
 	fleet_wait(call->fleet, call_is_done, call, "the end of a call");
 }
 
-/* Hangs up. */
+/* Closes the call's connection unless it has ended; the call counts as failed. */
 void call_cancel(call_t *call)
 {
 	if (call->http)
@@ -110,7 +113,7 @@
 	call->failed = true;
 }
 
-/* Hangs up if need be and frees the call; NULL is allowed. */
+/* Cancels the call if it is still running and frees it; NULL is allowed. */
 void call_destroy(call_t *call)
 {
 	if (!call)
@@ -122,7 +125,10 @@
 	g_free(call);
 }
 
-/* Returns the JSON that a path answers with, or NULL; the caller owns it. */
+/*
+ * Returns the JSON body of GET PATH, or NULL unless the status is 200. The caller
+ * owns it.
+ */
 json_t *fleet_get(fleet_t *fleet, int port, const char *path)
 {
 	call_t *call = call_start(fleet, port, "GET", path, NULL, NULL, NULL, NULL);
@@ -136,7 +142,7 @@
 	return answer;
 }
 
-/* Posts to a stand-in and fails the test unless it answers 200. */
+/* Sends a POST to a stand-in; fails the test unless the status is 200. */
 void fleet_post(fleet_t *fleet, int port, const char *path, const char *body)
 {
 	call_t *call =
@@ -147,7 +153,7 @@
 	call_destroy(call);
 }
 
-/* Starts a completion of that many tokens by ledger-reader. */
+/* Starts a completion of TOKENS tokens by ledger-reader; the caller destroys it. */
 call_t *completion_start(fleet_t *fleet, int port, const char *prompt,
 			 unsigned int tokens, bool stream)
 {
@@ -164,6 +170,7 @@
 	return call;
 }
 
+/* Appends the content of one chat.completion.chunk to TEXT. */
 static void append_content(const char *line, GString *text)
 {
 	json_t *chunk = json_loads(line, 0, NULL);
@@ -174,7 +181,10 @@
 	json_decref(chunk);
 }
 
-/* Returns the text of a streamed or whole completion, owned by the caller. */
+/*
+ * Returns the text of a completion, streamed or in a single JSON body. The caller
+ * owns it.
+ */
 char *completion_text(const call_t *call)
 {
 	GString *text = g_string_new(NULL);
@@ -197,7 +207,10 @@
 	return g_string_free(text, FALSE);
 }
 
-/* Returns what the engine stand-in answers to that prompt; owned by caller. */
+/*
+ * Returns the text that the engine stand-in generates for PROMPT. The caller owns
+ * it.
+ */
 char *completion_expected(const char *prompt, unsigned int tokens)
 {
 	char *sent = g_strdup_printf("user: %s\n", prompt);
@@ -217,21 +230,27 @@
 	return g_string_free(text, FALSE);
 }
 
-/* Says whether a streamed completion came to its end. */
+/* Returns true if a streamed completion was received up to its end. */
 bool completion_is_whole(const call_t *call)
 {
 	return call->done && !call->failed && call->status == 200 &&
 	       strstr(call->body->str, "data: [DONE]");
 }
 
-/* Starts a station call, which may not be repeated, under a key. */
+/*
+ * Starts a station call, which must not run twice, with an idempotency key. The
+ * caller destroys it.
+ */
 call_t *station_call_start(fleet_t *fleet, int port, const char *key)
 {
 	return call_start(fleet, port, "POST", "/v1/services/station-call/calls",
 			  FLEET_LINE_KEY, key, NULL, "{\"station\":12}");
 }
 
-/* Copies the last part of the problem type that a call ended with, or "". */
+/*
+ * Copies the last component of the response's problem type to BUFFER, or "" if it
+ * has none. Returns BUFFER.
+ */
 const char *call_problem(const call_t *call, char *buffer, size_t size)
 {
 	const char *at = strstr(call->body->str, "urn:pistachiodrift:problem:");
--- a/tests/harness/fleet.c
+++ b/tests/harness/fleet.c
@@ -1,4 +1,4 @@
-/* Starts a fleet and makes calls to it. */
+/* Starts and stops the processes of a fleet. */
 #include "tests/harness/fleet.h"
 
 #include <setjmp.h>
@@ -21,6 +21,7 @@
 #define POLL_MS 5
 #define ZONES 4
 
+/* Returns the path of a program of the build; the caller owns it. */
 static char *binary(const char *name)
 {
 	const char *dir = g_getenv("B");
@@ -28,6 +29,7 @@
 	return g_build_filename(dir ? dir : "build/release", name, NULL);
 }
 
+/* Returns the zone of the INDEX-th node of a kind; the caller owns it. */
 static char *zone_name(unsigned int index)
 {
 	return g_strdup_printf("zone-%c", 'a' + (char)(index % ZONES));
@@ -38,7 +40,10 @@
 	(void)timer;
 }
 
-/* Runs the loop until the condition holds; says whether it did in time. */
+/*
+ * Runs the loop until the condition holds, for LIMIT_MS at most. Returns whether it
+ * held.
+ */
 bool fleet_wait_ms(fleet_t *fleet, fleet_condition_t condition, void *ctx,
 		   int64_t limit_ms)
 {
@@ -52,7 +57,7 @@
 	return held;
 }
 
-/* As fleet_wait_ms(), and fails the test if the condition never holds. */
+/* Waits up to FLEET_WAIT_MS; fails the test if the condition doesn't hold by then. */
 void fleet_wait(fleet_t *fleet, fleet_condition_t condition, void *ctx,
 		const char *what)
 {
@@ -75,6 +80,10 @@
 	return wait->node->port != 0;
 }
 
+/*
+ * Starts a node's process and waits for its port. Entries report it in their log,
+ * stand-ins on standard output.
+ */
 static void node_start(fleet_t *fleet, fleet_node_t *node, const char *name,
 		       unsigned int index, const char *const *argv, bool is_entry)
 {
@@ -99,7 +108,7 @@
 	fleet_wait(fleet, port_is_known, &wait, "the port of a process");
 }
 
-/* Returns the port by which entries reach a node. */
+/* Returns the port that entries use for a node. */
 static int node_port(const fleet_node_t *node)
 {
 	return node->forwarder ? forwarder_port(node->forwarder) : node->port;
@@ -111,6 +120,7 @@
 		node->forwarder = forwarder_create(fleet->loop, node->port);
 }
 
+/* Writes a settings file for an entry or placer; returns its path, owned. */
 static char *write_settings(fleet_t *fleet, const char *id, const char *zone)
 {
 	char *path = g_strdup_printf("%s/%s.toml", fleet->dir, id);
@@ -130,7 +140,7 @@
 	return path;
 }
 
-/* Starts an entry, anew if it ran before. */
+/* Starts an entry, or restarts it. */
 void fleet_start_entry(fleet_t *fleet, unsigned int index)
 {
 	char *id = g_strdup_printf("entry-%u", index + 1);
@@ -166,7 +176,7 @@
 	return process_ended(((fleet_node_t *)ctx)->process);
 }
 
-/* Signals an entry and waits until it has ended. */
+/* Signals an entry and waits until its process has ended. */
 void fleet_stop_entry(fleet_t *fleet, unsigned int index, int signum)
 {
 	process_signal(fleet->entries[index].process, signum);
@@ -174,6 +184,7 @@
 		   "the end of an entry");
 }
 
+/* Adds a node to the platform's VM list. */
 static void list_vm(fleet_t *fleet, const fleet_node_t *node, const char *role,
 		    const char *serves, const char *slots)
 {
@@ -218,6 +229,7 @@
 	g_free(service);
 }
 
+/* Returns the bundle's TOML; the caller owns it. */
 static char *bundle_text(const fleet_t *fleet, uint64_t generation)
 {
 	char *line = signing_hash(FLEET_LINE_KEY, strlen(FLEET_LINE_KEY));
@@ -243,7 +255,7 @@
 	return text;
 }
 
-/* Writes a signed bundle of that generation; returns its path, owned. */
+/* Writes a signed bundle of that generation; returns its path, which the caller owns. */
 char *fleet_sign(fleet_t *fleet, uint64_t generation)
 {
 	char *toml = g_strdup_printf("%s/bundle-%" G_GUINT64_FORMAT ".toml",
@@ -299,6 +311,7 @@
 	g_free(platform);
 }
 
+/* Returns true if an entry has the bundle and sees all members and upstreams. */
 static bool entry_is_ready(fleet_t *fleet, unsigned int index)
 {
 	const fleet_config_t *config = &fleet->config;
@@ -326,12 +339,16 @@
 	return true;
 }
 
-/* Waits until every entry is ready, has the bundle and sees all others. */
+/*
+ * Waits until every entry is ready, has applied the last bundle and sees all members
+ * and upstreams.
+ */
 void fleet_wait_ready(fleet_t *fleet)
 {
 	fleet_wait(fleet, fleet_is_ready, fleet, "every entry to be ready");
 }
 
+/* Writes the operator's key pair and the key that entries share. */
 static void write_keys(fleet_t *fleet)
 {
 	char *public_path = g_build_filename(fleet->dir, "operator.pub", NULL);
@@ -355,8 +372,8 @@
 }
 
 /*
- * Starts a fleet with a bundle of generation 1 in force everywhere. The caller
- * destroys it.
+ * Starts a fleet and waits until every entry has applied a bundle of generation 1.
+ * The caller destroys it.
  */
 fleet_t *fleet_create(const fleet_config_t *config)
 {
@@ -371,7 +388,7 @@
 	fleet->dir = g_dir_make_tmp("pistachio-test-XXXXXX", NULL);
 	fleet->loop = g_new0(uv_loop_t, 1);
 	uv_loop_init(fleet->loop);
-	/* Makes the loop come back to a condition though nothing happens. */
+	/* Wakes the loop so that conditions are evaluated without other events. */
 	uv_timer_init(fleet->loop, &fleet->poll);
 	uv_timer_start(&fleet->poll, on_poll, POLL_MS, POLL_MS);
 	fleet->client = http_client_create(fleet->loop, CALL_TIMEOUT);
@@ -412,7 +429,7 @@
 	g_rmdir(path);
 }
 
-/* Ends every process of the fleet and removes its files. */
+/* Kills all processes of the fleet and removes its files. */
 void fleet_destroy(fleet_t *fleet)
 {
 	for (unsigned int i = 0; i < FLEET_NODES_MAX; i++) {
--- a/tests/harness/fleet.h
+++ b/tests/harness/fleet.h
@@ -1,7 +1,6 @@
 /*
- * A small fleet of real processes on loopback for a test: the stand-ins, some
- * entries and placers, and HTTP calls to them. Everything waits on conditions,
- * never on sleeps.
+ * A fleet of processes on loopback for a test: stand-ins, entries and placers, and
+ * HTTP calls to them. Tests wait for conditions; nothing sleeps for a fixed time.
  */
 #ifndef PISTACHIO_TEST_FLEET_H
 #define PISTACHIO_TEST_FLEET_H
@@ -15,7 +14,7 @@
 #include "tests/harness/process.h"
 
 #define FLEET_NODES_MAX 64
-#define FLEET_WAIT_MS 30000
+#define FLEET_WAIT_MS 30000 /* limit of fleet_wait() */
 
 #define FLEET_LINE_KEY "line-key" /* may call station-call, station-fenced */
 #define FLEET_OFFICE_KEY "office-key" /* may call ledger-reader, trace-lookup */
@@ -25,11 +24,11 @@
 	unsigned int placers;
 	unsigned int engines; /* serve ledger-reader, over zones a to d */
 	unsigned int services; /* serve station-call, over zones a to d */
-	const char *token_ms; /* of an engine; NULL: 5 */
+	const char *token_ms; /* between tokens of an engine; NULL: 5 */
 	const char *slots; /* of an engine; NULL: 64 */
-	const char *work_ms; /* of a service; NULL: 5 */
-	bool forward_platform; /* entries reach it through a forwarder */
-	bool forward_upstreams; /* entries reach them through forwarders */
+	const char *work_ms; /* duration of a call to a service; NULL: 5 */
+	bool forward_platform; /* through a forwarder */
+	bool forward_upstreams; /* through a forwarder each */
 	const char *bundle_extra; /* TOML appended to the bundle, or NULL */
 } fleet_config_t;
 
@@ -55,7 +54,7 @@
 	uint64_t generation; /* last rolled out */
 } fleet_t;
 
-/* One HTTP call and what came back so far. */
+/* An HTTP call and the part of the response received so far. */
 typedef struct call {
 	fleet_t *fleet;
 	http_call_t *http;
@@ -66,7 +65,7 @@
 	int64_t retry_after; /* seconds, 0 if none */
 	GString *body;
 	bool done;
-	bool failed; /* the connection broke before the answer was whole */
+	bool failed; /* the connection broke before the response was complete */
 	int64_t sent_at; /* monotonic microseconds */
 	int64_t first_at; /* first byte of the body */
 	int64_t first_token_at; /* first event with an id */
--- a/tests/harness/history.c
+++ b/tests/harness/history.c
@@ -1,4 +1,4 @@
-/* Keeps calls and checks them against the stand-ins' records. */
+/* Checks the outcomes of calls against the stand-ins' records. */
 #include "tests/harness/history.h"
 
 #include <setjmp.h>
@@ -32,7 +32,7 @@
 	g_free(item);
 }
 
-/* Returns an empty history; the caller owns it. */
+/* Returns an empty history; the caller destroys it. */
 history_t *history_create(fleet_t *fleet)
 {
 	history_t *history = g_new0(history_t, 1);
@@ -42,7 +42,7 @@
 	return history;
 }
 
-/* Frees the history and its calls. */
+/* Cancels and frees the history's calls, and frees it. */
 void history_destroy(history_t *history)
 {
 	g_ptr_array_unref(history->items);
@@ -58,7 +58,7 @@
 	return item;
 }
 
-/* Adds a completion's call, which the history then owns. */
+/* Adds a completion with its expected text; the history takes ownership of the call. */
 void history_add_completion(history_t *history, call_t *call,
 			    const char *prompt, unsigned int tokens)
 {
@@ -67,7 +67,7 @@
 	item->expected = completion_expected(prompt, tokens);
 }
 
-/* Adds a station call, which the history then owns. */
+/* Adds a station call; the history takes ownership of it. */
 void history_add_station_call(history_t *history, call_t *call, const char *key)
 {
 	item_t *item = history_add(history, call);
@@ -88,16 +88,16 @@
 	return true;
 }
 
-/* Waits until every call has ended, one way or the other. */
+/* Waits until every call has completed or failed. */
 void history_wait(history_t *history)
 {
 	fleet_wait(history->fleet, all_done, history, "the end of all calls");
 }
 
-/* What the stand-ins ran: request ids, and runs by key. */
+/* Merged records of the stand-ins. */
 typedef struct record {
-	GHashTable *requests;
-	GHashTable *runs; /* key -> times, as a pointer */
+	GHashTable *requests; /* ids of the requests that ran */
+	GHashTable *runs; /* idempotency key -> number of runs, as a pointer */
 } record_t;
 
 static void record_requests(record_t *record, const json_t *list)
@@ -125,6 +125,7 @@
 	}
 }
 
+/* Merges the record of a stand-in, unless its process has ended. */
 static void record_read(record_t *record, fleet_t *fleet, const fleet_node_t *node)
 {
 	json_t *answer;
@@ -137,6 +138,7 @@
 	json_decref(answer);
 }
 
+/* Returns true if the answer is the text expected, or names the call's key. */
 static bool answer_is_right(const item_t *item)
 {
 	char *text;
@@ -151,8 +153,8 @@
 }
 
 /*
- * h2o's client takes a connection closed between two chunks for the end of the
- * answer. A caller tells a cut stream by its missing last event.
+ * Returns true if a streamed response lacks its final event. h2o's client reports a
+ * connection closed between two chunks as a normal end of the response.
  */
 static bool stream_is_cut(const call_t *call)
 {
@@ -162,6 +164,7 @@
 	       !strstr(call->body->str, "event: ");
 }
 
+/* Adds the outcome of a call to STATS. */
 static void check_item(const item_t *item, const record_t *record,
 		       history_stats_t *stats)
 {
@@ -187,7 +190,7 @@
 	}
 }
 
-/* Reads the stand-ins' records and says how the calls ended. */
+/* Returns the outcomes of the calls, checked against the stand-ins' records. */
 history_stats_t history_check(history_t *history)
 {
 	fleet_t *fleet = history->fleet;
@@ -214,7 +217,7 @@
 	return stats;
 }
 
-/* Fails the test if one of the promises was broken. */
+/* Fails the test if a key ran twice, a "not-run" call ran, or an answer is wrong. */
 void history_assert_sound(const history_stats_t *stats)
 {
 	assert_int_equal(stats->keys_run_twice, 0);
--- a/tests/harness/history.h
+++ b/tests/harness/history.h
@@ -1,6 +1,6 @@
 /*
- * What callers sent and got, held against what the stand-ins say they ran. The
- * verdict is read from these records alone.
+ * Records calls and their outcomes and compares them with the stand-ins' records of
+ * what they ran. The system under test is not asked.
  */
 #ifndef PISTACHIO_TEST_HISTORY_H
 #define PISTACHIO_TEST_HISTORY_H
@@ -9,14 +9,14 @@
 
 typedef struct history history_t;
 
-/* How the calls ended. */
+/* Numbers of calls by outcome, and of violated guarantees. */
 typedef struct history_stats {
 	unsigned int answered;
 	unsigned int not_run;
 	unsigned int outcome_unknown;
-	unsigned int unknown_but_not_run; /* of those, what in fact never ran */
-	unsigned int refused; /* otherwise */
-	unsigned int broken; /* connection lost without a word */
+	unsigned int unknown_but_not_run; /* of those, calls that never ran */
+	unsigned int refused; /* other problems and statuses */
+	unsigned int broken; /* connection lost without a final event */
 	unsigned int keys_run_twice;
 	unsigned int not_run_but_ran;
 	unsigned int wrong_answers;
--- a/tests/harness/process.c
+++ b/tests/harness/process.c
@@ -1,4 +1,4 @@
-/* Starts and ends processes. */
+/* Starts, signals and reaps child processes. */
 #include "tests/harness/process.h"
 
 #include <fcntl.h>
@@ -15,9 +15,9 @@
 #define STARTED_MAX 4096
 
 /*
- * The ids of the processes that run. A failed assertion jumps over the end of
- * its test, so that a fleet would run on after the test program and load the
- * machine for all later tests; at its exit the program ends what it started.
+ * Process ids of the running children, which are killed when the test program
+ * exits. A failed assertion skips the test's clean-up, and a fleet that outlived
+ * the program would load the machine for all later tests.
  */
 static pid_t started[STARTED_MAX];
 static unsigned int started_count;
@@ -55,8 +55,8 @@
 }
 
 /*
- * Starts a program with its output in files of DIR. Aborts the test run if it
- * can't be started. The caller destroys the process.
+ * Starts a program; its output is appended to NAME.out and NAME.log in DIR. Aborts
+ * the test program if it can't be started. The caller destroys the process.
  */
 process_t *process_start(const char *dir, const char *name, const char *const *argv)
 {
@@ -80,14 +80,14 @@
 	return process;
 }
 
-/* Sends a signal, if the process has not ended. */
+/* Sends a signal unless the process has been reaped. */
 void process_signal(process_t *process, int signum)
 {
 	if (process->pid)
 		kill(process->pid, signum);
 }
 
-/* Says whether the process has ended; its status is then kept. */
+/* Returns true if the process has ended; STATUS is then set. */
 bool process_ended(process_t *process)
 {
 	if (process->pid &&
@@ -98,7 +98,7 @@
 	return process->pid == 0;
 }
 
-/* Ends a process for certain and frees what is known of it. */
+/* Kills and reaps a process if it still runs, and frees it; NULL is allowed. */
 void process_destroy(process_t *process)
 {
 	if (!process)
@@ -114,7 +114,7 @@
 	g_free(process);
 }
 
-/* Returns all it logged so far, owned by the caller. */
+/* Returns the text of its log so far; the caller owns it. */
 char *process_log(const process_t *process)
 {
 	char *text = NULL;
@@ -124,7 +124,7 @@
 	return text;
 }
 
-/* Returns the number that follows the last BEFORE in a file, or 0. */
+/* Returns the number after the last occurrence of BEFORE in a file, or 0. */
 int process_port(process_t *process, const char *path, const char *before)
 {
 	char *text = NULL;
--- a/tests/harness/process.h
+++ b/tests/harness/process.h
@@ -1,4 +1,4 @@
-/* Processes that a test starts, signals and ends by their ids. */
+/* Child processes of a test. */
 #ifndef PISTACHIO_TEST_PROCESS_H
 #define PISTACHIO_TEST_PROCESS_H
 
@@ -7,10 +7,10 @@
 
 typedef struct process {
 	char *name;
-	char *out_path; /* standard output */
-	char *log_path; /* standard error */
+	char *out_path; /* file with its standard output */
+	char *log_path; /* file with its standard error */
 	pid_t pid; /* 0 once it has been waited for */
-	int status;
+	int status; /* wait status, once PID is 0 */
 } process_t;
 
 process_t *process_start(const char *dir, const char *name,
