--- a/tests/standins/engine_orders.h
+++ b/tests/standins/engine_orders.h
@@ -29,18 +29,18 @@
 {
 	const char *text = http_exchange_header(exchange, "x-fencing-number");
 	uint64_t fence = text ? g_ascii_strtoull(text, NULL, 10) : 0;
-	json_t *body = standin_body(exchange);
+	json_t *body = standin_parse_body(exchange);
 	const char *role = json_string_or(body, "role", "");
 
 	if (orders->checks_fencing && fence < orders->fence) {
 		orders->refused++;
-		standin_text(exchange, 409, NULL, "{}", 2);
+		standin_reply_text(exchange, 409, NULL, "{}", 2);
 	} else {
 		orders->fence = MAX(orders->fence, fence);
 		orders->draining = !strcmp(role, "draining");
 		json_array_append_new(orders->record, json_string(role));
-		standin_json(exchange, 200,
-			     json_pack("{s:i}", "running", (int)running));
+		standin_reply_json(exchange, 200,
+				   json_pack("{s:i}", "running", (int)running));
 	}
 	json_decref(body);
 }
@@ -55,9 +55,10 @@
 	if (!strcmp(path, "/order"))
 		engine_orders_carry_out(orders, exchange, running);
 	else if (!strcmp(path, "/standin/orders"))
-		standin_json(exchange, 200,
-			     json_pack("{s:O, s:I}", "roles", orders->record,
-				       "refused", (json_int_t)orders->refused));
+		standin_reply_json(exchange, 200,
+				   json_pack("{s:O, s:I}", "roles",
+					     orders->record, "refused",
+					     (json_int_t)orders->refused));
 	else
 		return false;
 	return true;
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -47,18 +47,18 @@
 }
 
 /* Replies with a JSON body and releases BODY. */
-void standin_json(http_exchange_t *exchange, int status, json_t *body)
+void standin_reply_json(http_exchange_t *exchange, int status, json_t *body)
 {
 	char *text = json_dumps(body, JSON_COMPACT | JSON_SORT_KEYS);
 
-	standin_text(exchange, status, NULL, text, strlen(text));
+	standin_reply_text(exchange, status, NULL, text, strlen(text));
 	free(text);
 	json_decref(body);
 }
 
 /* Replies with LEN bytes of JSON text and, unless it is NULL, an ETag. */
-void standin_text(http_exchange_t *exchange, int status, const char *etag,
-		  const char *body, size_t len)
+void standin_reply_text(http_exchange_t *exchange, int status, const char *etag,
+			const char *body, size_t len)
 {
 	const http_header_t headers[] = {
 		{ "content-type", "application/json" },
@@ -72,7 +72,7 @@
  * Returns the request's JSON body, or an empty object if it isn't valid JSON. The
  * caller owns it.
  */
-json_t *standin_body(http_exchange_t *exchange)
+json_t *standin_parse_body(http_exchange_t *exchange)
 {
 	pd_error_t err;
 	size_t len;
@@ -96,8 +96,8 @@
 }
 
 /* Calls RUN with CTX once, after DELAY_MS. */
-void standin_after(uv_loop_t *loop, uint64_t delay_ms, void (*run)(void *ctx),
-		   void *ctx)
+void standin_start_timer(uv_loop_t *loop, uint64_t delay_ms,
+			 void (*run)(void *ctx), void *ctx)
 {
 	later_t *later = g_new0(later_t, 1);
 
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -391,7 +391,7 @@
 static void on_generate(engine_t *engine, http_exchange_t *exchange)
 {
 	const http_header_t type = { "content-type", "text/event-stream" };
-	json_t *body = standin_body(exchange);
+	json_t *body = standin_parse_body(exchange);
 	const char *kv_address = json_string_or(body, "kv_address", NULL);
 	priority_t priority = PRIORITY_NORMAL;
 	stream_t *stream;
@@ -404,7 +404,7 @@
 				  (json_int_t)g_get_monotonic_time()));
 	if (engine_refuses(engine)) {
 		engine->refused++;
-		standin_text(exchange, 503, NULL, "{}", 2);
+		standin_reply_text(exchange, 503, NULL, "{}", 2);
 		json_decref(body);
 		return;
 	}
@@ -446,8 +446,9 @@
 
 	if (export->exchange) {
 		http_exchange_on_gone(export->exchange, NULL, NULL);
-		standin_json(export->exchange, 200,
-			     json_pack("{s:i}", "tokens", (int)export->tokens));
+		standin_reply_json(export->exchange, 200,
+				   json_pack("{s:i}", "tokens",
+					     (int)export->tokens));
 	}
 	g_free(export);
 }
@@ -459,16 +460,16 @@
 	export_t *export;
 
 	if (!tokens) {
-		standin_text(exchange, 404, NULL, "{}", 2);
+		standin_reply_text(exchange, 404, NULL, "{}", 2);
 		return;
 	}
 	export = g_new0(export_t, 1);
 	export->exchange = exchange;
 	export->tokens = GPOINTER_TO_UINT(tokens);
 	http_exchange_on_gone(exchange, export_gone, export);
-	standin_after(engine->loop,
-		      (uint64_t)(export->tokens * engine->transfer_us / 1000),
-		      export_done, export);
+	standin_start_timer(engine->loop,
+			    (uint64_t)(export->tokens * engine->transfer_us / 1000),
+			    export_done, export);
 }
 
 /*
@@ -518,19 +519,20 @@
 	if (after >= engine->news_first + engine->news->len)
 		after = 0;
 	news = news_since(engine, after, &last);
-	standin_json(exchange, 200,
-		     json_pack("{s:i, s:i, s:b, s:I, s:o, s:I, s:b}", "running",
-			       (int)engine->running, "waiting",
-			       (int)engine->waiting, "leaving", leaving,
-			       "leaves_in_ms", (json_int_t)(tells ? leaves_in : 0),
-			       "cache", news, "cache_last", (json_int_t)last,
-			       "cache_gap", after + 1 < engine->news_first));
+	standin_reply_json(exchange, 200,
+			   json_pack("{s:i, s:i, s:b, s:I, s:o, s:I, s:b}",
+				     "running", (int)engine->running, "waiting",
+				     (int)engine->waiting, "leaving", leaving,
+				     "leaves_in_ms",
+				     (json_int_t)(tells ? leaves_in : 0), "cache",
+				     news, "cache_last", (json_int_t)last,
+				     "cache_gap", after + 1 < engine->news_first));
 }
 
 /* Sets the reclaim notice and the faults that a test asks for. */
 static void on_faults(engine_t *engine, http_exchange_t *exchange)
 {
-	json_t *body = standin_body(exchange);
+	json_t *body = standin_parse_body(exchange);
 
 	engine->leaving = json_is_true(json_object_get(body, "leaving"));
 	engine->leaves_in_ms = json_integer_or(body, "leaves_in_ms", 0);
@@ -539,14 +541,14 @@
 	engine->tell = json_integer_or(body, "tell", -1);
 	if (engine->leaving && !engine->notice_at)
 		engine->notice_at = g_get_monotonic_time();
-	standin_text(exchange, 200, NULL, "{}", 2);
+	standin_reply_text(exchange, 200, NULL, "{}", 2);
 	json_decref(body);
 }
 
 /* Sets the costs and capacities that a test asks for. */
 static void on_settings(engine_t *engine, http_exchange_t *exchange)
 {
-	json_t *body = standin_body(exchange);
+	json_t *body = standin_parse_body(exchange);
 
 	engine->prefill_us =
 		json_integer_or(body, "prefill_us", engine->prefill_us);
@@ -556,22 +558,23 @@
 							     engine->cache_blocks);
 	engine->queue_max = (unsigned int)json_integer_or(body, "queue_max",
 							  engine->queue_max);
-	standin_text(exchange, 200, NULL, "{}", 2);
+	standin_reply_text(exchange, 200, NULL, "{}", 2);
 	json_decref(body);
 }
 
 /* Replies with the record and the counters. */
 static void on_record(engine_t *engine, http_exchange_t *exchange)
 {
-	standin_json(exchange, 200,
-		     json_pack("{s:O, s:O, s:I, s:I, s:I, s:I, s:I, s:I}", "ran",
-			       engine->record, "arrivals", engine->arrivals,
-			       "notice_at", (json_int_t)engine->notice_at,
-			       "tokens", (json_int_t)engine->tokens, "refused",
-			       (json_int_t)engine->refused, "recomputed",
-			       (json_int_t)engine->recomputed, "imported",
-			       (json_int_t)engine->imported, "dropped",
-			       (json_int_t)engine->dropped));
+	standin_reply_json(exchange, 200,
+			   json_pack("{s:O, s:O, s:I, s:I, s:I, s:I, s:I, s:I}",
+				     "ran", engine->record, "arrivals",
+				     engine->arrivals, "notice_at",
+				     (json_int_t)engine->notice_at, "tokens",
+				     (json_int_t)engine->tokens, "refused",
+				     (json_int_t)engine->refused, "recomputed",
+				     (json_int_t)engine->recomputed, "imported",
+				     (json_int_t)engine->imported, "dropped",
+				     (json_int_t)engine->dropped));
 }
 
 static void on_request(void *ctx, http_exchange_t *exchange)
@@ -594,7 +597,7 @@
 	else if (!strcmp(path, "/standin/record"))
 		on_record(engine, exchange);
 	else
-		standin_text(exchange, 404, NULL, "{}", 2);
+		standin_reply_text(exchange, 404, NULL, "{}", 2);
 }
 
 /* Arguments: ms per token, ms to the first, slots, 1 to check fencing tokens. */
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -99,7 +99,7 @@
 
 static void reply_status(http_exchange_t *exchange, int status)
 {
-	standin_text(exchange, status, NULL, "{}", 2);
+	standin_reply_text(exchange, status, NULL, "{}", 2);
 }
 
 /* Replies with an object and its version as ETag. */
@@ -107,7 +107,7 @@
 {
 	char *etag = g_strdup_printf("\"%" G_GUINT64_FORMAT "\"", object->version);
 
-	standin_text(exchange, 200, etag, object->body, object->len);
+	standin_reply_text(exchange, 200, etag, object->body, object->len);
 	g_free(etag);
 }
 
@@ -204,7 +204,7 @@
 					  "version", (json_int_t)object->version,
 					  "body", object->body, object->len));
 	}
-	standin_json(exchange, 200, json_pack("{s:o}", "objects", items));
+	standin_reply_json(exchange, 200, json_pack("{s:o}", "objects", items));
 }
 
 /* A write. It owns copies of its parameters, as it can outlive the exchange. */
@@ -293,7 +293,7 @@
 
 	if (write->exchange) {
 		http_exchange_on_gone(write->exchange, NULL, NULL);
-		standin_text(write->exchange, 200, etag, "{}", 2);
+		standin_reply_text(write->exchange, 200, etag, "{}", 2);
 	}
 	g_free(etag);
 	write_free(write);
@@ -341,8 +341,9 @@
 		write_free(write);
 	} else if (claims && platform->late_writes_ms) {
 		http_exchange_cut(exchange);
-		standin_after(platform->loop, (uint64_t)platform->late_writes_ms,
-			      write_land, write);
+		standin_start_timer(platform->loop,
+				    (uint64_t)platform->late_writes_ms,
+				    write_land, write);
 	} else if (!write_apply(write)) {
 		reply_status(exchange, 412);
 		write_free(write);
@@ -352,8 +353,9 @@
 		write_free(write);
 	} else if (claims && platform->late_answers_ms) {
 		http_exchange_on_gone(exchange, write_gone, write);
-		standin_after(platform->loop, (uint64_t)platform->late_answers_ms,
-			      write_answer, write);
+		standin_start_timer(platform->loop,
+				    (uint64_t)platform->late_answers_ms,
+				    write_answer, write);
 	} else {
 		write_answer(write);
 	}
@@ -425,8 +427,8 @@
 	if (platform->lag_ms == 0)
 		vms_publish(platform);
 	else
-		standin_after(platform->loop, (uint64_t)platform->lag_ms,
-			      vms_publish, platform);
+		standin_start_timer(platform->loop, (uint64_t)platform->lag_ms,
+				    vms_publish, platform);
 }
 
 /* Replies with the published VM list, or 304 if it is at version "after". */
@@ -440,8 +442,8 @@
 		return;
 	}
 	etag = g_strdup_printf("\"%" G_GUINT64_FORMAT "\"", platform->vms_version);
-	standin_text(exchange, 200, etag, platform->vms_seen,
-		     strlen(platform->vms_seen));
+	standin_reply_text(exchange, 200, etag, platform->vms_seen,
+			   strlen(platform->vms_seen));
 	g_free(etag);
 }
 
@@ -506,7 +508,7 @@
 /* Carries out a purchase; aborts the connection if its reply is to be lost. */
 static void vms_buy(platform_t *platform, http_exchange_t *exchange)
 {
-	json_t *order = standin_body(exchange);
+	json_t *order = standin_parse_body(exchange);
 	int status = carry_out_purchase(platform, order);
 
 	if (status == 201 && platform->lose_purchases > 0) {
@@ -555,7 +557,7 @@
 /* Adds a VM; the body is its item in the VM list. */
 static void standin_add_vm(platform_t *platform, http_exchange_t *exchange)
 {
-	json_t *row = standin_body(exchange);
+	json_t *row = standin_parse_body(exchange);
 
 	json_object_set(platform->vms, json_string_or(row, "id", "?"), row);
 	json_decref(row);
@@ -566,7 +568,7 @@
 /* Gives a VM its reclaim notice; by default it leaves in 30 s. */
 static void standin_notice(platform_t *platform, http_exchange_t *exchange)
 {
-	json_t *body = standin_body(exchange);
+	json_t *body = standin_parse_body(exchange);
 	json_t *row =
 		json_object_get(platform->vms, json_string_or(body, "id", ""));
 
@@ -584,7 +586,7 @@
 /* Sets the faults; those that the body lacks are cleared, but for the lag. */
 static void standin_faults(platform_t *platform, http_exchange_t *exchange)
 {
-	json_t *body = standin_body(exchange);
+	json_t *body = standin_parse_body(exchange);
 
 	platform->store_down =
 		json_is_true(json_object_get(body, "store_down"));
@@ -606,27 +608,28 @@
 
 static void standin_counts(platform_t *platform, http_exchange_t *exchange)
 {
-	standin_json(exchange, 200,
-		     json_pack("{s:I, s:I, s:I}", "writes",
-			       (json_int_t)platform->counts[COUNT_WRITES],
-			       "reads", (json_int_t)platform->counts[COUNT_READS],
-			       "conflicts",
-			       (json_int_t)platform->counts[COUNT_CONFLICTS]));
+	standin_reply_json(
+		exchange, 200,
+		json_pack("{s:I, s:I, s:I}", "writes",
+			  (json_int_t)platform->counts[COUNT_WRITES], "reads",
+			  (json_int_t)platform->counts[COUNT_READS], "conflicts",
+			  (json_int_t)platform->counts[COUNT_CONFLICTS]));
 }
 
 /* Replies with the purchases by tag and the number of stale orders. */
 static void standin_orders(platform_t *platform, http_exchange_t *exchange)
 {
-	standin_json(exchange, 200,
-		     json_pack("{s:O, s:I}", "orders", platform->orders,
-			       "stale_orders", (json_int_t)platform->stale_orders));
+	standin_reply_json(exchange, 200,
+			   json_pack("{s:O, s:I}", "orders", platform->orders,
+				     "stale_orders",
+				     (json_int_t)platform->stale_orders));
 }
 
 /* Replaces the body that /prices replies with. */
 static void standin_prices(platform_t *platform, http_exchange_t *exchange)
 {
 	json_decref(platform->prices);
-	platform->prices = standin_body(exchange);
+	platform->prices = standin_parse_body(exchange);
 	reply_status(exchange, 200);
 }
 
@@ -683,14 +686,14 @@
 		delayed->platform = platform;
 		delayed->exchange = exchange;
 		http_exchange_on_gone(exchange, delayed_gone, delayed);
-		standin_after(platform->loop, (uint64_t)platform->delay_ms,
-			      delayed_run, delayed);
+		standin_start_timer(platform->loop, (uint64_t)platform->delay_ms,
+				    delayed_run, delayed);
 	} else if (g_str_has_prefix(path, "/objects")) {
 		on_objects(platform, exchange);
 	} else if (g_str_has_prefix(path, "/vms")) {
 		on_vms(platform, exchange);
 	} else if (!strcmp(path, "/prices")) {
-		standin_json(exchange, 200, json_incref(platform->prices));
+		standin_reply_json(exchange, 200, json_incref(platform->prices));
 	} else if (g_str_has_prefix(path, "/weights/")) {
 		reply_status(exchange, bucket_take(&platform->weights) ? 200 : 429);
 	} else if (g_str_has_prefix(path, "/standin/")) {
--- a/tests/standins/standin_service.c
+++ b/tests/standins/standin_service.c
@@ -42,9 +42,9 @@
 
 	call->service->running--;
 	if (call->exchange && !call->service->silent)
-		standin_json(call->exchange, 200,
-			     json_pack("{s:s, s:I}", "key", call->key, "run",
-				       call->run));
+		standin_reply_json(call->exchange, 200,
+				   json_pack("{s:s, s:I}", "key", call->key,
+					     "run", call->run));
 	g_free(call->key);
 	g_free(call);
 }
@@ -74,7 +74,7 @@
 	call_t *call;
 
 	if (is_fenced_off(service, exchange)) {
-		standin_text(exchange, 409, NULL, "{}", 2);
+		standin_reply_text(exchange, 409, NULL, "{}", 2);
 		return;
 	}
 	call = g_new0(call_t, 1);
@@ -86,18 +86,18 @@
 	json_array_append_new(service->ran, json_string(id ? id : ""));
 	service->running++;
 	http_exchange_on_gone(exchange, call_gone, call);
-	standin_after(service->loop, service->work_ms, call_done, call);
+	standin_start_timer(service->loop, service->work_ms, call_done, call);
 }
 
 /* Sets the faults that a test asks for. */
 static void on_faults(service_t *service, http_exchange_t *exchange)
 {
-	json_t *body = standin_body(exchange);
+	json_t *body = standin_parse_body(exchange);
 
 	service->silent = json_is_true(json_object_get(body, "silent"));
 	service->work_ms = (uint64_t)json_integer_or(body, "work_ms",
 						     (json_int_t)service->work_ms);
-	standin_text(exchange, 200, NULL, "{}", 2);
+	standin_reply_text(exchange, 200, NULL, "{}", 2);
 	json_decref(body);
 }
 
@@ -107,15 +107,16 @@
 	const char *path = http_exchange_path(exchange);
 
 	if (!strcmp(path, "/load"))
-		standin_json(exchange, 200,
-			     json_pack("{s:I, s:i}", "running",
-				       (json_int_t)service->running, "waiting", 0));
+		standin_reply_json(exchange, 200,
+				   json_pack("{s:I, s:i}", "running",
+					     (json_int_t)service->running,
+					     "waiting", 0));
 	else if (!strcmp(path, "/standin/faults"))
 		on_faults(service, exchange);
 	else if (!strcmp(path, "/standin/record"))
-		standin_json(exchange, 200,
-			     json_pack("{s:O, s:O}", "runs", service->runs,
-				       "ran", service->ran));
+		standin_reply_json(exchange, 200,
+				   json_pack("{s:O, s:O}", "runs", service->runs,
+					     "ran", service->ran));
 	else
 		on_call(service, exchange);
 }
