--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -9,13 +9,13 @@
 
 #include "adapters/json.h"
 
-#define BODY_MAX (8 * 1024 * 1024)
+#define BODY_BYTES_MAX (8 * 1024 * 1024)
 
-typedef struct later {
+typedef struct delayed_call {
 	uv_timer_t timer;
 	void (*run)(void *ctx);
 	void *ctx;
-} later_t;
+} delayed_call_t;
 
 /*
  * Serves on an ephemeral loopback port and prints "port N" to standard output.
@@ -24,7 +24,7 @@
 http_server_t *standin_serve(uv_loop_t *loop, standin_handler_t handler, void *ctx)
 {
 	const http_server_config_t config = { .address = "127.0.0.1",
-					      .body_max = BODY_MAX,
+					      .body_max = BODY_BYTES_MAX,
 					      .on_request = handler,
 					      .ctx = ctx };
 	pd_error_t err;
@@ -82,28 +82,28 @@
 	return body ? body : json_object();
 }
 
-static void later_closed(uv_handle_t *handle)
+static void on_timer_closed(uv_handle_t *handle)
 {
 	g_free(handle->data);
 }
 
-static void later_due(uv_timer_t *timer)
+static void on_timer(uv_timer_t *timer)
 {
-	later_t *later = timer->data;
+	delayed_call_t *delayed_call = timer->data;
 
-	later->run(later->ctx);
-	uv_close((uv_handle_t *)timer, later_closed);
+	delayed_call->run(delayed_call->ctx);
+	uv_close((uv_handle_t *)timer, on_timer_closed);
 }
 
 /* Calls RUN with CTX once, after DELAY_MS. */
 void standin_start_timer(uv_loop_t *loop, uint64_t delay_ms,
 			 void (*run)(void *ctx), void *ctx)
 {
-	later_t *later = g_new0(later_t, 1);
+	delayed_call_t *delayed_call = g_new0(delayed_call_t, 1);
 
-	later->run = run;
-	later->ctx = ctx;
-	uv_timer_init(loop, &later->timer);
-	later->timer.data = later;
-	uv_timer_start(&later->timer, later_due, delay_ms, 0);
+	delayed_call->run = run;
+	delayed_call->ctx = ctx;
+	uv_timer_init(loop, &delayed_call->timer);
+	delayed_call->timer.data = delayed_call;
+	uv_timer_start(&delayed_call->timer, on_timer, delay_ms, 0);
 }
