--- a/tests/standins/engine_orders.h
+++ b/tests/standins/engine_orders.h
@@ -23,9 +23,9 @@
 } engine_orders_t;
 
 /* Applies an order, or rejects it with 409 if its fencing token is stale. */
-static inline void engine_orders_carry_out(engine_orders_t *orders,
-					   http_exchange_t *exchange,
-					   unsigned int running)
+static inline void engine_orders_apply(engine_orders_t *orders,
+				       http_exchange_t *exchange,
+				       unsigned int running)
 {
 	const char *text = http_exchange_header(exchange, "x-fencing-number");
 	uint64_t fence = text ? g_ascii_strtoull(text, NULL, 10) : 0;
@@ -46,14 +46,14 @@
 }
 
 /* Handles requests for the order paths; returns false for any other path. */
-static inline bool engine_orders_take(engine_orders_t *orders,
-				      http_exchange_t *exchange,
-				      unsigned int running)
+static inline bool engine_orders_handle(engine_orders_t *orders,
+					http_exchange_t *exchange,
+					unsigned int running)
 {
 	const char *path = http_exchange_path(exchange);
 
 	if (!strcmp(path, "/order"))
-		engine_orders_carry_out(orders, exchange, running);
+		engine_orders_apply(orders, exchange, running);
 	else if (!strcmp(path, "/standin/orders"))
 		standin_reply_json(exchange, 200,
 				   json_pack("{s:O, s:I}", "roles",
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -588,7 +588,7 @@
 		on_kv(engine, exchange, path + strlen("/kv/"));
 	else if (!strcmp(path, "/load"))
 		on_load(engine, exchange);
-	else if (engine_orders_take(&engine->orders, exchange, engine->running))
+	else if (engine_orders_handle(&engine->orders, exchange, engine->running))
 		return;
 	else if (!strcmp(path, "/standin/faults"))
 		on_faults(engine, exchange);
