--- a/tests/standins/engine_orders.h
+++ b/tests/standins/engine_orders.h
@@ -17,8 +17,8 @@
 typedef struct engine_orders {
 	bool checks_fencing;
 	bool draining;
-	uint64_t fence; /* highest fencing token seen */
-	int64_t refused;
+	uint64_t fencing_token; /* highest fencing token seen */
+	int64_t rejected;
 	json_t *record; /* accepted roles, oldest first */
 } engine_orders_t;
 
@@ -28,15 +28,15 @@
 				       unsigned int running)
 {
 	const char *text = http_exchange_header(exchange, "x-fencing-number");
-	uint64_t fence = text ? g_ascii_strtoull(text, NULL, 10) : 0;
+	uint64_t fencing_token = text ? g_ascii_strtoull(text, NULL, 10) : 0;
 	json_t *body = standin_parse_body(exchange);
 	const char *role = json_string_or(body, "role", "");
 
-	if (orders->checks_fencing && fence < orders->fence) {
-		orders->refused++;
+	if (orders->checks_fencing && fencing_token < orders->fencing_token) {
+		orders->rejected++;
 		standin_reply_text(exchange, 409, NULL, "{}", 2);
 	} else {
-		orders->fence = MAX(orders->fence, fence);
+		orders->fencing_token = MAX(orders->fencing_token, fencing_token);
 		orders->draining = !strcmp(role, "draining");
 		json_array_append_new(orders->record, json_string(role));
 		standin_reply_json(exchange, 200,
@@ -58,7 +58,7 @@
 		standin_reply_json(exchange, 200,
 				   json_pack("{s:O, s:I}", "roles",
 					     orders->record, "refused",
-					     (json_int_t)orders->refused));
+					     (json_int_t)orders->rejected));
 	else
 		return false;
 	return true;
