--- a/tests/standins/standin_service.c
+++ b/tests/standins/standin_service.c
@@ -14,10 +14,10 @@
 	uv_loop_t *loop;
 	uint64_t work_ms; /* duration of a call */
 	bool checks_fencing;
-	uint64_t fence; /* highest fencing token seen */
+	uint64_t fencing_token; /* highest fencing token seen */
 	bool silent; /* runs calls but never replies */
 	json_t *runs; /* idempotency key -> number of runs */
-	json_t *ran; /* request ids, in execution order */
+	json_t *request_ids; /* request ids, in execution order */
 	int64_t running; /* calls in progress */
 } service_t;
 
@@ -25,10 +25,10 @@
 	service_t *service;
 	http_exchange_t *exchange; /* NULL once the caller has disconnected */
 	char *key;
-	json_int_t run; /* 1 for the first run of KEY */
+	json_int_t run_number; /* 1 for the first run of KEY */
 } call_t;
 
-static void call_gone(void *ctx)
+static void call_on_disconnect(void *ctx)
 {
 	call_t *call = ctx;
 
@@ -36,7 +36,7 @@
 }
 
 /* Replies after the call's working time, unless silent, and frees the call. */
-static void call_done(void *ctx)
+static void call_finish(void *ctx)
 {
 	call_t *call = ctx;
 
@@ -44,7 +44,7 @@
 	if (call->exchange && !call->service->silent)
 		standin_reply_json(call->exchange, 200,
 				   json_pack("{s:s, s:I}", "key", call->key,
-					     "run", call->run));
+					     "run", call->run_number));
 	g_free(call->key);
 	g_free(call);
 }
@@ -53,16 +53,16 @@
  * Returns true if fencing is checked and the request's token is stale. A token
  * that is not stale becomes the highest seen.
  */
-static bool is_fenced_off(service_t *service, const http_exchange_t *exchange)
+static bool is_stale(service_t *service, const http_exchange_t *exchange)
 {
 	const char *text = http_exchange_header(exchange, "x-fencing-number");
-	uint64_t fence = text ? g_ascii_strtoull(text, NULL, 10) : 0;
+	uint64_t fencing_token = text ? g_ascii_strtoull(text, NULL, 10) : 0;
 
 	if (!service->checks_fencing)
 		return false;
-	if (fence < service->fence)
+	if (fencing_token < service->fencing_token)
 		return true;
-	service->fence = fence;
+	service->fencing_token = fencing_token;
 	return false;
 }
 
@@ -73,7 +73,7 @@
 	const char *id = http_exchange_header(exchange, "x-request-id");
 	call_t *call;
 
-	if (is_fenced_off(service, exchange)) {
+	if (is_stale(service, exchange)) {
 		standin_reply_text(exchange, 409, NULL, "{}", 2);
 		return;
 	}
@@ -81,12 +81,13 @@
 	call->service = service;
 	call->exchange = exchange;
 	call->key = g_strdup(key ? key : "-");
-	call->run = json_integer_or(service->runs, call->key, 0) + 1;
-	json_object_set_new(service->runs, call->key, json_integer(call->run));
-	json_array_append_new(service->ran, json_string(id ? id : ""));
+	call->run_number = json_integer_or(service->runs, call->key, 0) + 1;
+	json_object_set_new(service->runs, call->key,
+			    json_integer(call->run_number));
+	json_array_append_new(service->request_ids, json_string(id ? id : ""));
 	service->running++;
-	http_exchange_on_gone(exchange, call_gone, call);
-	standin_start_timer(service->loop, service->work_ms, call_done, call);
+	http_exchange_on_gone(exchange, call_on_disconnect, call);
+	standin_start_timer(service->loop, service->work_ms, call_finish, call);
 }
 
 /* Sets the faults that a test asks for. */
@@ -116,7 +117,7 @@
 	else if (!strcmp(path, "/standin/record"))
 		standin_reply_json(exchange, 200,
 				   json_pack("{s:O, s:O}", "runs", service->runs,
-					     "ran", service->ran));
+					     "ran", service->request_ids));
 	else
 		on_call(service, exchange);
 }
@@ -131,7 +132,7 @@
 	if (argc > 2)
 		service.checks_fencing = !strcmp(argv[2], "1");
 	service.runs = json_object();
-	service.ran = json_array();
+	service.request_ids = json_array();
 	standin_serve(service.loop, on_request, &service);
 	standin_run(service.loop);
 	return 0;
