--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -20,16 +20,17 @@
 
 #define COMFORT_MS 500 /* between keep-alive comments to queued streams */
 #define KV_KEPT 1024 /* streams whose KV cache is kept, the newest */
-#define NEWS_KEPT 4096 /* cache events; beyond it the older half is discarded */
-#define NEWS_LAG_US 100000 /* delay before a cache event is reported */
+#define CACHE_EVENTS_MAX \
+	4096 /* cache events; beyond it the older half is discarded */
+#define CACHE_EVENT_DELAY_US 100000 /* delay before a cache event is reported */
 #define IO_TIMEOUT (5 * PD_SEC)
 
 /* A prefix block that entered or left the prefix cache. */
-typedef struct news {
+typedef struct cache_event {
 	uint64_t prefix;
 	bool held;
 	int64_t at; /* monotonic microseconds */
-} news_t;
+} cache_event_t;
 
 typedef struct engine {
 	uv_loop_t *loop;
@@ -50,8 +51,8 @@
 	GQueue cached; /* prefixes, oldest first; owned by CACHE */
 	GHashTable *kv; /* request id -> tokens cached, as a pointer */
 	GQueue kv_order; /* request ids, oldest first; owned by KV */
-	GArray *news; /* of news_t */
-	uint64_t news_first; /* sequence number of NEWS[0] */
+	GArray *cache_events; /* of cache_event_t */
+	uint64_t first_event_number; /* sequence number of CACHE_EVENTS[0] */
 	bool leaving;
 	int64_t leaves_in_ms; /* counted from the notice */
 	bool accepts; /* accepts new requests while leaving */
@@ -99,14 +100,14 @@
 }
 
 /* Records a cache event; discards the older half of them if there are too many. */
-static void news_add(engine_t *engine, uint64_t prefix, bool held)
+static void cache_event_add(engine_t *engine, uint64_t prefix, bool held)
 {
-	news_t news = { prefix, held, g_get_monotonic_time() };
+	cache_event_t event = { prefix, held, g_get_monotonic_time() };
 
-	g_array_append_val(engine->news, news);
-	if (engine->news->len > NEWS_KEPT) {
-		g_array_remove_range(engine->news, 0, NEWS_KEPT / 2);
-		engine->news_first += NEWS_KEPT / 2;
+	g_array_append_val(engine->cache_events, event);
+	if (engine->cache_events->len > CACHE_EVENTS_MAX) {
+		g_array_remove_range(engine->cache_events, 0, CACHE_EVENTS_MAX / 2);
+		engine->first_event_number += CACHE_EVENTS_MAX / 2;
 	}
 }
 
@@ -124,12 +125,12 @@
 		prefix = g_memdup2(&hashes[i], sizeof(hashes[i]));
 		g_hash_table_add(engine->cache, prefix);
 		g_queue_push_tail(&engine->cached, prefix);
-		news_add(engine, hashes[i], true);
+		cache_event_add(engine, hashes[i], true);
 	}
 	while (g_queue_get_length(&engine->cached) > engine->cache_blocks) {
 		uint64_t *prefix = g_queue_pop_head(&engine->cached);
 
-		news_add(engine, *prefix, false);
+		cache_event_add(engine, *prefix, false);
 		g_hash_table_remove(engine->cache, prefix);
 	}
 }
@@ -474,26 +475,28 @@
 
 /*
  * Returns the cache events with a sequence number above AFTER that are at least
- * NEWS_LAG_US old, and sets *LAST to the number of the last one. The caller owns
+ * CACHE_EVENT_DELAY_US old, and sets *LAST to the number of the last one. The caller owns
  * the list.
  */
-static json_t *news_since(const engine_t *engine, uint64_t after, uint64_t *last)
+static json_t *cache_events_since(const engine_t *engine, uint64_t after,
+				  uint64_t *last)
 {
 	json_t *list = json_array();
-	int64_t told_until = g_get_monotonic_time() - NEWS_LAG_US;
+	int64_t report_until = g_get_monotonic_time() - CACHE_EVENT_DELAY_US;
 
 	*last = after;
-	for (guint i = 0; i < engine->news->len; i++) {
-		const news_t *news = &g_array_index(engine->news, news_t, i);
-		uint64_t number = engine->news_first + i;
+	for (guint i = 0; i < engine->cache_events->len; i++) {
+		const cache_event_t *event =
+			&g_array_index(engine->cache_events, cache_event_t, i);
+		uint64_t number = engine->first_event_number + i;
 		char *prefix;
 
-		if (number <= after || news->at > told_until)
+		if (number <= after || event->at > report_until)
 			continue;
 		prefix = g_strdup_printf("%016" G_GINT64_MODIFIER "x",
-					 news->prefix);
-		json_array_append_new(list, json_pack("{s:s, s:b}", "prefix",
-						      prefix, "held", news->held));
+					 event->prefix);
+		json_array_append_new(list, json_pack("{s:s, s:b}", "prefix", prefix,
+						      "held", event->held));
 		*last = number;
 		g_free(prefix);
 	}
@@ -511,22 +514,23 @@
 	int64_t since = (g_get_monotonic_time() - engine->notice_at) / 1000;
 	int64_t leaves_in = MAX(engine->leaves_in_ms - since, 0);
 	uint64_t last;
-	json_t *news;
+	json_t *events;
 
 	if (tells && engine->tell > 0)
 		engine->tell--;
 	/* The number stems from before a restart: report from the start. */
-	if (after >= engine->news_first + engine->news->len)
+	if (after >= engine->first_event_number + engine->cache_events->len)
 		after = 0;
-	news = news_since(engine, after, &last);
+	events = cache_events_since(engine, after, &last);
 	standin_reply_json(exchange, 200,
 			   json_pack("{s:i, s:i, s:b, s:I, s:o, s:I, s:b}",
 				     "running", (int)engine->running, "waiting",
 				     (int)engine->waiting, "leaving", leaving,
 				     "leaves_in_ms",
-				     (json_int_t)(tells ? leaves_in : 0), "cache",
-				     news, "cache_last", (json_int_t)last,
-				     "cache_gap", after + 1 < engine->news_first));
+				     (json_int_t)(tells ? leaves_in : 0),
+				     "cache", events, "cache_last",
+				     (json_int_t)last, "cache_gap",
+				     after + 1 < engine->first_event_number));
 }
 
 /* Sets the reclaim notice and the faults that a test asks for. */
@@ -611,7 +615,7 @@
 			    .slots = 64,
 			    .queue_max = 16,
 			    .cache_blocks = 4096,
-			    .news_first = 1 };
+			    .first_event_number = 1 };
 
 	if (argc > 1)
 		engine.token_ms = strtoull(argv[1], NULL, 10);
@@ -625,7 +629,7 @@
 	engine.cache =
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	engine.kv = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	engine.news = g_array_new(FALSE, FALSE, sizeof(news_t));
+	engine.cache_events = g_array_new(FALSE, FALSE, sizeof(cache_event_t));
 	if (argc > 4)
 		engine.orders.checks_fencing = !strcmp(argv[4], "1");
 	engine.orders.record = json_array();
