--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -18,7 +18,8 @@
 #include "tests/standins/engine_orders.h"
 #include "tests/standins/standin.h"
 
-#define COMFORT_MS 500 /* between keep-alive comments to queued streams */
+#define KEEPALIVE_PERIOD_MS \
+	500 /* between keep-alive comments to queued streams */
 #define KV_KEPT 1024 /* streams whose KV cache is kept, the newest */
 #define CACHE_EVENTS_MAX \
 	4096 /* cache events; beyond it the older half is discarded */
@@ -34,7 +35,7 @@
 
 typedef struct engine {
 	uv_loop_t *loop;
-	uv_timer_t comfort;
+	uv_timer_t keepalive;
 	http_client_t *client;
 	uint64_t token_ms; /* between tokens */
 	uint64_t first_ms; /* to the first token, besides the prefill */
@@ -345,7 +346,7 @@
 }
 
 /* Sends a keep-alive comment to every queued stream. */
-static void on_comfort(uv_timer_t *timer)
+static void on_keepalive(uv_timer_t *timer)
 {
 	engine_t *engine = timer->data;
 
@@ -635,9 +636,10 @@
 	engine.orders.record = json_array();
 	engine.record = json_array();
 	engine.arrivals = json_array();
-	uv_timer_init(engine.loop, &engine.comfort);
-	engine.comfort.data = &engine;
-	uv_timer_start(&engine.comfort, on_comfort, COMFORT_MS, COMFORT_MS);
+	uv_timer_init(engine.loop, &engine.keepalive);
+	engine.keepalive.data = &engine;
+	uv_timer_start(&engine.keepalive, on_keepalive, KEEPALIVE_PERIOD_MS,
+		       KEEPALIVE_PERIOD_MS);
 	standin_serve(engine.loop, on_request, &engine);
 	standin_run(engine.loop);
 	return 0;
