--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -20,7 +20,7 @@
 
 #define KEEPALIVE_PERIOD_MS \
 	500 /* between keep-alive comments to queued streams */
-#define KV_KEPT 1024 /* streams whose KV cache is kept, the newest */
+#define KV_CACHES_MAX 1024 /* streams whose KV cache is kept, the newest */
 #define CACHE_EVENTS_MAX \
 	4096 /* cache events; beyond it the older half is discarded */
 #define CACHE_EVENT_DELAY_US 100000 /* delay before a cache event is reported */
@@ -38,7 +38,7 @@
 	uv_timer_t keepalive;
 	http_client_t *client;
 	uint64_t token_ms; /* between tokens */
-	uint64_t first_ms; /* to the first token, besides the prefill */
+	uint64_t first_token_ms; /* to the first token, besides the prefill */
 	int64_t prefill_us; /* per token */
 	int64_t transfer_us; /* per token of an exported KV cache */
 	unsigned int slots;
@@ -49,15 +49,15 @@
 	list_node_t queues[PRIORITIES];
 	int64_t busy_until; /* end of the last prefill; monotonic microseconds */
 	GHashTable *cache; /* prefix -> NULL */
-	GQueue cached; /* prefixes, oldest first; owned by CACHE */
+	GQueue cache_order; /* prefixes, oldest first; owned by CACHE */
 	GHashTable *kv; /* request id -> tokens cached, as a pointer */
 	GQueue kv_order; /* request ids, oldest first; owned by KV */
 	GArray *cache_events; /* of cache_event_t */
 	uint64_t first_event_number; /* sequence number of CACHE_EVENTS[0] */
 	bool leaving;
 	int64_t leaves_in_ms; /* counted from the notice */
-	bool accepts; /* accepts new requests while leaving */
-	int64_t tell; /* load queries still to be told of the notice; -1: all */
+	bool accepts_while_leaving; /* accepts new requests while leaving */
+	int64_t notices_left; /* load queries still to be told of the notice; -1: all */
 	bool silent; /* accepts requests but sends nothing */
 	json_t *record; /* request ids, in execution order */
 	json_t *arrivals; /* request ids and arrival times since the notice */
@@ -65,8 +65,8 @@
 	int64_t tokens; /* generated */
 	int64_t recomputed; /* tokens prefilled */
 	int64_t imported; /* KV caches */
-	int64_t refused; /* requests rejected as full, draining or leaving */
-	int64_t dropped; /* streams whose caller disconnected before the end */
+	int64_t rejected; /* requests rejected as full, draining or leaving */
+	int64_t abandoned; /* streams whose caller disconnected before the end */
 	engine_orders_t orders;
 } engine_t;
 
@@ -77,11 +77,11 @@
 	http_call_t *import; /* in progress, or NULL */
 	GString *import_body;
 	char *request_id;
-	char *text; /* prompt and the tokens already emitted */
+	char *context; /* prompt and the tokens already emitted */
 	uint64_t seed; /* hash of the prompt */
 	uint64_t offset; /* of the next token */
 	uint64_t end; /* offset at which the answer ends */
-	unsigned int held_by_import; /* tokens of an imported KV cache */
+	unsigned int imported_tokens; /* tokens of an imported KV cache */
 	bool is_running;
 	uv_timer_t timer;
 } stream_t;
@@ -125,11 +125,11 @@
 			continue;
 		prefix = g_memdup2(&hashes[i], sizeof(hashes[i]));
 		g_hash_table_add(engine->cache, prefix);
-		g_queue_push_tail(&engine->cached, prefix);
+		g_queue_push_tail(&engine->cache_order, prefix);
 		cache_event_add(engine, hashes[i], true);
 	}
-	while (g_queue_get_length(&engine->cached) > engine->cache_blocks) {
-		uint64_t *prefix = g_queue_pop_head(&engine->cached);
+	while (g_queue_get_length(&engine->cache_order) > engine->cache_blocks) {
+		uint64_t *prefix = g_queue_pop_head(&engine->cache_order);
 
 		cache_event_add(engine, *prefix, false);
 		g_hash_table_remove(engine->cache, prefix);
@@ -137,7 +137,7 @@
 }
 
 /* Returns the number of leading tokens of TEXT that are in the prefix cache. */
-static unsigned int cache_covers(const engine_t *engine, const char *text)
+static unsigned int cached_tokens(const engine_t *engine, const char *text)
 {
 	uint64_t hashes[PREFIX_BLOCKS_MAX];
 	size_t count = prefix_hashes(text, strlen(text), hashes, PREFIX_BLOCKS_MAX);
@@ -149,15 +149,16 @@
 }
 
 /* Returns the number of tokens to prefill: the prompt and what was emitted. */
-static unsigned int stream_length(const stream_t *stream)
+static unsigned int stream_context_tokens(const stream_t *stream)
 {
-	return (unsigned int)(strlen(stream->text) / PREFIX_BYTES_PER_TOKEN);
+	return (unsigned int)(strlen(stream->context) / PREFIX_BYTES_PER_TOKEN);
 }
 
-/* Keeps a stream's KV cache for export; evicts the oldest beyond KV_KEPT. */
-static void kv_keep(engine_t *engine, const stream_t *stream)
+/* Keeps a stream's KV cache for export; evicts the oldest beyond KV_CACHES_MAX. */
+static void kv_save(engine_t *engine, const stream_t *stream)
 {
-	unsigned int tokens = stream_length(stream) + (unsigned int)stream->end;
+	unsigned int tokens =
+		stream_context_tokens(stream) + (unsigned int)stream->end;
 	char *id = g_strdup(stream->request_id);
 
 	if (g_hash_table_contains(engine->kv, id)) {
@@ -166,14 +167,14 @@
 	}
 	g_hash_table_insert(engine->kv, id, GUINT_TO_POINTER(tokens));
 	g_queue_push_tail(&engine->kv_order, id);
-	while (g_queue_get_length(&engine->kv_order) > KV_KEPT)
+	while (g_queue_get_length(&engine->kv_order) > KV_CACHES_MAX)
 		g_hash_table_remove(engine->kv,
 				    g_queue_pop_head(&engine->kv_order));
 }
 
 static void engine_start_next(engine_t *engine);
 
-static void stream_closed(uv_handle_t *handle)
+static void stream_on_closed(uv_handle_t *handle)
 {
 	stream_t *stream = handle->data;
 	engine_t *engine = stream->engine;
@@ -182,7 +183,7 @@
 		engine->running--;
 	g_string_free(stream->import_body, TRUE);
 	g_free(stream->request_id);
-	g_free(stream->text);
+	g_free(stream->context);
 	g_free(stream);
 	engine_start_next(engine);
 }
@@ -198,20 +199,20 @@
 		http_call_cancel(stream->import);
 	stream->import = NULL;
 	uv_timer_stop(&stream->timer);
-	uv_close((uv_handle_t *)&stream->timer, stream_closed);
+	uv_close((uv_handle_t *)&stream->timer, stream_on_closed);
 }
 
-static void stream_gone(void *ctx)
+static void stream_on_disconnect(void *ctx)
 {
 	stream_t *stream = ctx;
 
 	stream->exchange = NULL;
-	stream->engine->dropped += stream->offset < stream->end;
+	stream->engine->abandoned += stream->offset < stream->end;
 	stream_close(stream);
 }
 
 /* Sends the next token, or the end event after the last one. */
-static void stream_step(uv_timer_t *timer)
+static void stream_on_token(uv_timer_t *timer)
 {
 	static const char end[] = "event: end\ndata: {}\n\n";
 	stream_t *stream = timer->data;
@@ -238,13 +239,13 @@
 }
 
 /* Ends the prefill: sends the start event and starts generating tokens. */
-static void stream_begin(uv_timer_t *timer)
+static void stream_on_prefilled(uv_timer_t *timer)
 {
 	stream_t *stream = timer->data;
 	engine_t *engine = stream->engine;
-	unsigned int length = stream_length(stream);
-	unsigned int held =
-		MAX(cache_covers(engine, stream->text), stream->held_by_import);
+	unsigned int length = stream_context_tokens(stream);
+	unsigned int held = MAX(cached_tokens(engine, stream->context),
+				stream->imported_tokens);
 	unsigned int recomputed = length - MIN(held, length);
 	char *event = g_strdup_printf("event: start\ndata: {\"recomputed\":%u,"
 				      "\"running\":%u,\"waiting\":%u}\n\n",
@@ -252,28 +253,29 @@
 				      engine->waiting);
 
 	engine->recomputed += recomputed;
-	cache_add(engine, stream->text);
-	kv_keep(engine, stream);
+	cache_add(engine, stream->context);
+	kv_save(engine, stream);
 	if (!engine->silent)
 		http_exchange_send(stream->exchange, event, strlen(event));
 	g_free(event);
-	uv_timer_start(timer, stream_step, engine->token_ms, engine->token_ms);
+	uv_timer_start(timer, stream_on_token, engine->token_ms, engine->token_ms);
 }
 
 /* Schedules the prefill behind those already scheduled. */
 static void stream_prefill(stream_t *stream)
 {
 	engine_t *engine = stream->engine;
-	unsigned int length = stream_length(stream);
-	unsigned int held =
-		MAX(cache_covers(engine, stream->text), stream->held_by_import);
+	unsigned int length = stream_context_tokens(stream);
+	unsigned int held = MAX(cached_tokens(engine, stream->context),
+				stream->imported_tokens);
 	int64_t now = g_get_monotonic_time();
-	int64_t needs = (length - MIN(held, length)) * engine->prefill_us;
-	int64_t begins = MAX(now, engine->busy_until);
+	int64_t duration = (length - MIN(held, length)) * engine->prefill_us;
+	int64_t begins_at = MAX(now, engine->busy_until);
 
-	engine->busy_until = begins + needs;
-	uv_timer_start(&stream->timer, stream_begin,
-		       engine->first_ms + (uint64_t)(engine->busy_until - now) / 1000,
+	engine->busy_until = begins_at + duration;
+	uv_timer_start(&stream->timer, stream_on_prefilled,
+		       engine->first_token_ms +
+			       (uint64_t)(engine->busy_until - now) / 1000,
 		       0);
 }
 
@@ -288,15 +290,15 @@
 static void import_on_done(void *ctx, const pd_error_t *err)
 {
 	stream_t *stream = ctx;
-	pd_error_t bad;
+	pd_error_t parse_err;
 	json_t *body = NULL;
 
 	stream->import = NULL;
 	if (!err)
 		body = json_parse(stream->import_body->str,
-				  stream->import_body->len, &bad);
-	stream->held_by_import = (unsigned int)json_integer_or(body, "tokens", 0);
-	if (stream->held_by_import)
+				  stream->import_body->len, &parse_err);
+	stream->imported_tokens = (unsigned int)json_integer_or(body, "tokens", 0);
+	if (stream->imported_tokens)
 		stream->engine->imported++;
 	json_decref(body);
 	stream_prefill(stream);
@@ -371,7 +373,7 @@
 	stream->exchange = exchange;
 	stream->import_body = g_string_new(NULL);
 	stream->request_id = g_strdup(json_string_or(body, "request_id", ""));
-	stream->text =
+	stream->context =
 		g_strconcat(prompt, json_string_or(body, "emitted", ""), NULL);
 	stream->seed = hash_string(prompt);
 	stream->offset = (uint64_t)json_integer_or(body, "offset", 0);
@@ -382,9 +384,10 @@
 }
 
 /* Returns true if a new request must be rejected with 503. */
-static bool engine_refuses(const engine_t *engine)
+static bool engine_is_rejecting(const engine_t *engine)
 {
-	return (engine->leaving && !engine->accepts) || engine->orders.draining ||
+	return (engine->leaving && !engine->accepts_while_leaving) ||
+	       engine->orders.draining ||
 	       (engine->running >= engine->slots &&
 		engine->waiting >= engine->queue_max);
 }
@@ -404,15 +407,15 @@
 			json_pack("{s:s, s:I}", "id",
 				  json_string_or(body, "request_id", ""), "at",
 				  (json_int_t)g_get_monotonic_time()));
-	if (engine_refuses(engine)) {
-		engine->refused++;
+	if (engine_is_rejecting(engine)) {
+		engine->rejected++;
 		standin_reply_text(exchange, 503, NULL, "{}", 2);
 		json_decref(body);
 		return;
 	}
 	priority_parse(json_string_or(body, "priority", "normal"), &priority);
 	stream = stream_create(engine, exchange, body);
-	http_exchange_on_gone(exchange, stream_gone, stream);
+	http_exchange_on_gone(exchange, stream_on_disconnect, stream);
 	http_exchange_begin(exchange, 200, &type, 1);
 	/* Sends the head at once: it tells the caller of the acceptance. */
 	http_exchange_send(exchange, ":\n\n", 3);
@@ -435,14 +438,14 @@
 }
 export_t;
 
-static void export_gone(void *ctx)
+static void export_on_disconnect(void *ctx)
 {
 	export_t *export = ctx;
 
 	export->exchange = NULL;
 }
 
-static void export_done(void *ctx)
+static void export_finish(void *ctx)
 {
 	export_t *export = ctx;
 
@@ -468,10 +471,10 @@
 	export = g_new0(export_t, 1);
 	export->exchange = exchange;
 	export->tokens = GPOINTER_TO_UINT(tokens);
-	http_exchange_on_gone(exchange, export_gone, export);
+	http_exchange_on_gone(exchange, export_on_disconnect, export);
 	standin_start_timer(engine->loop,
 			    (uint64_t)(export->tokens * engine->transfer_us / 1000),
-			    export_done, export);
+			    export_finish, export);
 }
 
 /*
@@ -509,29 +512,28 @@
 {
 	const char *query = http_exchange_query(exchange, "cache_after");
 	uint64_t after = query ? g_ascii_strtoull(query, NULL, 10) : 0;
-	bool tells = engine->leaving && engine->tell != 0;
+	bool reports_notice = engine->leaving && engine->notices_left != 0;
 	/* An engine ordered to drain accepts no new requests either. */
-	bool leaving = tells || engine->orders.draining;
-	int64_t since = (g_get_monotonic_time() - engine->notice_at) / 1000;
-	int64_t leaves_in = MAX(engine->leaves_in_ms - since, 0);
+	bool leaving = reports_notice || engine->orders.draining;
+	int64_t elapsed_ms = (g_get_monotonic_time() - engine->notice_at) / 1000;
+	int64_t time_left_ms = MAX(engine->leaves_in_ms - elapsed_ms, 0);
 	uint64_t last;
 	json_t *events;
 
-	if (tells && engine->tell > 0)
-		engine->tell--;
+	if (reports_notice && engine->notices_left > 0)
+		engine->notices_left--;
 	/* The number stems from before a restart: report from the start. */
 	if (after >= engine->first_event_number + engine->cache_events->len)
 		after = 0;
 	events = cache_events_since(engine, after, &last);
-	standin_reply_json(exchange, 200,
-			   json_pack("{s:i, s:i, s:b, s:I, s:o, s:I, s:b}",
-				     "running", (int)engine->running, "waiting",
-				     (int)engine->waiting, "leaving", leaving,
-				     "leaves_in_ms",
-				     (json_int_t)(tells ? leaves_in : 0),
-				     "cache", events, "cache_last",
-				     (json_int_t)last, "cache_gap",
-				     after + 1 < engine->first_event_number));
+	standin_reply_json(
+		exchange, 200,
+		json_pack("{s:i, s:i, s:b, s:I, s:o, s:I, s:b}", "running",
+			  (int)engine->running, "waiting", (int)engine->waiting,
+			  "leaving", leaving, "leaves_in_ms",
+			  (json_int_t)(reports_notice ? time_left_ms : 0),
+			  "cache", events, "cache_last", (json_int_t)last,
+			  "cache_gap", after + 1 < engine->first_event_number));
 }
 
 /* Sets the reclaim notice and the faults that a test asks for. */
@@ -542,8 +544,9 @@
 	engine->leaving = json_is_true(json_object_get(body, "leaving"));
 	engine->leaves_in_ms = json_integer_or(body, "leaves_in_ms", 0);
 	engine->silent = json_is_true(json_object_get(body, "silent"));
-	engine->accepts = json_is_true(json_object_get(body, "accepts"));
-	engine->tell = json_integer_or(body, "tell", -1);
+	engine->accepts_while_leaving =
+		json_is_true(json_object_get(body, "accepts"));
+	engine->notices_left = json_integer_or(body, "tell", -1);
 	if (engine->leaving && !engine->notice_at)
 		engine->notice_at = g_get_monotonic_time();
 	standin_reply_text(exchange, 200, NULL, "{}", 2);
@@ -576,10 +579,10 @@
 				     engine->arrivals, "notice_at",
 				     (json_int_t)engine->notice_at, "tokens",
 				     (json_int_t)engine->tokens, "refused",
-				     (json_int_t)engine->refused, "recomputed",
+				     (json_int_t)engine->rejected, "recomputed",
 				     (json_int_t)engine->recomputed, "imported",
 				     (json_int_t)engine->imported, "dropped",
-				     (json_int_t)engine->dropped));
+				     (json_int_t)engine->abandoned));
 }
 
 static void on_request(void *ctx, http_exchange_t *exchange)
@@ -610,7 +613,7 @@
 {
 	engine_t engine = { .loop = uv_default_loop(),
 			    .token_ms = 5,
-			    .first_ms = 20,
+			    .first_token_ms = 20,
 			    .prefill_us = 50,
 			    .transfer_us = 5,
 			    .slots = 64,
@@ -621,7 +624,7 @@
 	if (argc > 1)
 		engine.token_ms = strtoull(argv[1], NULL, 10);
 	if (argc > 2)
-		engine.first_ms = strtoull(argv[2], NULL, 10);
+		engine.first_token_ms = strtoull(argv[2], NULL, 10);
 	if (argc > 3)
 		engine.slots = (unsigned int)strtoul(argv[3], NULL, 10);
 	for (int i = 0; i < PRIORITIES; i++)
