--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -34,13 +34,13 @@
 }
 
 /* A pending long poll for a newer version of an object. */
-typedef struct waiter {
+typedef struct watch {
 	list_node_t node;
 	http_exchange_t *exchange; /* NULL once the caller has disconnected */
 	char *key;
 	uint64_t after; /* version that the caller has */
 	uint64_t until_ms; /* deadline, by the loop's clock */
-} waiter_t;
+} watch_t;
 
 /* A token bucket that holds at most a second's tokens. */
 typedef struct bucket {
@@ -53,7 +53,7 @@
 	uv_loop_t *loop;
 	GHashTable *objects; /* key -> object_t */
 	uint64_t version; /* of the last write */
-	list_node_t waiters;
+	list_node_t watches;
 	uv_timer_t sweep;
 	json_t *vms; /* id -> item of the list, current */
 	char *vms_seen; /* the list as last published, in JSON */
@@ -111,49 +111,49 @@
 	g_free(etag);
 }
 
-static void waiter_gone(void *ctx)
+static void watch_on_disconnect(void *ctx)
 {
-	waiter_t *waiter = ctx;
+	watch_t *watch = ctx;
 
-	waiter->exchange = NULL;
+	watch->exchange = NULL;
 }
 
-static void waiter_free(waiter_t *waiter)
+static void watch_free(watch_t *watch)
 {
-	list_remove(&waiter->node);
-	g_free(waiter->key);
-	g_free(waiter);
+	list_remove(&watch->node);
+	g_free(watch->key);
+	g_free(watch);
 }
 
 /* Answers the watches of an object that are behind its version. */
-static void waiters_wake(platform_t *platform, const object_t *object)
+static void watches_notify(platform_t *platform, const object_t *object)
 {
-	LIST_FOR_EACH_SAFE (it, &platform->waiters) {
-		waiter_t *waiter = LIST_ENTRY(it, waiter_t, node);
+	LIST_FOR_EACH_SAFE (it, &platform->watches) {
+		watch_t *watch = LIST_ENTRY(it, watch_t, node);
 
-		if (strcmp(waiter->key, object->key) ||
-		    object->version <= waiter->after)
+		if (strcmp(watch->key, object->key) ||
+		    object->version <= watch->after)
 			continue;
-		if (waiter->exchange)
-			reply_object(waiter->exchange, object);
-		waiter_free(waiter);
+		if (watch->exchange)
+			reply_object(watch->exchange, object);
+		watch_free(watch);
 	}
 }
 
 /* Ends watches that have timed out, with 304, or whose caller disconnected. */
-static void on_sweep(uv_timer_t *timer)
+static void on_watch_sweep(uv_timer_t *timer)
 {
 	platform_t *platform = timer->data;
 	uint64_t now = uv_now(platform->loop);
 
-	LIST_FOR_EACH_SAFE (it, &platform->waiters) {
-		waiter_t *waiter = LIST_ENTRY(it, waiter_t, node);
+	LIST_FOR_EACH_SAFE (it, &platform->watches) {
+		watch_t *watch = LIST_ENTRY(it, watch_t, node);
 
-		if (waiter->exchange && now < waiter->until_ms)
+		if (watch->exchange && now < watch->until_ms)
 			continue;
-		if (waiter->exchange)
-			reply_status(waiter->exchange, 304);
-		waiter_free(waiter);
+		if (watch->exchange)
+			reply_status(watch->exchange, 304);
+		watch_free(watch);
 	}
 }
 
@@ -164,7 +164,7 @@
 	const char *after = http_exchange_query(exchange, "after");
 	const char *wait = http_exchange_query(exchange, "wait_ms");
 	const object_t *object = g_hash_table_lookup(platform->objects, key);
-	waiter_t *waiter;
+	watch_t *watch;
 
 	if (object &&
 	    (!after || object->version > g_ascii_strtoull(after, NULL, 10))) {
@@ -175,14 +175,13 @@
 		reply_status(exchange, object ? 304 : 404);
 		return;
 	}
-	waiter = g_new0(waiter_t, 1);
-	waiter->exchange = exchange;
-	waiter->key = g_strdup(key);
-	waiter->after = g_ascii_strtoull(after, NULL, 10);
-	waiter->until_ms =
-		uv_now(platform->loop) + g_ascii_strtoull(wait, NULL, 10);
-	http_exchange_on_gone(exchange, waiter_gone, waiter);
-	list_append(&platform->waiters, &waiter->node);
+	watch = g_new0(watch_t, 1);
+	watch->exchange = exchange;
+	watch->key = g_strdup(key);
+	watch->after = g_ascii_strtoull(after, NULL, 10);
+	watch->until_ms = uv_now(platform->loop) + g_ascii_strtoull(wait, NULL, 10);
+	http_exchange_on_gone(exchange, watch_on_disconnect, watch);
+	list_append(&platform->watches, &watch->node);
 }
 
 /* Lists the objects whose key has the prefix of the query, in no order. */
@@ -281,7 +280,7 @@
 	object->version = ++platform->version;
 	write->version = object->version;
 	platform->counts[COUNT_WRITES]++;
-	waiters_wake(platform, object);
+	watches_notify(platform, object);
 	return true;
 }
 
@@ -720,11 +719,11 @@
 	platform.vms = json_object();
 	platform.orders = json_object();
 	platform.prices = json_pack("{s:[]}", "offers");
-	list_init(&platform.waiters);
+	list_init(&platform.watches);
 	vms_publish(&platform);
 	uv_timer_init(platform.loop, &platform.sweep);
 	platform.sweep.data = &platform;
-	uv_timer_start(&platform.sweep, on_sweep, 100, 100);
+	uv_timer_start(&platform.sweep, on_watch_sweep, 100, 100);
 	standin_serve(platform.loop, on_request, &platform);
 	standin_run(platform.loop);
 	return 0;
