--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -403,17 +403,17 @@
 static void vms_publish(void *ctx)
 {
 	platform_t *platform = ctx;
-	json_t *rows = json_array();
+	json_t *items = json_array();
 	json_t *list;
 	const char *id;
-	json_t *row;
+	json_t *item;
 
-	json_object_foreach(platform->vms, id, row)
+	json_object_foreach(platform->vms, id, item)
 	{
-		if (strcmp(json_string_or(row, "state", ""), "spare") != 0)
-			json_array_append(rows, row);
+		if (strcmp(json_string_or(item, "state", ""), "spare") != 0)
+			json_array_append(items, item);
 	}
-	list = json_pack("{s:o}", "vms", rows);
+	list = json_pack("{s:o}", "vms", items);
 	g_free(platform->vms_seen);
 	platform->vms_seen = json_dumps(list, JSON_COMPACT | JSON_SORT_KEYS);
 	platform->vms_version++;
@@ -458,26 +458,26 @@
 static json_t *find_spare(platform_t *platform, const char *zone, const char *serves)
 {
 	const char *id;
-	json_t *row;
+	json_t *item;
 
-	json_object_foreach(platform->vms, id, row)
+	json_object_foreach(platform->vms, id, item)
 	{
-		if (!strcmp(json_string_or(row, "state", ""), "spare") &&
-		    !strcmp(json_string_or(row, "zone", ""), zone) &&
-		    !strcmp(json_string_or(row, "serves", ""), serves))
-			return row;
+		if (!strcmp(json_string_or(item, "state", ""), "spare") &&
+		    !strcmp(json_string_or(item, "zone", ""), zone) &&
+		    !strcmp(json_string_or(item, "serves", ""), serves))
+			return item;
 	}
 	return NULL;
 }
 
 /* Makes a spare VM live under the order's tag. */
-static void start_vm(platform_t *platform, json_t *row, json_t *order)
+static void start_vm(platform_t *platform, json_t *item, json_t *order)
 {
 	const char *tag = json_string_or(order, "tag", "");
 
-	json_object_set_new(row, "state", json_string("live"));
-	json_object_set_new(row, "tag", json_string(tag));
-	json_object_set(row, "reclaimable", json_object_get(order, "reclaimable"));
+	json_object_set_new(item, "state", json_string("live"));
+	json_object_set_new(item, "tag", json_string(tag));
+	json_object_set(item, "reclaimable", json_object_get(order, "reclaimable"));
 	g_hash_table_add(platform->bought, g_strdup(tag));
 	vms_changed(platform);
 }
@@ -524,15 +524,15 @@
 		       const char *id)
 {
 	const char *fence = http_exchange_query(exchange, "fence");
-	json_t *row = json_object_get(platform->vms, id);
+	json_t *item = json_object_get(platform->vms, id);
 
 	note_fence(platform, fence ? g_ascii_strtoull(fence, NULL, 10) : 0);
-	if (!row) {
+	if (!item) {
 		reply_status(exchange, 404);
 		return;
 	}
-	json_object_set_new(row, "state", json_string("spare"));
-	json_object_del(row, "tag");
+	json_object_set_new(item, "state", json_string("spare"));
+	json_object_del(item, "tag");
 	vms_changed(platform);
 	reply_status(exchange, 200);
 }
@@ -556,10 +556,10 @@
 /* Adds a VM; the body is its item in the VM list. */
 static void standin_add_vm(platform_t *platform, http_exchange_t *exchange)
 {
-	json_t *row = standin_parse_body(exchange);
+	json_t *item = standin_parse_body(exchange);
 
-	json_object_set(platform->vms, json_string_or(row, "id", "?"), row);
-	json_decref(row);
+	json_object_set(platform->vms, json_string_or(item, "id", "?"), item);
+	json_decref(item);
 	vms_changed(platform);
 	reply_status(exchange, 200);
 }
@@ -568,17 +568,17 @@
 static void standin_notice(platform_t *platform, http_exchange_t *exchange)
 {
 	json_t *body = standin_parse_body(exchange);
-	json_t *row =
+	json_t *item =
 		json_object_get(platform->vms, json_string_or(body, "id", ""));
 
-	if (row) {
-		json_object_set_new(row, "state", json_string("leaving"));
-		json_object_set_new(row, "leaves_in_ms",
+	if (item) {
+		json_object_set_new(item, "state", json_string("leaving"));
+		json_object_set_new(item, "leaves_in_ms",
 				    json_integer(json_integer_or(body, "leaves_in_ms",
 								 30000)));
 		vms_changed(platform);
 	}
-	reply_status(exchange, row ? 200 : 404);
+	reply_status(exchange, item ? 200 : 404);
 	json_decref(body);
 }
 
