--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -76,7 +76,7 @@
 	bool forgets_tags; /* a repeated tag starts another VM */
 	int64_t lose_purchases; /* number of purchases to carry out without a reply */
 	json_t *orders; /* tag -> number of purchase requests */
-	uint64_t fence; /* highest fencing token seen */
+	uint64_t fencing_token; /* highest fencing token seen */
 	int64_t stale_orders; /* orders whose fencing token was stale */
 	json_t *prices;
 } platform_t;
@@ -447,11 +447,11 @@
 }
 
 /* Counts orders with a stale fencing token. They are carried out all the same. */
-static void note_fence(platform_t *platform, uint64_t fence)
+static void record_fencing_token(platform_t *platform, uint64_t fencing_token)
 {
-	if (fence < platform->fence)
+	if (fencing_token < platform->fencing_token)
 		platform->stale_orders++;
-	platform->fence = MAX(platform->fence, fence);
+	platform->fencing_token = MAX(platform->fencing_token, fencing_token);
 }
 
 /* Returns a spare VM of that zone and service, borrowed, or NULL. */
@@ -492,7 +492,8 @@
 	json_t *spare = find_spare(platform, json_string_or(order, "zone", ""),
 				   json_string_or(order, "serves", ""));
 
-	note_fence(platform, (uint64_t)json_integer_or(order, "fence", 0));
+	record_fencing_token(platform,
+			     (uint64_t)json_integer_or(order, "fence", 0));
 	json_object_set_new(platform->orders, tag,
 			    json_integer(json_integer_or(platform->orders, tag, 0) +
 					 1));
@@ -523,10 +524,13 @@
 static void vms_delete(platform_t *platform, http_exchange_t *exchange,
 		       const char *id)
 {
-	const char *fence = http_exchange_query(exchange, "fence");
+	const char *fencing_token = http_exchange_query(exchange, "fence");
 	json_t *item = json_object_get(platform->vms, id);
 
-	note_fence(platform, fence ? g_ascii_strtoull(fence, NULL, 10) : 0);
+	record_fencing_token(platform,
+			     fencing_token
+				     ? g_ascii_strtoull(fencing_token, NULL, 10)
+				     : 0);
 	if (!item) {
 		reply_status(exchange, 404);
 		return;
