--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -11,11 +11,11 @@
 #include "core/list.h"
 #include "tests/standins/standin.h"
 
-#define WRITES_PER_SECOND 300.0
-#define READS_PER_SECOND 2000.0
-#define WEIGHTS_PER_SECOND 4.0
-#define OBJECT_MAX (1024 * 1024)
-#define USEC 1e6
+#define WRITES_PER_S 300.0
+#define READS_PER_S 2000.0
+#define WEIGHTS_PER_S 4.0
+#define OBJECT_BYTES_MAX (1024 * 1024)
+#define USEC_PER_S 1e6
 
 typedef struct object {
 	char *key;
@@ -46,7 +46,7 @@
 typedef struct bucket {
 	double tokens;
 	double rate; /* tokens per second */
-	gint64 filled_at; /* last refill; monotonic microseconds */
+	gint64 refilled_at; /* last refill; monotonic microseconds */
 } bucket_t;
 
 typedef struct platform {
@@ -54,28 +54,28 @@
 	GHashTable *objects; /* key -> object_t */
 	uint64_t version; /* of the last write */
 	list_node_t watches;
-	uv_timer_t sweep;
+	uv_timer_t sweep_timer;
 	json_t *vms; /* id -> item of the list, current */
-	char *vms_seen; /* the list as last published, in JSON */
+	char *vms_published; /* the list as last published, in JSON */
 	uint64_t vms_version;
 	int64_t lag_ms; /* from a change to its publication */
 	bool store_down; /* object calls fail with 503 */
-	bool starts_refused; /* purchases fail with 503 */
-	int64_t lose_answers; /* number of writes to apply without a reply */
+	bool purchases_rejected; /* purchases fail with 503 */
+	int64_t replies_to_lose; /* number of writes to apply without a reply */
 	int64_t delay_ms; /* added to every object call */
 	/* The following faults apply only to writes of claims. */
-	int64_t late_answers_ms; /* applied at once, reply delayed */
-	int64_t late_writes_ms; /* connection aborted at once, applied later */
-	int64_t conflicts; /* number of writes to reject with 412 */
-	int64_t too_many; /* number of writes to reject with 429 */
+	int64_t reply_delay_ms; /* applied at once, reply delayed */
+	int64_t write_delay_ms; /* connection aborted at once, applied later */
+	int64_t conflicts_left; /* number of writes to reject with 412 */
+	int64_t rate_limits_left; /* number of writes to reject with 429 */
 	bucket_t writes;
 	bucket_t reads;
 	bucket_t weights;
 	int64_t counts[3]; /* by COUNT_* */
-	GHashTable *bought; /* tags for which a VM was started */
+	GHashTable *purchased_tags; /* tags for which a VM was started */
 	bool forgets_tags; /* a repeated tag starts another VM */
-	int64_t lose_purchases; /* number of purchases to carry out without a reply */
-	json_t *orders; /* tag -> number of purchase requests */
+	int64_t purchase_replies_to_lose; /* number of purchases to carry out without a reply */
+	json_t *order_counts; /* tag -> number of purchase requests */
 	uint64_t fencing_token; /* highest fencing token seen */
 	int64_t stale_orders; /* orders whose fencing token was stale */
 	json_t *prices;
@@ -88,9 +88,10 @@
 {
 	gint64 now = g_get_monotonic_time();
 
-	bucket->tokens += bucket->rate * (double)(now - bucket->filled_at) / USEC;
+	bucket->tokens +=
+		bucket->rate * (double)(now - bucket->refilled_at) / USEC_PER_S;
 	bucket->tokens = MIN(bucket->tokens, bucket->rate);
-	bucket->filled_at = now;
+	bucket->refilled_at = now;
 	if (bucket->tokens < 1)
 		return false;
 	bucket->tokens -= 1;
@@ -214,7 +215,7 @@
 	char *body;
 	size_t len;
 	char *match; /* required current version, or NULL */
-	bool none; /* the object must not exist */
+	bool must_not_exist; /* the object must not exist */
 	uint64_t version; /* created by the write */
 } write_t;
 
@@ -229,7 +230,8 @@
 	write->key = g_strdup(key);
 	write->body = g_strndup(data, write->len);
 	write->match = g_strdup(http_exchange_header(exchange, "if-match"));
-	write->none = http_exchange_header(exchange, "if-none-match") != NULL;
+	write->must_not_exist =
+		http_exchange_header(exchange, "if-none-match") != NULL;
 	return write;
 }
 
@@ -241,7 +243,7 @@
 	g_free(write);
 }
 
-static void write_gone(void *ctx)
+static void write_on_disconnect(void *ctx)
 {
 	write_t *write = ctx;
 
@@ -249,9 +251,9 @@
 }
 
 /* Returns true if the write's precondition holds for OBJECT, which may be NULL. */
-static bool write_allowed(const write_t *write, const object_t *object)
+static bool write_precondition_holds(const write_t *write, const object_t *object)
 {
-	if (write->none)
+	if (write->must_not_exist)
 		return object == NULL;
 	if (!write->match)
 		return true;
@@ -265,7 +267,7 @@
 	platform_t *platform = write->platform;
 	object_t *object = g_hash_table_lookup(platform->objects, write->key);
 
-	if (!write_allowed(write, object)) {
+	if (!write_precondition_holds(write, object)) {
 		platform->counts[COUNT_CONFLICTS]++;
 		return false;
 	}
@@ -285,7 +287,7 @@
 }
 
 /* Replies to a write that was applied, and frees it. */
-static void write_answer(void *ctx)
+static void write_reply(void *ctx)
 {
 	write_t *write = ctx;
 	char *etag = g_strdup_printf("\"%" G_GUINT64_FORMAT "\"", write->version);
@@ -299,7 +301,7 @@
 }
 
 /* Applies a write whose caller was cut off, and frees it. */
-static void write_land(void *ctx)
+static void write_apply_late(void *ctx)
 {
 	write_t *write = ctx;
 
@@ -308,16 +310,16 @@
 }
 
 /* Rejects a write of claims if a fault is set; returns true if it did. */
-static bool write_refused(platform_t *platform, http_exchange_t *exchange)
+static bool write_is_rejected(platform_t *platform, http_exchange_t *exchange)
 {
 	int status = 0;
 
-	if (platform->conflicts > 0) {
-		platform->conflicts--;
+	if (platform->conflicts_left > 0) {
+		platform->conflicts_left--;
 		platform->counts[COUNT_CONFLICTS]++;
 		status = 412;
-	} else if (platform->too_many > 0) {
-		platform->too_many--;
+	} else if (platform->rate_limits_left > 0) {
+		platform->rate_limits_left--;
 		status = 429;
 	}
 	if (status)
@@ -332,31 +334,31 @@
 	bool claims = g_str_has_prefix(key, "claims/");
 	write_t *write;
 
-	if (claims && write_refused(platform, exchange))
+	if (claims && write_is_rejected(platform, exchange))
 		return;
 	write = write_create(platform, exchange, key);
-	if (write->len > OBJECT_MAX) {
+	if (write->len > OBJECT_BYTES_MAX) {
 		reply_status(exchange, 413);
 		write_free(write);
-	} else if (claims && platform->late_writes_ms) {
+	} else if (claims && platform->write_delay_ms) {
 		http_exchange_cut(exchange);
 		standin_start_timer(platform->loop,
-				    (uint64_t)platform->late_writes_ms,
-				    write_land, write);
+				    (uint64_t)platform->write_delay_ms,
+				    write_apply_late, write);
 	} else if (!write_apply(write)) {
 		reply_status(exchange, 412);
 		write_free(write);
-	} else if (platform->lose_answers > 0) {
-		platform->lose_answers--;
+	} else if (platform->replies_to_lose > 0) {
+		platform->replies_to_lose--;
 		http_exchange_cut(exchange);
 		write_free(write);
-	} else if (claims && platform->late_answers_ms) {
-		http_exchange_on_gone(exchange, write_gone, write);
+	} else if (claims && platform->reply_delay_ms) {
+		http_exchange_on_gone(exchange, write_on_disconnect, write);
 		standin_start_timer(platform->loop,
-				    (uint64_t)platform->late_answers_ms,
-				    write_answer, write);
+				    (uint64_t)platform->reply_delay_ms,
+				    write_reply, write);
 	} else {
-		write_answer(write);
+		write_reply(write);
 	}
 }
 
@@ -414,14 +416,14 @@
 			json_array_append(items, item);
 	}
 	list = json_pack("{s:o}", "vms", items);
-	g_free(platform->vms_seen);
-	platform->vms_seen = json_dumps(list, JSON_COMPACT | JSON_SORT_KEYS);
+	g_free(platform->vms_published);
+	platform->vms_published = json_dumps(list, JSON_COMPACT | JSON_SORT_KEYS);
 	platform->vms_version++;
 	json_decref(list);
 }
 
 /* Publishes the VM list after the configured lag. */
-static void vms_changed(platform_t *platform)
+static void vms_schedule_publish(platform_t *platform)
 {
 	if (platform->lag_ms == 0)
 		vms_publish(platform);
@@ -441,8 +443,8 @@
 		return;
 	}
 	etag = g_strdup_printf("\"%" G_GUINT64_FORMAT "\"", platform->vms_version);
-	standin_reply_text(exchange, 200, etag, platform->vms_seen,
-			   strlen(platform->vms_seen));
+	standin_reply_text(exchange, 200, etag, platform->vms_published,
+			   strlen(platform->vms_published));
 	g_free(etag);
 }
 
@@ -478,15 +480,15 @@
 	json_object_set_new(item, "state", json_string("live"));
 	json_object_set_new(item, "tag", json_string(tag));
 	json_object_set(item, "reclaimable", json_object_get(order, "reclaimable"));
-	g_hash_table_add(platform->bought, g_strdup(tag));
-	vms_changed(platform);
+	g_hash_table_add(platform->purchased_tags, g_strdup(tag));
+	vms_schedule_publish(platform);
 }
 
 /*
  * Makes a spare VM of the order's zone and service live. Returns the HTTP status:
  * 201 if a VM was started, 200 if the tag has one already, 503 if none is spare.
  */
-static int carry_out_purchase(platform_t *platform, json_t *order)
+static int purchase_vm(platform_t *platform, json_t *order)
 {
 	const char *tag = json_string_or(order, "tag", "");
 	json_t *spare = find_spare(platform, json_string_or(order, "zone", ""),
@@ -494,25 +496,27 @@
 
 	record_fencing_token(platform,
 			     (uint64_t)json_integer_or(order, "fence", 0));
-	json_object_set_new(platform->orders, tag,
-			    json_integer(json_integer_or(platform->orders, tag, 0) +
+	json_object_set_new(platform->order_counts, tag,
+			    json_integer(json_integer_or(platform->order_counts,
+							 tag, 0) +
 					 1));
-	if (!platform->forgets_tags && g_hash_table_contains(platform->bought, tag))
+	if (!platform->forgets_tags &&
+	    g_hash_table_contains(platform->purchased_tags, tag))
 		return 200;
-	if (!spare || platform->starts_refused)
+	if (!spare || platform->purchases_rejected)
 		return 503;
 	start_vm(platform, spare, order);
 	return 201;
 }
 
 /* Carries out a purchase; aborts the connection if its reply is to be lost. */
-static void vms_buy(platform_t *platform, http_exchange_t *exchange)
+static void vms_post(platform_t *platform, http_exchange_t *exchange)
 {
 	json_t *order = standin_parse_body(exchange);
-	int status = carry_out_purchase(platform, order);
+	int status = purchase_vm(platform, order);
 
-	if (status == 201 && platform->lose_purchases > 0) {
-		platform->lose_purchases--;
+	if (status == 201 && platform->purchase_replies_to_lose > 0) {
+		platform->purchase_replies_to_lose--;
 		http_exchange_cut(exchange);
 	} else {
 		reply_status(exchange, status);
@@ -537,7 +541,7 @@
 	}
 	json_object_set_new(item, "state", json_string("spare"));
 	json_object_del(item, "tag");
-	vms_changed(platform);
+	vms_schedule_publish(platform);
 	reply_status(exchange, 200);
 }
 
@@ -551,7 +555,7 @@
 		platform->counts[COUNT_READS]++;
 		vms_get(platform, exchange);
 	} else if (!strcmp(method, "POST")) {
-		vms_buy(platform, exchange);
+		vms_post(platform, exchange);
 	} else {
 		vms_delete(platform, exchange, path + strlen(prefix));
 	}
@@ -564,7 +568,7 @@
 
 	json_object_set(platform->vms, json_string_or(item, "id", "?"), item);
 	json_decref(item);
-	vms_changed(platform);
+	vms_schedule_publish(platform);
 	reply_status(exchange, 200);
 }
 
@@ -580,7 +584,7 @@
 		json_object_set_new(item, "leaves_in_ms",
 				    json_integer(json_integer_or(body, "leaves_in_ms",
 								 30000)));
-		vms_changed(platform);
+		vms_schedule_publish(platform);
 	}
 	reply_status(exchange, item ? 200 : 404);
 	json_decref(body);
@@ -593,17 +597,18 @@
 
 	platform->store_down =
 		json_is_true(json_object_get(body, "store_down"));
-	platform->starts_refused =
+	platform->purchases_rejected =
 		json_is_true(json_object_get(body, "starts_refused"));
-	platform->lose_answers = json_integer_or(body, "lose_answers", 0);
-	platform->lose_purchases = json_integer_or(body, "lose_purchases", 0);
+	platform->replies_to_lose = json_integer_or(body, "lose_answers", 0);
+	platform->purchase_replies_to_lose =
+		json_integer_or(body, "lose_purchases", 0);
 	platform->forgets_tags =
 		json_is_true(json_object_get(body, "forgets_tags"));
 	platform->delay_ms = json_integer_or(body, "delay_ms", 0);
-	platform->late_answers_ms = json_integer_or(body, "late_answers_ms", 0);
-	platform->late_writes_ms = json_integer_or(body, "late_writes_ms", 0);
-	platform->conflicts = json_integer_or(body, "conflicts", 0);
-	platform->too_many = json_integer_or(body, "too_many", 0);
+	platform->reply_delay_ms = json_integer_or(body, "late_answers_ms", 0);
+	platform->write_delay_ms = json_integer_or(body, "late_writes_ms", 0);
+	platform->conflicts_left = json_integer_or(body, "conflicts", 0);
+	platform->rate_limits_left = json_integer_or(body, "too_many", 0);
 	platform->lag_ms = json_integer_or(body, "lag_ms", platform->lag_ms);
 	reply_status(exchange, 200);
 	json_decref(body);
@@ -623,8 +628,8 @@
 static void standin_orders(platform_t *platform, http_exchange_t *exchange)
 {
 	standin_reply_json(exchange, 200,
-			   json_pack("{s:O, s:I}", "orders", platform->orders,
-				     "stale_orders",
+			   json_pack("{s:O, s:I}", "orders",
+				     platform->order_counts, "stale_orders",
 				     (json_int_t)platform->stale_orders));
 }
 
@@ -655,27 +660,27 @@
 }
 
 /* An object call that is held back for the configured delay. */
-typedef struct delayed {
+typedef struct delayed_request {
 	platform_t *platform;
 	http_exchange_t *exchange; /* NULL once the caller has disconnected */
-} delayed_t;
+} delayed_request_t;
 
-static void delayed_gone(void *ctx)
+static void delayed_on_disconnect(void *ctx)
 {
-	delayed_t *delayed = ctx;
+	delayed_request_t *delayed_request = ctx;
 
-	delayed->exchange = NULL;
+	delayed_request->exchange = NULL;
 }
 
 static void delayed_run(void *ctx)
 {
-	delayed_t *delayed = ctx;
+	delayed_request_t *delayed_request = ctx;
 
-	if (delayed->exchange) {
-		http_exchange_on_gone(delayed->exchange, NULL, NULL);
-		on_objects(delayed->platform, delayed->exchange);
+	if (delayed_request->exchange) {
+		http_exchange_on_gone(delayed_request->exchange, NULL, NULL);
+		on_objects(delayed_request->platform, delayed_request->exchange);
 	}
-	g_free(delayed);
+	g_free(delayed_request);
 }
 
 static void on_request(void *ctx, http_exchange_t *exchange)
@@ -684,13 +689,14 @@
 	const char *path = http_exchange_path(exchange);
 
 	if (g_str_has_prefix(path, "/objects") && platform->delay_ms) {
-		delayed_t *delayed = g_new0(delayed_t, 1);
+		delayed_request_t *delayed_request = g_new0(delayed_request_t, 1);
 
-		delayed->platform = platform;
-		delayed->exchange = exchange;
-		http_exchange_on_gone(exchange, delayed_gone, delayed);
+		delayed_request->platform = platform;
+		delayed_request->exchange = exchange;
+		http_exchange_on_gone(exchange, delayed_on_disconnect,
+				      delayed_request);
 		standin_start_timer(platform->loop, (uint64_t)platform->delay_ms,
-				    delayed_run, delayed);
+				    delayed_run, delayed_request);
 	} else if (g_str_has_prefix(path, "/objects")) {
 		on_objects(platform, exchange);
 	} else if (g_str_has_prefix(path, "/vms")) {
@@ -711,23 +717,23 @@
 	platform_t platform = {
 		.loop = uv_default_loop(),
 		.lag_ms = 200,
-		.writes = { WRITES_PER_SECOND, WRITES_PER_SECOND, 0 },
-		.reads = { READS_PER_SECOND, READS_PER_SECOND, 0 },
-		.weights = { WEIGHTS_PER_SECOND, WEIGHTS_PER_SECOND, 0 },
+		.writes = { WRITES_PER_S, WRITES_PER_S, 0 },
+		.reads = { READS_PER_S, READS_PER_S, 0 },
+		.weights = { WEIGHTS_PER_S, WEIGHTS_PER_S, 0 },
 	};
 
 	platform.objects = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						 object_free);
-	platform.bought =
+	platform.purchased_tags =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	platform.vms = json_object();
-	platform.orders = json_object();
+	platform.order_counts = json_object();
 	platform.prices = json_pack("{s:[]}", "offers");
 	list_init(&platform.watches);
 	vms_publish(&platform);
-	uv_timer_init(platform.loop, &platform.sweep);
-	platform.sweep.data = &platform;
-	uv_timer_start(&platform.sweep, on_watch_sweep, 100, 100);
+	uv_timer_init(platform.loop, &platform.sweep_timer);
+	platform.sweep_timer.data = &platform;
+	uv_timer_start(&platform.sweep_timer, on_watch_sweep, 100, 100);
 	standin_serve(platform.loop, on_request, &platform);
 	standin_run(platform.loop);
 	return 0;
