--- a/tests/harness/gossip.h
+++ b/tests/harness/gossip.h
@@ -1,7 +1,7 @@
 /*
- * Many membership machines joined by a network that loses messages, on a clock
- * that the test moves. Header only, as C tests, C++ properties and benches link
- * different parts of the harness.
+ * Simulates many members of the membership protocol on a lossy network, with a
+ * simulated clock. Header only, since C tests, C++ property tests and benchmarks
+ * link different parts of the harness.
  */
 #ifndef PISTACHIO_TEST_GOSSIP_H
 #define PISTACHIO_TEST_GOSSIP_H
@@ -13,8 +13,9 @@
 #include "core/members.h"
 #include "ports/event.h"
 
-#define GOSSIP_STEP (20 * PD_MSEC) /* also the way of a message */
-#define GOSSIP_FRAME 8 /* bytes: a frame's length, and the empty answer */
+#define GOSSIP_STEP (20 * PD_MSEC) /* also a message's transit time */
+#define GOSSIP_FRAME \
+	8 /* bytes: the length field, and the empty acknowledgement */
 #define GOSSIP_WAVE_MAX 128 /* VMs that leave at once */
 #define GOSSIP_START (1000 * PD_SEC)
 
@@ -22,26 +23,26 @@
 	members_t *members;
 	member_info_t info;
 	bool dead;
-	pd_time_t frozen_until;
+	pd_time_t frozen_until; /* it neither reads nor sends before */
 	uint64_t generation;
 	pd_time_t generation_at;
-	bool has_leaving; /* it knows of the leaving VM */
-	bool wave[GOSSIP_WAVE_MAX]; /* VMs of a wave that it knows of */
+	bool has_leaving; /* knows of the leaving VM */
+	bool wave[GOSSIP_WAVE_MAX]; /* VMs of a reclaim wave that it knows of */
 	unsigned int wave_known;
-	pd_time_t wave_at; /* when it heard of the last one */
+	pd_time_t wave_at; /* when it learned of the last one */
 	pd_time_t leaving_at;
 	GPtrArray *inbox; /* of peer_msg_t, owned */
 	uint64_t messages; /* sent */
 	uint64_t bytes; /* sent, without TCP and IP */
-	uint64_t bytes_most; /* of one message */
+	uint64_t bytes_most; /* size of the largest message */
 } gossip_node_t;
 
 typedef struct gossip {
 	gossip_node_t *nodes;
 	unsigned int size;
 	GRand *rand;
-	double loss;
-	unsigned int side; /* nodes below it are cut off from the others */
+	double loss; /* probability that a message is lost, 0 to 1 */
+	unsigned int side; /* nodes with a lower index are partitioned from the rest */
 	pd_time_t now;
 } gossip_t;
 
@@ -50,6 +51,7 @@
 	peer_msg_destroy((peer_msg_t *)msg);
 }
 
+/* Starts or restarts a node; its seeds are all nodes. */
 static inline void gossip_join(gossip_t *gossip, unsigned int index,
 			       uint64_t incarnation)
 {
@@ -62,7 +64,10 @@
 		members_seed(node->members, &gossip->nodes[i].info, 1, gossip->now);
 }
 
-/* Returns SIZE members that know each other. LOSS is a share of 1. */
+/*
+ * Returns a simulation of SIZE nodes that know each other. LOSS is the probability
+ * that a message is lost, from 0 to 1. The caller destroys it.
+ */
 static inline gossip_t *gossip_create(unsigned int size, uint32_t seed, double loss)
 {
 	gossip_t *gossip = g_new0(gossip_t, 1);
@@ -101,6 +106,7 @@
 	g_free(gossip);
 }
 
+/* Adds a message to a node's counters. */
 static inline void gossip_count(gossip_node_t *node, const peer_msg_t *msg)
 {
 	GBytes *bytes = peer_msg_encode(msg);
@@ -112,6 +118,7 @@
 	g_bytes_unref(bytes);
 }
 
+/* Delivers the messages in ACTIONS, except lost ones, and frees the actions. */
 static inline void gossip_post(gossip_t *gossip, unsigned int from,
 			       list_node_t *actions)
 {
@@ -132,7 +139,10 @@
 	}
 }
 
-/* Tells a node of a generation or of the leaving VM, once. */
+/*
+ * Lets a node announce a bundle's generation, if it is higher than the node's own,
+ * and the leaving VM, if LEAVING is set and the node does not know of it yet.
+ */
 static inline void gossip_tell(gossip_t *gossip, unsigned int index,
 			       uint64_t generation, bool leaving)
 {
@@ -151,7 +161,7 @@
 	}
 }
 
-/* Tells a node that VM number VM leaves with many others, once. */
+/* Lets a node announce the VM-th VM of a reclaim wave, unless it knows of it. */
 static inline void gossip_tell_wave(gossip_t *gossip, unsigned int index,
 				    unsigned int vm)
 {
@@ -167,6 +177,7 @@
 	members_announce_leaving(node->members, id, gossip->now + 30 * PD_SEC);
 }
 
+/* Lets a node pass on the reclaim notices of a message. */
 static inline void gossip_hear_leaving(gossip_t *gossip, unsigned int index,
 				       const peer_msg_t *msg)
 {
@@ -182,6 +193,7 @@
 	}
 }
 
+/* Lets a node read its inbox and run its timers. */
 static inline void gossip_step_node(gossip_t *gossip, unsigned int index,
 				    list_node_t *actions)
 {
@@ -201,7 +213,7 @@
 	members_run(node->members, gossip->now, actions);
 }
 
-/* Lets that much time pass. What is sent in one step is read in the next. */
+/* Advances the clock by DURATION. Messages sent in one step are read in the next. */
 static inline void gossip_run(gossip_t *gossip, pd_time_t duration)
 {
 	pd_time_t end = gossip->now + duration;
@@ -220,13 +232,14 @@
 	}
 }
 
+/* Stops a node; messages to it are lost. */
 static inline void gossip_kill(gossip_t *gossip, unsigned int index)
 {
 	gossip->nodes[index].dead = true;
 	g_ptr_array_set_size(gossip->nodes[index].inbox, 0);
 }
 
-/* Returns how VIEWER sees a node; MEMBER_DEAD if it has forgotten it. */
+/* Returns the state of node INDEX as VIEWER sees it; MEMBER_DEAD if it is unknown. */
 static inline member_state_t gossip_view(const gossip_t *gossip,
 					 unsigned int viewer, unsigned int index)
 {
@@ -236,7 +249,7 @@
 	return info ? info->state : MEMBER_DEAD;
 }
 
-/* Returns how many live nodes see INDEX in a state of at least STATE. */
+/* Returns the number of running nodes that see INDEX in STATE or a later state. */
 static inline unsigned int gossip_viewers(const gossip_t *gossip,
 					  unsigned int index, member_state_t state)
 {
