--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -108,7 +108,7 @@
 	pd_time_t since = gossip->now;
 	uint64_t bytes = sum_bytes(gossip);
 
-	gossip_tell(gossip, 0, 1, true);
+	gossip_announce(gossip, 0, 1, true);
 	gossip_run(gossip, PD_SEC);
 	result->wave_bytes = (double)(sum_bytes(gossip) - bytes) / gossip->size;
 	gossip_run(gossip, LIMIT - PD_SEC);
@@ -137,7 +137,7 @@
 	uint64_t first = sum_bytes(gossip);
 
 	for (unsigned int vm = 0; vm < WAVE_VMS; vm++)
-		gossip_tell_wave(gossip, 0, vm);
+		gossip_announce_wave(gossip, 0, vm);
 	for (int second = 0; second < WAVE_SECONDS; second++) {
 		uint64_t bytes = sum_bytes(gossip);
 		double sent;
@@ -151,13 +151,13 @@
 	gossip_run(gossip, LIMIT);
 	for (unsigned int i = 0; i < gossip->size; i++) {
 		const gossip_node_t *node = &gossip->nodes[i];
-		bool all = node->wave_known == WAVE_VMS;
+		bool all = node->wave_known_count == WAVE_VMS;
 
 		if (!node->dead)
-			result->wave_s =
-				MAX(result->wave_s,
-				    (double)(all ? node->wave_at - since : LIMIT) /
-					    PD_SEC);
+			result->wave_s = MAX(result->wave_s,
+					     (double)(all ? node->wave_known_at - since
+							  : LIMIT) /
+						     PD_SEC);
 	}
 }
 
@@ -174,7 +174,8 @@
 	measure_news(gossip, &result);
 	measure_wave(gossip, &result);
 	for (unsigned int i = 0; i < size; i++)
-		result.largest = MAX(result.largest, gossip->nodes[i].bytes_most);
+		result.largest =
+			MAX(result.largest, gossip->nodes[i].message_bytes_max);
 	printf("%u,%.2f,%s,%.1f,%.1f,%u,%u,%.2f,%.2f,%.2f,%.0f,%.0f,%.1f,%.0f,%"
 	       ".0f,%u\n",
 	       size, loss, frozen ? "yes" : "no", result.first_dead_s,
--- a/tests/harness/gossip.h
+++ b/tests/harness/gossip.h
@@ -14,7 +14,7 @@
 #include "ports/event.h"
 
 #define GOSSIP_STEP (20 * PD_MSEC) /* also a message's transit time */
-#define GOSSIP_FRAME \
+#define GOSSIP_FRAME_BYTES \
 	8 /* bytes: the length field, and the empty acknowledgement */
 #define GOSSIP_WAVE_MAX 128 /* VMs that leave at once */
 #define GOSSIP_START (1000 * PD_SEC)
@@ -28,13 +28,13 @@
 	pd_time_t generation_at;
 	bool has_leaving; /* knows of the leaving VM */
 	bool wave[GOSSIP_WAVE_MAX]; /* VMs of a reclaim wave that it knows of */
-	unsigned int wave_known;
-	pd_time_t wave_at; /* when it learned of the last one */
+	unsigned int wave_known_count;
+	pd_time_t wave_known_at; /* when it learned of the last one */
 	pd_time_t leaving_at;
 	GPtrArray *inbox; /* of peer_msg_t, owned */
 	uint64_t messages; /* sent */
 	uint64_t bytes; /* sent, without TCP and IP */
-	uint64_t bytes_most; /* size of the largest message */
+	uint64_t message_bytes_max; /* size of the largest message */
 } gossip_node_t;
 
 typedef struct gossip {
@@ -110,17 +110,17 @@
 static inline void gossip_count(gossip_node_t *node, const peer_msg_t *msg)
 {
 	GBytes *bytes = peer_msg_encode(msg);
-	uint64_t len = g_bytes_get_size(bytes) + GOSSIP_FRAME;
+	uint64_t len = g_bytes_get_size(bytes) + GOSSIP_FRAME_BYTES;
 
 	node->messages++;
 	node->bytes += len;
-	node->bytes_most = MAX(node->bytes_most, len);
+	node->message_bytes_max = MAX(node->message_bytes_max, len);
 	g_bytes_unref(bytes);
 }
 
 /* Delivers the messages in ACTIONS, except lost ones, and frees the actions. */
-static inline void gossip_post(gossip_t *gossip, unsigned int from,
-			       list_node_t *actions)
+static inline void gossip_deliver(gossip_t *gossip, unsigned int from,
+				  list_node_t *actions)
 {
 	list_node_t *it;
 
@@ -143,8 +143,8 @@
  * Lets a node announce a bundle's generation, if it is higher than the node's own,
  * and the leaving VM, if LEAVING is set and the node does not know of it yet.
  */
-static inline void gossip_tell(gossip_t *gossip, unsigned int index,
-			       uint64_t generation, bool leaving)
+static inline void gossip_announce(gossip_t *gossip, unsigned int index,
+				   uint64_t generation, bool leaving)
 {
 	gossip_node_t *node = &gossip->nodes[index];
 
@@ -162,8 +162,8 @@
 }
 
 /* Lets a node announce the VM-th VM of a reclaim wave, unless it knows of it. */
-static inline void gossip_tell_wave(gossip_t *gossip, unsigned int index,
-				    unsigned int vm)
+static inline void gossip_announce_wave(gossip_t *gossip, unsigned int index,
+					unsigned int vm)
 {
 	gossip_node_t *node = &gossip->nodes[index];
 	char id[32];
@@ -171,25 +171,26 @@
 	if (vm >= GOSSIP_WAVE_MAX || node->wave[vm])
 		return;
 	node->wave[vm] = true;
-	node->wave_known++;
-	node->wave_at = gossip->now;
+	node->wave_known_count++;
+	node->wave_known_at = gossip->now;
 	g_snprintf(id, sizeof(id), "wave-%u", vm);
 	members_announce_leaving(node->members, id, gossip->now + 30 * PD_SEC);
 }
 
 /* Lets a node pass on the reclaim notices of a message. */
-static inline void gossip_hear_leaving(gossip_t *gossip, unsigned int index,
-				       const peer_msg_t *msg)
+static inline void gossip_receive_notices(gossip_t *gossip, unsigned int index,
+					  const peer_msg_t *msg)
 {
 	for (unsigned int i = 0; i < msg->leaving_count; i++) {
 		const char *id = msg->leaving[i].vm_id;
 
 		if (g_str_has_prefix(id, "wave-"))
-			gossip_tell_wave(gossip, index,
-					 (unsigned int)g_ascii_strtoull(
-						 id + strlen("wave-"), NULL, 10));
+			gossip_announce_wave(gossip, index,
+					     (unsigned int)g_ascii_strtoull(
+						     id + strlen("wave-"), NULL,
+						     10));
 		else
-			gossip_tell(gossip, index, 0, true);
+			gossip_announce(gossip, index, 0, true);
 	}
 }
 
@@ -206,8 +207,8 @@
 			(const peer_msg_t *)g_ptr_array_index(node->inbox, i);
 
 		members_receive(node->members, msg, gossip->now, actions);
-		gossip_tell(gossip, index, msg->generation, false);
-		gossip_hear_leaving(gossip, index, msg);
+		gossip_announce(gossip, index, msg->generation, false);
+		gossip_receive_notices(gossip, index, msg);
 	}
 	g_ptr_array_set_size(node->inbox, 0);
 	members_run(node->members, gossip->now, actions);
@@ -227,7 +228,7 @@
 			gossip_step_node(gossip, i, &out[i]);
 		}
 		for (unsigned int i = 0; i < gossip->size; i++)
-			gossip_post(gossip, i, &out[i]);
+			gossip_deliver(gossip, i, &out[i]);
 		g_free(out);
 	}
 }
@@ -240,8 +241,9 @@
 }
 
 /* Returns the state of node INDEX as VIEWER sees it; MEMBER_DEAD if it is unknown. */
-static inline member_state_t gossip_view(const gossip_t *gossip,
-					 unsigned int viewer, unsigned int index)
+static inline member_state_t gossip_get_state(const gossip_t *gossip,
+					      unsigned int viewer,
+					      unsigned int index)
 {
 	const member_info_t *info = members_find(gossip->nodes[viewer].members,
 						 gossip->nodes[index].info.id);
@@ -257,7 +259,7 @@
 
 	for (unsigned int i = 0; i < gossip->size; i++)
 		viewers += i != index && !gossip->nodes[i].dead &&
-			   gossip_view(gossip, i, index) >= state;
+			   gossip_get_state(gossip, i, index) >= state;
 	return viewers;
 }
 
--- a/tests/property/test_members.cc
+++ b/tests/property/test_members.cc
@@ -31,7 +31,7 @@
 
 			if (i == k)
 				continue;
-			state = gossip_view(gossip, i, k);
+			state = gossip_get_state(gossip, i, k);
 			if (gossip->nodes[k].dead)
 				RC_ASSERT(state >= MEMBER_DEAD);
 			else
@@ -138,7 +138,7 @@
 				      *rc::gen::arbitrary<uint32_t>(), 0.2);
 
 		gossip_run(gossip, *rc::gen::inRange(0, 3000) * PD_MSEC);
-		gossip_tell(gossip, 0, 7, true);
+		gossip_announce(gossip, 0, 7, true);
 		gossip_run(gossip, 30 * PD_SEC);
 		for (unsigned int i = 0; i < gossip->size; i++) {
 			RC_ASSERT(gossip->nodes[i].generation == 7U);
