--- a/tests/harness/gossip.h
+++ b/tests/harness/gossip.h
@@ -42,7 +42,7 @@
 	unsigned int size;
 	GRand *rand;
 	double loss; /* probability that a message is lost, 0 to 1 */
-	unsigned int side; /* nodes with a lower index are partitioned from the rest */
+	unsigned int partition_size; /* nodes with a lower index are partitioned from the rest */
 	pd_time_t now;
 } gossip_t;
 
@@ -127,10 +127,11 @@
 	while ((it = list_pop(actions))) {
 		action_t *action = LIST_ENTRY(it, action_t, node);
 		unsigned int to = action->peer.port - 1U;
-		bool cut = (from < gossip->side) != (to < gossip->side);
+		bool partitioned = (from < gossip->partition_size) !=
+				   (to < gossip->partition_size);
 
 		gossip_count(&gossip->nodes[from], action->peer.msg);
-		if (!gossip->nodes[to].dead && !cut &&
+		if (!gossip->nodes[to].dead && !partitioned &&
 		    g_rand_double(gossip->rand) >= gossip->loss) {
 			g_ptr_array_add(gossip->nodes[to].inbox, action->peer.msg);
 			action->peer.msg = NULL;
--- a/tests/property/test_members.cc
+++ b/tests/property/test_members.cc
@@ -74,9 +74,9 @@
 				      *rc::gen::arbitrary<uint32_t>(), 0);
 		auto seconds = *rc::gen::inRange(1, 400);
 
-		gossip->side = *rc::gen::inRange(1U, gossip->size);
+		gossip->partition_size = *rc::gen::inRange(1U, gossip->size);
 		gossip_run(gossip, seconds * PD_SEC);
-		gossip->side = 0;
+		gossip->partition_size = 0;
 		gossip_run(gossip, kConvergenceTime);
 		assert_converged(gossip);
 		gossip_destroy(gossip);
