--- a/tests/guarantees/test_accepted_survives_reclaim.c
+++ b/tests/guarantees/test_accepted_survives_reclaim.c
@@ -283,7 +283,7 @@
 	fleet_wait(fleet, no_engine_is_usable, fleet, "no engine to be usable");
 	fresh = process_start(fleet->dir, "fresh", argv);
 	while (!port)
-		port = process_port(fresh, fresh->out_path, "port ");
+		port = process_read_port(fresh, fresh->out_path, "port ");
 	row = g_strdup_printf(
 		"{\"id\":\"fresh-1\",\"zone\":\"zone-b\",\"address\":"
 		"\"127.0.0.1\",\"port\":%d,\"role\":\"model\",\"state\":"
--- a/tests/guarantees/test_bundle_in_force.c
+++ b/tests/guarantees/test_bundle_in_force.c
@@ -127,8 +127,9 @@
 {
 	bundles_t *bundles = ctx;
 
-	bundles->extra_port = process_port(bundles->extra, bundles->extra->log_path,
-					   "serves callers on port ");
+	bundles->extra_port = process_read_port(bundles->extra,
+						bundles->extra->log_path,
+						"serves callers on port ");
 	return bundles->extra_port > 0;
 }
 
@@ -140,9 +141,9 @@
 	char *program = g_build_filename(dir ? dir : "build/release",
 					 "pistachio-entry", NULL);
 	char *path = g_build_filename(fleet->dir, "extra.toml", NULL);
-	int seed = process_port(fleet->entries[0].process,
-				fleet->entries[0].process->log_path,
-				"peers on port ");
+	int seed = process_read_port(fleet->entries[0].process,
+				     fleet->entries[0].process->log_path,
+				     "peers on port ");
 	char *seeds =
 		with_seeds ? g_strdup_printf("seeds = [\"127.0.0.1:%d\"]\n", seed)
 			   : g_strdup("");
--- a/tests/harness/fleet.c
+++ b/tests/harness/fleet.c
@@ -76,7 +76,7 @@
 	port_wait_t *wait = ctx;
 
 	wait->node->port =
-		process_port(wait->node->process, wait->path, wait->before);
+		process_read_port(wait->node->process, wait->path, wait->before);
 	return wait->node->port != 0;
 }
 
--- a/tests/harness/gateway_rig.c
+++ b/tests/harness/gateway_rig.c
@@ -732,7 +732,7 @@
 {
 	process_t *process = rig->gateways[number];
 	char *before = g_strdup_printf("listen %s=", what);
-	int port = process_port(process, process->out_path, before);
+	int port = process_read_port(process, process->out_path, before);
 
 	g_free(before);
 	return (uint16_t)port;
--- a/tests/harness/process.c
+++ b/tests/harness/process.c
@@ -125,7 +125,7 @@
 }
 
 /* Returns the number after the last occurrence of BEFORE in a file, or 0. */
-int process_port(process_t *process, const char *path, const char *before)
+int process_read_port(process_t *process, const char *path, const char *before)
 {
 	char *text = NULL;
 	char *at;
--- a/tests/process/test_peer_input.c
+++ b/tests/process/test_peer_input.c
@@ -35,8 +35,9 @@
 /* Returns the port for peers of the first entry. */
 static int peer_port(fleet_t *fleet)
 {
-	return process_port(fleet->entries[0].process,
-			    fleet->entries[0].process->log_path, "peers on port ");
+	return process_read_port(fleet->entries[0].process,
+				 fleet->entries[0].process->log_path,
+				 "peers on port ");
 }
 
 /* Returns a frame sealed with the fleet's key, owned by the caller. */
