--- a/tests/harness/process.c
+++ b/tests/harness/process.c
@@ -12,43 +12,43 @@
 
 extern char **environ;
 
-#define STARTED_MAX 4096
+#define CHILDREN_MAX 4096
 
 /*
  * Process ids of the running children, which are killed when the test program
  * exits. A failed assertion skips the test's clean-up, and a fleet that outlived
  * the program would load the machine for all later tests.
  */
-static pid_t started[STARTED_MAX];
-static unsigned int started_count;
+static pid_t children[CHILDREN_MAX];
+static unsigned int child_count;
 
-static void end_started(void)
+static void kill_children(void)
 {
-	for (unsigned int i = 0; i < started_count; i++)
-		kill(started[i], SIGKILL);
+	for (unsigned int i = 0; i < child_count; i++)
+		kill(children[i], SIGKILL);
 }
 
 static void on_terminate(int signum)
 {
-	end_started();
+	kill_children();
 	_exit(signum);
 }
 
-static void started_add(pid_t pid)
+static void children_add(pid_t pid)
 {
-	if (started_count == 0) {
-		atexit(end_started);
+	if (child_count == 0) {
+		atexit(kill_children);
 		signal(SIGTERM, on_terminate);
 	}
-	if (started_count < STARTED_MAX)
-		started[started_count++] = pid;
+	if (child_count < CHILDREN_MAX)
+		children[child_count++] = pid;
 }
 
-static void started_remove(pid_t pid)
+static void children_remove(pid_t pid)
 {
-	for (unsigned int i = 0; i < started_count; i++) {
-		if (started[i] == pid) {
-			started[i] = started[--started_count];
+	for (unsigned int i = 0; i < child_count; i++) {
+		if (children[i] == pid) {
+			children[i] = children[--child_count];
 			return;
 		}
 	}
@@ -75,7 +75,7 @@
 	if (posix_spawn(&process->pid, argv[0], &actions, NULL,
 			(char *const *)argv, environ) != 0)
 		g_error("can't start %s", argv[0]);
-	started_add(process->pid);
+	children_add(process->pid);
 	posix_spawn_file_actions_destroy(&actions);
 	return process;
 }
@@ -92,7 +92,7 @@
 {
 	if (process->pid &&
 	    waitpid(process->pid, &process->status, WNOHANG) == process->pid) {
-		started_remove(process->pid);
+		children_remove(process->pid);
 		process->pid = 0;
 	}
 	return process->pid == 0;
@@ -106,7 +106,7 @@
 	if (!process_ended(process)) {
 		kill(process->pid, SIGKILL);
 		waitpid(process->pid, &process->status, 0);
-		started_remove(process->pid);
+		children_remove(process->pid);
 	}
 	g_free(process->name);
 	g_free(process->out_path);
@@ -124,19 +124,19 @@
 	return text;
 }
 
-/* Returns the number after the last occurrence of BEFORE in a file, or 0. */
-int process_read_port(process_t *process, const char *path, const char *before)
+/* Returns the number after the last occurrence of PREFIX in a file, or 0. */
+int process_read_port(process_t *process, const char *path, const char *prefix)
 {
 	char *text = NULL;
-	char *at;
+	char *found;
 	int port = 0;
 
 	(void)process;
 	if (!g_file_get_contents(path, &text, NULL, NULL))
 		return 0;
-	at = g_strrstr(text, before);
-	if (at)
-		port = atoi(at + strlen(before));
+	found = g_strrstr(text, prefix);
+	if (found)
+		port = atoi(found + strlen(prefix));
 	g_free(text);
 	return port;
 }
