--- a/tests/harness/process.h
+++ b/tests/harness/process.h
@@ -19,6 +19,6 @@
 bool process_ended(process_t *process);
 void process_destroy(process_t *process);
 char *process_log(const process_t *process);
-int process_read_port(process_t *process, const char *path, const char *before);
+int process_read_port(process_t *process, const char *path, const char *prefix);
 
 #endif
