--- a/tests/harness/fleet.c
+++ b/tests/harness/fleet.c
@@ -22,7 +22,7 @@
 #define ZONES 4
 
 /* Returns the path of a program of the build; the caller owns it. */
-static char *binary(const char *name)
+static char *program_path(const char *name)
 {
 	const char *dir = g_getenv("B");
 
@@ -35,7 +35,7 @@
 	return g_strdup_printf("zone-%c", 'a' + (char)(index % ZONES));
 }
 
-static void on_poll(uv_timer_t *timer)
+static void on_poll_timer(uv_timer_t *timer)
 {
 	(void)timer;
 }
@@ -48,13 +48,13 @@
 		   int64_t limit_ms)
 {
 	int64_t until = g_get_monotonic_time() + limit_ms * 1000;
-	bool held = condition(ctx);
+	bool holds = condition(ctx);
 
-	while (!held && g_get_monotonic_time() < until) {
+	while (!holds && g_get_monotonic_time() < until) {
 		uv_run(fleet->loop, UV_RUN_ONCE);
-		held = condition(ctx);
+		holds = condition(ctx);
 	}
-	return held;
+	return holds;
 }
 
 /* Waits up to FLEET_WAIT_MS; fails the test if the condition doesn't hold by then. */
@@ -68,7 +68,7 @@
 typedef struct port_wait {
 	fleet_node_t *node;
 	const char *path;
-	const char *before;
+	const char *prefix;
 } port_wait_t;
 
 static bool port_is_known(void *ctx)
@@ -76,7 +76,7 @@
 	port_wait_t *wait = ctx;
 
 	wait->node->port =
-		process_read_port(wait->node->process, wait->path, wait->before);
+		process_read_port(wait->node->process, wait->path, wait->prefix);
 	return wait->node->port != 0;
 }
 
@@ -114,7 +114,7 @@
 	return node->forwarder ? forwarder_port(node->forwarder) : node->port;
 }
 
-static void node_forward(fleet_t *fleet, fleet_node_t *node, bool forward)
+static void node_start_forwarder(fleet_t *fleet, fleet_node_t *node, bool forward)
 {
 	if (forward)
 		node->forwarder = forwarder_create(fleet->loop, node->port);
@@ -146,7 +146,7 @@
 	char *id = g_strdup_printf("entry-%u", index + 1);
 	char *zone = zone_name(index);
 	char *settings = write_settings(fleet, id, zone);
-	char *program = binary("pistachio-entry");
+	char *program = program_path("pistachio-entry");
 	const char *argv[] = { program, "--settings", settings, NULL };
 
 	node_start(fleet, &fleet->entries[index], "entry", index, argv, true);
@@ -161,7 +161,7 @@
 	char *id = g_strdup_printf("placer-%u", index + 1);
 	char *zone = zone_name(index);
 	char *settings = write_settings(fleet, id, zone);
-	char *program = binary("pistachio-placer");
+	char *program = program_path("pistachio-placer");
 	const char *argv[] = { program, "--settings", settings, NULL };
 
 	fleet->placers[index].id = id;
@@ -185,26 +185,26 @@
 }
 
 /* Adds a node to the platform's VM list. */
-static void list_vm(fleet_t *fleet, const fleet_node_t *node, const char *role,
-		    const char *serves, const char *slots)
+static void add_vm(fleet_t *fleet, const fleet_node_t *node, const char *role,
+		   const char *serves, const char *slots)
 {
-	char *row = g_strdup_printf(
+	char *item = g_strdup_printf(
 		"{\"id\":\"%s\",\"zone\":\"%s\",\"address\":\"127.0.0.1\","
 		"\"port\":%d,\"role\":\"%s\",\"state\":\"live\","
 		"\"serves\":\"%s\",\"slots\":%s,\"reclaimable\":true,"
 		"\"machine_class\":\"any\"}",
 		node->id, node->zone, node_port(node), role, serves, slots);
 
-	fleet_post(fleet, fleet->platform.port, "/standin/vms", row);
-	g_free(row);
+	fleet_post(fleet, fleet->platform.port, "/standin/vms", item);
+	g_free(item);
 }
 
 static void start_upstreams(fleet_t *fleet)
 {
 	const fleet_config_t *config = &fleet->config;
 	const char *slots = config->slots ? config->slots : "64";
-	char *engine = binary("standin-engine");
-	char *service = binary("standin-service");
+	char *engine = program_path("standin-engine");
+	char *service = program_path("standin-service");
 	const char *engine_argv[] = { engine,
 				      config->token_ms ? config->token_ms : "5",
 				      "20", slots, NULL };
@@ -215,22 +215,23 @@
 	for (unsigned int i = 0; i < config->engines; i++) {
 		node_start(fleet, &fleet->engines[i], "engine", i, engine_argv,
 			   false);
-		node_forward(fleet, &fleet->engines[i], config->forward_upstreams);
-		list_vm(fleet, &fleet->engines[i], "model", "ledger-reader", slots);
+		node_start_forwarder(fleet, &fleet->engines[i],
+				     config->forward_upstreams);
+		add_vm(fleet, &fleet->engines[i], "model", "ledger-reader", slots);
 	}
 	for (unsigned int i = 0; i < config->services; i++) {
 		node_start(fleet, &fleet->services[i], "service", i,
 			   service_argv, false);
-		node_forward(fleet, &fleet->services[i], config->forward_upstreams);
-		list_vm(fleet, &fleet->services[i], "service", "station-call",
-			"64");
+		node_start_forwarder(fleet, &fleet->services[i],
+				     config->forward_upstreams);
+		add_vm(fleet, &fleet->services[i], "service", "station-call", "64");
 	}
 	g_free(engine);
 	g_free(service);
 }
 
 /* Returns the bundle's TOML; the caller owns it. */
-static char *bundle_text(const fleet_t *fleet, uint64_t generation)
+static char *format_bundle(const fleet_t *fleet, uint64_t generation)
 {
 	char *line = signing_hash(FLEET_LINE_KEY, strlen(FLEET_LINE_KEY));
 	char *office = signing_hash(FLEET_OFFICE_KEY, strlen(FLEET_OFFICE_KEY));
@@ -263,25 +264,25 @@
 	char *path = g_strdup_printf("%s/bundle-%" G_GUINT64_FORMAT ".signed",
 				     fleet->dir, generation);
 	char *secret_path = g_build_filename(fleet->dir, "operator.key", NULL);
-	char *text = bundle_text(fleet, generation);
+	char *text = format_bundle(fleet, generation);
 	char *secret = NULL;
 	char *canonical;
-	char *sealed;
+	char *envelope;
 	pd_error_t err;
 
 	assert_true(g_file_get_contents(secret_path, &secret, NULL, NULL));
 	assert_true(g_file_set_contents(toml, text, -1, NULL));
 	canonical = bundle_canonical(toml, &err);
 	assert_non_null(canonical);
-	sealed = envelope_seal(canonical, secret, &err);
-	assert_non_null(sealed);
-	assert_true(g_file_set_contents(path, sealed, -1, NULL));
+	envelope = envelope_seal(canonical, secret, &err);
+	assert_non_null(envelope);
+	assert_true(g_file_set_contents(path, envelope, -1, NULL));
 	g_free(toml);
 	g_free(secret_path);
 	g_free(text);
 	g_free(secret);
 	g_free(canonical);
-	g_free(sealed);
+	g_free(envelope);
 	return path;
 }
 
@@ -293,7 +294,7 @@
 /* Signs and rolls out a bundle of that generation with pistachioctl. */
 void fleet_rollout(fleet_t *fleet, uint64_t generation)
 {
-	char *program = binary("pistachioctl");
+	char *program = program_path("pistachioctl");
 	char *signed_path = fleet_sign(fleet, generation);
 	char *key = g_build_filename(fleet->dir, "operator.pub", NULL);
 	char *platform = g_strdup_printf("127.0.0.1:%d", fleet->platform.port);
@@ -378,7 +379,7 @@
 fleet_t *fleet_create(const fleet_config_t *config)
 {
 	fleet_t *fleet = g_new0(fleet_t, 1);
-	char *platform = binary("standin-platform");
+	char *platform = program_path("standin-platform");
 	const char *argv[] = { platform, NULL };
 	pd_error_t err;
 
@@ -390,11 +391,11 @@
 	uv_loop_init(fleet->loop);
 	/* Wakes the loop so that conditions are evaluated without other events. */
 	uv_timer_init(fleet->loop, &fleet->poll);
-	uv_timer_start(&fleet->poll, on_poll, POLL_MS, POLL_MS);
+	uv_timer_start(&fleet->poll, on_poll_timer, POLL_MS, POLL_MS);
 	fleet->client = http_client_create(fleet->loop, CALL_TIMEOUT);
 	write_keys(fleet);
 	node_start(fleet, &fleet->platform, "platform", 0, argv, false);
-	node_forward(fleet, &fleet->platform, config->forward_platform);
+	node_start_forwarder(fleet, &fleet->platform, config->forward_platform);
 	start_upstreams(fleet);
 	for (unsigned int i = 0; i < config->entries; i++)
 		fleet_start_entry(fleet, i);
