--- a/tests/harness/fleet.c
+++ b/tests/harness/fleet.c
@@ -390,8 +390,8 @@
 	fleet->loop = g_new0(uv_loop_t, 1);
 	uv_loop_init(fleet->loop);
 	/* Wakes the loop so that conditions are evaluated without other events. */
-	uv_timer_init(fleet->loop, &fleet->poll);
-	uv_timer_start(&fleet->poll, on_poll_timer, POLL_MS, POLL_MS);
+	uv_timer_init(fleet->loop, &fleet->poll_timer);
+	uv_timer_start(&fleet->poll_timer, on_poll_timer, POLL_MS, POLL_MS);
 	fleet->client = http_client_create(fleet->loop, CALL_TIMEOUT);
 	write_keys(fleet);
 	node_start(fleet, &fleet->platform, "platform", 0, argv, false);
--- a/tests/harness/fleet.h
+++ b/tests/harness/fleet.h
@@ -43,7 +43,7 @@
 typedef struct fleet {
 	char *dir;
 	uv_loop_t *loop;
-	uv_timer_t poll;
+	uv_timer_t poll_timer;
 	http_client_t *client;
 	fleet_config_t config;
 	fleet_node_t platform;
