--- a/tests/guarantees/test_entry_reclaim.c
+++ b/tests/guarantees/test_entry_reclaim.c
@@ -159,7 +159,8 @@
 	for (unsigned int i = 0; i < READERS; i++) {
 		const reader_t *reader = group->readers[i];
 
-		if (reader->stream && (!reader->call || !reader->call->first_at))
+		if (reader->stream &&
+		    (!reader->call || !reader->call->first_byte_at))
 			return false;
 	}
 	return true;
--- a/tests/harness/calls.c
+++ b/tests/harness/calls.c
@@ -35,7 +35,7 @@
 	call_t *call = ctx;
 
 	if (call->body->len == 0)
-		call->first_at = g_get_monotonic_time();
+		call->first_byte_at = g_get_monotonic_time();
 	g_string_append_len(call->body, data, (gssize)len);
 	if (!call->first_token_at && strstr(call->body->str, "id: "))
 		call->first_token_at = g_get_monotonic_time();
--- a/tests/harness/fleet.h
+++ b/tests/harness/fleet.h
@@ -67,7 +67,7 @@
 	bool done;
 	bool failed; /* the connection broke before the response was complete */
 	int64_t sent_at; /* monotonic microseconds */
-	int64_t first_at; /* first byte of the body */
+	int64_t first_byte_at; /* first byte of the body */
 	int64_t first_token_at; /* first event with an id */
 	int64_t done_at;
 } call_t;
