--- a/tests/guarantees/test_whole_answer.c
+++ b/tests/guarantees/test_whole_answer.c
@@ -177,7 +177,7 @@
 	char *expected = completion_expected(prompt, TOKENS);
 
 	call_wait(call);
-	assert_true(completion_is_whole(call));
+	assert_true(completion_is_complete(call));
 	rest = completion_text(call);
 	whole = g_strconcat(head, rest, NULL);
 	assert_string_equal(whole, expected);
@@ -233,7 +233,7 @@
 		char *text;
 
 		call_wait(calls[i]);
-		assert_true(completion_is_whole(calls[i]));
+		assert_true(completion_is_complete(calls[i]));
 		text = completion_text(calls[i]);
 		assert_string_equal(text, expected);
 		g_free(text);
--- a/tests/harness/calls.c
+++ b/tests/harness/calls.c
@@ -231,7 +231,7 @@
 }
 
 /* Returns true if a streamed completion was received up to its end. */
-bool completion_is_whole(const call_t *call)
+bool completion_is_complete(const call_t *call)
 {
 	return call->done && !call->failed && call->status == 200 &&
 	       strstr(call->body->str, "data: [DONE]");
--- a/tests/harness/fleet.h
+++ b/tests/harness/fleet.h
@@ -99,7 +99,7 @@
 			 unsigned int tokens, bool stream);
 char *completion_text(const call_t *call);
 char *completion_expected(const char *prompt, unsigned int tokens);
-bool completion_is_whole(const call_t *call);
+bool completion_is_complete(const call_t *call);
 call_t *station_call_start(fleet_t *fleet, int port, const char *key);
 const char *call_problem(const call_t *call, char *buffer, size_t size);
 
--- a/tests/process/test_caller_input.c
+++ b/tests/process/test_caller_input.c
@@ -83,7 +83,7 @@
 	call = completion_start(fleet, fleet->entries[0].port, "still there", 4,
 				true);
 	call_wait(call);
-	assert_true(completion_is_whole(call));
+	assert_true(completion_is_complete(call));
 	assert_false(process_ended(fleet->entries[0].process));
 	call_destroy(call);
 }
--- a/tests/process/test_fleet.c
+++ b/tests/process/test_fleet.c
@@ -120,7 +120,7 @@
 	call = completion_start(fleet, fleet->entries[0].port, "still there", 4,
 				true);
 	call_wait(call);
-	assert_true(completion_is_whole(call));
+	assert_true(completion_is_complete(call));
 	call_destroy(call);
 }
 
@@ -137,7 +137,7 @@
 	call = completion_start(fleet, fleet->entries[0].port, "still there", 4,
 				true);
 	call_wait(call);
-	assert_true(completion_is_whole(call));
+	assert_true(completion_is_complete(call));
 	call_destroy(call);
 }
 
--- a/tests/process/test_peer_input.c
+++ b/tests/process/test_peer_input.c
@@ -88,7 +88,7 @@
 					4, true);
 
 	call_wait(call);
-	assert_true(completion_is_whole(call));
+	assert_true(completion_is_complete(call));
 	call_destroy(call);
 }
 
