--- a/tests/guarantees/test_bundle_in_force.c
+++ b/tests/guarantees/test_bundle_in_force.c
@@ -287,7 +287,7 @@
 	const char *dir = g_getenv("B");
 	char *program = g_build_filename(dir ? dir : "build/release",
 					 "pistachioctl", NULL);
-	char *body = fleet_sign(fleet, generation);
+	char *body = fleet_sign_bundle(fleet, generation);
 	char *key = g_build_filename(fleet->dir, "operator.pub", NULL);
 	char *platform = g_strdup_printf("127.0.0.1:%d", fleet->platform.port);
 	char *name = g_strdup_printf("race-%u", (unsigned int)generation);
@@ -355,7 +355,7 @@
 	bundles_t *bundles = bundles_create(false);
 	fleet_t *fleet = bundles->fleet;
 	uint64_t generation = fleet->generation + 1;
-	char *path = fleet_sign(fleet, generation);
+	char *path = fleet_sign_bundle(fleet, generation);
 	char *pointer =
 		g_strdup_printf("{\"generation\":%u,\"object\":\"bundles/x\"}",
 				(unsigned int)generation);
--- a/tests/harness/fleet.c
+++ b/tests/harness/fleet.c
@@ -257,7 +257,7 @@
 }
 
 /* Writes a signed bundle of that generation; returns its path, which the caller owns. */
-char *fleet_sign(fleet_t *fleet, uint64_t generation)
+char *fleet_sign_bundle(fleet_t *fleet, uint64_t generation)
 {
 	char *toml = g_strdup_printf("%s/bundle-%" G_GUINT64_FORMAT ".toml",
 				     fleet->dir, generation);
@@ -295,7 +295,7 @@
 void fleet_rollout(fleet_t *fleet, uint64_t generation)
 {
 	char *program = program_path("pistachioctl");
-	char *signed_path = fleet_sign(fleet, generation);
+	char *signed_path = fleet_sign_bundle(fleet, generation);
 	char *key = g_build_filename(fleet->dir, "operator.pub", NULL);
 	char *platform = g_strdup_printf("127.0.0.1:%d", fleet->platform.port);
 	const char *argv[] = { program, "rollout",    signed_path, "--key",
--- a/tests/harness/fleet.h
+++ b/tests/harness/fleet.h
@@ -79,7 +79,7 @@
 void fleet_start_entry(fleet_t *fleet, unsigned int index);
 void fleet_stop_entry(fleet_t *fleet, unsigned int index, int signum);
 void fleet_rollout(fleet_t *fleet, uint64_t generation);
-char *fleet_sign(fleet_t *fleet, uint64_t generation);
+char *fleet_sign_bundle(fleet_t *fleet, uint64_t generation);
 void fleet_wait_ready(fleet_t *fleet);
 void fleet_wait(fleet_t *fleet, fleet_condition_t condition, void *ctx,
 		const char *what);
--- a/tests/process/test_ctl.c
+++ b/tests/process/test_ctl.c
@@ -156,8 +156,8 @@
 	fleet_t *fleet = *state;
 	char *platform = g_strdup_printf("127.0.0.1:%d", fleet->platform.port);
 	char *key = g_build_filename(fleet->dir, "operator.pub", NULL);
-	char *newer = fleet_sign(fleet, 5);
-	char *older = fleet_sign(fleet, 4);
+	char *newer = fleet_sign_bundle(fleet, 5);
+	char *older = fleet_sign_bundle(fleet, 4);
 	const char *args[] = { "rollout",    newer,    "--key", key,
 			       "--platform", platform, NULL };
 
