--- a/tests/harness/calls.c
+++ b/tests/harness/calls.c
@@ -171,7 +171,7 @@
 }
 
 /* Appends the content of one chat.completion.chunk to TEXT. */
-static void append_content(const char *line, GString *text)
+static void append_chunk_content(const char *line, GString *text)
 {
 	json_t *chunk = json_loads(line, 0, NULL);
 	json_t *choices = json_object_get(chunk, "choices");
@@ -189,21 +189,21 @@
 {
 	GString *text = g_string_new(NULL);
 	char **lines = g_strsplit(call->body->str, "\n", -1);
-	json_t *whole = json_loads(call->body->str, 0, NULL);
+	json_t *response = json_loads(call->body->str, 0, NULL);
 
-	if (whole) {
-		json_t *choices = json_object_get(whole, "choices");
+	if (response) {
+		json_t *choices = json_object_get(response, "choices");
 		json_t *message =
 			json_object_get(json_array_get(choices, 0), "message");
 
 		g_string_assign(text, json_string_or(message, "content", ""));
 	}
-	for (char **line = lines; !whole && *line; line++) {
+	for (char **line = lines; !response && *line; line++) {
 		if (g_str_has_prefix(*line, "data: {"))
-			append_content(*line + strlen("data: "), text);
+			append_chunk_content(*line + strlen("data: "), text);
 	}
 	g_strfreev(lines);
-	json_decref(whole);
+	json_decref(response);
 	return g_string_free(text, FALSE);
 }
 
@@ -213,20 +213,21 @@
  */
 char *completion_expected(const char *prompt, unsigned int tokens)
 {
-	char *sent = g_strdup_printf("user: %s\n", prompt);
-	char *base = g_strdup_printf("%" G_GUINT64_FORMAT, hash_string(sent));
+	char *engine_prompt = g_strdup_printf("user: %s\n", prompt);
+	char *seed = g_strdup_printf("%" G_GUINT64_FORMAT,
+				     hash_string(engine_prompt));
 	GString *text = g_string_new(NULL);
 
 	for (unsigned int i = 0; i < tokens; i++) {
-		char *place = g_strdup_printf("%u", i);
+		char *position = g_strdup_printf("%u", i);
 
 		g_string_append_printf(text, "%s%04x", i ? " " : "",
-				       (unsigned int)(hash_pair(base, place) &
+				       (unsigned int)(hash_pair(seed, position) &
 						      0xffff));
-		g_free(place);
+		g_free(position);
 	}
-	g_free(sent);
-	g_free(base);
+	g_free(engine_prompt);
+	g_free(seed);
 	return g_string_free(text, FALSE);
 }
 
@@ -253,14 +254,15 @@
  */
 const char *call_problem(const call_t *call, char *buffer, size_t size)
 {
-	const char *at = strstr(call->body->str, "urn:pistachiodrift:problem:");
+	const char *type =
+		strstr(call->body->str, "urn:pistachiodrift:problem:");
 	size_t len;
 
 	buffer[0] = '\0';
-	if (!at)
+	if (!type)
 		return buffer;
-	at += strlen("urn:pistachiodrift:problem:");
-	len = strcspn(at, "\"");
-	g_strlcpy(buffer, at, MIN(size, len + 1));
+	type += strlen("urn:pistachiodrift:problem:");
+	len = strcspn(type, "\"");
+	g_strlcpy(buffer, type, MIN(size, len + 1));
 	return buffer;
 }
