--- a/tests/guarantees/test_accepted_survives_reclaim.c
+++ b/tests/guarantees/test_accepted_survives_reclaim.c
@@ -166,7 +166,7 @@
 
 	history_wait(history);
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.answered, STREAMS);
 }
 
--- a/tests/guarantees/test_at_most_once.c
+++ b/tests/guarantees/test_at_most_once.c
@@ -163,7 +163,7 @@
 	}
 	history_wait(history);
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.broken, 0);
 	for (int i = 0; i < RACERS; i++) {
 		snprintf(key, sizeof(key), "race-%d", i);
@@ -341,7 +341,7 @@
 		assert_true(runs_of(fleet, key) <= 1);
 	}
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	print_message("%s: %u answered, %u not-run, %u outcome-unknown (%u of "
 		      "them never ran) of %d; %u of %d keys open at the first "
 		      "retry\n",
--- a/tests/guarantees/test_entry_reclaim.c
+++ b/tests/guarantees/test_entry_reclaim.c
@@ -365,7 +365,7 @@
 				 "k");
 	history_wait(history);
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.outcome_unknown, 2);
 	assert_int_equal(stats.broken, 0);
 	history_destroy(history);
--- a/tests/guarantees/test_leaving_gets_nothing_new.c
+++ b/tests/guarantees/test_leaving_gets_nothing_new.c
@@ -191,7 +191,7 @@
 					       "/standin/record", "dropped"),
 				 0);
 	stats = history_check(drain.history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.answered, drain.sent);
 	history_destroy(drain.history);
 	fleet_destroy(drain.fleet);
--- a/tests/guarantees/test_not_run.c
+++ b/tests/guarantees/test_not_run.c
@@ -106,7 +106,7 @@
 
 	history_wait(history);
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.broken, 0);
 	print_message("%s: %u answered, %u not-run, %u outcome-unknown (%u of "
 		      "them never ran), %u refused otherwise\n",
--- a/tests/guarantees/test_planned_stop.c
+++ b/tests/guarantees/test_planned_stop.c
@@ -75,7 +75,7 @@
 	       "%u refused, %u broken\n",
 	       load->sent, stats.answered, stats.not_run, stats.outcome_unknown,
 	       stats.refused, stats.broken);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.answered, load->sent);
 	history_destroy(load->history);
 	fleet_destroy(load->fleet);
--- a/tests/guarantees/test_soak.c
+++ b/tests/guarantees/test_soak.c
@@ -272,7 +272,7 @@
 	       "them did not run), %u refused, %u broken\n",
 	       seed, stats.answered, stats.not_run, stats.outcome_unknown,
 	       stats.unknown_but_not_run, stats.refused, stats.broken);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_true(stats.answered > 0);
 	history_destroy(soak.history);
 	g_rand_free(soak.rand);
--- a/tests/harness/history.c
+++ b/tests/harness/history.c
@@ -218,7 +218,7 @@
 }
 
 /* Fails the test if a key ran twice, a "not-run" call ran, or an answer is wrong. */
-void history_assert_sound(const history_stats_t *stats)
+void history_assert_guarantees(const history_stats_t *stats)
 {
 	assert_int_equal(stats->keys_run_twice, 0);
 	assert_int_equal(stats->not_run_but_ran, 0);
--- a/tests/harness/history.h
+++ b/tests/harness/history.h
@@ -29,6 +29,6 @@
 void history_add_station_call(history_t *history, call_t *call, const char *key);
 void history_wait(history_t *history);
 history_stats_t history_check(history_t *history);
-void history_assert_sound(const history_stats_t *stats);
+void history_assert_guarantees(const history_stats_t *stats);
 
 #endif
--- a/tests/process/test_fleet.c
+++ b/tests/process/test_fleet.c
@@ -53,7 +53,7 @@
 	}
 	history_wait(history);
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.answered, REQUESTS);
 	history_destroy(history);
 }
@@ -177,7 +177,7 @@
 		history_add_station_call(history, call, "harness-1");
 	}
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.answered, 6);
 	history_destroy(history);
 }
