--- a/tests/harness/history.c
+++ b/tests/harness/history.c
@@ -75,7 +75,7 @@
 	item->key = g_strdup(key);
 }
 
-static bool all_done(void *ctx)
+static bool all_calls_done(void *ctx)
 {
 	history_t *history = ctx;
 
@@ -91,7 +91,7 @@
 /* Waits until every call has completed or failed. */
 void history_wait(history_t *history)
 {
-	fleet_wait(history->fleet, all_done, history, "the end of all calls");
+	fleet_wait(history->fleet, all_calls_done, history, "the end of all calls");
 }
 
 /* Merged records of the stand-ins. */
@@ -100,7 +100,7 @@
 	GHashTable *runs; /* idempotency key -> number of runs, as a pointer */
 } record_t;
 
-static void record_requests(record_t *record, const json_t *list)
+static void record_add_requests(record_t *record, const json_t *list)
 {
 	json_t *id;
 	size_t i;
@@ -109,16 +109,16 @@
 		g_hash_table_add(record->requests, g_strdup(json_string_value(id)));
 }
 
-static void record_runs(record_t *record, json_t *runs)
+static void record_add_runs(record_t *record, json_t *runs)
 {
 	const char *key;
-	json_t *times;
+	json_t *run_count;
 
-	json_object_foreach(runs, key, times)
+	json_object_foreach(runs, key, run_count)
 	{
 		gpointer before = g_hash_table_lookup(record->runs, key);
 		gintptr sum = GPOINTER_TO_INT(before) +
-			      (gintptr)json_integer_value(times);
+			      (gintptr)json_integer_value(run_count);
 
 		g_hash_table_replace(record->runs, g_strdup(key),
 				     GINT_TO_POINTER(sum));
@@ -126,37 +126,38 @@
 }
 
 /* Merges the record of a stand-in, unless its process has ended. */
-static void record_read(record_t *record, fleet_t *fleet, const fleet_node_t *node)
+static void record_add_node(record_t *record, fleet_t *fleet,
+			    const fleet_node_t *node)
 {
 	json_t *answer;
 
 	if (!node->process || process_ended(node->process))
 		return;
 	answer = fleet_get(fleet, node->port, "/standin/record");
-	record_requests(record, json_object_get(answer, "ran"));
-	record_runs(record, json_object_get(answer, "runs"));
+	record_add_requests(record, json_object_get(answer, "ran"));
+	record_add_runs(record, json_object_get(answer, "runs"));
 	json_decref(answer);
 }
 
 /* Returns true if the answer is the text expected, or names the call's key. */
-static bool answer_is_right(const item_t *item)
+static bool answer_is_correct(const item_t *item)
 {
 	char *text;
-	bool right;
+	bool correct;
 
 	if (item->key)
 		return strstr(item->call->body->str, item->key) != NULL;
 	text = completion_text(item->call);
-	right = !strcmp(text, item->expected);
+	correct = !strcmp(text, item->expected);
 	g_free(text);
-	return right;
+	return correct;
 }
 
 /*
  * Returns true if a streamed response lacks its final event. h2o's client reports a
  * connection closed between two chunks as a normal end of the response.
  */
-static bool stream_is_cut(const call_t *call)
+static bool stream_is_truncated(const call_t *call)
 {
 	return call->content_type &&
 	       !strcmp(call->content_type, "text/event-stream") &&
@@ -165,8 +166,8 @@
 }
 
 /* Adds the outcome of a call to STATS. */
-static void check_item(const item_t *item, const record_t *record,
-		       history_stats_t *stats)
+static void count_outcome(const item_t *item, const record_t *record,
+			  history_stats_t *stats)
 {
 	const call_t *call = item->call;
 	const char *id = call->request_id ? call->request_id : "";
@@ -174,7 +175,7 @@
 	char problem[64];
 
 	call_problem(call, problem, sizeof(problem));
-	if (call->failed || !call->done || stream_is_cut(call)) {
+	if (call->failed || !call->done || stream_is_truncated(call)) {
 		stats->broken++;
 	} else if (!strcmp(problem, "not-run")) {
 		stats->not_run++;
@@ -186,7 +187,7 @@
 		stats->refused++;
 	} else {
 		stats->answered++;
-		stats->wrong_answers += !answer_is_right(item);
+		stats->wrong_answers += !answer_is_correct(item);
 	}
 }
 
@@ -201,17 +202,18 @@
 		.runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
 	};
 	GHashTableIter it;
-	void *times;
+	void *run_count;
 
 	for (unsigned int i = 0; i < FLEET_NODES_MAX; i++) {
-		record_read(&record, fleet, &fleet->engines[i]);
-		record_read(&record, fleet, &fleet->services[i]);
+		record_add_node(&record, fleet, &fleet->engines[i]);
+		record_add_node(&record, fleet, &fleet->services[i]);
 	}
 	for (guint i = 0; i < history->items->len; i++)
-		check_item(g_ptr_array_index(history->items, i), &record, &stats);
+		count_outcome(g_ptr_array_index(history->items, i), &record,
+			      &stats);
 	g_hash_table_iter_init(&it, record.runs);
-	while (g_hash_table_iter_next(&it, NULL, &times))
-		stats.keys_run_twice += GPOINTER_TO_INT(times) > 1;
+	while (g_hash_table_iter_next(&it, NULL, &run_count))
+		stats.keys_run_twice += GPOINTER_TO_INT(run_count) > 1;
 	g_hash_table_unref(record.requests);
 	g_hash_table_unref(record.runs);
 	return stats;
