--- a/tests/guarantees/test_planned_stop.c
+++ b/tests/guarantees/test_planned_stop.c
@@ -1,6 +1,6 @@
 /*
- * Planned stops under load: entries are replaced one by one while callers go
- * on asking, and no caller may see a broken connection or an error.
+ * Planned stops under load: entries are replaced one by one while callers keep
+ * sending requests. No caller may see a broken connection or an error.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -15,7 +15,7 @@
 
 #define ENTRIES 6
 #define TOKENS 230 /* at 10 ms each, a stream outlives the grace of a stop */
-#define CALLS 4 /* of each kind, to each entry, each round */
+#define CALLS 4 /* of each kind, per entry and round */
 
 typedef struct load {
 	fleet_t *fleet;
@@ -24,6 +24,7 @@
 	unsigned int keys;
 } load_t;
 
+/* Starts a completion; every fourth one is not streamed. */
 static void send_stream(load_t *load, int port)
 {
 	char *prompt = g_strdup_printf("lot %u", load->sent++);
@@ -65,6 +66,7 @@
 	load->history = history_create(load->fleet);
 }
 
+/* Waits for all calls and fails the test unless each was answered. */
 static void load_check(load_t *load)
 {
 	history_stats_t stats;
@@ -82,10 +84,10 @@
 }
 
 /*
- * Operators replace all six entries, one after the other, as for a new release.
- * Streams and station calls run on each, and the balancer still sends a few
- * callers to an entry that has just been told to stop. An impatient operator
- * signals twice. A caller would notice a cut stream or a refused station call.
+ * A rolling restart of all entries while streams and station calls run on each.
+ * Guards against streams that are truncated and calls that are rejected by an entry
+ * that is stopping: the balancer still sends it requests for a moment, and a second
+ * SIGTERM must not end it early.
  */
 static void test_rolling_replacement_cuts_nothing(void **state)
 {
