--- a/tests/guarantees/test_placer_acts_once.c
+++ b/tests/guarantees/test_placer_acts_once.c
@@ -1,6 +1,6 @@
 /*
- * Placers as processes, killed and paused in the middle of purchases, with a
- * cloud that loses its answers. Counted are the VMs of each tag, and orders.
+ * Placer processes are killed and paused in the middle of purchases while the cloud
+ * API loses replies. The tests count the VMs of each purchase tag, and the orders.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -15,7 +15,7 @@
 #include "adapters/json.h"
 #include "tests/harness/fleet.h"
 
-/* With so many standing by, one looks at the lease every few seconds. */
+/* So many on standby that one of them reads the lease every few seconds. */
 #define PLACERS 16
 #define SPARES 24
 #define WAIT_MS 90000
@@ -23,10 +23,11 @@
 
 typedef struct placed {
 	fleet_t *fleet;
-	unsigned int count; /* that is waited for */
-	const char *holder; /* that must be gone */
+	unsigned int count; /* awaited number of VMs or purchases */
+	const char *holder; /* id of the placer that must no longer hold the lease */
 } placed_t;
 
+/* Rolls out a bundle with that number of workers for the target model. */
 static void ask_for(fleet_t *fleet, unsigned int workers, unsigned int most)
 {
 	char *extra = g_strdup_printf("[models." TARGET "]\nworkers = %u\n"
@@ -63,7 +64,7 @@
 	return answer;
 }
 
-/* Returns how many VMs of the target live, and the most that share a tag. */
+/* Returns the number of live VMs of the target, and the most that share a tag. */
 static unsigned int count_vms(fleet_t *fleet, unsigned int *most_of_a_tag)
 {
 	json_t *list = get(fleet, "/vms");
@@ -89,7 +90,7 @@
 	return count;
 }
 
-/* Returns the process that the lease names, or -1 if none of them. */
+/* Returns the index of the placer that holds the lease, or -1. */
 static int lease_holder(fleet_t *fleet)
 {
 	json_t *lease =
@@ -142,7 +143,7 @@
 	return count >= placed->count;
 }
 
-/* As many VMs as asked for, and nothing on record that is still to be done. */
+/* Returns true if there are COUNT VMs and the lease records no pending intents. */
 static bool has_placed(void *ctx)
 {
 	placed_t *placed = ctx;
@@ -188,9 +189,9 @@
 }
 
 /*
- * The acting placer dies while its purchases are under way, and the cloud's
- * answers are lost, so nobody has been told what was bought. Whoever acts next
- * must find it by the tags. Users would else pay for VMs that nobody asked for.
+ * The active placer is killed during its purchases, and the replies of the cloud API
+ * are lost. Its successor must find the VMs by their tags; otherwise it would buy
+ * them again, and users would pay for VMs that nobody asked for.
  */
 static void test_a_killed_placer_buys_once(void **state)
 {
@@ -211,9 +212,9 @@
 }
 
 /*
- * The acting placer is paused in the middle of its purchases for so long that
- * another takes over, and then goes on, still believing that it acts. What it
- * had left to do must not be done twice, and the cloud forgets tags besides.
+ * The active placer is paused during its purchases until another takes over, and
+ * then continues with a stale lease. The remaining purchases must not be made twice,
+ * even by a cloud API that does not deduplicate tags.
  */
 static void test_a_paused_placer_buys_once(void **state)
 {
@@ -241,8 +242,8 @@
 }
 
 /*
- * The bundle asks for fewer VMs. Each is drained by an order to its engine and
- * then given back; released at once, its streams would break.
+ * A bundle asks for fewer VMs. Each surplus VM must be drained by an order to its
+ * engine before it is released; otherwise its streams would break.
  */
 static void test_surplus_is_drained_first(void **state)
 {
