--- a/tests/guarantees/test_leaving_gets_nothing_new.c
+++ b/tests/guarantees/test_leaving_gets_nothing_new.c
@@ -1,7 +1,7 @@
 /*
- * An engine that leaves gets no new work from any entry within the drain bound,
- * though one entry alone has heard of it, the VM list is ten seconds behind and
- * the store is down. What runs there goes on.
+ * No entry sends new requests to a leaving engine after the drain bound, although
+ * only one entry was told of the notice, the VM list lags by 10 s and the store is
+ * down. Requests that run on the engine continue.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,12 +18,12 @@
 
 #define ENTRIES 6
 #define ENGINES 5
-#define ROUNDS 3 /* engines that leave, one after the other */
+#define ROUNDS 3 /* engines that leave, one per round */
 #define DRAIN_BOUND_MS 2000
-#define WATCHED_MS 3000 /* of traffic after a notice */
+#define WATCHED_MS 3000 /* duration of traffic after a notice */
 #define CALLS_OPEN_MAX 24
-#define SLOTS "12" /* so few that entries use engines of all zones */
-#define LONG_TOKENS 1200 /* 6 s at 5 ms a token, a minute by the policy */
+#define SLOTS "12" /* few enough that entries use engines of all zones */
+#define LONG_TOKENS 1200 /* 6 s at 5 ms a token; the policy expects 60 s */
 #define LONG_CALLS 6
 #define SHORT_TOKENS 4
 
@@ -32,10 +32,10 @@
 	history_t *history;
 	call_t *open[CALLS_OPEN_MAX]; /* also in the history */
 	unsigned int sent;
-	int64_t until;
-	int64_t last_ms[ROUNDS * ENTRIES]; /* from notice to the last arrival */
+	int64_t until; /* end of traffic, monotonic microseconds */
+	int64_t last_ms[ROUNDS * ENTRIES]; /* from notice to an entry's last request */
 	unsigned int samples;
-	unsigned int unused; /* entries that sent nothing after the notice */
+	unsigned int unused; /* entries that sent no request after the notice */
 	unsigned int index; /* of the engine that leaves next */
 } drain_t;
 
@@ -52,7 +52,7 @@
 	g_free(prompt);
 }
 
-/* Keeps some calls open at each entry; says whether the time is over. */
+/* Keeps calls open at each entry; returns true once the time is over. */
 static bool traffic_is_over(void *ctx)
 {
 	drain_t *drain = ctx;
@@ -70,7 +70,7 @@
 	fleet_wait(drain->fleet, traffic_is_over, drain, "traffic");
 }
 
-/* Long answers at every entry, so that some run on each engine. */
+/* Starts long completions at every entry, so that some run on each engine. */
 static void send_long(drain_t *drain)
 {
 	for (unsigned int i = 0; i < LONG_CALLS; i++) {
@@ -85,7 +85,7 @@
 	}
 }
 
-/* Reads for each entry when its last request came after the notice. */
+/* Reads the time from the notice to the last request of each entry. */
 static void read_arrivals(drain_t *drain, const json_t *record)
 {
 	const json_t *arrivals = json_object_get(record, "arrivals");
@@ -132,8 +132,9 @@
 }
 
 /*
- * Tells the engine, and by it a single one of the entries that ask it. It goes
- * on to take work: refusals would keep entries away that know nothing.
+ * Gives notice to an engine, which reports it to only one of the entries that poll
+ * it. It keeps accepting requests, as rejections would turn away entries that don't
+ * know of the notice.
  */
 static void leave(drain_t *drain, unsigned int index)
 {
