--- a/tests/guarantees/test_accepted_survives_reclaim.c
+++ b/tests/guarantees/test_accepted_survives_reclaim.c
@@ -1,8 +1,8 @@
 /*
- * Engines are reclaimed under running streams and then killed: one, a whole
- * zone at once, two zones one after the other, with time for a KV export and
- * without, and all of them while no replacement starts. Each caller that was
- * accepted must get its whole answer.
+ * Engines are reclaimed while streams run on them, and then killed: a single one, a
+ * zone, two zones in a row, with and without time for a KV cache export, and all
+ * engines while no replacement starts. Every accepted request must get its complete
+ * answer.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -28,9 +28,9 @@
 
 typedef struct reclaim {
 	fleet_t *fleet;
-	unsigned int first; /* engine, and each STEP-th after it */
+	unsigned int first; /* reclaims this engine and every STEP-th after it */
 	unsigned int step;
-	int64_t until;
+	int64_t until; /* end of the notice, monotonic microseconds */
 } reclaim_t;
 
 static int setup(void **state)
@@ -47,7 +47,7 @@
 	return 0;
 }
 
-/* A prompt that is long enough to be worth keeping. */
+/* Returns a prompt whose KV cache is worth an export; the caller owns it. */
 static char *long_prompt(unsigned int number)
 {
 	char *filler = g_strnfill(PROMPT_BYTES, 'l');
@@ -70,7 +70,7 @@
 	}
 }
 
-/* Sums a number over the records of all engines that still run. */
+/* Returns the sum of a number in the records of all running engines. */
 static int64_t record_sum(fleet_t *fleet, const char *name)
 {
 	int64_t sum = 0;
@@ -103,7 +103,7 @@
 	return (unsigned int)running;
 }
 
-/* Gives notice to some engines, by the platform and by themselves. */
+/* Gives notice to the engines, in the VM list and in their load reports. */
 static void give_notice(reclaim_t *reclaim, int notice_ms)
 {
 	fleet_t *fleet = reclaim->fleet;
@@ -170,10 +170,7 @@
 	assert_int_equal(stats.answered, STREAMS);
 }
 
-/*
- * One engine is told to go in a second, in the middle of its
- * streams. They move with their KV cache, and no caller notices.
- */
+/* One engine leaves in 1 s. Its streams must move with their KV caches. */
 static void test_one_engine_is_reclaimed(void **state)
 {
 	fleet_t *fleet = *state;
@@ -188,10 +185,7 @@
 	history_destroy(history);
 }
 
-/*
- * All engines of a zone get their notice at the same moment, and the cloud
- * refuses every new VM.
- */
+/* All engines of a zone get notice at once, and the cloud API starts no new VM. */
 static void test_a_zone_is_reclaimed(void **state)
 {
 	fleet_t *fleet = *state;
@@ -207,10 +201,7 @@
 	history_destroy(history);
 }
 
-/*
- * A second zone goes while the streams of the first have just moved, some of
- * them into it.
- */
+/* A second zone is reclaimed just after streams of the first one moved into it. */
 static void test_two_zones_go_in_a_row(void **state)
 {
 	fleet_t *fleet = *state;
@@ -228,9 +219,9 @@
 }
 
 /*
- * A zone gets a notice of 20 ms, which most entries hear only after its
- * machines have gone. The text that the callers have is all that is left of
- * their answers, and they go on from it.
+ * A zone gets 20 ms notice, which most entries learn of only after its VMs have
+ * ended. There are no KV caches left, so streams must be resumed from the text that
+ * was already sent to the callers.
  */
 static void test_a_zone_goes_without_time_for_an_export(void **state)
 {
@@ -261,8 +252,8 @@
 }
 
 /*
- * Every engine is reclaimed and for a while none starts. Callers keep waiting
- * on their open streams; when an engine comes at last they get the rest.
+ * All engines are reclaimed and none starts for a while. Streams must stay open and
+ * continue when an engine becomes available.
  */
 static void test_streams_wait_until_an_engine_comes(void **state)
 {
