--- a/tests/guarantees/test_whole_answer.c
+++ b/tests/guarantees/test_whole_answer.c
@@ -1,8 +1,8 @@
 /*
- * Each caller gets the whole answer to its own request when connections to
- * engines fall silent or break, when it takes a stream up again, and when two
- * requests look alike. Late and reordered news of upstreams is
- * tests/property/test_streams.cc's part.
+ * Each caller gets the complete answer to its own request when connections to
+ * engines stall or break, when it resumes a stream, and when two requests are
+ * identical. tests/property/test_streams.cc covers late and reordered upstream
+ * events.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -20,7 +20,7 @@
 #define ENGINES 4
 #define STREAMS 24
 #define TOKENS 300
-#define FREED_MS 12000 /* long before the deadline, 30 s, would free them */
+#define FREED_MS 12000 /* well below 30 s, when the deadline would free them */
 
 static int setup(void **state)
 {
@@ -51,7 +51,7 @@
 	}
 }
 
-/* Waits until engines have generated so many tokens beyond what they had. */
+/* Condition: the engines have generated AT_LEAST tokens in total. */
 typedef struct token_wait {
 	fleet_t *fleet;
 	int64_t at_least;
@@ -78,6 +78,7 @@
 	return tokens_generated(wait->fleet) >= wait->at_least;
 }
 
+/* Waits until the engines have generated MORE further tokens. */
 static void wait_tokens(fleet_t *fleet, int64_t more)
 {
 	token_wait_t wait = { fleet, tokens_generated(fleet) + more };
@@ -85,6 +86,7 @@
 	fleet_wait(fleet, tokens_have_come, &wait, "tokens");
 }
 
+/* Calls ACT for each engine's forwarder. */
 static void on_forwarders(fleet_t *fleet, void (*act)(forwarder_t *forwarder))
 {
 	for (unsigned int i = 0; i < ENGINES; i++)
@@ -102,9 +104,8 @@
 }
 
 /*
- * A device between entries and engines loses track of every open connection:
- * no byte and no error comes any more, while new connections work. Callers see
- * their streams pause for some seconds and then go on.
+ * A middlebox drops the state of all open connections: they stall without an error,
+ * while new connections work. Streams must continue after a pause of some seconds.
  */
 static void test_silent_connections(void **state)
 {
@@ -118,7 +119,7 @@
 	history_destroy(history);
 }
 
-/* Every connection to every engine breaks, and again while streams resume. */
+/* All connections to engines break, and again while streams are resumed. */
 static void test_connections_break_twice(void **state)
 {
 	fleet_t *fleet = *state;
@@ -140,7 +141,10 @@
 	return call->done || call->body->len > 2000;
 }
 
-/* Returns the id of the last event that has come whole; owned by the caller. */
+/*
+ * Discards the body's incomplete last event and returns the id of the last complete
+ * one. The caller owns it.
+ */
 static char *last_event_id(call_t *call)
 {
 	char *end = g_strrstr(call->body->str, "\n\n");
@@ -154,6 +158,7 @@
 	return g_strndup(line, strcspn(line, "\r\n"));
 }
 
+/* Resumes a stream at an entry after event ID; the caller destroys the call. */
 static call_t *resume(fleet_t *fleet, unsigned int entry, const char *prompt,
 		      const char *id)
 {
@@ -170,6 +175,10 @@
 	return call;
 }
 
+/*
+ * Waits for a resumed call and fails the test unless HEAD and its text make up the
+ * answer to PROMPT. Destroys the call.
+ */
 static void assert_rest(call_t *call, const char *head, const char *prompt)
 {
 	char *rest;
@@ -188,8 +197,8 @@
 }
 
 /*
- * A caller's connection breaks, it takes the stream up again at one entry, and
- * its client, in haste, at another as well. Both get exactly the rest.
+ * A caller's connection breaks and its client resumes the stream at two entries at
+ * once. Both calls must get exactly the rest of the answer.
  */
 static void test_a_stream_is_resumed_twice(void **state)
 {
@@ -216,8 +225,8 @@
 }
 
 /*
- * One caller asks the same thing twice at the same time. They are two requests
- * with two answers, and the end of one must not end the other.
+ * A caller sends two identical requests at the same time. They must get separate
+ * answers, and the end of one must not end the other.
  */
 static void test_two_requests_with_the_same_text(void **state)
 {
@@ -259,8 +268,8 @@
 }
 
 /*
- * Callers hang up in the middle of long answers. Their engines must stop, or
- * slots are taken for minutes by answers nobody reads.
+ * Callers disconnect during long answers. Engines must stop generating; otherwise
+ * the answers would occupy slots for minutes although nobody reads them.
  */
 static void test_a_hang_up_frees_the_engine(void **state)
 {
