--- a/tests/guarantees/test_at_most_once.c
+++ b/tests/guarantees/test_at_most_once.c
@@ -1,7 +1,7 @@
 /*
- * A call that may not be repeated runs at most once, whatever happens between
- * its claim and its answer. The stand-in service runs whatever reaches it and
- * counts the runs of each key; the verdict is that count.
+ * A call that is not repeatable runs at most once, whatever fails between its claim
+ * and its answer. The service stand-in runs every request that reaches it and counts
+ * the runs of each key; the tests check these counts.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -46,7 +46,7 @@
 			   faults);
 }
 
-/* Returns how often the stand-ins ran a key. */
+/* Returns how many times the stand-ins ran a key. */
 static int64_t runs_of(fleet_t *fleet, const char *key)
 {
 	int64_t runs = 0;
@@ -61,6 +61,7 @@
 	return runs;
 }
 
+/* Returns the number of writes that the store has applied. */
 static int64_t writes_of(fleet_t *fleet)
 {
 	json_t *counts = fleet_get(fleet, fleet->platform.port, "/standin/counts");
@@ -73,8 +74,8 @@
 typedef struct wait {
 	fleet_t *fleet;
 	const char *key;
-	int64_t writes;
-	unsigned int entry;
+	int64_t writes; /* of the store, before */
+	unsigned int entry; /* that retries go to */
 } wait_t;
 
 static bool key_has_run(void *ctx)
@@ -91,7 +92,10 @@
 	return writes_of(wait->fleet) > wait->writes;
 }
 
-/* Asks again at an entry until the key is settled; returns the problem. */
+/*
+ * Retries a key once at an entry. Returns "ran", "replayed" or the problem type; the
+ * caller owns it.
+ */
 static char *retry(fleet_t *fleet, unsigned int entry, const char *key)
 {
 	call_t *call = station_call_start(fleet, fleet->entries[entry].port, key);
@@ -117,8 +121,8 @@
 }
 
 /*
- * Asks again until a key is settled. An entry may still be writing down that a
- * call ran, or giving its claim back; a retry hears outcome-unknown until then.
+ * Retries a key; returns true unless its outcome is unknown. It stays unknown while
+ * an entry is still recording that the call ran, or releasing its claim.
  */
 static bool key_is_settled(void *ctx)
 {
@@ -130,7 +134,7 @@
 	return settled;
 }
 
-/* Fails the test unless the recorded answer is given, now or in a while. */
+/* Fails the test unless the recorded answer is replayed within the wait limit. */
 static void assert_replayed(fleet_t *fleet, unsigned int entry, const char *key)
 {
 	wait_t wait = { fleet, key, 0, entry };
@@ -141,9 +145,8 @@
 }
 
 /*
- * A terminal asks twice at the same moment and the balancer sends the two to
- * different entries. One runs; the other hears its answer, or that the outcome
- * is not known yet.
+ * A terminal sends a key several times at once and the balancer sends the calls to
+ * different entries. One must run; the others get its answer or outcome-unknown.
  */
 static void test_two_entries_get_one_key_at_once(void **state)
 {
@@ -176,8 +179,8 @@
 }
 
 /*
- * The entry dies while its claim waits for a slow store. Nothing was claimed
- * and nothing sent; the terminal's retry at another entry runs.
+ * An entry is killed while its claim waits for a slow store. Nothing was claimed or
+ * sent, so a retry at another entry must run.
  */
 static void test_entry_dies_before_its_claim(void **state)
 {
@@ -198,9 +201,9 @@
 }
 
 /*
- * The claim's write takes effect and the entry dies before it hears so. Nobody
- * can tell whether it had dispatched, so each retry hears that the outcome is
- * unknown; the call never runs.
+ * An entry is killed after its claim was written, but before the store's reply. Other
+ * entries can't know whether it dispatched the call, so each retry must get
+ * outcome-unknown, and the call never runs.
  */
 static void test_entry_dies_between_claim_and_dispatch(void **state)
 {
@@ -223,10 +226,7 @@
 	assert_int_equal(runs_of(fleet, wait.key), 0);
 }
 
-/*
- * The entry dies while the service works on the call. The retry must not run
- * it a second time.
- */
+/* An entry is killed while the service runs its call. A retry must not run it again. */
 static void test_entry_dies_after_dispatch(void **state)
 {
 	fleet_t *fleet = *state;
@@ -258,9 +258,8 @@
 }
 
 /*
- * An entry is paused while its claim is under way, and the terminal's retry
- * runs elsewhere meanwhile. When it wakes it still has the call in hand and
- * must not run it.
+ * An entry is paused while it writes its claim, and a retry runs at another entry.
+ * When the first one continues, it still has the call and must not run it.
  */
 static void test_frozen_entry_wakes_after_another_ran(void **state)
 {
@@ -283,9 +282,9 @@
 }
 
 /*
- * An entry is paused after its claim was written, and another entry is asked
- * for the same key. The other may not run it, however long the pause; the
- * first may when it wakes.
+ * An entry is paused after its claim was written, and other entries get the same key.
+ * They must not run it, however long the pause; the first entry may when it
+ * continues.
  */
 static void test_frozen_entry_wakes_with_its_claim(void **state)
 {
@@ -307,7 +306,10 @@
 	call_destroy(call);
 }
 
-/* Sends RACERS keys to all entries under a fault and asks again afterwards. */
+/*
+ * Sends RACERS keys to two entries each under a store fault, clears the fault and
+ * retries every key. Returns the outcomes of the first calls.
+ */
 static history_stats_t race_under(fleet_t *fleet, const char *name,
 				  const char *faults)
 {
@@ -335,7 +337,7 @@
 		snprintf(key, sizeof(key), "%s-%d", name, i);
 		if (!key_is_settled(&wait)) {
 			unsettled++;
-			/* All entries live, so it comes to rest. */
+			/* All entries run, so the outcome becomes known. */
 			fleet_wait(fleet, key_is_settled, &wait, "a key's end");
 		}
 		assert_true(runs_of(fleet, key) <= 1);
@@ -351,17 +353,15 @@
 	return stats;
 }
 
-/*
- * The store answers late. Calls wait, and no key runs twice.
- */
+/* The store replies late. Calls wait, and no key may run twice. */
 static void test_store_answers_late(void **state)
 {
 	race_under(*state, "late", "{\"late_answers_ms\":150}");
 }
 
 /*
- * The store takes writes and loses their answers. The entry reads back whose
- * claim is there instead of writing it again blindly.
+ * The store applies writes but its replies are lost. The entry must read the claim
+ * back instead of writing it again unconditionally.
  */
 static void test_store_loses_answers(void **state)
 {
@@ -369,25 +369,23 @@
 }
 
 /*
- * Writes are cut off and take effect later, when others may have been made
- * meanwhile. A claim that was given up must not come back to life.
+ * Connections break during writes that are applied later, possibly after other
+ * writes. A claim that was abandoned must not take effect.
  */
 static void test_writes_land_late(void **state)
 {
 	race_under(*state, "landing", "{\"late_writes_ms\":120}");
 }
 
-/*
- * The store refuses writes as conflicts, as when many entries write one object.
- */
+/* The store rejects writes as conflicts, as if many entries wrote one object. */
 static void test_store_conflicts(void **state)
 {
 	race_under(*state, "conflict", "{\"conflicts\":40}");
 }
 
 /*
- * The store is over its rate for a moment and says so. Calls wait their turn;
- * a terminal whose call is refused has to place it again.
+ * The store rejects some writes with 429. Calls must wait instead of being rejected,
+ * as a terminal would have to repeat a rejected call.
  */
 static void test_store_is_over_its_rate(void **state)
 {
