--- a/tests/guarantees/test_entry_reclaim.c
+++ b/tests/guarantees/test_entry_reclaim.c
@@ -1,6 +1,6 @@
 /*
- * The VM of an entry is reclaimed under it, with notice. Callers whose answers
- * can't end in time are told to come back, and get the rest from any entry.
+ * An entry's VM is reclaimed with notice. Callers whose answers can't be completed in
+ * time are told to reconnect, and must get the rest from any other entry.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -22,21 +22,22 @@
 #define TOKENS 300 /* at 10 ms each: longer than any notice below */
 #define NOTICE "{\"leaves_in_ms\":2300}"
 
-/* A caller that follows its answer from entry to entry. */
+/* A caller that resumes its answer at other entries. */
 typedef struct reader {
 	fleet_t *fleet;
 	char *prompt;
 	bool stream;
 	call_t *call;
-	char *last_id;
-	unsigned int entry; /* index of the one it is at */
-	unsigned int moves;
-	bool waits; /* it was told to come back and has not yet */
+	char *last_id; /* to resume after, or NULL */
+	unsigned int entry; /* index of the entry it is connected to */
+	unsigned int moves; /* times it was told to reconnect */
+	bool waits; /* told to reconnect, not yet reconnected */
 	bool done;
-	bool broken;
+	bool broken; /* a call failed */
 	GString *text;
 } reader_t;
 
+/* Sends the request to an entry, with the id to resume after if there is one. */
 static void reader_call(reader_t *reader, unsigned int entry)
 {
 	json_t *body = json_pack("{s:s, s:b, s:i, s:[{s:s, s:s}]}", "model",
@@ -76,7 +77,7 @@
 	g_free(reader);
 }
 
-/* Keeps the id of the last event, or of the request if it has no events. */
+/* Saves the id to resume after: of the last event, or the request id if not streamed. */
 static void reader_keep_id(reader_t *reader)
 {
 	char **lines = g_strsplit(reader->call->body->str, "\n", -1);
@@ -104,7 +105,7 @@
 		       "moved");
 }
 
-/* Looks at a call that has ended. */
+/* Saves the text and outcome of the reader's call if it has ended. */
 static void reader_look(reader_t *reader)
 {
 	char *text;
@@ -130,9 +131,10 @@
 typedef struct group {
 	fleet_t *fleet;
 	reader_t *readers[READERS];
-	unsigned int moves; /* awaited of each */
+	unsigned int moves; /* awaited of each reader */
 } group_t;
 
+/* Starts a fleet and the readers; the first WHOLE of them don't stream. */
 static group_t group_create(unsigned int whole)
 {
 	const fleet_config_t config = { .entries = ENTRIES,
@@ -197,14 +199,14 @@
 	fleet_post(fleet, fleet->entries[entry].port, "/reclaim", NOTICE);
 }
 
-/* Waits until everybody was moved that often; then the VM goes. */
+/* Waits until every reader was told to reconnect MOVES times. */
 static void group_wait_moved(group_t *group, unsigned int moves)
 {
 	group->moves = moves;
 	fleet_wait(group->fleet, group_has_moved, group, "callers to be moved");
 }
 
-/* Sends those who wait to the entries FIRST to LAST in turn. */
+/* Reconnects the waiting readers to the entries FIRST to LAST in turn. */
 static void group_come_back(group_t *group, unsigned int first, unsigned int last)
 {
 	for (unsigned int i = 0; i < READERS; i++) {
@@ -215,6 +217,7 @@
 	}
 }
 
+/* Returns the sum of a number in the engines' replies to PATH. */
 static int64_t engine_number(const group_t *group, const char *path, const char *key)
 {
 	int64_t sum = 0;
@@ -235,8 +238,8 @@
 }
 
 /*
- * Everybody has the right text, and it was generated once: a fleet that ran
- * answers anew would compute about twice as many tokens.
+ * Checks that every reader got its text, and that it was generated only once: entries
+ * that restarted answers would generate about twice as many tokens.
  */
 static void group_check(group_t *group)
 {
@@ -261,9 +264,9 @@
 }
 
 /*
- * An entry's VM is reclaimed while eight answers are under way, two of them not
- * streamed. A caller would see its connection break and have to ask anew; with
- * the hand-over it comes back to another entry and gets the rest.
+ * An entry's VM is reclaimed during eight answers, two of them not streamed. The
+ * handover must let callers get the rest from another entry; without it they would
+ * have to repeat their requests.
  */
 static void test_answers_go_on_at_another_entry(void **state)
 {
@@ -279,8 +282,8 @@
 }
 
 /*
- * Callers are slow to come back: by then their answers have been whole for a
- * while at the entry that took them over.
+ * Callers reconnect only after the entry that took over their answers has completed
+ * them.
  */
 static void test_answers_that_ended_meanwhile_are_kept(void **state)
 {
@@ -296,10 +299,7 @@
 	group_check(&group);
 }
 
-/*
- * Reclaims come in waves: the entry that callers came back to is reclaimed too,
- * and then the next.
- */
+/* The entry that callers reconnected to is reclaimed as well. */
 static void test_answers_move_twice(void **state)
 {
 	group_t group = group_create(0);
@@ -335,9 +335,9 @@
 }
 
 /*
- * A station call takes longer than the notice. Its outcome can't be known when
- * the VM goes, so the terminal is told so while there is time, and its retry by
- * another entry must not log the harness twice.
+ * A station call takes longer than the notice, so that its outcome is unknown when
+ * the VM ends. The terminal must be told before that, and its retry at another entry
+ * must not run the call twice.
  */
 static void test_a_station_call_is_not_repeated(void **state)
 {
