--- a/tests/guarantees/test_bundle_in_force.c
+++ b/tests/guarantees/test_bundle_in_force.c
@@ -1,7 +1,6 @@
 /*
- * An accepted bundle is in force everywhere within seconds and never reverts:
- * with the store down, with operators who race, with lost answers and with
- * bodies that nobody signed.
+ * An accepted bundle is applied by every entry within seconds and is never reverted:
+ * with the store down, concurrent rollouts, lost replies and unsigned bodies.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -21,16 +20,17 @@
 
 #define ENTRIES 6
 #define ROLLOUTS 5
-#define ALLOWED_MS 7000 /* in force everywhere, as operators ask */
+#define ALLOWED_MS 7000 /* to be applied by all entries, as operators require */
 
 typedef struct bundles {
 	fleet_t *fleet;
-	int64_t wanted;
-	int64_t seen[ENTRIES];
-	process_t *extra; /* an entry beside the fleet's, or NULL */
+	int64_t wanted; /* generation rolled out last */
+	int64_t seen[ENTRIES]; /* generation last seen of each entry */
+	process_t *extra; /* an entry besides the fleet's, or NULL */
 	int extra_port;
 } bundles_t;
 
+/* Returns a number from an entry's /status, or -1. */
 static int64_t status_number(fleet_t *fleet, int port, const char *key)
 {
 	json_t *status = fleet_get(fleet, port, "/status");
@@ -49,7 +49,10 @@
 	return ready;
 }
 
-/* Looks at each entry, and that none went back. */
+/*
+ * Returns true if all entries have applied the wanted generation. Fails the test if
+ * one went back to a lower generation.
+ */
 static bool is_in_force(void *ctx)
 {
 	bundles_t *bundles = ctx;
@@ -69,8 +72,8 @@
 }
 
 /*
- * Waits until a generation is in force everywhere; returns the milliseconds
- * from SINCE, which is when the rollout was started.
+ * Waits until all entries have applied a generation. Returns the milliseconds since
+ * SINCE, the start of the rollout.
  */
 static int64_t wait_in_force(bundles_t *bundles, int64_t generation, int64_t since)
 {
@@ -84,6 +87,7 @@
 	fleet_post(fleet, fleet->platform.port, "/standin/faults", faults);
 }
 
+/* Returns the number of reads that the store has answered, or -1. */
 static int64_t store_reads(fleet_t *fleet)
 {
 	json_t *counts = fleet_get(fleet, fleet->platform.port, "/standin/counts");
@@ -133,7 +137,7 @@
 	return bundles->extra_port > 0;
 }
 
-/* Starts an entry of its own settings that reaches the platform directly. */
+/* Starts an entry that reaches the platform without the forwarder. */
 static void start_extra(bundles_t *bundles, bool with_seeds)
 {
 	fleet_t *fleet = bundles->fleet;
@@ -183,9 +187,9 @@
 }
 
 /*
- * Operators roll out one bundle after the other, and once the store goes down
- * as soon as it has accepted one. Entries that heard no more of the store would
- * serve callers by different bundles for as long as the outage lasts.
+ * Bundles are rolled out one after the other, and the store goes down right after it
+ * accepted the last one. Entries that depended on the store alone would apply
+ * different bundles for as long as the outage lasts.
  */
 static void test_an_accepted_bundle_reaches_all(void **state)
 {
@@ -209,8 +213,8 @@
 }
 
 /*
- * Six entries have lost the store, and only one more still reaches it when
- * operators roll out. The six must have the bundle from that one.
+ * Six entries have lost the store, and only a seventh still reaches it at a rollout.
+ * The six must get the bundle from it.
  */
 static void test_peers_alone_carry_a_bundle(void **state)
 {
@@ -230,7 +234,7 @@
 	bundles_destroy(bundles);
 }
 
-/* Frozen entries miss two rollouts; awake they must not stay behind. */
+/* A paused entry misses two rollouts and must catch up when it continues. */
 static void test_a_frozen_entry_catches_up(void **state)
 {
 	bundles_t *bundles = bundles_create(false);
@@ -246,8 +250,8 @@
 }
 
 /*
- * An entry is replaced while the store is down. It has no disk, so it knows
- * neither its fellows nor the bundle; the entries named in its settings do.
+ * An entry starts while the store is down. It has no local state, so it must get the
+ * members and the bundle from the seeds in its settings.
  */
 static void test_an_entry_starts_from_its_peers(void **state)
 {
@@ -265,8 +269,8 @@
 }
 
 /*
- * As before, but no peer is named either. An entry that called itself ready
- * would refuse callers that its fellows could serve.
+ * As before, but without seeds. An entry that reported itself ready without a bundle
+ * would reject callers that other entries could serve.
  */
 static void test_an_entry_without_a_bundle_is_not_ready(void **state)
 {
@@ -282,6 +286,7 @@
 	bundles_destroy(bundles);
 }
 
+/* Starts a rollout without waiting for it; the caller destroys the process. */
 static process_t *start_rollout(fleet_t *fleet, uint64_t generation)
 {
 	const char *dir = g_getenv("B");
@@ -304,9 +309,9 @@
 }
 
 /*
- * Two operators roll out at the same moment, and the store's answers to their
- * first writes are lost. Both outcomes must be told as they are: the higher one
- * is accepted, and no entry goes from it to the lower.
+ * Two rollouts run at once, and the store's replies to their first writes are lost.
+ * The higher generation must be accepted and reported as such, and no entry may go
+ * from it to the lower one.
  */
 static void test_racing_operators(void **state)
 {
@@ -346,9 +351,9 @@
 }
 
 /*
- * Somebody who can write to the store, but has no operator's key, puts a
- * changed body there and points to it. No entry may take it; and when the true
- * body is back under the same key, all must have it without another rollout.
+ * Someone with write access to the store, but without the operators' key, stores a
+ * modified body and points to it. No entry may apply it; and once the signed body is
+ * stored under the same key, all must apply it without another rollout.
  */
 static void test_a_body_nobody_signed_is_not_taken(void **state)
 {
@@ -398,8 +403,8 @@
 }
 
 /*
- * A bundle has grown over what the store holds. Operators must hear of it when
- * they check it, not when a rollout fails in a hurry.
+ * A bundle exceeds the store's size limit. The check must report it, so that the
+ * rollout doesn't fail later.
  */
 static void test_a_bundle_over_a_megabyte_is_refused(void **state)
 {
