--- a/tests/guarantees/test_not_run.c
+++ b/tests/guarantees/test_not_run.c
@@ -1,8 +1,8 @@
 /*
- * "Not run" means not run: each way of refusing a call is caused, and no call
- * refused so may be in the stand-ins' record of what ran. The other way round,
- * a call that surely did not run should be called so and not "outcome unknown",
- * since a terminal can ask again at once only after "not run".
+ * A call rejected with "not-run" has not run: the tests cause each kind of rejection
+ * and check that no such call is in the stand-ins' records. Conversely, a call that
+ * certainly did not run should get "not-run" rather than "outcome-unknown", since a
+ * terminal can retry at once only after "not-run".
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -22,8 +22,8 @@
 #define SERVICES 2
 #define CALLS 24
 #define SLOTS 64 /* of a service */
-#define FLOOD 512
-#define HEAD_BYTES 40 /* of a request: its head is longer */
+#define FLOOD 512 /* calls at most to provoke a rejection */
+#define HEAD_BYTES 40 /* less than the head of a request */
 #define PATH_CALLS "/v1/services/station-call/calls"
 
 static const char bundle_extra[] =
@@ -73,7 +73,7 @@
 			   faults);
 }
 
-/* Takes back what an earlier test set and, if it failed, did not take back. */
+/* Clears faults that an earlier test left behind when it failed. */
 static int calm(void **state)
 {
 	set_store(*state, "{}");
@@ -81,7 +81,7 @@
 	return 0;
 }
 
-/* Sends COUNT calls under fresh keys, over all entries. */
+/* Sends COUNT calls with new keys, over all entries. */
 static void send_calls(history_t *history, fleet_t *fleet, const char *name,
 		       unsigned int count, const char *account_key)
 {
@@ -99,7 +99,7 @@
 	}
 }
 
-/* Waits for all calls, checks the promises and prints how the calls ended. */
+/* Waits for all calls, checks the guarantees, prints the outcomes and returns them. */
 static history_stats_t finish(history_t *history, const char *name)
 {
 	history_stats_t stats;
@@ -120,6 +120,7 @@
 	unsigned int running;
 } progress_t;
 
+/* Returns true if the services are running that many calls. */
 static bool services_run(void *ctx)
 {
 	const progress_t *progress = ctx;
@@ -143,7 +144,7 @@
 	unsigned int sent;
 } flood_t;
 
-/* Sends one call more each time, up to FLOOD, until one of them is refused. */
+/* Sends one more call each time, up to FLOOD; returns true once one was rejected. */
 static bool a_call_is_refused(void *ctx)
 {
 	flood_t *flood = ctx;
@@ -162,10 +163,7 @@
 	return false;
 }
 
-/*
- * Every service is full and the queue too. What finds no place is refused, and
- * none of it has run.
- */
+/* All services and the queue are full. Calls rejected for that must not have run. */
 static void test_queue_is_full(void **state)
 {
 	fleet_t *fleet = *state;
@@ -186,8 +184,8 @@
 }
 
 /*
- * An account asks more than its bundle allows. It is refused under its own
- * name, and what was refused has not run.
+ * An account exceeds its request rate. Calls rejected for that must not have run, and
+ * none may get outcome-unknown.
  */
 static void test_account_is_over_its_limit(void **state)
 {
@@ -203,8 +201,8 @@
 }
 
 /*
- * The store is down, so no call can be claimed. All are refused as not run, and
- * the same keys run once it is back.
+ * The store is down, so no call can be claimed. All must get "not-run", and the same
+ * keys must run when it is back.
  */
 static void test_store_is_down(void **state)
 {
@@ -225,6 +223,7 @@
 	history_destroy(history);
 }
 
+/* Starts a call to a service with a timeout of 600 ms; the caller destroys it. */
 static call_t *brief_call(fleet_t *fleet, unsigned int entry, const char *key)
 {
 	return call_start(fleet, fleet->entries[entry].port, "POST",
@@ -232,7 +231,10 @@
 			  NULL, "{}");
 }
 
-/* Lists a VM at a port that is taken, so that nobody else listens there. */
+/*
+ * Lists a VM whose port refuses connections. Returns the socket bound to the port,
+ * which keeps others from listening there; the caller closes it.
+ */
 static uv_tcp_t *list_deaf_vm(fleet_t *fleet)
 {
 	uv_tcp_t *tcp = g_new0(uv_tcp_t, 1);
@@ -256,8 +258,8 @@
 }
 
 /*
- * Nothing listens at the upstream any more, while the VM list still has it. No
- * byte left the entry, so the calls are not run however often they were tried.
+ * An upstream no longer listens, but is still in the VM list. The entry sent no byte,
+ * so calls must get "not-run" however many attempts were made.
  */
 static void test_upstream_refuses_connections(void **state)
 {
@@ -285,8 +287,8 @@
 }
 
 /*
- * Connections are taken and closed at once. The request may have left by then,
- * and the entry can't tell: the outcome is unknown and nothing is sent again.
+ * Upstreams accept connections and close them at once. The entry can't know whether
+ * the request was sent, so the outcome is unknown and it must not be sent again.
  */
 static void test_upstream_closes_at_once(void **state)
 {
@@ -309,8 +311,8 @@
 }
 
 /*
- * The connection breaks in the middle of the request's head. The entry can't
- * know how much arrived: the outcome is unknown, and nothing is sent again.
+ * The connection breaks within the request's head. The entry can't know how much was
+ * received, so the outcome is unknown and the request must not be sent again.
  */
 static void test_cut_in_the_head(void **state)
 {
@@ -327,8 +329,8 @@
 }
 
 /*
- * The service runs the call and the connection breaks before the answer comes
- * back. Calling this not run would let a terminal place the call again.
+ * The service runs the call and the connection breaks before the answer. After a
+ * "not-run" the terminal would retry and the call would run twice.
  */
 static void test_cut_before_the_answer(void **state)
 {
@@ -346,9 +348,7 @@
 	history_destroy(history);
 }
 
-/*
- * The connections break while the service works on calls that it has whole.
- */
+/* Connections break while the service runs calls that it received completely. */
 static void test_cut_while_it_runs(void **state)
 {
 	fleet_t *fleet = *state;
@@ -374,8 +374,8 @@
 } settled_t;
 
 /*
- * Asked again, a key that never ran is not run again for want of an upstream;
- * while its old claim is held it would be outcome-unknown.
+ * Retries a key that never ran; returns true if it gets "not-run", as no upstream is
+ * usable. While its old claim is held, a retry gets outcome-unknown.
  */
 static bool key_is_free(void *ctx)
 {
@@ -392,9 +392,9 @@
 }
 
 /*
- * The store is so slow that the call's own deadline passes while its claim is
- * under way. It is refused as not run, and the claim must not be left behind
- * when the store's answer comes: each retry would hear that it may have run.
+ * A call's deadline passes while its claim is being written to a slow store. It gets
+ * "not-run", and the claim must be released when the store replies; otherwise every
+ * retry would get outcome-unknown.
  */
 static void test_deadline_passes_while_claiming(void **state)
 {
@@ -413,10 +413,7 @@
 	fleet_wait(fleet, key_is_free, &settled, "the key to be free");
 }
 
-/*
- * An entry is stopped as planned while calls come in. None is lost, and none
- * that it refuses has run.
- */
+/* An entry is stopped with SIGTERM while calls arrive. All must be answered. */
 static void test_entry_drains(void **state)
 {
 	fleet_t *fleet = *state;
