--- a/tests/guarantees/test_soak.c
+++ b/tests/guarantees/test_soak.c
@@ -1,9 +1,9 @@
 /*
- * Failures in any order and several at once: each seed draws a schedule of
- * faults and repairs while callers go on asking. Whatever happened, the record
- * must show that no key ran twice, that nothing refused as "not run" ran, that
- * every whole answer is its caller's own, and that no entry went back to an
- * older bundle. SEEDS=N and FIRST_SEED=K in the environment choose the seeds.
+ * Random failures, also several at once: each seed determines a schedule of faults
+ * and repairs while callers keep sending requests. No key may run twice, no call that
+ * got "not-run" may have run, every complete answer must be the caller's own, and no
+ * entry may go back to an older bundle. The environment variables SEEDS=N and
+ * FIRST_SEED=K choose the seeds.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -45,15 +45,16 @@
 	fleet_t *fleet;
 	history_t *history;
 	GRand *rand;
-	unsigned int keys; /* made so far */
+	unsigned int keys; /* used so far */
 	unsigned int prompts;
 	bool store_faulty;
-	int down_entry; /* killed, stopped or frozen now; -1: none */
+	int down_entry; /* index of the killed, stopped or paused entry; -1: none */
 	fault_t down_how;
 	bool engine_left;
-	int64_t generations[ENTRIES]; /* seen of each entry */
+	int64_t generations[ENTRIES]; /* last seen of each entry */
 } soak_t;
 
+/* Returns a random number from 0 to BELOW - 1. */
 static unsigned int draw(soak_t *soak, unsigned int below)
 {
 	return (unsigned int)g_rand_int_range(soak->rand, 0, (gint32)below);
@@ -64,7 +65,7 @@
 	return soak->fleet->entries[draw(soak, ENTRIES)].port;
 }
 
-/* A terminal often asks again with a key it has used before. */
+/* Sends two station calls and two completions; a third of the keys are reused. */
 static void send_calls(soak_t *soak)
 {
 	for (int i = 0; i < 2; i++) {
@@ -126,7 +127,7 @@
 		process_signal(process, SIGCONT);
 		return;
 	}
-	/* A planned stop may take until its last stream ends. */
+	/* After SIGTERM an entry runs until its last stream ends. */
 	if (!fleet_wait_ms(soak->fleet, entry_has_ended, process, 15000))
 		process_signal(process, SIGKILL);
 	fleet_wait(soak->fleet, entry_has_ended, process, "an entry's end");
@@ -147,6 +148,7 @@
 		   "{\"leaving\":true,\"leaves_in_ms\":2500}");
 }
 
+/* Stalls or closes all connections of a random upstream. */
 static void break_upstreams(soak_t *soak, bool silent)
 {
 	unsigned int pick = draw(soak, ENGINES + SERVICES);
@@ -211,7 +213,7 @@
 	bring_entry_back(soak);
 }
 
-/* No entry may show a lower generation than it showed before. */
+/* Fails the test if an entry reports a lower generation than before. */
 static void check_generations(soak_t *soak)
 {
 	for (unsigned int i = 0; i < ENTRIES; i++) {
@@ -242,7 +244,7 @@
 	for (int step = 0; step < STEPS; step++) {
 		send_calls(soak);
 		apply(soak, (fault_t)draw(soak, FAULTS));
-		/* Lets the fault meet work under way; nothing is awaited. */
+		/* Lets the fault affect requests in progress. */
 		fleet_wait_ms(soak->fleet, never, NULL, STEP_MS);
 		if (step % 4 == 3) {
 			repair(soak);
