--- a/tests/guarantees/test_planned_stop.c
+++ b/tests/guarantees/test_planned_stop.c
@@ -24,7 +24,7 @@
 	unsigned int keys;
 } load_t;
 
-/* Starts a completion; every fourth one is not streamed. */
+/* Starts a completion at an entry and adds it to the history. */
 static void send_stream(load_t *load, int port)
 {
 	char *prompt = g_strdup_printf("lot %u", load->sent++);
