--- a/tests/guarantees/test_planned_stop.c
+++ b/tests/guarantees/test_planned_stop.c
@@ -15,7 +15,7 @@
 
 #define ENTRIES 6
 #define TOKENS 230 /* at 10 ms each, a stream outlives the grace of a stop */
-#define CALLS 4 /* of each kind, per entry and round */
+#define CALLS_PER_ROUND 4 /* of each kind, per entry and round */
 
 typedef struct load {
 	fleet_t *fleet;
@@ -48,7 +48,7 @@
 
 static void send_round(load_t *load, unsigned int index)
 {
-	for (int i = 0; i < CALLS; i++) {
+	for (int i = 0; i < CALLS_PER_ROUND; i++) {
 		send_stream(load, load->fleet->entries[index].port);
 		send_station_call(load, load->fleet->entries[index].port);
 	}
@@ -89,7 +89,7 @@
  * that is stopping: the balancer still sends it requests for a moment, and a second
  * SIGTERM must not end it early.
  */
-static void test_rolling_replacement_cuts_nothing(void **state)
+static void test_rolling_restart_breaks_no_request(void **state)
 {
 	load_t load;
 
@@ -114,7 +114,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_rolling_replacement_cuts_nothing),
+		cmocka_unit_test(test_rolling_restart_breaks_no_request),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
