--- a/tests/guarantees/test_placer_acts_once.c
+++ b/tests/guarantees/test_placer_acts_once.c
@@ -17,22 +17,23 @@
 
 /* So many on standby that one of them reads the lease every few seconds. */
 #define PLACERS 16
-#define SPARES 24
+#define SPARE_VMS 24
 #define WAIT_MS 90000
 #define TARGET "cut-list"
 
-typedef struct placed {
+typedef struct wait {
 	fleet_t *fleet;
 	unsigned int count; /* awaited number of VMs or purchases */
 	const char *holder; /* id of the placer that must no longer hold the lease */
-} placed_t;
+} placement_wait_t;
 
 /* Rolls out a bundle with that number of workers for the target model. */
-static void ask_for(fleet_t *fleet, unsigned int workers, unsigned int most)
+static void set_workers(fleet_t *fleet, unsigned int workers,
+			unsigned int max_workers)
 {
 	char *extra = g_strdup_printf("[models." TARGET "]\nworkers = %u\n"
 				      "most_workers = %u\ntimeout_ms = 1000\n",
-				      workers, most);
+				      workers, max_workers);
 
 	fleet->config.bundle_extra = extra;
 	fleet_rollout(fleet, fleet->generation + 1);
@@ -40,10 +41,10 @@
 	g_free(extra);
 }
 
-static void add_spares(fleet_t *fleet)
+static void add_spare_vms(fleet_t *fleet)
 {
-	for (int i = 0; i < SPARES; i++) {
-		char *row = g_strdup_printf(
+	for (int i = 0; i < SPARE_VMS; i++) {
+		char *item = g_strdup_printf(
 			"{\"id\":\"spare-%d\",\"zone\":\"zone-%c\","
 			"\"address\":\"127.0.0.1\",\"port\":%d,"
 			"\"role\":\"model\",\"state\":\"spare\","
@@ -51,12 +52,12 @@
 			"\"reclaimable\":true,\"machine_class\":\"any\"}",
 			i, 'a' + i % 4, fleet->engines[0].port);
 
-		fleet_post(fleet, fleet->platform.port, "/standin/vms", row);
-		g_free(row);
+		fleet_post(fleet, fleet->platform.port, "/standin/vms", item);
+		g_free(item);
 	}
 }
 
-static json_t *get(fleet_t *fleet, const char *path)
+static json_t *get_json(fleet_t *fleet, const char *path)
 {
 	json_t *answer = fleet_get(fleet, fleet->platform.port, path);
 
@@ -65,25 +66,25 @@
 }
 
 /* Returns the number of live VMs of the target, and the most that share a tag. */
-static unsigned int count_vms(fleet_t *fleet, unsigned int *most_of_a_tag)
+static unsigned int count_vms(fleet_t *fleet, unsigned int *max_per_tag)
 {
-	json_t *list = get(fleet, "/vms");
+	json_t *list = get_json(fleet, "/vms");
 	json_t *tags = json_object();
 	unsigned int count = 0;
-	json_t *row;
+	json_t *item;
 	size_t i;
 
-	*most_of_a_tag = 0;
-	json_array_foreach(json_object_get(list, "vms"), i, row)
+	*max_per_tag = 0;
+	json_array_foreach(json_object_get(list, "vms"), i, item)
 	{
-		const char *tag = json_string_or(row, "tag", "");
-		int64_t of_tag = json_integer_or(tags, tag, 0) + 1;
+		const char *tag = json_string_or(item, "tag", "");
+		int64_t tag_count = json_integer_or(tags, tag, 0) + 1;
 
-		if (strcmp(json_string_or(row, "serves", ""), TARGET))
+		if (strcmp(json_string_or(item, "serves", ""), TARGET))
 			continue;
 		count++;
-		json_object_set_new(tags, tag, json_integer(of_tag));
-		*most_of_a_tag = MAX(*most_of_a_tag, (unsigned int)of_tag);
+		json_object_set_new(tags, tag, json_integer(tag_count));
+		*max_per_tag = MAX(*max_per_tag, (unsigned int)tag_count);
 	}
 	json_decref(tags);
 	json_decref(list);
@@ -96,17 +97,17 @@
 	json_t *lease =
 		fleet_get(fleet, fleet->platform.port, "/objects/placer/lease");
 	const char *holder = json_string_or(lease, "holder", "");
-	int found = -1;
+	int index = -1;
 
 	for (int i = 0; i < PLACERS; i++) {
 		char *prefix = g_strconcat(fleet->placers[i].id, "-", NULL);
 
 		if (g_str_has_prefix(holder, prefix))
-			found = i;
+			index = i;
 		g_free(prefix);
 	}
 	json_decref(lease);
-	return found;
+	return index;
 }
 
 static size_t count_intents(fleet_t *fleet)
@@ -121,42 +122,42 @@
 
 static bool has_holder(void *ctx)
 {
-	return lease_holder(((placed_t *)ctx)->fleet) >= 0;
+	return lease_holder(((placement_wait_t *)ctx)->fleet) >= 0;
 }
 
 static bool has_other_holder(void *ctx)
 {
-	placed_t *placed = ctx;
-	int holder = lease_holder(placed->fleet);
+	placement_wait_t *wait = ctx;
+	int holder = lease_holder(wait->fleet);
 
 	return holder >= 0 &&
-	       strcmp(placed->fleet->placers[holder].id, placed->holder) != 0;
+	       strcmp(wait->fleet->placers[holder].id, wait->holder) != 0;
 }
 
 static bool has_ordered(void *ctx)
 {
-	placed_t *placed = ctx;
-	json_t *answer = get(placed->fleet, "/standin/orders");
+	placement_wait_t *wait = ctx;
+	json_t *answer = get_json(wait->fleet, "/standin/orders");
 	size_t count = json_object_size(json_object_get(answer, "orders"));
 
 	json_decref(answer);
-	return count >= placed->count;
+	return count >= wait->count;
 }
 
 /* Returns true if there are COUNT VMs and the lease records no pending intents. */
-static bool has_placed(void *ctx)
+static bool placement_is_done(void *ctx)
 {
-	placed_t *placed = ctx;
-	unsigned int of_tag;
+	placement_wait_t *wait = ctx;
+	unsigned int tag_count;
 
-	return count_vms(placed->fleet, &of_tag) == placed->count &&
-	       count_intents(placed->fleet) == 0;
+	return count_vms(wait->fleet, &tag_count) == wait->count &&
+	       count_intents(wait->fleet) == 0;
 }
 
-static void wait_for(fleet_t *fleet, fleet_condition_t condition,
-		     placed_t *placed, const char *what)
+static void wait_until(fleet_t *fleet, fleet_condition_t condition,
+		       placement_wait_t *wait, const char *what)
 {
-	if (!fleet_wait_ms(fleet, condition, placed, WAIT_MS))
+	if (!fleet_wait_ms(fleet, condition, wait, WAIT_MS))
 		fail_msg("gave up waiting for: %s", what);
 }
 
@@ -166,10 +167,10 @@
 					.placers = PLACERS,
 					.engines = 1 };
 	fleet_t *fleet = fleet_create(&config);
-	placed_t placed = { .fleet = fleet };
+	placement_wait_t wait = { .fleet = fleet };
 
-	add_spares(fleet);
-	wait_for(fleet, has_holder, &placed, "a placer that acts");
+	add_spare_vms(fleet);
+	wait_until(fleet, has_holder, &wait, "a placer that acts");
 	*state = fleet;
 	return 0;
 }
@@ -180,12 +181,12 @@
 	return 0;
 }
 
-static void assert_one_vm_a_tag(fleet_t *fleet, unsigned int count)
+static void assert_one_vm_per_tag(fleet_t *fleet, unsigned int count)
 {
-	unsigned int of_tag;
+	unsigned int tag_count;
 
-	assert_int_equal(count_vms(fleet, &of_tag), count);
-	assert_int_equal(of_tag, 1);
+	assert_int_equal(count_vms(fleet, &tag_count), count);
+	assert_int_equal(tag_count, 1);
 }
 
 /*
@@ -193,22 +194,22 @@
  * are lost. Its successor must find the VMs by their tags; otherwise it would buy
  * them again, and users would pay for VMs that nobody asked for.
  */
-static void test_a_killed_placer_buys_once(void **state)
+static void test_killed_placer_buys_once(void **state)
 {
 	fleet_t *fleet = *state;
-	placed_t placed = { .fleet = fleet, .count = 1 };
+	placement_wait_t wait = { .fleet = fleet, .count = 1 };
 	int holder = lease_holder(fleet);
 
-	placed.holder = fleet->placers[holder].id;
+	wait.holder = fleet->placers[holder].id;
 	fleet_post(fleet, fleet->platform.port, "/standin/faults",
 		   "{\"lose_purchases\":2,\"lag_ms\":500}");
-	ask_for(fleet, 4, 0);
-	wait_for(fleet, has_ordered, &placed, "a purchase");
+	set_workers(fleet, 4, 0);
+	wait_until(fleet, has_ordered, &wait, "a purchase");
 	process_signal(fleet->placers[holder].process, SIGKILL);
-	wait_for(fleet, has_other_holder, &placed, "another placer that acts");
-	placed.count = 4;
-	wait_for(fleet, has_placed, &placed, "four VMs");
-	assert_one_vm_a_tag(fleet, 4);
+	wait_until(fleet, has_other_holder, &wait, "another placer that acts");
+	wait.count = 4;
+	wait_until(fleet, placement_is_done, &wait, "four VMs");
+	assert_one_vm_per_tag(fleet, 4);
 }
 
 /*
@@ -216,26 +217,26 @@
  * then continues with a stale lease. The remaining purchases must not be made twice,
  * even by a cloud API that does not deduplicate tags.
  */
-static void test_a_paused_placer_buys_once(void **state)
+static void test_paused_placer_buys_once(void **state)
 {
 	fleet_t *fleet = *state;
-	placed_t placed = { .fleet = fleet, .count = 5 };
+	placement_wait_t wait = { .fleet = fleet, .count = 5 };
 	int holder = lease_holder(fleet);
 	json_t *orders;
 
-	placed.holder = fleet->placers[holder].id;
+	wait.holder = fleet->placers[holder].id;
 	fleet_post(fleet, fleet->platform.port, "/standin/faults",
 		   "{\"lose_purchases\":2,\"lag_ms\":500,"
 		   "\"forgets_tags\":true}");
-	ask_for(fleet, 8, 0);
-	wait_for(fleet, has_ordered, &placed, "a fifth purchase");
+	set_workers(fleet, 8, 0);
+	wait_until(fleet, has_ordered, &wait, "a fifth purchase");
 	process_signal(fleet->placers[holder].process, SIGSTOP);
-	wait_for(fleet, has_other_holder, &placed, "another placer that acts");
+	wait_until(fleet, has_other_holder, &wait, "another placer that acts");
 	process_signal(fleet->placers[holder].process, SIGCONT);
-	placed.count = 8;
-	wait_for(fleet, has_placed, &placed, "eight VMs");
-	assert_one_vm_a_tag(fleet, 8);
-	orders = get(fleet, "/standin/orders");
+	wait.count = 8;
+	wait_until(fleet, placement_is_done, &wait, "eight VMs");
+	assert_one_vm_per_tag(fleet, 8);
+	orders = get_json(fleet, "/standin/orders");
 	print_message("orders under an old lease: %" JSON_INTEGER_FORMAT "\n",
 		      (json_int_t)json_integer_or(orders, "stale_orders", -1));
 	json_decref(orders);
@@ -248,11 +249,11 @@
 static void test_surplus_is_drained_first(void **state)
 {
 	fleet_t *fleet = *state;
-	placed_t placed = { .fleet = fleet, .count = 6 };
+	placement_wait_t wait = { .fleet = fleet, .count = 6 };
 	json_t *record;
 
-	ask_for(fleet, 6, 0);
-	wait_for(fleet, has_placed, &placed, "six VMs");
+	set_workers(fleet, 6, 0);
+	wait_until(fleet, placement_is_done, &wait, "six VMs");
 	record = fleet_get(fleet, fleet->engines[0].port, "/standin/orders");
 	assert_true(json_array_size(json_object_get(record, "roles")) >= 2);
 	assert_string_equal(json_string_value(json_array_get(
@@ -264,8 +265,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_killed_placer_buys_once),
-		cmocka_unit_test(test_a_paused_placer_buys_once),
+		cmocka_unit_test(test_killed_placer_buys_once),
+		cmocka_unit_test(test_paused_placer_buys_once),
 		cmocka_unit_test(test_surplus_is_drained_first),
 	};
 
