--- a/tests/guarantees/test_leaving_gets_nothing_new.c
+++ b/tests/guarantees/test_leaving_gets_nothing_new.c
@@ -20,7 +20,7 @@
 #define ENGINES 5
 #define ROUNDS 3 /* engines that leave, one per round */
 #define DRAIN_BOUND_MS 2000
-#define WATCHED_MS 3000 /* duration of traffic after a notice */
+#define TRAFFIC_MS 3000 /* duration of traffic after a notice */
 #define CALLS_OPEN_MAX 24
 #define SLOTS "12" /* few enough that entries use engines of all zones */
 #define LONG_TOKENS 1200 /* 6 s at 5 ms a token; the policy expects 60 s */
@@ -30,13 +30,13 @@
 typedef struct drain {
 	fleet_t *fleet;
 	history_t *history;
-	call_t *open[CALLS_OPEN_MAX]; /* also in the history */
+	call_t *open_calls[CALLS_OPEN_MAX]; /* also in the history */
 	unsigned int sent;
-	int64_t until; /* end of traffic, monotonic microseconds */
+	int64_t traffic_end; /* end of traffic, monotonic microseconds */
 	int64_t last_ms[ROUNDS * ENTRIES]; /* from notice to an entry's last request */
 	unsigned int samples;
-	unsigned int unused; /* entries that sent no request after the notice */
-	unsigned int index; /* of the engine that leaves next */
+	unsigned int idle_entries; /* entries that sent no request after the notice */
+	unsigned int leaving_engine; /* index of the engine that leaves next */
 } drain_t;
 
 static void send_short(drain_t *drain, unsigned int slot)
@@ -44,10 +44,10 @@
 	unsigned int entry = slot % ENTRIES;
 	char *prompt = g_strdup_printf("line %u", drain->sent++);
 
-	drain->open[slot] = completion_start(drain->fleet,
-					     drain->fleet->entries[entry].port,
-					     prompt, SHORT_TOKENS, true);
-	history_add_completion(drain->history, drain->open[slot], prompt,
+	drain->open_calls[slot] =
+		completion_start(drain->fleet, drain->fleet->entries[entry].port,
+				 prompt, SHORT_TOKENS, true);
+	history_add_completion(drain->history, drain->open_calls[slot], prompt,
 			       SHORT_TOKENS);
 	g_free(prompt);
 }
@@ -58,15 +58,15 @@
 	drain_t *drain = ctx;
 
 	for (unsigned int i = 0; i < CALLS_OPEN_MAX; i++) {
-		if (!drain->open[i] || drain->open[i]->done)
+		if (!drain->open_calls[i] || drain->open_calls[i]->done)
 			send_short(drain, i);
 	}
-	return g_get_monotonic_time() >= drain->until;
+	return g_get_monotonic_time() >= drain->traffic_end;
 }
 
 static void run_traffic(drain_t *drain, int64_t ms)
 {
-	drain->until = g_get_monotonic_time() + ms * 1000;
+	drain->traffic_end = g_get_monotonic_time() + ms * 1000;
 	fleet_wait(drain->fleet, traffic_is_over, drain, "traffic");
 }
 
@@ -108,13 +108,13 @@
 		if (last > 0)
 			drain->last_ms[drain->samples++] = last / 1000;
 		else
-			drain->unused++;
+			drain->idle_entries++;
 		g_free(prefix);
 	}
 }
 
-static int64_t engine_number(fleet_t *fleet, unsigned int index,
-			     const char *path, const char *name)
+static int64_t engine_get_number(fleet_t *fleet, unsigned int index,
+				 const char *path, const char *name)
 {
 	json_t *answer = fleet_get(fleet, fleet->engines[index].port, path);
 	int64_t number = json_integer_or(answer, name, 0);
@@ -128,7 +128,8 @@
 	drain_t *drain = ctx;
 
 	traffic_is_over(drain);
-	return engine_number(drain->fleet, drain->index, "/load", "running") > 0;
+	return engine_get_number(drain->fleet, drain->leaving_engine, "/load",
+				 "running") > 0;
 }
 
 /*
@@ -136,23 +137,23 @@
  * it. It keeps accepting requests, as rejections would turn away entries that don't
  * know of the notice.
  */
-static void leave(drain_t *drain, unsigned int index)
+static void give_notice(drain_t *drain, unsigned int index)
 {
 	fleet_t *fleet = drain->fleet;
 	json_t *record;
 
-	drain->index = index;
+	drain->leaving_engine = index;
 	fleet_wait(fleet, engine_is_used, drain, "work on the engine");
 	fleet_post(fleet, fleet->engines[index].port, "/standin/faults",
 		   "{\"leaving\":true,\"leaves_in_ms\":300000,\"tell\":1,"
 		   "\"accepts\":true}");
-	run_traffic(drain, WATCHED_MS);
+	run_traffic(drain, TRAFFIC_MS);
 	record = fleet_get(fleet, fleet->engines[index].port, "/standin/record");
 	read_arrivals(drain, record);
 	json_decref(record);
 }
 
-static int by_value(const void *a, const void *b)
+static int compare_int64(const void *a, const void *b)
 {
 	int64_t left = *(const int64_t *)a;
 	int64_t right = *(const int64_t *)b;
@@ -160,7 +161,7 @@
 	return (left > right) - (left < right);
 }
 
-static void test_entries_stop_sending_in_time(void **state)
+static void test_entries_stop_within_drain_bound(void **state)
 {
 	const fleet_config_t config = { .entries = ENTRIES,
 					.engines = ENGINES,
@@ -177,19 +178,19 @@
 	for (unsigned int i = 0; i < ROUNDS; i++) {
 		send_long(&drain);
 		run_traffic(&drain, 200);
-		leave(&drain, i);
+		give_notice(&drain, i);
 	}
-	qsort(last, drain.samples, sizeof(*last), by_value);
+	qsort(last, drain.samples, sizeof(*last), compare_int64);
 	printf("ms from notice to an entry's last request:");
 	for (unsigned int i = 0; i < drain.samples; i++)
 		printf(" %d", (int)last[i]);
-	printf("; %u sent none\n", drain.unused);
+	printf("; %u sent none\n", drain.idle_entries);
 	assert_true(drain.samples > 0);
 	assert_true(last[drain.samples - 1] <= DRAIN_BOUND_MS);
 	history_wait(drain.history);
 	for (unsigned int i = 0; i < ROUNDS; i++)
-		assert_int_equal(engine_number(drain.fleet, i,
-					       "/standin/record", "dropped"),
+		assert_int_equal(engine_get_number(drain.fleet, i,
+						   "/standin/record", "dropped"),
 				 0);
 	stats = history_check(drain.history);
 	history_assert_guarantees(&stats);
@@ -201,7 +202,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_entries_stop_sending_in_time),
+		cmocka_unit_test(test_entries_stop_within_drain_bound),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
