--- a/tests/guarantees/test_accepted_survives_reclaim.c
+++ b/tests/guarantees/test_accepted_survives_reclaim.c
@@ -30,7 +30,7 @@
 	fleet_t *fleet;
 	unsigned int first; /* reclaims this engine and every STEP-th after it */
 	unsigned int step;
-	int64_t until; /* end of the notice, monotonic microseconds */
+	int64_t notice_end; /* end of the notice, monotonic microseconds */
 } reclaim_t;
 
 static int setup(void **state)
@@ -94,7 +94,7 @@
 	return record_sum(ctx, "tokens") >= STREAMS * TOKENS / 10;
 }
 
-static unsigned int engine_running(fleet_t *fleet, unsigned int index)
+static unsigned int engine_running_requests(fleet_t *fleet, unsigned int index)
 {
 	json_t *load = fleet_get(fleet, fleet->engines[index].port, "/load");
 	int64_t running = json_integer_or(load, "running", 0);
@@ -108,27 +108,28 @@
 {
 	fleet_t *fleet = reclaim->fleet;
 	unsigned int running = 0;
-	char *told = g_strdup_printf("{\"leaving\":true,\"leaves_in_ms\":%d}",
-				     notice_ms);
+	char *notice = g_strdup_printf("{\"leaving\":true,\"leaves_in_ms\":%d}",
+				       notice_ms);
 
 	for (unsigned int i = reclaim->first; i < ENGINES; i += reclaim->step) {
-		char *row =
+		char *item =
 			g_strdup_printf("{\"id\":\"%s\",\"leaves_in_ms\":%d}",
 					fleet->engines[i].id, notice_ms);
 
-		running += engine_running(fleet, i);
-		fleet_post(fleet, fleet->engines[i].port, "/standin/faults", told);
-		fleet_post(fleet, fleet->platform.port, "/standin/notice", row);
-		g_free(row);
+		running += engine_running_requests(fleet, i);
+		fleet_post(fleet, fleet->engines[i].port, "/standin/faults",
+			   notice);
+		fleet_post(fleet, fleet->platform.port, "/standin/notice", item);
+		g_free(item);
 	}
-	g_free(told);
+	g_free(notice);
 	assert_true(running > 0);
-	reclaim->until = g_get_monotonic_time() + notice_ms * 1000;
+	reclaim->notice_end = g_get_monotonic_time() + notice_ms * 1000;
 }
 
-static bool time_is_up(void *ctx)
+static bool notice_is_over(void *ctx)
 {
-	return g_get_monotonic_time() >= ((reclaim_t *)ctx)->until;
+	return g_get_monotonic_time() >= ((reclaim_t *)ctx)->notice_end;
 }
 
 static bool engine_has_ended(void *ctx)
@@ -150,17 +151,17 @@
 static void reclaim_engines(reclaim_t *reclaim, int notice_ms)
 {
 	give_notice(reclaim, notice_ms);
-	fleet_wait(reclaim->fleet, time_is_up, reclaim, "the reclaim");
+	fleet_wait(reclaim->fleet, notice_is_over, reclaim, "the reclaim");
 	kill_engines(reclaim);
 }
 
-static void refuse_starts(fleet_t *fleet)
+static void reject_purchases(fleet_t *fleet)
 {
 	fleet_post(fleet, fleet->platform.port, "/standin/faults",
 		   "{\"starts_refused\":true}");
 }
 
-static void assert_all_whole(history_t *history)
+static void assert_all_complete(history_t *history)
 {
 	history_stats_t stats;
 
@@ -180,41 +181,41 @@
 	start_streams(fleet, history);
 	fleet_wait(fleet, streams_are_midway, fleet, "the middle of streams");
 	reclaim_engines(&reclaim, LONG_NOTICE_MS);
-	assert_all_whole(history);
+	assert_all_complete(history);
 	assert_true(record_sum(fleet, "imported") > 0);
 	history_destroy(history);
 }
 
 /* All engines of a zone get notice at once, and the cloud API starts no new VM. */
-static void test_a_zone_is_reclaimed(void **state)
+static void test_zone_is_reclaimed(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 	reclaim_t reclaim = { .fleet = fleet, .first = 0, .step = ZONES };
 
-	refuse_starts(fleet);
+	reject_purchases(fleet);
 	start_streams(fleet, history);
 	fleet_wait(fleet, streams_are_midway, fleet, "the middle of streams");
 	reclaim_engines(&reclaim, LONG_NOTICE_MS);
-	assert_all_whole(history);
+	assert_all_complete(history);
 	assert_true(record_sum(fleet, "imported") > 0);
 	history_destroy(history);
 }
 
 /* A second zone is reclaimed just after streams of the first one moved into it. */
-static void test_two_zones_go_in_a_row(void **state)
+static void test_two_zones_are_reclaimed_in_a_row(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 	reclaim_t first = { .fleet = fleet, .first = 0, .step = ZONES };
 	reclaim_t second = { .fleet = fleet, .first = 1, .step = ZONES };
 
-	refuse_starts(fleet);
+	reject_purchases(fleet);
 	start_streams(fleet, history);
 	fleet_wait(fleet, streams_are_midway, fleet, "the middle of streams");
 	reclaim_engines(&first, LONG_NOTICE_MS / 3);
 	reclaim_engines(&second, LONG_NOTICE_MS / 3);
-	assert_all_whole(history);
+	assert_all_complete(history);
 	history_destroy(history);
 }
 
@@ -223,7 +224,7 @@
  * ended. There are no KV caches left, so streams must be resumed from the text that
  * was already sent to the callers.
  */
-static void test_a_zone_goes_without_time_for_an_export(void **state)
+static void test_zone_is_reclaimed_without_time_for_export(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
@@ -232,7 +233,7 @@
 	start_streams(fleet, history);
 	fleet_wait(fleet, streams_are_midway, fleet, "the middle of streams");
 	reclaim_engines(&reclaim, SHORT_NOTICE_MS);
-	assert_all_whole(history);
+	assert_all_complete(history);
 	history_destroy(history);
 }
 
@@ -255,38 +256,39 @@
  * All engines are reclaimed and none starts for a while. Streams must stay open and
  * continue when an engine becomes available.
  */
-static void test_streams_wait_until_an_engine_comes(void **state)
+static void test_streams_wait_for_a_new_engine(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 	reclaim_t all = { .fleet = fleet, .first = 0, .step = 1 };
-	process_t *fresh;
+	process_t *replacement;
 	char *program =
 		g_build_filename(g_getenv("B") ? g_getenv("B") : "build/release",
 				 "standin-engine", NULL);
 	const char *argv[] = { program, "5", "20", "64", NULL };
-	char *row;
+	char *item;
 	int port = 0;
 
 	start_streams(fleet, history);
 	fleet_wait(fleet, streams_are_midway, fleet, "the middle of streams");
 	reclaim_engines(&all, SHORT_NOTICE_MS);
 	fleet_wait(fleet, no_engine_is_usable, fleet, "no engine to be usable");
-	fresh = process_start(fleet->dir, "fresh", argv);
+	replacement = process_start(fleet->dir, "fresh", argv);
 	while (!port)
-		port = process_read_port(fresh, fresh->out_path, "port ");
-	row = g_strdup_printf(
+		port = process_read_port(replacement, replacement->out_path,
+					 "port ");
+	item = g_strdup_printf(
 		"{\"id\":\"fresh-1\",\"zone\":\"zone-b\",\"address\":"
 		"\"127.0.0.1\",\"port\":%d,\"role\":\"model\",\"state\":"
 		"\"live\",\"serves\":\"ledger-reader\",\"slots\":64,"
 		"\"reclaimable\":true,\"machine_class\":\"any\"}",
 		port);
-	fleet_post(fleet, fleet->platform.port, "/standin/vms", row);
-	assert_all_whole(history);
+	fleet_post(fleet, fleet->platform.port, "/standin/vms", item);
+	assert_all_complete(history);
 	history_destroy(history);
-	process_destroy(fresh);
+	process_destroy(replacement);
 	g_free(program);
-	g_free(row);
+	g_free(item);
 }
 
 #define RECLAIM_TEST(name) \
@@ -296,10 +298,10 @@
 {
 	const struct CMUnitTest tests[] = {
 		RECLAIM_TEST(test_one_engine_is_reclaimed),
-		RECLAIM_TEST(test_a_zone_is_reclaimed),
-		RECLAIM_TEST(test_two_zones_go_in_a_row),
-		RECLAIM_TEST(test_a_zone_goes_without_time_for_an_export),
-		RECLAIM_TEST(test_streams_wait_until_an_engine_comes),
+		RECLAIM_TEST(test_zone_is_reclaimed),
+		RECLAIM_TEST(test_two_zones_are_reclaimed_in_a_row),
+		RECLAIM_TEST(test_zone_is_reclaimed_without_time_for_export),
+		RECLAIM_TEST(test_streams_wait_for_a_new_engine),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
