--- a/tests/guarantees/test_whole_answer.c
+++ b/tests/guarantees/test_whole_answer.c
@@ -20,7 +20,8 @@
 #define ENGINES 4
 #define STREAMS 24
 #define TOKENS 300
-#define FREED_MS 12000 /* well below 30 s, when the deadline would free them */
+#define SLOTS_FREED_TIMEOUT_MS \
+	12000 /* well below 30 s, when the deadline would free them */
 
 static int setup(void **state)
 {
@@ -51,10 +52,10 @@
 	}
 }
 
-/* Condition: the engines have generated AT_LEAST tokens in total. */
+/* Condition: the engines have generated MIN_TOKENS tokens in total. */
 typedef struct token_wait {
 	fleet_t *fleet;
-	int64_t at_least;
+	int64_t min_tokens;
 } token_wait_t;
 
 static int64_t tokens_generated(fleet_t *fleet)
@@ -71,11 +72,11 @@
 	return sum;
 }
 
-static bool tokens_have_come(void *ctx)
+static bool tokens_were_generated(void *ctx)
 {
 	const token_wait_t *wait = ctx;
 
-	return tokens_generated(wait->fleet) >= wait->at_least;
+	return tokens_generated(wait->fleet) >= wait->min_tokens;
 }
 
 /* Waits until the engines have generated MORE further tokens. */
@@ -83,17 +84,17 @@
 {
 	token_wait_t wait = { fleet, tokens_generated(fleet) + more };
 
-	fleet_wait(fleet, tokens_have_come, &wait, "tokens");
+	fleet_wait(fleet, tokens_were_generated, &wait, "tokens");
 }
 
 /* Calls ACT for each engine's forwarder. */
-static void on_forwarders(fleet_t *fleet, void (*act)(forwarder_t *forwarder))
+static void for_each_forwarder(fleet_t *fleet, void (*act)(forwarder_t *forwarder))
 {
 	for (unsigned int i = 0; i < ENGINES; i++)
 		act(fleet->engines[i].forwarder);
 }
 
-static void assert_all_whole(history_t *history)
+static void assert_all_complete(history_t *history)
 {
 	history_stats_t stats;
 
@@ -107,15 +108,15 @@
  * A middlebox drops the state of all open connections: they stall without an error,
  * while new connections work. Streams must continue after a pause of some seconds.
  */
-static void test_silent_connections(void **state)
+static void test_stalled_connections(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 
 	start_streams(fleet, history);
 	wait_tokens(fleet, STREAMS * TOKENS / 10);
-	on_forwarders(fleet, forwarder_silence);
-	assert_all_whole(history);
+	for_each_forwarder(fleet, forwarder_silence);
+	assert_all_complete(history);
 	history_destroy(history);
 }
 
@@ -128,13 +129,13 @@
 	start_streams(fleet, history);
 	for (int i = 0; i < 2; i++) {
 		wait_tokens(fleet, STREAMS * TOKENS / 10);
-		on_forwarders(fleet, forwarder_cut);
+		for_each_forwarder(fleet, forwarder_cut);
 	}
-	assert_all_whole(history);
+	assert_all_complete(history);
 	history_destroy(history);
 }
 
-static bool has_some_tokens(void *ctx)
+static bool has_received_tokens(void *ctx)
 {
 	const call_t *call = ctx;
 
@@ -182,16 +183,16 @@
 static void assert_rest(call_t *call, const char *head, const char *prompt)
 {
 	char *rest;
-	char *whole;
+	char *answer;
 	char *expected = completion_expected(prompt, TOKENS);
 
 	call_wait(call);
 	assert_true(completion_is_complete(call));
 	rest = completion_text(call);
-	whole = g_strconcat(head, rest, NULL);
-	assert_string_equal(whole, expected);
+	answer = g_strconcat(head, rest, NULL);
+	assert_string_equal(answer, expected);
 	g_free(rest);
-	g_free(whole);
+	g_free(answer);
 	g_free(expected);
 	call_destroy(call);
 }
@@ -200,7 +201,7 @@
  * A caller's connection breaks and its client resumes the stream at two entries at
  * once. Both calls must get exactly the rest of the answer.
  */
-static void test_a_stream_is_resumed_twice(void **state)
+static void test_stream_is_resumed_twice(void **state)
 {
 	fleet_t *fleet = *state;
 	const char *prompt = "lot 88";
@@ -211,7 +212,7 @@
 	char *head;
 	char *id;
 
-	fleet_wait(fleet, has_some_tokens, call, "some tokens");
+	fleet_wait(fleet, has_received_tokens, call, "some tokens");
 	call_cancel(call);
 	id = last_event_id(call);
 	head = completion_text(call);
@@ -228,7 +229,7 @@
  * A caller sends two identical requests at the same time. They must get separate
  * answers, and the end of one must not end the other.
  */
-static void test_two_requests_with_the_same_text(void **state)
+static void test_identical_requests_get_separate_answers(void **state)
 {
 	fleet_t *fleet = *state;
 	const char *prompt = "the same question";
@@ -271,7 +272,7 @@
  * Callers disconnect during long answers. Engines must stop generating; otherwise
  * the answers would occupy slots for minutes although nobody reads them.
  */
-static void test_a_hang_up_frees_the_engine(void **state)
+static void test_disconnect_frees_the_engine(void **state)
 {
 	fleet_t *fleet = *state;
 	call_t *calls[8];
@@ -281,22 +282,23 @@
 		calls[i] = completion_start(fleet, fleet->entries[i % ENTRIES].port,
 					    "a long story", 100000, true);
 	for (unsigned int i = 0; i < G_N_ELEMENTS(calls); i++) {
-		fleet_wait(fleet, has_some_tokens, calls[i], "some tokens");
+		fleet_wait(fleet, has_received_tokens, calls[i], "some tokens");
 		started += !calls[i]->done;
 		call_destroy(calls[i]);
 	}
 	assert_int_equal(started, G_N_ELEMENTS(calls));
-	assert_true(fleet_wait_ms(fleet, no_stream_runs, fleet, FREED_MS));
+	assert_true(fleet_wait_ms(fleet, no_stream_runs, fleet,
+				  SLOTS_FREED_TIMEOUT_MS));
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_silent_connections),
+		cmocka_unit_test(test_stalled_connections),
 		cmocka_unit_test(test_connections_break_twice),
-		cmocka_unit_test(test_a_stream_is_resumed_twice),
-		cmocka_unit_test(test_two_requests_with_the_same_text),
-		cmocka_unit_test(test_a_hang_up_frees_the_engine),
+		cmocka_unit_test(test_stream_is_resumed_twice),
+		cmocka_unit_test(test_identical_requests_get_separate_answers),
+		cmocka_unit_test(test_disconnect_frees_the_engine),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
