--- a/tests/guarantees/test_at_most_once.c
+++ b/tests/guarantees/test_at_most_once.c
@@ -18,7 +18,7 @@
 
 #define ENTRIES 3
 #define SERVICES 2
-#define RACERS 40
+#define RACE_KEYS 40
 
 static int setup(void **state)
 {
@@ -47,7 +47,7 @@
 }
 
 /* Returns how many times the stand-ins ran a key. */
-static int64_t runs_of(fleet_t *fleet, const char *key)
+static int64_t count_runs(fleet_t *fleet, const char *key)
 {
 	int64_t runs = 0;
 
@@ -62,7 +62,7 @@
 }
 
 /* Returns the number of writes that the store has applied. */
-static int64_t writes_of(fleet_t *fleet)
+static int64_t count_writes(fleet_t *fleet)
 {
 	json_t *counts = fleet_get(fleet, fleet->platform.port, "/standin/counts");
 	int64_t writes = json_integer_or(counts, "writes", 0);
@@ -82,14 +82,14 @@
 {
 	const wait_t *wait = ctx;
 
-	return runs_of(wait->fleet, wait->key) > 0;
+	return count_runs(wait->fleet, wait->key) > 0;
 }
 
 static bool store_was_written(void *ctx)
 {
 	const wait_t *wait = ctx;
 
-	return writes_of(wait->fleet) > wait->writes;
+	return count_writes(wait->fleet) > wait->writes;
 }
 
 /*
@@ -100,24 +100,24 @@
 {
 	call_t *call = station_call_start(fleet, fleet->entries[entry].port, key);
 	char problem[64];
-	char *found;
+	char *outcome;
 
 	call_wait(call);
 	assert_false(call->failed);
-	found = g_strdup(call->status == 200
-				 ? (call->replayed ? "replayed" : "ran")
-				 : call_problem(call, problem, sizeof(problem)));
+	outcome = g_strdup(call->status == 200
+				   ? (call->replayed ? "replayed" : "ran")
+				   : call_problem(call, problem, sizeof(problem)));
 	call_destroy(call);
-	return found;
+	return outcome;
 }
 
 static void assert_retry(fleet_t *fleet, unsigned int entry, const char *key,
 			 const char *expected)
 {
-	char *found = retry(fleet, entry, key);
+	char *outcome = retry(fleet, entry, key);
 
-	assert_string_equal(found, expected);
-	g_free(found);
+	assert_string_equal(outcome, expected);
+	g_free(outcome);
 }
 
 /*
@@ -127,10 +127,10 @@
 static bool key_is_settled(void *ctx)
 {
 	const wait_t *wait = ctx;
-	char *found = retry(wait->fleet, wait->entry, wait->key);
-	bool settled = strcmp(found, "outcome-unknown") != 0;
+	char *outcome = retry(wait->fleet, wait->entry, wait->key);
+	bool settled = strcmp(outcome, "outcome-unknown") != 0;
 
-	g_free(found);
+	g_free(outcome);
 	return settled;
 }
 
@@ -141,21 +141,21 @@
 
 	fleet_wait(fleet, key_is_settled, &wait, "the answer to be on record");
 	assert_retry(fleet, entry, key, "replayed");
-	assert_int_equal(runs_of(fleet, key), 1);
+	assert_int_equal(count_runs(fleet, key), 1);
 }
 
 /*
  * A terminal sends a key several times at once and the balancer sends the calls to
  * different entries. One must run; the others get its answer or outcome-unknown.
  */
-static void test_two_entries_get_one_key_at_once(void **state)
+static void test_entries_race_for_one_key(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 	history_stats_t stats;
 	char key[32];
 
-	for (int i = 0; i < RACERS; i++) {
+	for (int i = 0; i < RACE_KEYS; i++) {
 		snprintf(key, sizeof(key), "race-%d", i);
 		for (unsigned int j = 0; j < ENTRIES; j++)
 			history_add_station_call(
@@ -168,13 +168,13 @@
 	stats = history_check(history);
 	history_assert_guarantees(&stats);
 	assert_int_equal(stats.broken, 0);
-	for (int i = 0; i < RACERS; i++) {
+	for (int i = 0; i < RACE_KEYS; i++) {
 		snprintf(key, sizeof(key), "race-%d", i);
-		assert_int_equal(runs_of(fleet, key), 1);
+		assert_int_equal(count_runs(fleet, key), 1);
 		assert_replayed(fleet, (unsigned int)i % ENTRIES, key);
 	}
 	print_message("race: %u answered, %u outcome-unknown of %d\n",
-		      stats.answered, stats.outcome_unknown, RACERS * ENTRIES);
+		      stats.answered, stats.outcome_unknown, RACE_KEYS * ENTRIES);
 	history_destroy(history);
 }
 
@@ -182,7 +182,7 @@
  * An entry is killed while its claim waits for a slow store. Nothing was claimed or
  * sent, so a retry at another entry must run.
  */
-static void test_entry_dies_before_its_claim(void **state)
+static void test_entry_is_killed_before_its_claim(void **state)
 {
 	fleet_t *fleet = *state;
 	call_t *call;
@@ -194,7 +194,7 @@
 	call_destroy(call);
 	set_store(fleet, "{}");
 	assert_retry(fleet, 1, "before-claim", "ran");
-	assert_int_equal(runs_of(fleet, "before-claim"), 1);
+	assert_int_equal(count_runs(fleet, "before-claim"), 1);
 	fleet_start_entry(fleet, 0);
 	fleet_wait_ready(fleet);
 	assert_replayed(fleet, 0, "before-claim");
@@ -205,10 +205,10 @@
  * entries can't know whether it dispatched the call, so each retry must get
  * outcome-unknown, and the call never runs.
  */
-static void test_entry_dies_between_claim_and_dispatch(void **state)
+static void test_entry_is_killed_between_claim_and_dispatch(void **state)
 {
 	fleet_t *fleet = *state;
-	wait_t wait = { fleet, "after-claim", writes_of(fleet), 0 };
+	wait_t wait = { fleet, "after-claim", count_writes(fleet), 0 };
 	call_t *call;
 
 	set_store(fleet, "{\"late_answers_ms\":60000}");
@@ -223,11 +223,11 @@
 	fleet_start_entry(fleet, 0);
 	fleet_wait_ready(fleet);
 	assert_retry(fleet, 0, wait.key, "outcome-unknown");
-	assert_int_equal(runs_of(fleet, wait.key), 0);
+	assert_int_equal(count_runs(fleet, wait.key), 0);
 }
 
 /* An entry is killed while the service runs its call. A retry must not run it again. */
-static void test_entry_dies_after_dispatch(void **state)
+static void test_entry_is_killed_after_dispatch(void **state)
 {
 	fleet_t *fleet = *state;
 	wait_t wait = { fleet, "after-dispatch", 0, 0 };
@@ -244,7 +244,7 @@
 	fleet_start_entry(fleet, 0);
 	fleet_wait_ready(fleet);
 	assert_retry(fleet, 0, wait.key, "outcome-unknown");
-	assert_int_equal(runs_of(fleet, wait.key), 1);
+	assert_int_equal(count_runs(fleet, wait.key), 1);
 }
 
 static bool first_entry_has_a_call(void *ctx)
@@ -261,7 +261,7 @@
  * An entry is paused while it writes its claim, and a retry runs at another entry.
  * When the first one continues, it still has the call and must not run it.
  */
-static void test_frozen_entry_wakes_after_another_ran(void **state)
+static void test_paused_entry_continues_after_another_ran(void **state)
 {
 	fleet_t *fleet = *state;
 	call_t *call;
@@ -277,7 +277,7 @@
 	call_wait(call);
 	call_problem(call, problem, sizeof(problem));
 	assert_true(call->status != 200 || call->replayed);
-	assert_int_equal(runs_of(fleet, "frozen-early"), 1);
+	assert_int_equal(count_runs(fleet, "frozen-early"), 1);
 	call_destroy(call);
 }
 
@@ -286,10 +286,10 @@
  * They must not run it, however long the pause; the first entry may when it
  * continues.
  */
-static void test_frozen_entry_wakes_with_its_claim(void **state)
+static void test_paused_entry_continues_with_its_claim(void **state)
 {
 	fleet_t *fleet = *state;
-	wait_t wait = { fleet, "frozen-late", writes_of(fleet), 0 };
+	wait_t wait = { fleet, "frozen-late", count_writes(fleet), 0 };
 	call_t *call;
 
 	set_store(fleet, "{\"late_answers_ms\":60000}");
@@ -299,19 +299,19 @@
 	set_store(fleet, "{}");
 	assert_retry(fleet, 1, wait.key, "outcome-unknown");
 	assert_retry(fleet, 2, wait.key, "outcome-unknown");
-	assert_int_equal(runs_of(fleet, wait.key), 0);
+	assert_int_equal(count_runs(fleet, wait.key), 0);
 	process_signal(fleet->entries[0].process, SIGCONT);
 	call_wait(call);
-	assert_true(runs_of(fleet, wait.key) <= 1);
+	assert_true(count_runs(fleet, wait.key) <= 1);
 	call_destroy(call);
 }
 
 /*
- * Sends RACERS keys to two entries each under a store fault, clears the fault and
+ * Sends RACE_KEYS keys to two entries each under a store fault, clears the fault and
  * retries every key. Returns the outcomes of the first calls.
  */
-static history_stats_t race_under(fleet_t *fleet, const char *name,
-				  const char *faults)
+static history_stats_t race_with_fault(fleet_t *fleet, const char *name,
+				       const char *faults)
 {
 	history_t *history = history_create(fleet);
 	history_stats_t stats;
@@ -319,7 +319,7 @@
 	char key[64];
 
 	set_store(fleet, faults);
-	for (int i = 0; i < RACERS; i++) {
+	for (int i = 0; i < RACE_KEYS; i++) {
 		snprintf(key, sizeof(key), "%s-%d", name, i);
 		for (unsigned int j = 0; j < 2; j++)
 			history_add_station_call(
@@ -331,7 +331,7 @@
 	}
 	history_wait(history);
 	set_store(fleet, "{}");
-	for (int i = 0; i < RACERS; i++) {
+	for (int i = 0; i < RACE_KEYS; i++) {
 		wait_t wait = { fleet, key, 0, (unsigned int)i % ENTRIES };
 
 		snprintf(key, sizeof(key), "%s-%d", name, i);
@@ -340,75 +340,77 @@
 			/* All entries run, so the outcome becomes known. */
 			fleet_wait(fleet, key_is_settled, &wait, "a key's end");
 		}
-		assert_true(runs_of(fleet, key) <= 1);
+		assert_true(count_runs(fleet, key) <= 1);
 	}
 	stats = history_check(history);
 	history_assert_guarantees(&stats);
 	print_message("%s: %u answered, %u not-run, %u outcome-unknown (%u of "
 		      "them never ran) of %d; %u of %d keys open at the first "
 		      "retry\n",
-		      name, stats.answered, stats.not_run, stats.outcome_unknown,
-		      stats.unknown_but_not_run, RACERS * 2, unsettled, RACERS);
+		      name, stats.answered, stats.not_run,
+		      stats.outcome_unknown, stats.unknown_but_not_run,
+		      RACE_KEYS * 2, unsettled, RACE_KEYS);
 	history_destroy(history);
 	return stats;
 }
 
 /* The store replies late. Calls wait, and no key may run twice. */
-static void test_store_answers_late(void **state)
+static void test_store_replies_late(void **state)
 {
-	race_under(*state, "late", "{\"late_answers_ms\":150}");
+	race_with_fault(*state, "late", "{\"late_answers_ms\":150}");
 }
 
 /*
  * The store applies writes but its replies are lost. The entry must read the claim
  * back instead of writing it again unconditionally.
  */
-static void test_store_loses_answers(void **state)
+static void test_store_replies_are_lost(void **state)
 {
-	race_under(*state, "lost", "{\"lose_answers\":30}");
+	race_with_fault(*state, "lost", "{\"lose_answers\":30}");
 }
 
 /*
  * Connections break during writes that are applied later, possibly after other
  * writes. A claim that was abandoned must not take effect.
  */
-static void test_writes_land_late(void **state)
+static void test_writes_are_applied_late(void **state)
 {
-	race_under(*state, "landing", "{\"late_writes_ms\":120}");
+	race_with_fault(*state, "landing", "{\"late_writes_ms\":120}");
 }
 
 /* The store rejects writes as conflicts, as if many entries wrote one object. */
 static void test_store_conflicts(void **state)
 {
-	race_under(*state, "conflict", "{\"conflicts\":40}");
+	race_with_fault(*state, "conflict", "{\"conflicts\":40}");
 }
 
 /*
  * The store rejects some writes with 429. Calls must wait instead of being rejected,
  * as a terminal would have to repeat a rejected call.
  */
-static void test_store_is_over_its_rate(void **state)
+static void test_store_limits_the_rate(void **state)
 {
-	history_stats_t stats = race_under(*state, "rate", "{\"too_many\":20}");
+	history_stats_t stats =
+		race_with_fault(*state, "rate", "{\"too_many\":20}");
 
 	assert_int_equal(stats.not_run, 0);
-	assert_true(stats.answered >= RACERS);
+	assert_true(stats.answered >= RACE_KEYS);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_two_entries_get_one_key_at_once),
-		cmocka_unit_test(test_entry_dies_before_its_claim),
-		cmocka_unit_test(test_entry_dies_between_claim_and_dispatch),
-		cmocka_unit_test(test_entry_dies_after_dispatch),
-		cmocka_unit_test(test_frozen_entry_wakes_after_another_ran),
-		cmocka_unit_test(test_frozen_entry_wakes_with_its_claim),
-		cmocka_unit_test(test_store_answers_late),
-		cmocka_unit_test(test_store_loses_answers),
-		cmocka_unit_test(test_writes_land_late),
+		cmocka_unit_test(test_entries_race_for_one_key),
+		cmocka_unit_test(test_entry_is_killed_before_its_claim),
+		cmocka_unit_test(test_entry_is_killed_between_claim_and_dispatch),
+		cmocka_unit_test(test_entry_is_killed_after_dispatch),
+		cmocka_unit_test(test_paused_entry_continues_after_another_ran),
+		cmocka_unit_test(test_paused_entry_continues_with_its_claim),
+		cmocka_unit_test(test_store_replies_late),
+		cmocka_unit_test(test_store_replies_are_lost),
+		cmocka_unit_test(test_writes_are_applied_late),
 		cmocka_unit_test(test_store_conflicts),
-		cmocka_unit_test(test_store_is_over_its_rate),
+		cmocka_unit_test(test_store_limits_the_rate),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
