--- a/tests/guarantees/test_entry_reclaim.c
+++ b/tests/guarantees/test_entry_reclaim.c
@@ -20,7 +20,7 @@
 #define ENGINES 2
 #define READERS 8
 #define TOKENS 300 /* at 10 ms each: longer than any notice below */
-#define NOTICE "{\"leaves_in_ms\":2300}"
+#define NOTICE_BODY "{\"leaves_in_ms\":2300}"
 
 /* A caller that resumes its answer at other entries. */
 typedef struct reader {
@@ -31,9 +31,9 @@
 	char *last_id; /* to resume after, or NULL */
 	unsigned int entry; /* index of the entry it is connected to */
 	unsigned int moves; /* times it was told to reconnect */
-	bool waits; /* told to reconnect, not yet reconnected */
+	bool must_reconnect; /* told to reconnect, not yet reconnected */
 	bool done;
-	bool broken; /* a call failed */
+	bool has_failed; /* a call failed */
 	GString *text;
 } reader_t;
 
@@ -47,7 +47,7 @@
 	char *text = json_dumps(body, JSON_COMPACT);
 
 	reader->entry = entry;
-	reader->waits = false;
+	reader->must_reconnect = false;
 	reader->call = call_start(reader->fleet, reader->fleet->entries[entry].port,
 				  "POST", "/v1/chat/completions",
 				  FLEET_OFFICE_KEY, NULL, reader->last_id, text);
@@ -78,7 +78,7 @@
 }
 
 /* Saves the id to resume after: of the last event, or the request id if not streamed. */
-static void reader_keep_id(reader_t *reader)
+static void reader_save_last_id(reader_t *reader)
 {
 	char **lines = g_strsplit(reader->call->body->str, "\n", -1);
 
@@ -106,7 +106,7 @@
 }
 
 /* Saves the text and outcome of the reader's call if it has ended. */
-static void reader_look(reader_t *reader)
+static void reader_finish_call(reader_t *reader)
 {
 	char *text;
 
@@ -115,14 +115,14 @@
 	text = completion_text(reader->call);
 	g_string_append(reader->text, text);
 	g_free(text);
-	reader_keep_id(reader);
+	reader_save_last_id(reader);
 	if (reader_was_moved(reader)) {
 		reader->moves++;
-		reader->waits = true;
+		reader->must_reconnect = true;
 	} else if (!reader->call->failed && reader->call->status == 200) {
 		reader->done = true;
 	} else {
-		reader->broken = true;
+		reader->has_failed = true;
 	}
 	call_destroy(reader->call);
 	reader->call = NULL;
@@ -134,8 +134,8 @@
 	unsigned int moves; /* awaited of each reader */
 } group_t;
 
-/* Starts a fleet and the readers; the first WHOLE of them don't stream. */
-static group_t group_create(unsigned int whole)
+/* Starts a fleet and the readers; the first UNSTREAMED of them don't stream. */
+static group_t group_create(unsigned int unstreamed)
 {
 	const fleet_config_t config = { .entries = ENTRIES,
 					.engines = ENGINES,
@@ -144,14 +144,14 @@
 	group_t group = { .fleet = fleet_create(&config) };
 
 	for (unsigned int i = 0; i < READERS; i++)
-		group.readers[i] = reader_create(group.fleet, i, i >= whole);
+		group.readers[i] = reader_create(group.fleet, i, i >= unstreamed);
 	return group;
 }
 
-static void group_look(group_t *group)
+static void group_finish_calls(group_t *group)
 {
 	for (unsigned int i = 0; i < READERS; i++)
-		reader_look(group->readers[i]);
+		reader_finish_call(group->readers[i]);
 }
 
 static bool group_has_begun(void *ctx)
@@ -172,10 +172,10 @@
 {
 	group_t *group = ctx;
 
-	group_look(group);
+	group_finish_calls(group);
 	for (unsigned int i = 0; i < READERS; i++) {
 		if (group->readers[i]->moves < group->moves &&
-		    !group->readers[i]->broken)
+		    !group->readers[i]->has_failed)
 			return false;
 	}
 	return true;
@@ -185,10 +185,10 @@
 {
 	group_t *group = ctx;
 
-	group_look(group);
+	group_finish_calls(group);
 	for (unsigned int i = 0; i < READERS; i++) {
-		if (!group->readers[i]->done && !group->readers[i]->broken &&
-		    !group->readers[i]->waits)
+		if (!group->readers[i]->done && !group->readers[i]->has_failed &&
+		    !group->readers[i]->must_reconnect)
 			return false;
 	}
 	return true;
@@ -196,7 +196,7 @@
 
 static void reclaim(fleet_t *fleet, unsigned int entry)
 {
-	fleet_post(fleet, fleet->entries[entry].port, "/reclaim", NOTICE);
+	fleet_post(fleet, fleet->entries[entry].port, "/reclaim", NOTICE_BODY);
 }
 
 /* Waits until every reader was told to reconnect MOVES times. */
@@ -207,18 +207,18 @@
 }
 
 /* Reconnects the waiting readers to the entries FIRST to LAST in turn. */
-static void group_come_back(group_t *group, unsigned int first, unsigned int last)
+static void group_reconnect(group_t *group, unsigned int first, unsigned int last)
 {
 	for (unsigned int i = 0; i < READERS; i++) {
 		reader_t *reader = group->readers[i];
 
-		if (reader->waits)
+		if (reader->must_reconnect)
 			reader_call(reader, first + i % (last - first + 1));
 	}
 }
 
 /* Returns the sum of a number in the engines' replies to PATH. */
-static int64_t engine_number(const group_t *group, const char *path, const char *key)
+static int64_t engines_sum(const group_t *group, const char *path, const char *key)
 {
 	int64_t sum = 0;
 
@@ -234,7 +234,7 @@
 
 static bool engines_are_idle(void *ctx)
 {
-	return engine_number(ctx, "/load", "running") == 0;
+	return engines_sum(ctx, "/load", "running") == 0;
 }
 
 /*
@@ -246,12 +246,12 @@
 	int64_t generated;
 
 	fleet_wait(group->fleet, group_has_ended, group, "answers to end");
-	generated = engine_number(group, "/standin/record", "tokens");
+	generated = engines_sum(group, "/standin/record", "tokens");
 	for (unsigned int i = 0; i < READERS; i++) {
 		reader_t *reader = group->readers[i];
 		char *expected = completion_expected(reader->prompt, TOKENS);
 
-		assert_false(reader->broken);
+		assert_false(reader->has_failed);
 		assert_true(reader->done);
 		assert_string_equal(reader->text->str, expected);
 		g_free(expected);
@@ -268,7 +268,7 @@
  * handover must let callers get the rest from another entry; without it they would
  * have to repeat their requests.
  */
-static void test_answers_go_on_at_another_entry(void **state)
+static void test_answers_continue_at_another_entry(void **state)
 {
 	group_t group = group_create(2);
 
@@ -277,7 +277,7 @@
 	reclaim(group.fleet, 0);
 	group_wait_moved(&group, 1);
 	fleet_stop_entry(group.fleet, 0, SIGKILL);
-	group_come_back(&group, 1, ENTRIES - 1);
+	group_reconnect(&group, 1, ENTRIES - 1);
 	group_check(&group);
 }
 
@@ -285,7 +285,7 @@
  * Callers reconnect only after the entry that took over their answers has completed
  * them.
  */
-static void test_answers_that_ended_meanwhile_are_kept(void **state)
+static void test_completed_answers_are_kept(void **state)
 {
 	group_t group = group_create(2);
 
@@ -295,7 +295,7 @@
 	group_wait_moved(&group, 1);
 	fleet_stop_entry(group.fleet, 0, SIGKILL);
 	fleet_wait(group.fleet, engines_are_idle, &group, "the engines' end");
-	group_come_back(&group, 1, ENTRIES - 1);
+	group_reconnect(&group, 1, ENTRIES - 1);
 	group_check(&group);
 }
 
@@ -309,12 +309,12 @@
 	reclaim(group.fleet, 0);
 	group_wait_moved(&group, 1);
 	fleet_stop_entry(group.fleet, 0, SIGKILL);
-	group_come_back(&group, 1, 1);
+	group_reconnect(&group, 1, 1);
 	fleet_wait(group.fleet, group_has_begun, &group, "tokens again");
 	reclaim(group.fleet, 1);
 	group_wait_moved(&group, 2);
 	fleet_stop_entry(group.fleet, 1, SIGKILL);
-	group_come_back(&group, 2, ENTRIES - 1);
+	group_reconnect(&group, 2, ENTRIES - 1);
 	group_check(&group);
 }
 
@@ -339,7 +339,7 @@
  * the VM ends. The terminal must be told before that, and its retry at another entry
  * must not run the call twice.
  */
-static void test_a_station_call_is_not_repeated(void **state)
+static void test_station_call_is_not_repeated(void **state)
 {
 	const fleet_config_t config = {
 		.entries = 2, .engines = 1, .services = 2, .work_ms = "6000"
@@ -375,10 +375,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_answers_go_on_at_another_entry),
-		cmocka_unit_test(test_answers_that_ended_meanwhile_are_kept),
+		cmocka_unit_test(test_answers_continue_at_another_entry),
+		cmocka_unit_test(test_completed_answers_are_kept),
 		cmocka_unit_test(test_answers_move_twice),
-		cmocka_unit_test(test_a_station_call_is_not_repeated),
+		cmocka_unit_test(test_station_call_is_not_repeated),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
