--- a/tests/guarantees/test_bundle_in_force.c
+++ b/tests/guarantees/test_bundle_in_force.c
@@ -20,18 +20,19 @@
 
 #define ENTRIES 6
 #define ROLLOUTS 5
-#define ALLOWED_MS 7000 /* to be applied by all entries, as operators require */
+#define APPLY_TIMEOUT_MS \
+	7000 /* to be applied by all entries, as operators require */
 
-typedef struct bundles {
+typedef struct fixture {
 	fleet_t *fleet;
-	int64_t wanted; /* generation rolled out last */
-	int64_t seen[ENTRIES]; /* generation last seen of each entry */
+	int64_t expected_generation; /* generation rolled out last */
+	int64_t seen_generations[ENTRIES]; /* generation last seen of each entry */
 	process_t *extra; /* an entry besides the fleet's, or NULL */
 	int extra_port;
-} bundles_t;
+} fixture_t;
 
 /* Returns a number from an entry's /status, or -1. */
-static int64_t status_number(fleet_t *fleet, int port, const char *key)
+static int64_t status_get_number(fleet_t *fleet, int port, const char *key)
 {
 	json_t *status = fleet_get(fleet, port, "/status");
 	int64_t value = status ? json_integer_or(status, key, -1) : -1;
@@ -53,20 +54,20 @@
  * Returns true if all entries have applied the wanted generation. Fails the test if
  * one went back to a lower generation.
  */
-static bool is_in_force(void *ctx)
+static bool is_applied_everywhere(void *ctx)
 {
-	bundles_t *bundles = ctx;
+	fixture_t *fixture = ctx;
 	bool everywhere = true;
 
 	for (unsigned int i = 0; i < ENTRIES; i++) {
-		int64_t now = status_number(bundles->fleet,
-					    bundles->fleet->entries[i].port,
-					    "generation");
-
-		assert_true(now >= bundles->seen[i]);
-		assert_true(now <= bundles->wanted);
-		bundles->seen[i] = now;
-		everywhere = everywhere && now == bundles->wanted;
+		int64_t now = status_get_number(fixture->fleet,
+						fixture->fleet->entries[i].port,
+						"generation");
+
+		assert_true(now >= fixture->seen_generations[i]);
+		assert_true(now <= fixture->expected_generation);
+		fixture->seen_generations[i] = now;
+		everywhere = everywhere && now == fixture->expected_generation;
 	}
 	return everywhere;
 }
@@ -75,10 +76,11 @@
  * Waits until all entries have applied a generation. Returns the milliseconds since
  * SINCE, the start of the rollout.
  */
-static int64_t wait_in_force(bundles_t *bundles, int64_t generation, int64_t since)
+static int64_t wait_applied(fixture_t *fixture, int64_t generation, int64_t since)
 {
-	bundles->wanted = generation;
-	assert_true(fleet_wait_ms(bundles->fleet, is_in_force, bundles, ALLOWED_MS));
+	fixture->expected_generation = generation;
+	assert_true(fleet_wait_ms(fixture->fleet, is_applied_everywhere,
+				  fixture, APPLY_TIMEOUT_MS));
 	return (g_get_monotonic_time() - since) / 1000;
 }
 
@@ -97,17 +99,17 @@
 	return reads;
 }
 
-static bundles_t *bundles_create(bool forward_platform)
+static fixture_t *fixture_create(bool forward_platform)
 {
 	const fleet_config_t config = { .entries = ENTRIES,
 					.engines = 1,
 					.services = 1,
 					.forward_platform = forward_platform };
-	bundles_t *bundles = g_new0(bundles_t, 1);
+	fixture_t *fixture = g_new0(fixture_t, 1);
 
-	bundles->fleet = fleet_create(&config);
-	bundles->wanted = (int64_t)bundles->fleet->generation;
-	return bundles;
+	fixture->fleet = fleet_create(&config);
+	fixture->expected_generation = (int64_t)fixture->fleet->generation;
+	return fixture;
 }
 
 static bool process_has_ended(void *ctx)
@@ -115,32 +117,32 @@
 	return process_ended(ctx);
 }
 
-static void bundles_destroy(bundles_t *bundles)
+static void fixture_destroy(fixture_t *fixture)
 {
-	if (bundles->extra) {
-		process_signal(bundles->extra, SIGKILL);
-		fleet_wait(bundles->fleet, process_has_ended, bundles->extra,
+	if (fixture->extra) {
+		process_signal(fixture->extra, SIGKILL);
+		fleet_wait(fixture->fleet, process_has_ended, fixture->extra,
 			   "the end of an entry");
-		process_destroy(bundles->extra);
+		process_destroy(fixture->extra);
 	}
-	fleet_destroy(bundles->fleet);
-	g_free(bundles);
+	fleet_destroy(fixture->fleet);
+	g_free(fixture);
 }
 
-static bool has_port(void *ctx)
+static bool extra_has_port(void *ctx)
 {
-	bundles_t *bundles = ctx;
+	fixture_t *fixture = ctx;
 
-	bundles->extra_port = process_read_port(bundles->extra,
-						bundles->extra->log_path,
+	fixture->extra_port = process_read_port(fixture->extra,
+						fixture->extra->log_path,
 						"serves callers on port ");
-	return bundles->extra_port > 0;
+	return fixture->extra_port > 0;
 }
 
 /* Starts an entry that reaches the platform without the forwarder. */
-static void start_extra(bundles_t *bundles, bool with_seeds)
+static void start_extra(fixture_t *fixture, bool with_seeds)
 {
-	fleet_t *fleet = bundles->fleet;
+	fleet_t *fleet = fixture->fleet;
 	const char *dir = g_getenv("B");
 	char *program = g_build_filename(dir ? dir : "build/release",
 					 "pistachio-entry", NULL);
@@ -163,8 +165,8 @@
 
 	assert_true(seed > 0);
 	assert_true(g_file_set_contents(path, text, -1, NULL));
-	bundles->extra = process_start(fleet->dir, "extra", argv);
-	fleet_wait(fleet, has_port, bundles, "an entry's port");
+	fixture->extra = process_start(fleet->dir, "extra", argv);
+	fleet_wait(fleet, extra_has_port, fixture, "an entry's port");
 	g_free(program);
 	g_free(path);
 	g_free(seeds);
@@ -173,17 +175,17 @@
 
 static bool extra_sees_vms(void *ctx)
 {
-	const bundles_t *bundles = ctx;
+	const fixture_t *fixture = ctx;
 
-	return status_number(bundles->fleet, bundles->extra_port,
-			     "upstreams_usable") > 0;
+	return status_get_number(fixture->fleet, fixture->extra_port,
+				 "upstreams_usable") > 0;
 }
 
 static bool extra_is_ready(void *ctx)
 {
-	const bundles_t *bundles = ctx;
+	const fixture_t *fixture = ctx;
 
-	return status_is_ready(bundles->fleet, bundles->extra_port);
+	return status_is_ready(fixture->fleet, fixture->extra_port);
 }
 
 /*
@@ -191,99 +193,99 @@
  * accepted the last one. Entries that depended on the store alone would apply
  * different bundles for as long as the outage lasts.
  */
-static void test_an_accepted_bundle_reaches_all(void **state)
+static void test_accepted_bundle_is_applied_everywhere(void **state)
 {
-	bundles_t *bundles = bundles_create(false);
-	uint64_t generation = bundles->fleet->generation;
+	fixture_t *fixture = fixture_create(false);
+	uint64_t generation = fixture->fleet->generation;
 	int64_t since;
 
 	(void)state;
 	for (int i = 0; i < ROLLOUTS; i++) {
 		since = g_get_monotonic_time();
-		fleet_rollout(bundles->fleet, ++generation);
+		fleet_rollout(fixture->fleet, ++generation);
 		printf("store up: in force after %d ms\n",
-		       (int)wait_in_force(bundles, (int64_t)generation, since));
+		       (int)wait_applied(fixture, (int64_t)generation, since));
 	}
 	since = g_get_monotonic_time();
-	fleet_rollout(bundles->fleet, ++generation);
-	set_store(bundles->fleet, "{\"store_down\":true}");
+	fleet_rollout(fixture->fleet, ++generation);
+	set_store(fixture->fleet, "{\"store_down\":true}");
 	printf("store down after acceptance: in force after %d ms\n",
-	       (int)wait_in_force(bundles, (int64_t)generation, since));
-	bundles_destroy(bundles);
+	       (int)wait_applied(fixture, (int64_t)generation, since));
+	fixture_destroy(fixture);
 }
 
 /*
  * Six entries have lost the store, and only a seventh still reaches it at a rollout.
  * The six must get the bundle from it.
  */
-static void test_peers_alone_carry_a_bundle(void **state)
+static void test_bundle_is_delivered_by_peers_alone(void **state)
 {
-	bundles_t *bundles = bundles_create(true);
-	uint64_t generation = bundles->fleet->generation + 1;
+	fixture_t *fixture = fixture_create(true);
+	uint64_t generation = fixture->fleet->generation + 1;
 	int64_t since;
 
 	(void)state;
-	start_extra(bundles, true);
-	fleet_wait(bundles->fleet, extra_is_ready, bundles, "one more entry");
-	forwarder_refuse(bundles->fleet->platform.forwarder, true);
-	forwarder_cut(bundles->fleet->platform.forwarder);
+	start_extra(fixture, true);
+	fleet_wait(fixture->fleet, extra_is_ready, fixture, "one more entry");
+	forwarder_refuse(fixture->fleet->platform.forwarder, true);
+	forwarder_cut(fixture->fleet->platform.forwarder);
 	since = g_get_monotonic_time();
-	fleet_rollout(bundles->fleet, generation);
+	fleet_rollout(fixture->fleet, generation);
 	printf("by peers alone: in force after %d ms\n",
-	       (int)wait_in_force(bundles, (int64_t)generation, since));
-	bundles_destroy(bundles);
+	       (int)wait_applied(fixture, (int64_t)generation, since));
+	fixture_destroy(fixture);
 }
 
 /* A paused entry misses two rollouts and must catch up when it continues. */
-static void test_a_frozen_entry_catches_up(void **state)
+static void test_paused_entry_catches_up(void **state)
 {
-	bundles_t *bundles = bundles_create(false);
-	uint64_t generation = bundles->fleet->generation;
+	fixture_t *fixture = fixture_create(false);
+	uint64_t generation = fixture->fleet->generation;
 
 	(void)state;
-	process_signal(bundles->fleet->entries[2].process, SIGSTOP);
-	fleet_rollout(bundles->fleet, generation + 1);
-	fleet_rollout(bundles->fleet, generation + 2);
-	process_signal(bundles->fleet->entries[2].process, SIGCONT);
-	wait_in_force(bundles, (int64_t)generation + 2, g_get_monotonic_time());
-	bundles_destroy(bundles);
+	process_signal(fixture->fleet->entries[2].process, SIGSTOP);
+	fleet_rollout(fixture->fleet, generation + 1);
+	fleet_rollout(fixture->fleet, generation + 2);
+	process_signal(fixture->fleet->entries[2].process, SIGCONT);
+	wait_applied(fixture, (int64_t)generation + 2, g_get_monotonic_time());
+	fixture_destroy(fixture);
 }
 
 /*
  * An entry starts while the store is down. It has no local state, so it must get the
  * members and the bundle from the seeds in its settings.
  */
-static void test_an_entry_starts_from_its_peers(void **state)
+static void test_entry_starts_from_its_peers(void **state)
 {
-	bundles_t *bundles = bundles_create(false);
+	fixture_t *fixture = fixture_create(false);
 
 	(void)state;
-	set_store(bundles->fleet, "{\"store_down\":true}");
-	start_extra(bundles, true);
-	fleet_wait(bundles->fleet, extra_is_ready, bundles,
+	set_store(fixture->fleet, "{\"store_down\":true}");
+	start_extra(fixture, true);
+	fleet_wait(fixture->fleet, extra_is_ready, fixture,
 		   "an entry that starts without the store");
-	assert_int_equal(status_number(bundles->fleet, bundles->extra_port,
-				       "generation"),
-			 (int64_t)bundles->fleet->generation);
-	bundles_destroy(bundles);
+	assert_int_equal(status_get_number(fixture->fleet, fixture->extra_port,
+					   "generation"),
+			 (int64_t)fixture->fleet->generation);
+	fixture_destroy(fixture);
 }
 
 /*
  * As before, but without seeds. An entry that reported itself ready without a bundle
  * would reject callers that other entries could serve.
  */
-static void test_an_entry_without_a_bundle_is_not_ready(void **state)
+static void test_entry_without_bundle_is_not_ready(void **state)
 {
-	bundles_t *bundles = bundles_create(false);
+	fixture_t *fixture = fixture_create(false);
 
 	(void)state;
-	set_store(bundles->fleet, "{\"store_down\":true}");
-	start_extra(bundles, false);
-	fleet_wait(bundles->fleet, extra_sees_vms, bundles, "the VM list");
-	assert_false(status_is_ready(bundles->fleet, bundles->extra_port));
-	set_store(bundles->fleet, "{}");
-	fleet_wait(bundles->fleet, extra_is_ready, bundles, "the store's return");
-	bundles_destroy(bundles);
+	set_store(fixture->fleet, "{\"store_down\":true}");
+	start_extra(fixture, false);
+	fleet_wait(fixture->fleet, extra_sees_vms, fixture, "the VM list");
+	assert_false(status_is_ready(fixture->fleet, fixture->extra_port));
+	set_store(fixture->fleet, "{}");
+	fleet_wait(fixture->fleet, extra_is_ready, fixture, "the store's return");
+	fixture_destroy(fixture);
 }
 
 /* Starts a rollout without waiting for it; the caller destroys the process. */
@@ -313,10 +315,10 @@
  * The higher generation must be accepted and reported as such, and no entry may go
  * from it to the lower one.
  */
-static void test_racing_operators(void **state)
+static void test_concurrent_rollouts(void **state)
 {
-	bundles_t *bundles = bundles_create(false);
-	fleet_t *fleet = bundles->fleet;
+	fixture_t *fixture = fixture_create(false);
+	fleet_t *fleet = fixture->fleet;
 	uint64_t generation = fleet->generation;
 
 	(void)state;
@@ -330,12 +332,12 @@
 		fleet_wait(fleet, process_has_ended, low, "the lower rollout");
 		fleet_wait(fleet, process_has_ended, high, "the higher rollout");
 		assert_int_equal(WEXITSTATUS(high->status), 0);
-		wait_in_force(bundles, (int64_t)generation + 2,
-			      g_get_monotonic_time());
+		wait_applied(fixture, (int64_t)generation + 2,
+			     g_get_monotonic_time());
 		process_destroy(low);
 		process_destroy(high);
 	}
-	bundles_destroy(bundles);
+	fixture_destroy(fixture);
 }
 
 static void put_object(fleet_t *fleet, const char *key, const char *body)
@@ -355,10 +357,10 @@
  * modified body and points to it. No entry may apply it; and once the signed body is
  * stored under the same key, all must apply it without another rollout.
  */
-static void test_a_body_nobody_signed_is_not_taken(void **state)
+static void test_unsigned_body_is_rejected(void **state)
 {
-	bundles_t *bundles = bundles_create(false);
-	fleet_t *fleet = bundles->fleet;
+	fixture_t *fixture = fixture_create(false);
+	fleet_t *fleet = fixture->fleet;
 	uint64_t generation = fleet->generation + 1;
 	char *path = fleet_sign_bundle(fleet, generation);
 	char *pointer =
@@ -366,24 +368,24 @@
 				(unsigned int)generation);
 	int64_t reads = store_reads(fleet);
 	char *body = NULL;
-	char *changed;
+	char *modified;
 
 	(void)state;
 	assert_true(g_file_get_contents(path, &body, NULL, NULL));
-	changed = g_strdup(body);
-	strstr(changed, "timeout_ms")[0] = 'T';
-	put_object(fleet, "bundles/x", changed);
+	modified = g_strdup(body);
+	strstr(modified, "timeout_ms")[0] = 'T';
+	put_object(fleet, "bundles/x", modified);
 	put_object(fleet, "bundle/current", pointer);
-	bundles->wanted = (int64_t)generation - 1;
+	fixture->expected_generation = (int64_t)generation - 1;
 	while (store_reads(fleet) < reads + 2 * ENTRIES)
-		assert_true(is_in_force(bundles));
+		assert_true(is_applied_everywhere(fixture));
 	put_object(fleet, "bundles/x", body);
-	wait_in_force(bundles, (int64_t)generation, g_get_monotonic_time());
+	wait_applied(fixture, (int64_t)generation, g_get_monotonic_time());
 	g_free(path);
 	g_free(pointer);
 	g_free(body);
-	g_free(changed);
-	bundles_destroy(bundles);
+	g_free(modified);
+	fixture_destroy(fixture);
 }
 
 static int check_bundle(fleet_t *fleet, const char *path)
@@ -406,10 +408,10 @@
  * A bundle exceeds the store's size limit. The check must report it, so that the
  * rollout doesn't fail later.
  */
-static void test_a_bundle_over_a_megabyte_is_refused(void **state)
+static void test_oversized_bundle_is_rejected(void **state)
 {
-	bundles_t *bundles = bundles_create(false);
-	char *path = g_build_filename(bundles->fleet->dir, "large.toml", NULL);
+	fixture_t *fixture = fixture_create(false);
+	char *path = g_build_filename(fixture->fleet->dir, "large.toml", NULL);
 	GString *text =
 		g_string_new("[bundle]\ngeneration = 9\nname = \"n\"\n");
 
@@ -417,27 +419,27 @@
 	for (int i = 0; i < 1000; i++)
 		g_string_append_printf(text, "[services.service-%d]\n", i);
 	assert_true(g_file_set_contents(path, text->str, -1, NULL));
-	assert_int_equal(check_bundle(bundles->fleet, path), 0);
+	assert_int_equal(check_bundle(fixture->fleet, path), 0);
 	for (int i = 1000; i < 60000; i++)
 		g_string_append_printf(text, "[services.service-%d]\n", i);
 	assert_true(g_file_set_contents(path, text->str, -1, NULL));
-	assert_int_not_equal(check_bundle(bundles->fleet, path), 0);
+	assert_int_not_equal(check_bundle(fixture->fleet, path), 0);
 	g_string_free(text, TRUE);
 	g_free(path);
-	bundles_destroy(bundles);
+	fixture_destroy(fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_an_accepted_bundle_reaches_all),
-		cmocka_unit_test(test_peers_alone_carry_a_bundle),
-		cmocka_unit_test(test_a_frozen_entry_catches_up),
-		cmocka_unit_test(test_an_entry_starts_from_its_peers),
-		cmocka_unit_test(test_an_entry_without_a_bundle_is_not_ready),
-		cmocka_unit_test(test_racing_operators),
-		cmocka_unit_test(test_a_body_nobody_signed_is_not_taken),
-		cmocka_unit_test(test_a_bundle_over_a_megabyte_is_refused),
+		cmocka_unit_test(test_accepted_bundle_is_applied_everywhere),
+		cmocka_unit_test(test_bundle_is_delivered_by_peers_alone),
+		cmocka_unit_test(test_paused_entry_catches_up),
+		cmocka_unit_test(test_entry_starts_from_its_peers),
+		cmocka_unit_test(test_entry_without_bundle_is_not_ready),
+		cmocka_unit_test(test_concurrent_rollouts),
+		cmocka_unit_test(test_unsigned_body_is_rejected),
+		cmocka_unit_test(test_oversized_bundle_is_rejected),
 	};
 	pd_error_t err;
 
