--- a/tests/guarantees/test_not_run.c
+++ b/tests/guarantees/test_not_run.c
@@ -22,8 +22,8 @@
 #define SERVICES 2
 #define CALLS 24
 #define SLOTS 64 /* of a service */
-#define FLOOD 512 /* calls at most to provoke a rejection */
-#define HEAD_BYTES 40 /* less than the head of a request */
+#define FLOOD_CALLS_MAX 512 /* calls at most to provoke a rejection */
+#define PARTIAL_HEAD_BYTES 40 /* less than the head of a request */
 #define PATH_CALLS "/v1/services/station-call/calls"
 
 static const char bundle_extra[] =
@@ -74,7 +74,7 @@
 }
 
 /* Clears faults that an earlier test left behind when it failed. */
-static int calm(void **state)
+static int clear_faults(void **state)
 {
 	set_store(*state, "{}");
 	set_services(*state, "{\"work_ms\":20}");
@@ -100,7 +100,7 @@
 }
 
 /* Waits for all calls, checks the guarantees, prints the outcomes and returns them. */
-static history_stats_t finish(history_t *history, const char *name)
+static history_stats_t wait_and_check(history_t *history, const char *name)
 {
 	history_stats_t stats;
 
@@ -121,7 +121,7 @@
 } progress_t;
 
 /* Returns true if the services are running that many calls. */
-static bool services_run(void *ctx)
+static bool services_are_running(void *ctx)
 {
 	const progress_t *progress = ctx;
 	json_int_t running = 0;
@@ -140,12 +140,12 @@
 typedef struct flood {
 	fleet_t *fleet;
 	history_t *history;
-	call_t *calls[FLOOD];
+	call_t *calls[FLOOD_CALLS_MAX];
 	unsigned int sent;
 } flood_t;
 
-/* Sends one more call each time, up to FLOOD; returns true once one was rejected. */
-static bool a_call_is_refused(void *ctx)
+/* Sends one more call each time, up to FLOOD_CALLS_MAX; returns true once one was rejected. */
+static bool a_call_was_rejected(void *ctx)
 {
 	flood_t *flood = ctx;
 	int port = flood->fleet->entries[flood->sent % ENTRIES].port;
@@ -155,7 +155,7 @@
 		if (flood->calls[i]->done && flood->calls[i]->status != 200)
 			return true;
 	}
-	if (flood->sent == FLOOD)
+	if (flood->sent == FLOOD_CALLS_MAX)
 		return false;
 	snprintf(key, sizeof(key), "over-%u", flood->sent);
 	flood->calls[flood->sent] = station_call_start(flood->fleet, port, key);
@@ -174,9 +174,9 @@
 
 	set_services(fleet, "{\"work_ms\":4000}");
 	send_calls(history, fleet, "full", 2 * progress.running, FLEET_LINE_KEY);
-	fleet_wait(fleet, services_run, &progress, "services to be full");
-	fleet_wait(fleet, a_call_is_refused, &flood, "a refusal");
-	stats = finish(history, "queue full");
+	fleet_wait(fleet, services_are_running, &progress, "services to be full");
+	fleet_wait(fleet, a_call_was_rejected, &flood, "a refusal");
+	stats = wait_and_check(history, "queue full");
 	assert_true(stats.not_run > 0);
 	assert_int_equal(stats.outcome_unknown, 0);
 	set_services(fleet, "{\"work_ms\":20}");
@@ -187,14 +187,14 @@
  * An account exceeds its request rate. Calls rejected for that must not have run, and
  * none may get outcome-unknown.
  */
-static void test_account_is_over_its_limit(void **state)
+static void test_account_exceeds_its_limit(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 	history_stats_t stats;
 
 	send_calls(history, fleet, "limit", CALLS, "limited-key");
-	stats = finish(history, "limit");
+	stats = wait_and_check(history, "limit");
 	assert_true(stats.refused > 0);
 	assert_int_equal(stats.outcome_unknown, 0);
 	history_destroy(history);
@@ -212,19 +212,19 @@
 
 	set_store(fleet, "{\"store_down\":true}");
 	send_calls(history, fleet, "outage", CALLS, FLEET_LINE_KEY);
-	stats = finish(history, "store down");
+	stats = wait_and_check(history, "store down");
 	assert_int_equal(stats.not_run, CALLS);
 	set_store(fleet, "{}");
 	history_destroy(history);
 	history = history_create(fleet);
 	send_calls(history, fleet, "outage", CALLS, FLEET_LINE_KEY);
-	stats = finish(history, "store back");
+	stats = wait_and_check(history, "store back");
 	assert_int_equal(stats.outcome_unknown, 0);
 	history_destroy(history);
 }
 
 /* Starts a call to a service with a timeout of 600 ms; the caller destroys it. */
-static call_t *brief_call(fleet_t *fleet, unsigned int entry, const char *key)
+static call_t *brief_call_start(fleet_t *fleet, unsigned int entry, const char *key)
 {
 	return call_start(fleet, fleet->entries[entry].port, "POST",
 			  "/v1/services/brief-call/calls", "brief-key", key,
@@ -235,25 +235,25 @@
  * Lists a VM whose port refuses connections. Returns the socket bound to the port,
  * which keeps others from listening there; the caller closes it.
  */
-static uv_tcp_t *list_deaf_vm(fleet_t *fleet)
+static uv_tcp_t *list_refusing_vm(fleet_t *fleet)
 {
 	uv_tcp_t *tcp = g_new0(uv_tcp_t, 1);
 	struct sockaddr_in addr;
 	int len = sizeof(addr);
-	char row[256];
+	char item[256];
 
 	uv_tcp_init(fleet->loop, tcp);
 	uv_ip4_addr("127.0.0.1", 0, &addr);
 	assert_int_equal(uv_tcp_bind(tcp, (const struct sockaddr *)&addr, 0), 0);
 	assert_int_equal(uv_tcp_getsockname(tcp, (struct sockaddr *)&addr, &len),
 			 0);
-	snprintf(row, sizeof(row),
+	snprintf(item, sizeof(item),
 		 "{\"id\":\"deaf\",\"zone\":\"zone-a\",\"address\":\"127.0.0."
 		 "1\","
 		 "\"port\":%d,\"role\":\"service\",\"state\":\"live\","
 		 "\"serves\":\"brief-call\",\"slots\":64}",
 		 ntohs(addr.sin_port));
-	fleet_post(fleet, fleet->platform.port, "/standin/vms", row);
+	fleet_post(fleet, fleet->platform.port, "/standin/vms", item);
 	return tcp;
 }
 
@@ -265,22 +265,23 @@
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
-	uv_tcp_t *deaf = list_deaf_vm(fleet);
+	uv_tcp_t *refusing = list_refusing_vm(fleet);
 	history_stats_t stats;
 	char key[64];
 
 	for (unsigned int i = 0; i < CALLS; i++) {
 		snprintf(key, sizeof(key), "deaf-%u", i);
 		history_add_station_call(history,
-					 brief_call(fleet, i % ENTRIES, key), key);
+					 brief_call_start(fleet, i % ENTRIES, key),
+					 key);
 	}
-	stats = finish(history, "connection refused");
+	stats = wait_and_check(history, "connection refused");
 	assert_int_equal(stats.not_run, CALLS);
-	uv_close((uv_handle_t *)deaf, NULL);
+	uv_close((uv_handle_t *)refusing, NULL);
 	history_destroy(history);
 }
 
-static void refuse_all(fleet_t *fleet, bool refuse)
+static void refuse_connections(fleet_t *fleet, bool refuse)
 {
 	for (unsigned int i = 0; i < SERVICES; i++)
 		forwarder_refuse(fleet->services[i].forwarder, refuse);
@@ -290,16 +291,16 @@
  * Upstreams accept connections and close them at once. The entry can't know whether
  * the request was sent, so the outcome is unknown and it must not be sent again.
  */
-static void test_upstream_closes_at_once(void **state)
+static void test_upstream_closes_connections(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 	history_stats_t stats;
 
-	refuse_all(fleet, true);
+	refuse_connections(fleet, true);
 	send_calls(history, fleet, "closed", CALLS, FLEET_LINE_KEY);
-	stats = finish(history, "closed at once");
-	refuse_all(fleet, false);
+	stats = wait_and_check(history, "closed at once");
+	refuse_connections(fleet, false);
 	assert_int_equal(stats.answered, 0);
 	history_destroy(history);
 }
@@ -320,9 +321,9 @@
 	history_t *history = history_create(fleet);
 	history_stats_t stats;
 
-	cut_after(fleet, HEAD_BYTES);
+	cut_after(fleet, PARTIAL_HEAD_BYTES);
 	send_calls(history, fleet, "head", CALLS, FLEET_LINE_KEY);
-	stats = finish(history, "cut in the head");
+	stats = wait_and_check(history, "cut in the head");
 	cut_after(fleet, 0);
 	assert_int_equal(stats.answered, 0);
 	history_destroy(history);
@@ -341,7 +342,7 @@
 	for (unsigned int i = 0; i < SERVICES; i++)
 		forwarder_cut_answers(fleet->services[i].forwarder, true);
 	send_calls(history, fleet, "answer", CALLS, FLEET_LINE_KEY);
-	stats = finish(history, "cut before the answer");
+	stats = wait_and_check(history, "cut before the answer");
 	for (unsigned int i = 0; i < SERVICES; i++)
 		forwarder_cut_answers(fleet->services[i].forwarder, false);
 	assert_int_equal(stats.answered, 0);
@@ -358,20 +359,20 @@
 
 	set_services(fleet, "{\"work_ms\":2000}");
 	send_calls(history, fleet, "body", CALLS, FLEET_LINE_KEY);
-	fleet_wait(fleet, services_run, &progress, "all calls to run");
+	fleet_wait(fleet, services_are_running, &progress, "all calls to run");
 	for (unsigned int i = 0; i < SERVICES; i++)
 		forwarder_cut(fleet->services[i].forwarder);
-	stats = finish(history, "cut after the body");
+	stats = wait_and_check(history, "cut after the body");
 	set_services(fleet, "{\"work_ms\":20}");
 	assert_int_equal(stats.outcome_unknown, CALLS);
 	assert_int_equal(stats.unknown_but_not_run, 0);
 	history_destroy(history);
 }
 
-typedef struct settled {
+typedef struct key_wait {
 	fleet_t *fleet;
 	const char *key;
-} settled_t;
+} key_wait_t;
 
 /*
  * Retries a key that never ran; returns true if it gets "not-run", as no upstream is
@@ -379,8 +380,8 @@
  */
 static bool key_is_free(void *ctx)
 {
-	const settled_t *settled = ctx;
-	call_t *call = brief_call(settled->fleet, 1, settled->key);
+	const key_wait_t *wait = ctx;
+	call_t *call = brief_call_start(wait->fleet, 1, wait->key);
 	char problem[64];
 	bool is_free;
 
@@ -399,18 +400,18 @@
 static void test_deadline_passes_while_claiming(void **state)
 {
 	fleet_t *fleet = *state;
-	settled_t settled = { fleet, "brief-1" };
+	key_wait_t wait = { fleet, "brief-1" };
 	call_t *call;
 	char problem[64];
 
 	set_store(fleet, "{\"late_answers_ms\":1500}");
-	call = brief_call(fleet, 0, settled.key);
+	call = brief_call_start(fleet, 0, wait.key);
 	call_wait(call);
 	assert_string_equal(call_problem(call, problem, sizeof(problem)),
 			    "not-run");
 	call_destroy(call);
 	set_store(fleet, "{}");
-	fleet_wait(fleet, key_is_free, &settled, "the key to be free");
+	fleet_wait(fleet, key_is_free, &wait, "the key to be free");
 }
 
 /* An entry is stopped with SIGTERM while calls arrive. All must be answered. */
@@ -422,7 +423,7 @@
 
 	send_calls(history, fleet, "drain", CALLS, FLEET_LINE_KEY);
 	process_signal(fleet->entries[1].process, SIGTERM);
-	stats = finish(history, "drain");
+	stats = wait_and_check(history, "drain");
 	assert_int_equal(stats.answered, CALLS);
 	assert_int_equal(stats.outcome_unknown, 0);
 	history_destroy(history);
@@ -431,16 +432,19 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup(test_queue_is_full, calm),
-		cmocka_unit_test_setup(test_account_is_over_its_limit, calm),
-		cmocka_unit_test_setup(test_store_is_down, calm),
-		cmocka_unit_test_setup(test_upstream_refuses_connections, calm),
-		cmocka_unit_test_setup(test_upstream_closes_at_once, calm),
-		cmocka_unit_test_setup(test_cut_in_the_head, calm),
-		cmocka_unit_test_setup(test_cut_before_the_answer, calm),
-		cmocka_unit_test_setup(test_cut_while_it_runs, calm),
-		cmocka_unit_test_setup(test_deadline_passes_while_claiming, calm),
-		cmocka_unit_test_setup(test_entry_drains, calm),
+		cmocka_unit_test_setup(test_queue_is_full, clear_faults),
+		cmocka_unit_test_setup(test_account_exceeds_its_limit, clear_faults),
+		cmocka_unit_test_setup(test_store_is_down, clear_faults),
+		cmocka_unit_test_setup(test_upstream_refuses_connections,
+				       clear_faults),
+		cmocka_unit_test_setup(test_upstream_closes_connections,
+				       clear_faults),
+		cmocka_unit_test_setup(test_cut_in_the_head, clear_faults),
+		cmocka_unit_test_setup(test_cut_before_the_answer, clear_faults),
+		cmocka_unit_test_setup(test_cut_while_it_runs, clear_faults),
+		cmocka_unit_test_setup(test_deadline_passes_while_claiming,
+				       clear_faults),
+		cmocka_unit_test_setup(test_entry_drains, clear_faults),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
