--- a/tests/guarantees/test_soak.c
+++ b/tests/guarantees/test_soak.c
@@ -30,15 +30,15 @@
 	FAULT_NONE,
 	FAULT_STORE_DOWN,
 	FAULT_STORE_SLOW,
-	FAULT_ANSWERS_LOST,
+	FAULT_REPLIES_LOST,
 	FAULT_ENTRY_KILLED,
 	FAULT_ENTRY_STOPPED,
-	FAULT_ENTRY_FROZEN,
+	FAULT_ENTRY_PAUSED,
 	FAULT_ENGINE_LEAVES,
 	FAULT_UPSTREAMS_CUT,
 	FAULT_UPSTREAMS_SILENT,
 	FAULT_ROLLOUT,
-	FAULTS
+	FAULT_COUNT
 } fault_t;
 
 typedef struct soak {
@@ -49,38 +49,40 @@
 	unsigned int prompts;
 	bool store_faulty;
 	int down_entry; /* index of the killed, stopped or paused entry; -1: none */
-	fault_t down_how;
-	bool engine_left;
-	int64_t generations[ENTRIES]; /* last seen of each entry */
+	fault_t down_fault;
+	bool notice_given;
+	int64_t seen_generations[ENTRIES]; /* last seen of each entry */
 } soak_t;
 
 /* Returns a random number from 0 to BELOW - 1. */
-static unsigned int draw(soak_t *soak, unsigned int below)
+static unsigned int random_below(soak_t *soak, unsigned int below)
 {
 	return (unsigned int)g_rand_int_range(soak->rand, 0, (gint32)below);
 }
 
-static int any_port(soak_t *soak)
+static int random_entry_port(soak_t *soak)
 {
-	return soak->fleet->entries[draw(soak, ENTRIES)].port;
+	return soak->fleet->entries[random_below(soak, ENTRIES)].port;
 }
 
 /* Sends two station calls and two completions; a third of the keys are reused. */
 static void send_calls(soak_t *soak)
 {
 	for (int i = 0; i < 2; i++) {
-		bool again = soak->keys > 0 && draw(soak, 3) == 0;
-		unsigned int number = again ? draw(soak, soak->keys)
+		bool reuse = soak->keys > 0 && random_below(soak, 3) == 0;
+		unsigned int number = reuse ? random_below(soak, soak->keys)
 					    : soak->keys++;
 		char *key = g_strdup_printf("key-%u", number);
 		char *prompt = g_strdup_printf("page %u", soak->prompts++);
 
 		history_add_station_call(soak->history,
 					 station_call_start(soak->fleet,
-							    any_port(soak), key),
+							    random_entry_port(soak),
+							    key),
 					 key);
 		history_add_completion(soak->history,
-				       completion_start(soak->fleet, any_port(soak),
+				       completion_start(soak->fleet,
+							random_entry_port(soak),
 							prompt, TOKENS, true),
 				       prompt, TOKENS);
 		g_free(key);
@@ -96,11 +98,11 @@
 
 static void take_entry_down(soak_t *soak, fault_t how)
 {
-	int index = (int)draw(soak, ENTRIES);
+	int index = (int)random_below(soak, ENTRIES);
 	process_t *process = soak->fleet->entries[index].process;
 
 	soak->down_entry = index;
-	soak->down_how = how;
+	soak->down_fault = how;
 	if (how == FAULT_ENTRY_KILLED)
 		process_signal(process, SIGKILL);
 	else if (how == FAULT_ENTRY_STOPPED)
@@ -123,7 +125,7 @@
 		return;
 	process = soak->fleet->entries[index].process;
 	soak->down_entry = -1;
-	if (soak->down_how == FAULT_ENTRY_FROZEN) {
+	if (soak->down_fault == FAULT_ENTRY_PAUSED) {
 		process_signal(process, SIGCONT);
 		return;
 	}
@@ -132,16 +134,16 @@
 		process_signal(process, SIGKILL);
 	fleet_wait(soak->fleet, entry_has_ended, process, "an entry's end");
 	fleet_start_entry(soak->fleet, index);
-	soak->generations[index] = 0;
+	soak->seen_generations[index] = 0;
 }
 
-static void engine_leaves(soak_t *soak)
+static void give_notice(soak_t *soak)
 {
 	fleet_t *fleet = soak->fleet;
 
-	if (soak->engine_left)
+	if (soak->notice_given)
 		return;
-	soak->engine_left = true;
+	soak->notice_given = true;
 	fleet_post(fleet, fleet->platform.port, "/standin/notice",
 		   "{\"id\":\"engine-1\",\"leaves_in_ms\":2500}");
 	fleet_post(fleet, fleet->engines[0].port, "/standin/faults",
@@ -151,7 +153,7 @@
 /* Stalls or closes all connections of a random upstream. */
 static void break_upstreams(soak_t *soak, bool silent)
 {
-	unsigned int pick = draw(soak, ENGINES + SERVICES);
+	unsigned int pick = random_below(soak, ENGINES + SERVICES);
 	fleet_node_t *node = pick < ENGINES
 				     ? &soak->fleet->engines[pick]
 				     : &soak->fleet->services[pick - ENGINES];
@@ -162,7 +164,7 @@
 		forwarder_cut(node->forwarder);
 }
 
-static void store_fault(soak_t *soak, fault_t fault)
+static void inject_store_fault(soak_t *soak, fault_t fault)
 {
 	soak->store_faulty = true;
 	if (fault == FAULT_STORE_DOWN)
@@ -173,22 +175,22 @@
 		set_store(soak, "{\"lose_answers\":3}");
 }
 
-static void apply(soak_t *soak, fault_t fault)
+static void inject_fault(soak_t *soak, fault_t fault)
 {
 	switch (fault) {
 	case FAULT_STORE_DOWN:
 	case FAULT_STORE_SLOW:
-	case FAULT_ANSWERS_LOST:
-		store_fault(soak, fault);
+	case FAULT_REPLIES_LOST:
+		inject_store_fault(soak, fault);
 		break;
 	case FAULT_ENTRY_KILLED:
 	case FAULT_ENTRY_STOPPED:
-	case FAULT_ENTRY_FROZEN:
+	case FAULT_ENTRY_PAUSED:
 		if (soak->down_entry < 0)
 			take_entry_down(soak, fault);
 		break;
 	case FAULT_ENGINE_LEAVES:
-		engine_leaves(soak);
+		give_notice(soak);
 		break;
 	case FAULT_UPSTREAMS_CUT:
 		break_upstreams(soak, false);
@@ -201,12 +203,12 @@
 			fleet_rollout(soak->fleet, soak->fleet->generation + 1);
 		break;
 	case FAULT_NONE:
-	case FAULTS:
+	case FAULT_COUNT:
 		break;
 	}
 }
 
-static void repair(soak_t *soak)
+static void repair_faults(soak_t *soak)
 {
 	set_store(soak, "{}");
 	soak->store_faulty = false;
@@ -227,13 +229,13 @@
 		if (!status)
 			continue;
 		now = json_integer_or(status, "generation", 0);
-		assert_true(now >= soak->generations[i]);
-		soak->generations[i] = now;
+		assert_true(now >= soak->seen_generations[i]);
+		soak->seen_generations[i] = now;
 		json_decref(status);
 	}
 }
 
-static bool never(void *ctx)
+static bool never_holds(void *ctx)
 {
 	(void)ctx;
 	return false;
@@ -243,15 +245,15 @@
 {
 	for (int step = 0; step < STEPS; step++) {
 		send_calls(soak);
-		apply(soak, (fault_t)draw(soak, FAULTS));
+		inject_fault(soak, (fault_t)random_below(soak, FAULT_COUNT));
 		/* Lets the fault affect requests in progress. */
-		fleet_wait_ms(soak->fleet, never, NULL, STEP_MS);
+		fleet_wait_ms(soak->fleet, never_holds, NULL, STEP_MS);
 		if (step % 4 == 3) {
-			repair(soak);
+			repair_faults(soak);
 			check_generations(soak);
 		}
 	}
-	repair(soak);
+	repair_faults(soak);
 	history_wait(soak->history);
 	check_generations(soak);
 }
@@ -281,17 +283,17 @@
 	fleet_destroy(soak.fleet);
 }
 
-static uint32_t from_environment(const char *name, uint32_t fallback)
+static uint32_t read_env_number(const char *name, uint32_t default_value)
 {
 	const char *text = getenv(name);
 
-	return text ? (uint32_t)strtoul(text, NULL, 10) : fallback;
+	return text ? (uint32_t)strtoul(text, NULL, 10) : default_value;
 }
 
 static void test_random_failures(void **state)
 {
-	uint32_t first = from_environment("FIRST_SEED", 1);
-	uint32_t count = from_environment("SEEDS", SEEDS_DEFAULT);
+	uint32_t first = read_env_number("FIRST_SEED", 1);
+	uint32_t count = read_env_number("SEEDS", SEEDS_DEFAULT);
 
 	(void)state;
 	for (uint32_t seed = first; seed < first + count; seed++)
