--- a/tests/guarantees/test_placer_acts_once.c
+++ b/tests/guarantees/test_placer_acts_once.c
@@ -21,7 +21,7 @@
 #define WAIT_MS 90000
 #define TARGET "cut-list"
 
-typedef struct wait {
+typedef struct placement_wait {
 	fleet_t *fleet;
 	unsigned int count; /* awaited number of VMs or purchases */
 	const char *holder; /* id of the placer that must no longer hold the lease */
