--- a/tests/harness/history.h
+++ b/tests/harness/history.h
@@ -1,6 +1,6 @@
 /*
  * Records calls and their outcomes and compares them with the stand-ins' records of
- * what they ran. The system under test is not asked.
+ * what they ran. It reads nothing from the system under test.
  */
 #ifndef PISTACHIO_TEST_HISTORY_H
 #define PISTACHIO_TEST_HISTORY_H
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -57,7 +57,7 @@
 	bool leaving;
 	int64_t leaves_in_ms; /* counted from the notice */
 	bool accepts_while_leaving; /* accepts new requests while leaving */
-	int64_t notices_left; /* load queries still to be told of the notice; -1: all */
+	int64_t notices_left; /* load replies that still report the notice; -1: all */
 	bool silent; /* accepts requests but sends nothing */
 	json_t *record; /* request ids, in execution order */
 	json_t *arrivals; /* request ids and arrival times since the notice */
@@ -536,7 +536,7 @@
 			  "cache_gap", after + 1 < engine->first_event_number));
 }
 
-/* Sets the reclaim notice and the faults that a test asks for. */
+/* Sets the reclaim notice and the faults given in the request. */
 static void on_faults(engine_t *engine, http_exchange_t *exchange)
 {
 	json_t *body = standin_parse_body(exchange);
@@ -553,7 +553,7 @@
 	json_decref(body);
 }
 
-/* Sets the costs and capacities that a test asks for. */
+/* Sets the costs and capacities given in the request. */
 static void on_settings(engine_t *engine, http_exchange_t *exchange)
 {
 	json_t *body = standin_parse_body(exchange);
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -300,7 +300,7 @@
 	write_free(write);
 }
 
-/* Applies a write whose caller was cut off, and frees it. */
+/* Applies a write whose connection was aborted, and frees it. */
 static void write_apply_late(void *ctx)
 {
 	write_t *write = ctx;
--- a/tests/standins/standin_service.c
+++ b/tests/standins/standin_service.c
@@ -90,7 +90,7 @@
 	standin_start_timer(service->loop, service->work_ms, call_finish, call);
 }
 
-/* Sets the faults that a test asks for. */
+/* Sets the faults given in the request. */
 static void on_faults(service_t *service, http_exchange_t *exchange)
 {
 	json_t *body = standin_parse_body(exchange);
