--- a/tests/guarantees/test_bundle_in_force.c
+++ b/tests/guarantees/test_bundle_in_force.c
@@ -20,8 +20,7 @@
 
 #define ENTRIES 6
 #define ROLLOUTS 5
-#define APPLY_TIMEOUT_MS \
-	7000 /* to be applied by all entries, as operators require */
+#define APPLY_TIMEOUT_MS 7000 /* for all entries; required by operators */
 
 typedef struct fixture {
 	fleet_t *fleet;
--- a/tests/guarantees/test_whole_answer.c
+++ b/tests/guarantees/test_whole_answer.c
@@ -20,8 +20,8 @@
 #define ENGINES 4
 #define STREAMS 24
 #define TOKENS 300
-#define SLOTS_FREED_TIMEOUT_MS \
-	12000 /* well below 30 s, when the deadline would free them */
+/* Well below 30 s, when the deadline would free the slots. */
+#define SLOTS_FREED_TIMEOUT_MS 12000
 
 static int setup(void **state)
 {
--- a/tests/harness/gossip.h
+++ b/tests/harness/gossip.h
@@ -15,7 +15,7 @@
 
 #define GOSSIP_STEP (20 * PD_MSEC) /* also a message's transit time */
 #define GOSSIP_FRAME_BYTES \
-	8 /* bytes: the length field, and the empty acknowledgement */
+	8 /* the length field, and an empty acknowledgement */
 #define GOSSIP_WAVE_MAX 128 /* VMs that leave at once */
 #define GOSSIP_START (1000 * PD_SEC)
 
@@ -42,7 +42,7 @@
 	unsigned int size;
 	GRand *rand;
 	double loss; /* probability that a message is lost, 0 to 1 */
-	unsigned int partition_size; /* nodes with a lower index are partitioned from the rest */
+	unsigned int partition_size; /* nodes below it are cut off from the rest; 0: none */
 	pd_time_t now;
 } gossip_t;
 
--- a/tests/harness/history.c
+++ b/tests/harness/history.c
@@ -42,7 +42,7 @@
 	return history;
 }
 
-/* Cancels and frees the history's calls, and frees it. */
+/* Frees the history and its calls; running calls are cancelled. */
 void history_destroy(history_t *history)
 {
 	g_ptr_array_unref(history->items);
--- a/tests/standins/standin_engine.c
+++ b/tests/standins/standin_engine.c
@@ -18,11 +18,9 @@
 #include "tests/standins/engine_orders.h"
 #include "tests/standins/standin.h"
 
-#define KEEPALIVE_PERIOD_MS \
-	500 /* between keep-alive comments to queued streams */
+#define KEEPALIVE_PERIOD_MS 500 /* of comments to queued streams */
 #define KV_CACHES_MAX 1024 /* streams whose KV cache is kept, the newest */
-#define CACHE_EVENTS_MAX \
-	4096 /* cache events; beyond it the older half is discarded */
+#define CACHE_EVENTS_MAX 4096 /* beyond it the older half is discarded */
 #define CACHE_EVENT_DELAY_US 100000 /* delay before a cache event is reported */
 #define IO_TIMEOUT (5 * PD_SEC)
 
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -74,7 +74,7 @@
 	int64_t counts[3]; /* by COUNT_* */
 	GHashTable *purchased_tags; /* tags for which a VM was started */
 	bool forgets_tags; /* a repeated tag starts another VM */
-	int64_t purchase_replies_to_lose; /* number of purchases to carry out without a reply */
+	int64_t purchase_replies_to_lose; /* purchases to make without a reply */
 	json_t *order_counts; /* tag -> number of purchase requests */
 	uint64_t fencing_token; /* highest fencing token seen */
 	int64_t stale_orders; /* orders whose fencing token was stale */
