--- a/tests/guarantees/test_accepted_survives_reclaim.c
+++ b/tests/guarantees/test_accepted_survives_reclaim.c
@@ -1,8 +1,8 @@
 /*
- * Engines are reclaimed under running streams and then killed: one, a whole
- * zone at once, two zones one after the other, with time for a KV export and
- * without, and all of them while no replacement starts. Each caller that was
- * accepted must get its whole answer.
+ * Engines are reclaimed while streams run on them, and then killed: a single one, a
+ * zone, two zones in a row, with and without time for a KV cache export, and all
+ * engines while no replacement starts. Every accepted request must get its complete
+ * answer.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -28,9 +28,9 @@
 
 typedef struct reclaim {
 	fleet_t *fleet;
-	unsigned int first; /* engine, and each STEP-th after it */
+	unsigned int first; /* reclaims this engine and every STEP-th after it */
 	unsigned int step;
-	int64_t until;
+	int64_t notice_end; /* end of the notice, monotonic microseconds */
 } reclaim_t;
 
 static int setup(void **state)
@@ -47,7 +47,7 @@
 	return 0;
 }
 
-/* A prompt that is long enough to be worth keeping. */
+/* Returns a prompt whose KV cache is worth an export; the caller owns it. */
 static char *long_prompt(unsigned int number)
 {
 	char *filler = g_strnfill(PROMPT_BYTES, 'l');
@@ -70,7 +70,7 @@
 	}
 }
 
-/* Sums a number over the records of all engines that still run. */
+/* Returns the sum of a number in the records of all running engines. */
 static int64_t record_sum(fleet_t *fleet, const char *name)
 {
 	int64_t sum = 0;
@@ -94,7 +94,7 @@
 	return record_sum(ctx, "tokens") >= STREAMS * TOKENS / 10;
 }
 
-static unsigned int engine_running(fleet_t *fleet, unsigned int index)
+static unsigned int engine_running_requests(fleet_t *fleet, unsigned int index)
 {
 	json_t *load = fleet_get(fleet, fleet->engines[index].port, "/load");
 	int64_t running = json_integer_or(load, "running", 0);
@@ -103,32 +103,33 @@
 	return (unsigned int)running;
 }
 
-/* Gives notice to some engines, by the platform and by themselves. */
+/* Gives notice to the engines, in the VM list and in their load reports. */
 static void give_notice(reclaim_t *reclaim, int notice_ms)
 {
 	fleet_t *fleet = reclaim->fleet;
 	unsigned int running = 0;
-	char *told = g_strdup_printf("{\"leaving\":true,\"leaves_in_ms\":%d}",
-				     notice_ms);
+	char *notice = g_strdup_printf("{\"leaving\":true,\"leaves_in_ms\":%d}",
+				       notice_ms);
 
 	for (unsigned int i = reclaim->first; i < ENGINES; i += reclaim->step) {
-		char *row =
+		char *item =
 			g_strdup_printf("{\"id\":\"%s\",\"leaves_in_ms\":%d}",
 					fleet->engines[i].id, notice_ms);
 
-		running += engine_running(fleet, i);
-		fleet_post(fleet, fleet->engines[i].port, "/standin/faults", told);
-		fleet_post(fleet, fleet->platform.port, "/standin/notice", row);
-		g_free(row);
+		running += engine_running_requests(fleet, i);
+		fleet_post(fleet, fleet->engines[i].port, "/standin/faults",
+			   notice);
+		fleet_post(fleet, fleet->platform.port, "/standin/notice", item);
+		g_free(item);
 	}
-	g_free(told);
+	g_free(notice);
 	assert_true(running > 0);
-	reclaim->until = g_get_monotonic_time() + notice_ms * 1000;
+	reclaim->notice_end = g_get_monotonic_time() + notice_ms * 1000;
 }
 
-static bool time_is_up(void *ctx)
+static bool notice_is_over(void *ctx)
 {
-	return g_get_monotonic_time() >= ((reclaim_t *)ctx)->until;
+	return g_get_monotonic_time() >= ((reclaim_t *)ctx)->notice_end;
 }
 
 static bool engine_has_ended(void *ctx)
@@ -150,30 +151,27 @@
 static void reclaim_engines(reclaim_t *reclaim, int notice_ms)
 {
 	give_notice(reclaim, notice_ms);
-	fleet_wait(reclaim->fleet, time_is_up, reclaim, "the reclaim");
+	fleet_wait(reclaim->fleet, notice_is_over, reclaim, "the reclaim");
 	kill_engines(reclaim);
 }
 
-static void refuse_starts(fleet_t *fleet)
+static void reject_purchases(fleet_t *fleet)
 {
 	fleet_post(fleet, fleet->platform.port, "/standin/faults",
 		   "{\"starts_refused\":true}");
 }
 
-static void assert_all_whole(history_t *history)
+static void assert_all_complete(history_t *history)
 {
 	history_stats_t stats;
 
 	history_wait(history);
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.answered, STREAMS);
 }
 
-/*
- * One engine is told to go in a second, in the middle of its
- * streams. They move with their KV cache, and no caller notices.
- */
+/* One engine leaves in 1 s. Its streams must move with their KV caches. */
 static void test_one_engine_is_reclaimed(void **state)
 {
 	fleet_t *fleet = *state;
@@ -183,56 +181,50 @@
 	start_streams(fleet, history);
 	fleet_wait(fleet, streams_are_midway, fleet, "the middle of streams");
 	reclaim_engines(&reclaim, LONG_NOTICE_MS);
-	assert_all_whole(history);
+	assert_all_complete(history);
 	assert_true(record_sum(fleet, "imported") > 0);
 	history_destroy(history);
 }
 
-/*
- * All engines of a zone get their notice at the same moment, and the cloud
- * refuses every new VM.
- */
-static void test_a_zone_is_reclaimed(void **state)
+/* All engines of a zone get notice at once, and the cloud API starts no new VM. */
+static void test_zone_is_reclaimed(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 	reclaim_t reclaim = { .fleet = fleet, .first = 0, .step = ZONES };
 
-	refuse_starts(fleet);
+	reject_purchases(fleet);
 	start_streams(fleet, history);
 	fleet_wait(fleet, streams_are_midway, fleet, "the middle of streams");
 	reclaim_engines(&reclaim, LONG_NOTICE_MS);
-	assert_all_whole(history);
+	assert_all_complete(history);
 	assert_true(record_sum(fleet, "imported") > 0);
 	history_destroy(history);
 }
 
-/*
- * A second zone goes while the streams of the first have just moved, some of
- * them into it.
- */
-static void test_two_zones_go_in_a_row(void **state)
+/* A second zone is reclaimed just after streams of the first one moved into it. */
+static void test_two_zones_are_reclaimed_in_a_row(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 	reclaim_t first = { .fleet = fleet, .first = 0, .step = ZONES };
 	reclaim_t second = { .fleet = fleet, .first = 1, .step = ZONES };
 
-	refuse_starts(fleet);
+	reject_purchases(fleet);
 	start_streams(fleet, history);
 	fleet_wait(fleet, streams_are_midway, fleet, "the middle of streams");
 	reclaim_engines(&first, LONG_NOTICE_MS / 3);
 	reclaim_engines(&second, LONG_NOTICE_MS / 3);
-	assert_all_whole(history);
+	assert_all_complete(history);
 	history_destroy(history);
 }
 
 /*
- * A zone gets a notice of 20 ms, which most entries hear only after its
- * machines have gone. The text that the callers have is all that is left of
- * their answers, and they go on from it.
+ * A zone gets 20 ms notice, which most entries learn of only after its VMs have
+ * ended. There are no KV caches left, so streams must be resumed from the text that
+ * was already sent to the callers.
  */
-static void test_a_zone_goes_without_time_for_an_export(void **state)
+static void test_zone_is_reclaimed_without_time_for_export(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
@@ -241,7 +233,7 @@
 	start_streams(fleet, history);
 	fleet_wait(fleet, streams_are_midway, fleet, "the middle of streams");
 	reclaim_engines(&reclaim, SHORT_NOTICE_MS);
-	assert_all_whole(history);
+	assert_all_complete(history);
 	history_destroy(history);
 }
 
@@ -261,41 +253,42 @@
 }
 
 /*
- * Every engine is reclaimed and for a while none starts. Callers keep waiting
- * on their open streams; when an engine comes at last they get the rest.
+ * All engines are reclaimed and none starts for a while. Streams must stay open and
+ * continue when an engine becomes available.
  */
-static void test_streams_wait_until_an_engine_comes(void **state)
+static void test_streams_wait_for_a_new_engine(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 	reclaim_t all = { .fleet = fleet, .first = 0, .step = 1 };
-	process_t *fresh;
+	process_t *replacement;
 	char *program =
 		g_build_filename(g_getenv("B") ? g_getenv("B") : "build/release",
 				 "standin-engine", NULL);
 	const char *argv[] = { program, "5", "20", "64", NULL };
-	char *row;
+	char *item;
 	int port = 0;
 
 	start_streams(fleet, history);
 	fleet_wait(fleet, streams_are_midway, fleet, "the middle of streams");
 	reclaim_engines(&all, SHORT_NOTICE_MS);
 	fleet_wait(fleet, no_engine_is_usable, fleet, "no engine to be usable");
-	fresh = process_start(fleet->dir, "fresh", argv);
+	replacement = process_start(fleet->dir, "fresh", argv);
 	while (!port)
-		port = process_port(fresh, fresh->out_path, "port ");
-	row = g_strdup_printf(
+		port = process_read_port(replacement, replacement->out_path,
+					 "port ");
+	item = g_strdup_printf(
 		"{\"id\":\"fresh-1\",\"zone\":\"zone-b\",\"address\":"
 		"\"127.0.0.1\",\"port\":%d,\"role\":\"model\",\"state\":"
 		"\"live\",\"serves\":\"ledger-reader\",\"slots\":64,"
 		"\"reclaimable\":true,\"machine_class\":\"any\"}",
 		port);
-	fleet_post(fleet, fleet->platform.port, "/standin/vms", row);
-	assert_all_whole(history);
+	fleet_post(fleet, fleet->platform.port, "/standin/vms", item);
+	assert_all_complete(history);
 	history_destroy(history);
-	process_destroy(fresh);
+	process_destroy(replacement);
 	g_free(program);
-	g_free(row);
+	g_free(item);
 }
 
 #define RECLAIM_TEST(name) \
@@ -305,10 +298,10 @@
 {
 	const struct CMUnitTest tests[] = {
 		RECLAIM_TEST(test_one_engine_is_reclaimed),
-		RECLAIM_TEST(test_a_zone_is_reclaimed),
-		RECLAIM_TEST(test_two_zones_go_in_a_row),
-		RECLAIM_TEST(test_a_zone_goes_without_time_for_an_export),
-		RECLAIM_TEST(test_streams_wait_until_an_engine_comes),
+		RECLAIM_TEST(test_zone_is_reclaimed),
+		RECLAIM_TEST(test_two_zones_are_reclaimed_in_a_row),
+		RECLAIM_TEST(test_zone_is_reclaimed_without_time_for_export),
+		RECLAIM_TEST(test_streams_wait_for_a_new_engine),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/guarantees/test_at_most_once.c
+++ b/tests/guarantees/test_at_most_once.c
@@ -1,7 +1,7 @@
 /*
- * A call that may not be repeated runs at most once, whatever happens between
- * its claim and its answer. The stand-in service runs whatever reaches it and
- * counts the runs of each key; the verdict is that count.
+ * A call that is not repeatable runs at most once, whatever fails between its claim
+ * and its answer. The service stand-in runs every request that reaches it and counts
+ * the runs of each key; the tests check these counts.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -18,7 +18,7 @@
 
 #define ENTRIES 3
 #define SERVICES 2
-#define RACERS 40
+#define RACE_KEYS 40
 
 static int setup(void **state)
 {
@@ -46,8 +46,8 @@
 			   faults);
 }
 
-/* Returns how often the stand-ins ran a key. */
-static int64_t runs_of(fleet_t *fleet, const char *key)
+/* Returns how many times the stand-ins ran a key. */
+static int64_t count_runs(fleet_t *fleet, const char *key)
 {
 	int64_t runs = 0;
 
@@ -61,7 +61,8 @@
 	return runs;
 }
 
-static int64_t writes_of(fleet_t *fleet)
+/* Returns the number of writes that the store has applied. */
+static int64_t count_writes(fleet_t *fleet)
 {
 	json_t *counts = fleet_get(fleet, fleet->platform.port, "/standin/counts");
 	int64_t writes = json_integer_or(counts, "writes", 0);
@@ -73,86 +74,88 @@
 typedef struct wait {
 	fleet_t *fleet;
 	const char *key;
-	int64_t writes;
-	unsigned int entry;
+	int64_t writes; /* of the store, before */
+	unsigned int entry; /* that retries go to */
 } wait_t;
 
 static bool key_has_run(void *ctx)
 {
 	const wait_t *wait = ctx;
 
-	return runs_of(wait->fleet, wait->key) > 0;
+	return count_runs(wait->fleet, wait->key) > 0;
 }
 
 static bool store_was_written(void *ctx)
 {
 	const wait_t *wait = ctx;
 
-	return writes_of(wait->fleet) > wait->writes;
+	return count_writes(wait->fleet) > wait->writes;
 }
 
-/* Asks again at an entry until the key is settled; returns the problem. */
+/*
+ * Retries a key once at an entry. Returns "ran", "replayed" or the problem type; the
+ * caller owns it.
+ */
 static char *retry(fleet_t *fleet, unsigned int entry, const char *key)
 {
 	call_t *call = station_call_start(fleet, fleet->entries[entry].port, key);
 	char problem[64];
-	char *found;
+	char *outcome;
 
 	call_wait(call);
 	assert_false(call->failed);
-	found = g_strdup(call->status == 200
-				 ? (call->replayed ? "replayed" : "ran")
-				 : call_problem(call, problem, sizeof(problem)));
+	outcome = g_strdup(call->status == 200
+				   ? (call->replayed ? "replayed" : "ran")
+				   : call_problem(call, problem, sizeof(problem)));
 	call_destroy(call);
-	return found;
+	return outcome;
 }
 
 static void assert_retry(fleet_t *fleet, unsigned int entry, const char *key,
 			 const char *expected)
 {
-	char *found = retry(fleet, entry, key);
+	char *outcome = retry(fleet, entry, key);
 
-	assert_string_equal(found, expected);
-	g_free(found);
+	assert_string_equal(outcome, expected);
+	g_free(outcome);
 }
 
 /*
- * Asks again until a key is settled. An entry may still be writing down that a
- * call ran, or giving its claim back; a retry hears outcome-unknown until then.
+ * Retries a key; returns true unless its outcome is unknown. It stays unknown while
+ * an entry is still recording that the call ran, or releasing its claim.
  */
 static bool key_is_settled(void *ctx)
 {
 	const wait_t *wait = ctx;
-	char *found = retry(wait->fleet, wait->entry, wait->key);
-	bool settled = strcmp(found, "outcome-unknown") != 0;
+	char *outcome = retry(wait->fleet, wait->entry, wait->key);
+	bool settled = strcmp(outcome, "outcome-unknown") != 0;
 
-	g_free(found);
+	g_free(outcome);
 	return settled;
 }
 
-/* Fails the test unless the recorded answer is given, now or in a while. */
+/* Fails the test unless the recorded answer is replayed within the wait limit. */
 static void assert_replayed(fleet_t *fleet, unsigned int entry, const char *key)
 {
 	wait_t wait = { fleet, key, 0, entry };
 
 	fleet_wait(fleet, key_is_settled, &wait, "the answer to be on record");
 	assert_retry(fleet, entry, key, "replayed");
-	assert_int_equal(runs_of(fleet, key), 1);
+	assert_int_equal(count_runs(fleet, key), 1);
 }
 
 /*
- * A terminal asks twice at the same moment and the balancer sends the two to
- * different entries. One runs; the other hears its answer, or that the outcome
- * is not known yet.
+ * A terminal sends a key several times at once and the balancer sends the calls to
+ * different entries. One must run; the others get its answer or outcome-unknown.
  */
-static void test_two_entries_get_one_key_at_once(void **state)
+static void test_entries_race_for_one_key(void **state)
 {
 	fleet_t *fleet = *state;
 	history_t *history = history_create(fleet);
 	history_stats_t stats;
 	char key[32];
 
-	for (int i = 0; i < RACERS; i++) {
+	for (int i = 0; i < RACE_KEYS; i++) {
 		snprintf(key, sizeof(key), "race-%d", i);
 		for (unsigned int j = 0; j < ENTRIES; j++)
 			history_add_station_call(
@@ -163,23 +166,23 @@
 	}
 	history_wait(history);
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.broken, 0);
-	for (int i = 0; i < RACERS; i++) {
+	for (int i = 0; i < RACE_KEYS; i++) {
 		snprintf(key, sizeof(key), "race-%d", i);
-		assert_int_equal(runs_of(fleet, key), 1);
+		assert_int_equal(count_runs(fleet, key), 1);
 		assert_replayed(fleet, (unsigned int)i % ENTRIES, key);
 	}
 	print_message("race: %u answered, %u outcome-unknown of %d\n",
-		      stats.answered, stats.outcome_unknown, RACERS * ENTRIES);
+		      stats.answered, stats.outcome_unknown, RACE_KEYS * ENTRIES);
 	history_destroy(history);
 }
 
 /*
- * The entry dies while its claim waits for a slow store. Nothing was claimed
- * and nothing sent; the terminal's retry at another entry runs.
+ * An entry is killed while its claim waits for a slow store. Nothing was claimed or
+ * sent, so a retry at another entry must run.
  */
-static void test_entry_dies_before_its_claim(void **state)
+static void test_entry_is_killed_before_its_claim(void **state)
 {
 	fleet_t *fleet = *state;
 	call_t *call;
@@ -191,21 +194,21 @@
 	call_destroy(call);
 	set_store(fleet, "{}");
 	assert_retry(fleet, 1, "before-claim", "ran");
-	assert_int_equal(runs_of(fleet, "before-claim"), 1);
+	assert_int_equal(count_runs(fleet, "before-claim"), 1);
 	fleet_start_entry(fleet, 0);
 	fleet_wait_ready(fleet);
 	assert_replayed(fleet, 0, "before-claim");
 }
 
 /*
- * The claim's write takes effect and the entry dies before it hears so. Nobody
- * can tell whether it had dispatched, so each retry hears that the outcome is
- * unknown; the call never runs.
+ * An entry is killed after its claim was written, but before the store's reply. Other
+ * entries can't know whether it dispatched the call, so each retry must get
+ * outcome-unknown, and the call never runs.
  */
-static void test_entry_dies_between_claim_and_dispatch(void **state)
+static void test_entry_is_killed_between_claim_and_dispatch(void **state)
 {
 	fleet_t *fleet = *state;
-	wait_t wait = { fleet, "after-claim", writes_of(fleet), 0 };
+	wait_t wait = { fleet, "after-claim", count_writes(fleet), 0 };
 	call_t *call;
 
 	set_store(fleet, "{\"late_answers_ms\":60000}");
@@ -220,14 +223,11 @@
 	fleet_start_entry(fleet, 0);
 	fleet_wait_ready(fleet);
 	assert_retry(fleet, 0, wait.key, "outcome-unknown");
-	assert_int_equal(runs_of(fleet, wait.key), 0);
+	assert_int_equal(count_runs(fleet, wait.key), 0);
 }
 
-/*
- * The entry dies while the service works on the call. The retry must not run
- * it a second time.
- */
-static void test_entry_dies_after_dispatch(void **state)
+/* An entry is killed while the service runs its call. A retry must not run it again. */
+static void test_entry_is_killed_after_dispatch(void **state)
 {
 	fleet_t *fleet = *state;
 	wait_t wait = { fleet, "after-dispatch", 0, 0 };
@@ -244,7 +244,7 @@
 	fleet_start_entry(fleet, 0);
 	fleet_wait_ready(fleet);
 	assert_retry(fleet, 0, wait.key, "outcome-unknown");
-	assert_int_equal(runs_of(fleet, wait.key), 1);
+	assert_int_equal(count_runs(fleet, wait.key), 1);
 }
 
 static bool first_entry_has_a_call(void *ctx)
@@ -258,11 +258,10 @@
 }
 
 /*
- * An entry is paused while its claim is under way, and the terminal's retry
- * runs elsewhere meanwhile. When it wakes it still has the call in hand and
- * must not run it.
+ * An entry is paused while it writes its claim, and a retry runs at another entry.
+ * When the first one continues, it still has the call and must not run it.
  */
-static void test_frozen_entry_wakes_after_another_ran(void **state)
+static void test_paused_entry_continues_after_another_ran(void **state)
 {
 	fleet_t *fleet = *state;
 	call_t *call;
@@ -278,19 +277,19 @@
 	call_wait(call);
 	call_problem(call, problem, sizeof(problem));
 	assert_true(call->status != 200 || call->replayed);
-	assert_int_equal(runs_of(fleet, "frozen-early"), 1);
+	assert_int_equal(count_runs(fleet, "frozen-early"), 1);
 	call_destroy(call);
 }
 
 /*
- * An entry is paused after its claim was written, and another entry is asked
- * for the same key. The other may not run it, however long the pause; the
- * first may when it wakes.
+ * An entry is paused after its claim was written, and other entries get the same key.
+ * They must not run it, however long the pause; the first entry may when it
+ * continues.
  */
-static void test_frozen_entry_wakes_with_its_claim(void **state)
+static void test_paused_entry_continues_with_its_claim(void **state)
 {
 	fleet_t *fleet = *state;
-	wait_t wait = { fleet, "frozen-late", writes_of(fleet), 0 };
+	wait_t wait = { fleet, "frozen-late", count_writes(fleet), 0 };
 	call_t *call;
 
 	set_store(fleet, "{\"late_answers_ms\":60000}");
@@ -300,16 +299,19 @@
 	set_store(fleet, "{}");
 	assert_retry(fleet, 1, wait.key, "outcome-unknown");
 	assert_retry(fleet, 2, wait.key, "outcome-unknown");
-	assert_int_equal(runs_of(fleet, wait.key), 0);
+	assert_int_equal(count_runs(fleet, wait.key), 0);
 	process_signal(fleet->entries[0].process, SIGCONT);
 	call_wait(call);
-	assert_true(runs_of(fleet, wait.key) <= 1);
+	assert_true(count_runs(fleet, wait.key) <= 1);
 	call_destroy(call);
 }
 
-/* Sends RACERS keys to all entries under a fault and asks again afterwards. */
-static history_stats_t race_under(fleet_t *fleet, const char *name,
-				  const char *faults)
+/*
+ * Sends RACE_KEYS keys to two entries each under a store fault, clears the fault and
+ * retries every key. Returns the outcomes of the first calls.
+ */
+static history_stats_t race_with_fault(fleet_t *fleet, const char *name,
+				       const char *faults)
 {
 	history_t *history = history_create(fleet);
 	history_stats_t stats;
@@ -317,7 +319,7 @@
 	char key[64];
 
 	set_store(fleet, faults);
-	for (int i = 0; i < RACERS; i++) {
+	for (int i = 0; i < RACE_KEYS; i++) {
 		snprintf(key, sizeof(key), "%s-%d", name, i);
 		for (unsigned int j = 0; j < 2; j++)
 			history_add_station_call(
@@ -329,88 +331,86 @@
 	}
 	history_wait(history);
 	set_store(fleet, "{}");
-	for (int i = 0; i < RACERS; i++) {
+	for (int i = 0; i < RACE_KEYS; i++) {
 		wait_t wait = { fleet, key, 0, (unsigned int)i % ENTRIES };
 
 		snprintf(key, sizeof(key), "%s-%d", name, i);
 		if (!key_is_settled(&wait)) {
 			unsettled++;
-			/* All entries live, so it comes to rest. */
+			/* All entries run, so the outcome becomes known. */
 			fleet_wait(fleet, key_is_settled, &wait, "a key's end");
 		}
-		assert_true(runs_of(fleet, key) <= 1);
+		assert_true(count_runs(fleet, key) <= 1);
 	}
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	print_message("%s: %u answered, %u not-run, %u outcome-unknown (%u of "
 		      "them never ran) of %d; %u of %d keys open at the first "
 		      "retry\n",
-		      name, stats.answered, stats.not_run, stats.outcome_unknown,
-		      stats.unknown_but_not_run, RACERS * 2, unsettled, RACERS);
+		      name, stats.answered, stats.not_run,
+		      stats.outcome_unknown, stats.unknown_but_not_run,
+		      RACE_KEYS * 2, unsettled, RACE_KEYS);
 	history_destroy(history);
 	return stats;
 }
 
-/*
- * The store answers late. Calls wait, and no key runs twice.
- */
-static void test_store_answers_late(void **state)
+/* The store replies late. Calls wait, and no key may run twice. */
+static void test_store_replies_late(void **state)
 {
-	race_under(*state, "late", "{\"late_answers_ms\":150}");
+	race_with_fault(*state, "late", "{\"late_answers_ms\":150}");
 }
 
 /*
- * The store takes writes and loses their answers. The entry reads back whose
- * claim is there instead of writing it again blindly.
+ * The store applies writes but its replies are lost. The entry must read the claim
+ * back instead of writing it again unconditionally.
  */
-static void test_store_loses_answers(void **state)
+static void test_store_replies_are_lost(void **state)
 {
-	race_under(*state, "lost", "{\"lose_answers\":30}");
+	race_with_fault(*state, "lost", "{\"lose_answers\":30}");
 }
 
 /*
- * Writes are cut off and take effect later, when others may have been made
- * meanwhile. A claim that was given up must not come back to life.
+ * Connections break during writes that are applied later, possibly after other
+ * writes. A claim that was abandoned must not take effect.
  */
-static void test_writes_land_late(void **state)
+static void test_writes_are_applied_late(void **state)
 {
-	race_under(*state, "landing", "{\"late_writes_ms\":120}");
+	race_with_fault(*state, "landing", "{\"late_writes_ms\":120}");
 }
 
-/*
- * The store refuses writes as conflicts, as when many entries write one object.
- */
+/* The store rejects writes as conflicts, as if many entries wrote one object. */
 static void test_store_conflicts(void **state)
 {
-	race_under(*state, "conflict", "{\"conflicts\":40}");
+	race_with_fault(*state, "conflict", "{\"conflicts\":40}");
 }
 
 /*
- * The store is over its rate for a moment and says so. Calls wait their turn;
- * a terminal whose call is refused has to place it again.
+ * The store rejects some writes with 429. Calls must wait instead of being rejected,
+ * as a terminal would have to repeat a rejected call.
  */
-static void test_store_is_over_its_rate(void **state)
+static void test_store_limits_the_rate(void **state)
 {
-	history_stats_t stats = race_under(*state, "rate", "{\"too_many\":20}");
+	history_stats_t stats =
+		race_with_fault(*state, "rate", "{\"too_many\":20}");
 
 	assert_int_equal(stats.not_run, 0);
-	assert_true(stats.answered >= RACERS);
+	assert_true(stats.answered >= RACE_KEYS);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_two_entries_get_one_key_at_once),
-		cmocka_unit_test(test_entry_dies_before_its_claim),
-		cmocka_unit_test(test_entry_dies_between_claim_and_dispatch),
-		cmocka_unit_test(test_entry_dies_after_dispatch),
-		cmocka_unit_test(test_frozen_entry_wakes_after_another_ran),
-		cmocka_unit_test(test_frozen_entry_wakes_with_its_claim),
-		cmocka_unit_test(test_store_answers_late),
-		cmocka_unit_test(test_store_loses_answers),
-		cmocka_unit_test(test_writes_land_late),
+		cmocka_unit_test(test_entries_race_for_one_key),
+		cmocka_unit_test(test_entry_is_killed_before_its_claim),
+		cmocka_unit_test(test_entry_is_killed_between_claim_and_dispatch),
+		cmocka_unit_test(test_entry_is_killed_after_dispatch),
+		cmocka_unit_test(test_paused_entry_continues_after_another_ran),
+		cmocka_unit_test(test_paused_entry_continues_with_its_claim),
+		cmocka_unit_test(test_store_replies_late),
+		cmocka_unit_test(test_store_replies_are_lost),
+		cmocka_unit_test(test_writes_are_applied_late),
 		cmocka_unit_test(test_store_conflicts),
-		cmocka_unit_test(test_store_is_over_its_rate),
+		cmocka_unit_test(test_store_limits_the_rate),
 	};
 
 	return cmocka_run_group_tests(tests, setup, teardown);
--- a/tests/guarantees/test_entry_reclaim.c
+++ b/tests/guarantees/test_entry_reclaim.c
@@ -1,6 +1,6 @@
 /*
- * The VM of an entry is reclaimed under it, with notice. Callers whose answers
- * can't end in time are told to come back, and get the rest from any entry.
+ * An entry's VM is reclaimed with notice. Callers whose answers can't be completed in
+ * time are told to reconnect, and must get the rest from any other entry.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -20,23 +20,24 @@
 #define ENGINES 2
 #define READERS 8
 #define TOKENS 300 /* at 10 ms each: longer than any notice below */
-#define NOTICE "{\"leaves_in_ms\":2300}"
+#define NOTICE_BODY "{\"leaves_in_ms\":2300}"
 
-/* A caller that follows its answer from entry to entry. */
+/* A caller that resumes its answer at other entries. */
 typedef struct reader {
 	fleet_t *fleet;
 	char *prompt;
 	bool stream;
 	call_t *call;
-	char *last_id;
-	unsigned int entry; /* index of the one it is at */
-	unsigned int moves;
-	bool waits; /* it was told to come back and has not yet */
+	char *last_id; /* to resume after, or NULL */
+	unsigned int entry; /* index of the entry it is connected to */
+	unsigned int moves; /* times it was told to reconnect */
+	bool must_reconnect; /* told to reconnect, not yet reconnected */
 	bool done;
-	bool broken;
+	bool has_failed; /* a call failed */
 	GString *text;
 } reader_t;
 
+/* Sends the request to an entry, with the id to resume after if there is one. */
 static void reader_call(reader_t *reader, unsigned int entry)
 {
 	json_t *body = json_pack("{s:s, s:b, s:i, s:[{s:s, s:s}]}", "model",
@@ -46,7 +47,7 @@
 	char *text = json_dumps(body, JSON_COMPACT);
 
 	reader->entry = entry;
-	reader->waits = false;
+	reader->must_reconnect = false;
 	reader->call = call_start(reader->fleet, reader->fleet->entries[entry].port,
 				  "POST", "/v1/chat/completions",
 				  FLEET_OFFICE_KEY, NULL, reader->last_id, text);
@@ -76,8 +77,8 @@
 	g_free(reader);
 }
 
-/* Keeps the id of the last event, or of the request if it has no events. */
-static void reader_keep_id(reader_t *reader)
+/* Saves the id to resume after: of the last event, or the request id if not streamed. */
+static void reader_save_last_id(reader_t *reader)
 {
 	char **lines = g_strsplit(reader->call->body->str, "\n", -1);
 
@@ -104,8 +105,8 @@
 		       "moved");
 }
 
-/* Looks at a call that has ended. */
-static void reader_look(reader_t *reader)
+/* Saves the text and outcome of the reader's call if it has ended. */
+static void reader_finish_call(reader_t *reader)
 {
 	char *text;
 
@@ -114,14 +115,14 @@
 	text = completion_text(reader->call);
 	g_string_append(reader->text, text);
 	g_free(text);
-	reader_keep_id(reader);
+	reader_save_last_id(reader);
 	if (reader_was_moved(reader)) {
 		reader->moves++;
-		reader->waits = true;
+		reader->must_reconnect = true;
 	} else if (!reader->call->failed && reader->call->status == 200) {
 		reader->done = true;
 	} else {
-		reader->broken = true;
+		reader->has_failed = true;
 	}
 	call_destroy(reader->call);
 	reader->call = NULL;
@@ -130,10 +131,11 @@
 typedef struct group {
 	fleet_t *fleet;
 	reader_t *readers[READERS];
-	unsigned int moves; /* awaited of each */
+	unsigned int moves; /* awaited of each reader */
 } group_t;
 
-static group_t group_create(unsigned int whole)
+/* Starts a fleet and the readers; the first UNSTREAMED of them don't stream. */
+static group_t group_create(unsigned int unstreamed)
 {
 	const fleet_config_t config = { .entries = ENTRIES,
 					.engines = ENGINES,
@@ -142,14 +144,14 @@
 	group_t group = { .fleet = fleet_create(&config) };
 
 	for (unsigned int i = 0; i < READERS; i++)
-		group.readers[i] = reader_create(group.fleet, i, i >= whole);
+		group.readers[i] = reader_create(group.fleet, i, i >= unstreamed);
 	return group;
 }
 
-static void group_look(group_t *group)
+static void group_finish_calls(group_t *group)
 {
 	for (unsigned int i = 0; i < READERS; i++)
-		reader_look(group->readers[i]);
+		reader_finish_call(group->readers[i]);
 }
 
 static bool group_has_begun(void *ctx)
@@ -159,7 +161,8 @@
 	for (unsigned int i = 0; i < READERS; i++) {
 		const reader_t *reader = group->readers[i];
 
-		if (reader->stream && (!reader->call || !reader->call->first_at))
+		if (reader->stream &&
+		    (!reader->call || !reader->call->first_byte_at))
 			return false;
 	}
 	return true;
@@ -169,10 +172,10 @@
 {
 	group_t *group = ctx;
 
-	group_look(group);
+	group_finish_calls(group);
 	for (unsigned int i = 0; i < READERS; i++) {
 		if (group->readers[i]->moves < group->moves &&
-		    !group->readers[i]->broken)
+		    !group->readers[i]->has_failed)
 			return false;
 	}
 	return true;
@@ -182,10 +185,10 @@
 {
 	group_t *group = ctx;
 
-	group_look(group);
+	group_finish_calls(group);
 	for (unsigned int i = 0; i < READERS; i++) {
-		if (!group->readers[i]->done && !group->readers[i]->broken &&
-		    !group->readers[i]->waits)
+		if (!group->readers[i]->done && !group->readers[i]->has_failed &&
+		    !group->readers[i]->must_reconnect)
 			return false;
 	}
 	return true;
@@ -193,28 +196,29 @@
 
 static void reclaim(fleet_t *fleet, unsigned int entry)
 {
-	fleet_post(fleet, fleet->entries[entry].port, "/reclaim", NOTICE);
+	fleet_post(fleet, fleet->entries[entry].port, "/reclaim", NOTICE_BODY);
 }
 
-/* Waits until everybody was moved that often; then the VM goes. */
+/* Waits until every reader was told to reconnect MOVES times. */
 static void group_wait_moved(group_t *group, unsigned int moves)
 {
 	group->moves = moves;
 	fleet_wait(group->fleet, group_has_moved, group, "callers to be moved");
 }
 
-/* Sends those who wait to the entries FIRST to LAST in turn. */
-static void group_come_back(group_t *group, unsigned int first, unsigned int last)
+/* Reconnects the waiting readers to the entries FIRST to LAST in turn. */
+static void group_reconnect(group_t *group, unsigned int first, unsigned int last)
 {
 	for (unsigned int i = 0; i < READERS; i++) {
 		reader_t *reader = group->readers[i];
 
-		if (reader->waits)
+		if (reader->must_reconnect)
 			reader_call(reader, first + i % (last - first + 1));
 	}
 }
 
-static int64_t engine_number(const group_t *group, const char *path, const char *key)
+/* Returns the sum of a number in the engines' replies to PATH. */
+static int64_t engines_sum(const group_t *group, const char *path, const char *key)
 {
 	int64_t sum = 0;
 
@@ -230,24 +234,24 @@
 
 static bool engines_are_idle(void *ctx)
 {
-	return engine_number(ctx, "/load", "running") == 0;
+	return engines_sum(ctx, "/load", "running") == 0;
 }
 
 /*
- * Everybody has the right text, and it was generated once: a fleet that ran
- * answers anew would compute about twice as many tokens.
+ * Checks that every reader got its text, and that it was generated only once: entries
+ * that restarted answers would generate about twice as many tokens.
  */
 static void group_check(group_t *group)
 {
 	int64_t generated;
 
 	fleet_wait(group->fleet, group_has_ended, group, "answers to end");
-	generated = engine_number(group, "/standin/record", "tokens");
+	generated = engines_sum(group, "/standin/record", "tokens");
 	for (unsigned int i = 0; i < READERS; i++) {
 		reader_t *reader = group->readers[i];
 		char *expected = completion_expected(reader->prompt, TOKENS);
 
-		assert_false(reader->broken);
+		assert_false(reader->has_failed);
 		assert_true(reader->done);
 		assert_string_equal(reader->text->str, expected);
 		g_free(expected);
@@ -260,11 +264,11 @@
 }
 
 /*
- * An entry's VM is reclaimed while eight answers are under way, two of them not
- * streamed. A caller would see its connection break and have to ask anew; with
- * the hand-over it comes back to another entry and gets the rest.
+ * An entry's VM is reclaimed during eight answers, two of them not streamed. The
+ * handover must let callers get the rest from another entry; without it they would
+ * have to repeat their requests.
  */
-static void test_answers_go_on_at_another_entry(void **state)
+static void test_answers_continue_at_another_entry(void **state)
 {
 	group_t group = group_create(2);
 
@@ -273,15 +277,15 @@
 	reclaim(group.fleet, 0);
 	group_wait_moved(&group, 1);
 	fleet_stop_entry(group.fleet, 0, SIGKILL);
-	group_come_back(&group, 1, ENTRIES - 1);
+	group_reconnect(&group, 1, ENTRIES - 1);
 	group_check(&group);
 }
 
 /*
- * Callers are slow to come back: by then their answers have been whole for a
- * while at the entry that took them over.
+ * Callers reconnect only after the entry that took over their answers has completed
+ * them.
  */
-static void test_answers_that_ended_meanwhile_are_kept(void **state)
+static void test_completed_answers_are_kept(void **state)
 {
 	group_t group = group_create(2);
 
@@ -291,14 +295,11 @@
 	group_wait_moved(&group, 1);
 	fleet_stop_entry(group.fleet, 0, SIGKILL);
 	fleet_wait(group.fleet, engines_are_idle, &group, "the engines' end");
-	group_come_back(&group, 1, ENTRIES - 1);
+	group_reconnect(&group, 1, ENTRIES - 1);
 	group_check(&group);
 }
 
-/*
- * Reclaims come in waves: the entry that callers came back to is reclaimed too,
- * and then the next.
- */
+/* The entry that callers reconnected to is reclaimed as well. */
 static void test_answers_move_twice(void **state)
 {
 	group_t group = group_create(0);
@@ -308,12 +309,12 @@
 	reclaim(group.fleet, 0);
 	group_wait_moved(&group, 1);
 	fleet_stop_entry(group.fleet, 0, SIGKILL);
-	group_come_back(&group, 1, 1);
+	group_reconnect(&group, 1, 1);
 	fleet_wait(group.fleet, group_has_begun, &group, "tokens again");
 	reclaim(group.fleet, 1);
 	group_wait_moved(&group, 2);
 	fleet_stop_entry(group.fleet, 1, SIGKILL);
-	group_come_back(&group, 2, ENTRIES - 1);
+	group_reconnect(&group, 2, ENTRIES - 1);
 	group_check(&group);
 }
 
@@ -334,11 +335,11 @@
 }
 
 /*
- * A station call takes longer than the notice. Its outcome can't be known when
- * the VM goes, so the terminal is told so while there is time, and its retry by
- * another entry must not log the harness twice.
+ * A station call takes longer than the notice, so that its outcome is unknown when
+ * the VM ends. The terminal must be told before that, and its retry at another entry
+ * must not run the call twice.
  */
-static void test_a_station_call_is_not_repeated(void **state)
+static void test_station_call_is_not_repeated(void **state)
 {
 	const fleet_config_t config = {
 		.entries = 2, .engines = 1, .services = 2, .work_ms = "6000"
@@ -364,7 +365,7 @@
 				 "k");
 	history_wait(history);
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.outcome_unknown, 2);
 	assert_int_equal(stats.broken, 0);
 	history_destroy(history);
@@ -374,10 +375,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_answers_go_on_at_another_entry),
-		cmocka_unit_test(test_answers_that_ended_meanwhile_are_kept),
+		cmocka_unit_test(test_answers_continue_at_another_entry),
+		cmocka_unit_test(test_completed_answers_are_kept),
 		cmocka_unit_test(test_answers_move_twice),
-		cmocka_unit_test(test_a_station_call_is_not_repeated),
+		cmocka_unit_test(test_station_call_is_not_repeated),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/harness/gossip.h
+++ b/tests/harness/gossip.h
@@ -1,7 +1,7 @@
 /*
- * Many membership machines joined by a network that loses messages, on a clock
- * that the test moves. Header only, as C tests, C++ properties and benches link
- * different parts of the harness.
+ * Simulates many members of the membership protocol on a lossy network, with a
+ * simulated clock. Header only, since C tests, C++ property tests and benchmarks
+ * link different parts of the harness.
  */
 #ifndef PISTACHIO_TEST_GOSSIP_H
 #define PISTACHIO_TEST_GOSSIP_H
@@ -13,8 +13,9 @@
 #include "core/members.h"
 #include "ports/event.h"
 
-#define GOSSIP_STEP (20 * PD_MSEC) /* also the way of a message */
-#define GOSSIP_FRAME 8 /* bytes: a frame's length, and the empty answer */
+#define GOSSIP_STEP (20 * PD_MSEC) /* also a message's transit time */
+#define GOSSIP_FRAME_BYTES \
+	8 /* the length field, and an empty acknowledgement */
 #define GOSSIP_WAVE_MAX 128 /* VMs that leave at once */
 #define GOSSIP_START (1000 * PD_SEC)
 
@@ -22,26 +23,26 @@
 	members_t *members;
 	member_info_t info;
 	bool dead;
-	pd_time_t frozen_until;
+	pd_time_t frozen_until; /* it neither reads nor sends before */
 	uint64_t generation;
 	pd_time_t generation_at;
-	bool has_leaving; /* it knows of the leaving VM */
-	bool wave[GOSSIP_WAVE_MAX]; /* VMs of a wave that it knows of */
-	unsigned int wave_known;
-	pd_time_t wave_at; /* when it heard of the last one */
+	bool has_leaving; /* knows of the leaving VM */
+	bool wave[GOSSIP_WAVE_MAX]; /* VMs of a reclaim wave that it knows of */
+	unsigned int wave_known_count;
+	pd_time_t wave_known_at; /* when it learned of the last one */
 	pd_time_t leaving_at;
 	GPtrArray *inbox; /* of peer_msg_t, owned */
 	uint64_t messages; /* sent */
 	uint64_t bytes; /* sent, without TCP and IP */
-	uint64_t bytes_most; /* of one message */
+	uint64_t message_bytes_max; /* size of the largest message */
 } gossip_node_t;
 
 typedef struct gossip {
 	gossip_node_t *nodes;
 	unsigned int size;
 	GRand *rand;
-	double loss;
-	unsigned int side; /* nodes below it are cut off from the others */
+	double loss; /* probability that a message is lost, 0 to 1 */
+	unsigned int partition_size; /* nodes below it are cut off from the rest; 0: none */
 	pd_time_t now;
 } gossip_t;
 
@@ -50,6 +51,7 @@
 	peer_msg_destroy((peer_msg_t *)msg);
 }
 
+/* Starts or restarts a node; its seeds are all nodes. */
 static inline void gossip_join(gossip_t *gossip, unsigned int index,
 			       uint64_t incarnation)
 {
@@ -62,7 +64,10 @@
 		members_seed(node->members, &gossip->nodes[i].info, 1, gossip->now);
 }
 
-/* Returns SIZE members that know each other. LOSS is a share of 1. */
+/*
+ * Returns a simulation of SIZE nodes that know each other. LOSS is the probability
+ * that a message is lost, from 0 to 1. The caller destroys it.
+ */
 static inline gossip_t *gossip_create(unsigned int size, uint32_t seed, double loss)
 {
 	gossip_t *gossip = g_new0(gossip_t, 1);
@@ -101,29 +106,32 @@
 	g_free(gossip);
 }
 
+/* Adds a message to a node's counters. */
 static inline void gossip_count(gossip_node_t *node, const peer_msg_t *msg)
 {
 	GBytes *bytes = peer_msg_encode(msg);
-	uint64_t len = g_bytes_get_size(bytes) + GOSSIP_FRAME;
+	uint64_t len = g_bytes_get_size(bytes) + GOSSIP_FRAME_BYTES;
 
 	node->messages++;
 	node->bytes += len;
-	node->bytes_most = MAX(node->bytes_most, len);
+	node->message_bytes_max = MAX(node->message_bytes_max, len);
 	g_bytes_unref(bytes);
 }
 
-static inline void gossip_post(gossip_t *gossip, unsigned int from,
-			       list_node_t *actions)
+/* Delivers the messages in ACTIONS, except lost ones, and frees the actions. */
+static inline void gossip_deliver(gossip_t *gossip, unsigned int from,
+				  list_node_t *actions)
 {
 	list_node_t *it;
 
 	while ((it = list_pop(actions))) {
 		action_t *action = LIST_ENTRY(it, action_t, node);
 		unsigned int to = action->peer.port - 1U;
-		bool cut = (from < gossip->side) != (to < gossip->side);
+		bool partitioned = (from < gossip->partition_size) !=
+				   (to < gossip->partition_size);
 
 		gossip_count(&gossip->nodes[from], action->peer.msg);
-		if (!gossip->nodes[to].dead && !cut &&
+		if (!gossip->nodes[to].dead && !partitioned &&
 		    g_rand_double(gossip->rand) >= gossip->loss) {
 			g_ptr_array_add(gossip->nodes[to].inbox, action->peer.msg);
 			action->peer.msg = NULL;
@@ -132,9 +140,12 @@
 	}
 }
 
-/* Tells a node of a generation or of the leaving VM, once. */
-static inline void gossip_tell(gossip_t *gossip, unsigned int index,
-			       uint64_t generation, bool leaving)
+/*
+ * Lets a node announce a bundle's generation, if it is higher than the node's own,
+ * and the leaving VM, if LEAVING is set and the node does not know of it yet.
+ */
+static inline void gossip_announce(gossip_t *gossip, unsigned int index,
+				   uint64_t generation, bool leaving)
 {
 	gossip_node_t *node = &gossip->nodes[index];
 
@@ -151,9 +162,9 @@
 	}
 }
 
-/* Tells a node that VM number VM leaves with many others, once. */
-static inline void gossip_tell_wave(gossip_t *gossip, unsigned int index,
-				    unsigned int vm)
+/* Lets a node announce the VM-th VM of a reclaim wave, unless it knows of it. */
+static inline void gossip_announce_wave(gossip_t *gossip, unsigned int index,
+					unsigned int vm)
 {
 	gossip_node_t *node = &gossip->nodes[index];
 	char id[32];
@@ -161,27 +172,30 @@
 	if (vm >= GOSSIP_WAVE_MAX || node->wave[vm])
 		return;
 	node->wave[vm] = true;
-	node->wave_known++;
-	node->wave_at = gossip->now;
+	node->wave_known_count++;
+	node->wave_known_at = gossip->now;
 	g_snprintf(id, sizeof(id), "wave-%u", vm);
 	members_announce_leaving(node->members, id, gossip->now + 30 * PD_SEC);
 }
 
-static inline void gossip_hear_leaving(gossip_t *gossip, unsigned int index,
-				       const peer_msg_t *msg)
+/* Lets a node pass on the reclaim notices of a message. */
+static inline void gossip_receive_notices(gossip_t *gossip, unsigned int index,
+					  const peer_msg_t *msg)
 {
 	for (unsigned int i = 0; i < msg->leaving_count; i++) {
 		const char *id = msg->leaving[i].vm_id;
 
 		if (g_str_has_prefix(id, "wave-"))
-			gossip_tell_wave(gossip, index,
-					 (unsigned int)g_ascii_strtoull(
-						 id + strlen("wave-"), NULL, 10));
+			gossip_announce_wave(gossip, index,
+					     (unsigned int)g_ascii_strtoull(
+						     id + strlen("wave-"), NULL,
+						     10));
 		else
-			gossip_tell(gossip, index, 0, true);
+			gossip_announce(gossip, index, 0, true);
 	}
 }
 
+/* Lets a node read its inbox and run its timers. */
 static inline void gossip_step_node(gossip_t *gossip, unsigned int index,
 				    list_node_t *actions)
 {
@@ -194,14 +208,14 @@
 			(const peer_msg_t *)g_ptr_array_index(node->inbox, i);
 
 		members_receive(node->members, msg, gossip->now, actions);
-		gossip_tell(gossip, index, msg->generation, false);
-		gossip_hear_leaving(gossip, index, msg);
+		gossip_announce(gossip, index, msg->generation, false);
+		gossip_receive_notices(gossip, index, msg);
 	}
 	g_ptr_array_set_size(node->inbox, 0);
 	members_run(node->members, gossip->now, actions);
 }
 
-/* Lets that much time pass. What is sent in one step is read in the next. */
+/* Advances the clock by DURATION. Messages sent in one step are read in the next. */
 static inline void gossip_run(gossip_t *gossip, pd_time_t duration)
 {
 	pd_time_t end = gossip->now + duration;
@@ -215,20 +229,22 @@
 			gossip_step_node(gossip, i, &out[i]);
 		}
 		for (unsigned int i = 0; i < gossip->size; i++)
-			gossip_post(gossip, i, &out[i]);
+			gossip_deliver(gossip, i, &out[i]);
 		g_free(out);
 	}
 }
 
+/* Stops a node; messages to it are lost. */
 static inline void gossip_kill(gossip_t *gossip, unsigned int index)
 {
 	gossip->nodes[index].dead = true;
 	g_ptr_array_set_size(gossip->nodes[index].inbox, 0);
 }
 
-/* Returns how VIEWER sees a node; MEMBER_DEAD if it has forgotten it. */
-static inline member_state_t gossip_view(const gossip_t *gossip,
-					 unsigned int viewer, unsigned int index)
+/* Returns the state of node INDEX as VIEWER sees it; MEMBER_DEAD if it is unknown. */
+static inline member_state_t gossip_get_state(const gossip_t *gossip,
+					      unsigned int viewer,
+					      unsigned int index)
 {
 	const member_info_t *info = members_find(gossip->nodes[viewer].members,
 						 gossip->nodes[index].info.id);
@@ -236,7 +252,7 @@
 	return info ? info->state : MEMBER_DEAD;
 }
 
-/* Returns how many live nodes see INDEX in a state of at least STATE. */
+/* Returns the number of running nodes that see INDEX in STATE or a later state. */
 static inline unsigned int gossip_viewers(const gossip_t *gossip,
 					  unsigned int index, member_state_t state)
 {
@@ -244,7 +260,7 @@
 
 	for (unsigned int i = 0; i < gossip->size; i++)
 		viewers += i != index && !gossip->nodes[i].dead &&
-			   gossip_view(gossip, i, index) >= state;
+			   gossip_get_state(gossip, i, index) >= state;
 	return viewers;
 }
 
--- a/tests/process/test_fleet.c
+++ b/tests/process/test_fleet.c
@@ -56,7 +56,7 @@
 	}
 	history_wait(history);
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.answered, REQUESTS);
 	history_destroy(history);
 }
@@ -125,7 +125,7 @@
 	call = completion_start(fleet, fleet->entries[0].port, "still there", 4,
 				true);
 	call_wait(call);
-	assert_true(completion_is_whole(call));
+	assert_true(completion_is_complete(call));
 	call_destroy(call);
 }
 
@@ -143,7 +143,7 @@
 	call = completion_start(fleet, fleet->entries[0].port, "still there", 4,
 				true);
 	call_wait(call);
-	assert_true(completion_is_whole(call));
+	assert_true(completion_is_complete(call));
 	call_destroy(call);
 }
 
@@ -183,7 +183,7 @@
 		history_add_station_call(history, call, "harness-1");
 	}
 	stats = history_check(history);
-	history_assert_sound(&stats);
+	history_assert_guarantees(&stats);
 	assert_int_equal(stats.answered, 6);
 	history_destroy(history);
 }
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -1,4 +1,4 @@
-/* The common part of the stand-ins. */
+/* HTTP server, replies and timers shared by the stand-ins. */
 #include "tests/standins/standin.h"
 
 #include <glib.h>
@@ -9,19 +9,22 @@
 
 #include "adapters/json.h"
 
-#define BODY_MAX (8 * 1024 * 1024)
+#define BODY_BYTES_MAX (8 * 1024 * 1024)
 
-typedef struct later {
+typedef struct delayed_call {
 	uv_timer_t timer;
 	void (*run)(void *ctx);
 	void *ctx;
-} later_t;
+} delayed_call_t;
 
-/* Serves on a port the kernel picks and prints it; exits on failure. */
+/*
+ * Serves on an ephemeral loopback port and prints "port N" to standard output.
+ * Exits with status 1 if it can't listen.
+ */
 http_server_t *standin_serve(uv_loop_t *loop, standin_handler_t handler, void *ctx)
 {
 	const http_server_config_t config = { .address = "127.0.0.1",
-					      .body_max = BODY_MAX,
+					      .body_max = BODY_BYTES_MAX,
 					      .on_request = handler,
 					      .ctx = ctx };
 	pd_error_t err;
@@ -36,26 +39,26 @@
 	return server;
 }
 
-/* Runs until the process is told to end. */
+/* Runs the loop until the process is killed. */
 void standin_run(uv_loop_t *loop)
 {
 	signal(SIGPIPE, SIG_IGN);
 	uv_run(loop, UV_RUN_DEFAULT);
 }
 
-/* Answers with a JSON body, which is taken over. */
-void standin_json(http_exchange_t *exchange, int status, json_t *body)
+/* Replies with a JSON body and releases BODY. */
+void standin_reply_json(http_exchange_t *exchange, int status, json_t *body)
 {
 	char *text = json_dumps(body, JSON_COMPACT | JSON_SORT_KEYS);
 
-	standin_text(exchange, status, NULL, text, strlen(text));
+	standin_reply_text(exchange, status, NULL, text, strlen(text));
 	free(text);
 	json_decref(body);
 }
 
-/* Answers with a text and, if ETAG is given, that entity tag. */
-void standin_text(http_exchange_t *exchange, int status, const char *etag,
-		  const char *body, size_t len)
+/* Replies with LEN bytes of JSON text and, unless it is NULL, an ETag. */
+void standin_reply_text(http_exchange_t *exchange, int status, const char *etag,
+			const char *body, size_t len)
 {
 	const http_header_t headers[] = {
 		{ "content-type", "application/json" },
@@ -65,8 +68,11 @@
 	http_exchange_reply(exchange, status, headers, etag ? 2 : 1, body, len);
 }
 
-/* Returns the request's JSON body, or an empty object; the caller owns it. */
-json_t *standin_body(http_exchange_t *exchange)
+/*
+ * Returns the request's JSON body, or an empty object if it isn't valid JSON. The
+ * caller owns it.
+ */
+json_t *standin_parse_body(http_exchange_t *exchange)
 {
 	pd_error_t err;
 	size_t len;
@@ -76,28 +82,28 @@
 	return body ? body : json_object();
 }
 
-static void later_closed(uv_handle_t *handle)
+static void on_timer_closed(uv_handle_t *handle)
 {
 	g_free(handle->data);
 }
 
-static void later_due(uv_timer_t *timer)
+static void on_timer(uv_timer_t *timer)
 {
-	later_t *later = timer->data;
+	delayed_call_t *delayed_call = timer->data;
 
-	later->run(later->ctx);
-	uv_close((uv_handle_t *)timer, later_closed);
+	delayed_call->run(delayed_call->ctx);
+	uv_close((uv_handle_t *)timer, on_timer_closed);
 }
 
-/* Calls RUN once after a delay. */
-void standin_after(uv_loop_t *loop, uint64_t delay_ms, void (*run)(void *ctx),
-		   void *ctx)
+/* Calls RUN with CTX once, after DELAY_MS. */
+void standin_start_timer(uv_loop_t *loop, uint64_t delay_ms,
+			 void (*run)(void *ctx), void *ctx)
 {
-	later_t *later = g_new0(later_t, 1);
+	delayed_call_t *delayed_call = g_new0(delayed_call_t, 1);
 
-	later->run = run;
-	later->ctx = ctx;
-	uv_timer_init(loop, &later->timer);
-	later->timer.data = later;
-	uv_timer_start(&later->timer, later_due, delay_ms, 0);
+	delayed_call->run = run;
+	delayed_call->ctx = ctx;
+	uv_timer_init(loop, &delayed_call->timer);
+	delayed_call->timer.data = delayed_call;
+	uv_timer_start(&delayed_call->timer, on_timer, delay_ms, 0);
 }
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -1,7 +1,8 @@
 /*
- * Stands in for the platform: an object API with versions, conditional writes
- * and watches, a VM list that lags, a cloud API, and a weight store with a rate
- * limit. Paths under /standin/ are for tests: they set faults and VMs.
+ * Stand-in for the platform: an object store with versions, conditional writes
+ * and long-poll watches, a VM list that is published late, a cloud API, prices,
+ * and a rate-limited weight store. Tests set faults and VMs by paths under
+ * /standin/.
  */
 #include <glib.h>
 #include <string.h>
@@ -10,11 +11,11 @@
 #include "core/list.h"
 #include "tests/standins/standin.h"
 
-#define WRITES_PER_SECOND 300.0
-#define READS_PER_SECOND 2000.0
-#define WEIGHTS_PER_SECOND 4.0
-#define OBJECT_MAX (1024 * 1024)
-#define USEC 1e6
+#define WRITES_PER_S 300.0
+#define READS_PER_S 2000.0
+#define WEIGHTS_PER_S 4.0
+#define OBJECT_BYTES_MAX (1024 * 1024)
+#define USEC_PER_S 1e6
 
 typedef struct object {
 	char *key;
@@ -32,62 +33,65 @@
 	g_free(object);
 }
 
-/* A watch that waits, or any call that is answered later. */
-typedef struct waiter {
+/* A pending long poll for a newer version of an object. */
+typedef struct watch {
 	list_node_t node;
-	http_exchange_t *exchange; /* NULL once the caller is gone */
+	http_exchange_t *exchange; /* NULL once the caller has disconnected */
 	char *key;
-	uint64_t after;
-	uint64_t until_ms;
-} waiter_t;
+	uint64_t after; /* version that the caller has */
+	uint64_t until_ms; /* deadline, by the loop's clock */
+} watch_t;
 
+/* A token bucket that holds at most a second's tokens. */
 typedef struct bucket {
 	double tokens;
-	double rate;
-	gint64 filled_at;
+	double rate; /* tokens per second */
+	gint64 refilled_at; /* last refill; monotonic microseconds */
 } bucket_t;
 
 typedef struct platform {
 	uv_loop_t *loop;
 	GHashTable *objects; /* key -> object_t */
-	uint64_t version;
-	list_node_t waiters;
-	uv_timer_t sweep;
-	json_t *vms; /* id -> row, as it is */
-	char *vms_seen; /* the list, as it is shown */
+	uint64_t version; /* of the last write */
+	list_node_t watches;
+	uv_timer_t sweep_timer;
+	json_t *vms; /* id -> item of the list, current */
+	char *vms_published; /* the list as last published, in JSON */
 	uint64_t vms_version;
-	int64_t lag_ms;
-	bool store_down;
-	bool starts_refused;
-	int64_t lose_answers; /* so many writes take effect unanswered */
-	int64_t delay_ms; /* of every object call */
-	/* The rest befalls writes of claims only. */
-	int64_t late_answers_ms; /* takes effect now, is answered later */
-	int64_t late_writes_ms; /* cut off now, takes effect later */
-	int64_t conflicts; /* so many are refused as conflicts */
-	int64_t too_many; /* so many are answered 429 */
+	int64_t lag_ms; /* from a change to its publication */
+	bool store_down; /* object calls fail with 503 */
+	bool purchases_rejected; /* purchases fail with 503 */
+	int64_t replies_to_lose; /* number of writes to apply without a reply */
+	int64_t delay_ms; /* added to every object call */
+	/* The following faults apply only to writes of claims. */
+	int64_t reply_delay_ms; /* applied at once, reply delayed */
+	int64_t write_delay_ms; /* connection aborted at once, applied later */
+	int64_t conflicts_left; /* number of writes to reject with 412 */
+	int64_t rate_limits_left; /* number of writes to reject with 429 */
 	bucket_t writes;
 	bucket_t reads;
 	bucket_t weights;
-	int64_t counts[3]; /* writes, reads, conflicts */
-	GHashTable *bought; /* tags that made a VM */
-	bool forgets_tags; /* a second order of a tag makes a second VM */
-	int64_t lose_purchases; /* so many are carried out unanswered */
-	json_t *orders; /* tag -> purchases asked for */
-	uint64_t fence; /* the highest seen */
-	int64_t stale_orders; /* with a lower number than seen before */
+	int64_t counts[3]; /* by COUNT_* */
+	GHashTable *purchased_tags; /* tags for which a VM was started */
+	bool forgets_tags; /* a repeated tag starts another VM */
+	int64_t purchase_replies_to_lose; /* purchases to make without a reply */
+	json_t *order_counts; /* tag -> number of purchase requests */
+	uint64_t fencing_token; /* highest fencing token seen */
+	int64_t stale_orders; /* orders whose fencing token was stale */
 	json_t *prices;
 } platform_t;
 
 enum { COUNT_WRITES, COUNT_READS, COUNT_CONFLICTS };
 
+/* Takes one token; returns false if there is none. */
 static bool bucket_take(bucket_t *bucket)
 {
 	gint64 now = g_get_monotonic_time();
 
-	bucket->tokens += bucket->rate * (double)(now - bucket->filled_at) / USEC;
+	bucket->tokens +=
+		bucket->rate * (double)(now - bucket->refilled_at) / USEC_PER_S;
 	bucket->tokens = MIN(bucket->tokens, bucket->rate);
-	bucket->filled_at = now;
+	bucket->refilled_at = now;
 	if (bucket->tokens < 1)
 		return false;
 	bucket->tokens -= 1;
@@ -96,68 +100,72 @@
 
 static void reply_status(http_exchange_t *exchange, int status)
 {
-	standin_text(exchange, status, NULL, "{}", 2);
+	standin_reply_text(exchange, status, NULL, "{}", 2);
 }
 
+/* Replies with an object and its version as ETag. */
 static void reply_object(http_exchange_t *exchange, const object_t *object)
 {
 	char *etag = g_strdup_printf("\"%" G_GUINT64_FORMAT "\"", object->version);
 
-	standin_text(exchange, 200, etag, object->body, object->len);
+	standin_reply_text(exchange, 200, etag, object->body, object->len);
 	g_free(etag);
 }
 
-static void waiter_gone(void *ctx)
+static void watch_on_disconnect(void *ctx)
 {
-	waiter_t *waiter = ctx;
+	watch_t *watch = ctx;
 
-	waiter->exchange = NULL;
+	watch->exchange = NULL;
 }
 
-static void waiter_free(waiter_t *waiter)
+static void watch_free(watch_t *watch)
 {
-	list_remove(&waiter->node);
-	g_free(waiter->key);
-	g_free(waiter);
+	list_remove(&watch->node);
+	g_free(watch->key);
+	g_free(watch);
 }
 
-static void waiters_wake(platform_t *platform, const object_t *object)
+/* Answers the watches of an object that are behind its version. */
+static void watches_notify(platform_t *platform, const object_t *object)
 {
-	LIST_FOR_EACH_SAFE (it, &platform->waiters) {
-		waiter_t *waiter = LIST_ENTRY(it, waiter_t, node);
+	LIST_FOR_EACH_SAFE (it, &platform->watches) {
+		watch_t *watch = LIST_ENTRY(it, watch_t, node);
 
-		if (strcmp(waiter->key, object->key) ||
-		    object->version <= waiter->after)
+		if (strcmp(watch->key, object->key) ||
+		    object->version <= watch->after)
 			continue;
-		if (waiter->exchange)
-			reply_object(waiter->exchange, object);
-		waiter_free(waiter);
+		if (watch->exchange)
+			reply_object(watch->exchange, object);
+		watch_free(watch);
 	}
 }
 
-static void on_sweep(uv_timer_t *timer)
+/* Ends watches that have timed out, with 304, or whose caller disconnected. */
+static void on_watch_sweep(uv_timer_t *timer)
 {
 	platform_t *platform = timer->data;
 	uint64_t now = uv_now(platform->loop);
 
-	LIST_FOR_EACH_SAFE (it, &platform->waiters) {
-		waiter_t *waiter = LIST_ENTRY(it, waiter_t, node);
+	LIST_FOR_EACH_SAFE (it, &platform->watches) {
+		watch_t *watch = LIST_ENTRY(it, watch_t, node);
 
-		if (waiter->exchange && now < waiter->until_ms)
+		if (watch->exchange && now < watch->until_ms)
 			continue;
-		if (waiter->exchange)
-			reply_status(waiter->exchange, 304);
-		waiter_free(waiter);
+		if (watch->exchange)
+			reply_status(watch->exchange, 304);
+		watch_free(watch);
 	}
 }
 
+/* Replies with an object, or waits up to "wait_ms" for a version above "after". */
 static void object_get(platform_t *platform, http_exchange_t *exchange,
 		       const char *key)
 {
 	const char *after = http_exchange_query(exchange, "after");
 	const char *wait = http_exchange_query(exchange, "wait_ms");
 	const object_t *object = g_hash_table_lookup(platform->objects, key);
-	waiter_t *waiter;
+	watch_t *watch;
 
 	if (object &&
 	    (!after || object->version > g_ascii_strtoull(after, NULL, 10))) {
@@ -168,16 +176,16 @@
 		reply_status(exchange, object ? 304 : 404);
 		return;
 	}
-	waiter = g_new0(waiter_t, 1);
-	waiter->exchange = exchange;
-	waiter->key = g_strdup(key);
-	waiter->after = g_ascii_strtoull(after, NULL, 10);
-	waiter->until_ms =
-		uv_now(platform->loop) + g_ascii_strtoull(wait, NULL, 10);
-	http_exchange_on_disconnect(exchange, waiter_gone, waiter);
-	list_append(&platform->waiters, &waiter->node);
+	watch = g_new0(watch_t, 1);
+	watch->exchange = exchange;
+	watch->key = g_strdup(key);
+	watch->after = g_ascii_strtoull(after, NULL, 10);
+	watch->until_ms = uv_now(platform->loop) + g_ascii_strtoull(wait, NULL, 10);
+	http_exchange_on_disconnect(exchange, watch_on_disconnect, watch);
+	list_append(&platform->watches, &watch->node);
 }
 
+/* Lists the objects whose key has the prefix of the query, in no order. */
 static void object_list(platform_t *platform, http_exchange_t *exchange)
 {
 	const char *prefix = http_exchange_query(exchange, "prefix");
@@ -196,19 +204,19 @@
 					  "version", (json_int_t)object->version,
 					  "body", object->body, object->len));
 	}
-	standin_json(exchange, 200, json_pack("{s:o}", "objects", items));
+	standin_reply_json(exchange, 200, json_pack("{s:o}", "objects", items));
 }
 
-/* One write, with what it needs once its caller is gone. */
+/* A write. It owns copies of its parameters, as it can outlive the exchange. */
 typedef struct write {
 	platform_t *platform;
-	http_exchange_t *exchange; /* NULL once the caller is gone */
+	http_exchange_t *exchange; /* NULL once the caller has disconnected */
 	char *key;
 	char *body;
 	size_t len;
-	char *match; /* version that must be current, or NULL */
-	bool none; /* there must be no object */
-	uint64_t version; /* that it made */
+	char *match; /* required current version, or NULL */
+	bool must_not_exist; /* the object must not exist */
+	uint64_t version; /* created by the write */
 } write_t;
 
 static write_t *write_create(platform_t *platform, http_exchange_t *exchange,
@@ -222,7 +230,8 @@
 	write->key = g_strdup(key);
 	write->body = g_strndup(data, write->len);
 	write->match = g_strdup(http_exchange_header(exchange, "if-match"));
-	write->none = http_exchange_header(exchange, "if-none-match") != NULL;
+	write->must_not_exist =
+		http_exchange_header(exchange, "if-none-match") != NULL;
 	return write;
 }
 
@@ -234,16 +243,17 @@
 	g_free(write);
 }
 
-static void write_gone(void *ctx)
+static void write_on_disconnect(void *ctx)
 {
 	write_t *write = ctx;
 
 	write->exchange = NULL;
 }
 
-static bool write_allowed(const write_t *write, const object_t *object)
+/* Returns true if the write's precondition holds for OBJECT, which may be NULL. */
+static bool write_precondition_holds(const write_t *write, const object_t *object)
 {
-	if (write->none)
+	if (write->must_not_exist)
 		return object == NULL;
 	if (!write->match)
 		return true;
@@ -251,13 +261,13 @@
 	       g_ascii_strtoull(write->match + 1, NULL, 10) == object->version;
 }
 
-/* Makes the write take effect; returns false if it conflicts. */
+/* Applies a write; returns false if its precondition fails. */
 static bool write_apply(write_t *write)
 {
 	platform_t *platform = write->platform;
 	object_t *object = g_hash_table_lookup(platform->objects, write->key);
 
-	if (!write_allowed(write, object)) {
+	if (!write_precondition_holds(write, object)) {
 		platform->counts[COUNT_CONFLICTS]++;
 		return false;
 	}
@@ -272,24 +282,26 @@
 	object->version = ++platform->version;
 	write->version = object->version;
 	platform->counts[COUNT_WRITES]++;
-	waiters_wake(platform, object);
+	watches_notify(platform, object);
 	return true;
 }
 
-static void write_answer(void *ctx)
+/* Replies to a write that was applied, and frees it. */
+static void write_reply(void *ctx)
 {
 	write_t *write = ctx;
 	char *etag = g_strdup_printf("\"%" G_GUINT64_FORMAT "\"", write->version);
 
 	if (write->exchange) {
 		http_exchange_on_disconnect(write->exchange, NULL, NULL);
-		standin_text(write->exchange, 200, etag, "{}", 2);
+		standin_reply_text(write->exchange, 200, etag, "{}", 2);
 	}
 	g_free(etag);
 	write_free(write);
 }
 
-static void write_land(void *ctx)
+/* Applies a write whose connection was aborted, and frees it. */
+static void write_apply_late(void *ctx)
 {
 	write_t *write = ctx;
 
@@ -297,17 +309,17 @@
 	write_free(write);
 }
 
-/* Refuses a write of claims as the faults say; says whether it did. */
-static bool write_refused(platform_t *platform, http_exchange_t *exchange)
+/* Rejects a write of claims if a fault is set; returns true if it did. */
+static bool write_is_rejected(platform_t *platform, http_exchange_t *exchange)
 {
 	int status = 0;
 
-	if (platform->conflicts > 0) {
-		platform->conflicts--;
+	if (platform->conflicts_left > 0) {
+		platform->conflicts_left--;
 		platform->counts[COUNT_CONFLICTS]++;
 		status = 412;
-	} else if (platform->too_many > 0) {
-		platform->too_many--;
+	} else if (platform->rate_limits_left > 0) {
+		platform->rate_limits_left--;
 		status = 429;
 	}
 	if (status)
@@ -315,35 +327,38 @@
 	return status != 0;
 }
 
+/* Applies a conditional write, subject to the faults that are set. */
 static void object_put(platform_t *platform, http_exchange_t *exchange,
 		       const char *key)
 {
 	bool claims = g_str_has_prefix(key, "claims/");
 	write_t *write;
 
-	if (claims && write_refused(platform, exchange))
+	if (claims && write_is_rejected(platform, exchange))
 		return;
 	write = write_create(platform, exchange, key);
-	if (write->len > OBJECT_MAX) {
+	if (write->len > OBJECT_BYTES_MAX) {
 		reply_status(exchange, 413);
 		write_free(write);
-	} else if (claims && platform->late_writes_ms) {
+	} else if (claims && platform->write_delay_ms) {
 		http_exchange_abort(exchange);
-		standin_after(platform->loop, (uint64_t)platform->late_writes_ms,
-			      write_land, write);
+		standin_start_timer(platform->loop,
+				    (uint64_t)platform->write_delay_ms,
+				    write_apply_late, write);
 	} else if (!write_apply(write)) {
 		reply_status(exchange, 412);
 		write_free(write);
-	} else if (platform->lose_answers > 0) {
-		platform->lose_answers--;
+	} else if (platform->replies_to_lose > 0) {
+		platform->replies_to_lose--;
 		http_exchange_abort(exchange);
 		write_free(write);
-	} else if (claims && platform->late_answers_ms) {
-		http_exchange_on_disconnect(exchange, write_gone, write);
-		standin_after(platform->loop, (uint64_t)platform->late_answers_ms,
-			      write_answer, write);
+	} else if (claims && platform->reply_delay_ms) {
+		http_exchange_on_disconnect(exchange, write_on_disconnect, write);
+		standin_start_timer(platform->loop,
+				    (uint64_t)platform->reply_delay_ms,
+				    write_reply, write);
 	} else {
-		write_answer(write);
+		write_reply(write);
 	}
 }
 
@@ -355,6 +370,7 @@
 	reply_status(exchange, 200);
 }
 
+/* Dispatches a call to the object store, within its rate limits. */
 static void on_objects(platform_t *platform, http_exchange_t *exchange)
 {
 	static const char prefix[] = "/objects/";
@@ -385,36 +401,38 @@
 		object_get(platform, exchange, path + strlen(prefix));
 }
 
-/* Makes the list as it is now the list that is shown. */
+/* Publishes the current VM list. Spare VMs are left out. */
 static void vms_publish(void *ctx)
 {
 	platform_t *platform = ctx;
-	json_t *rows = json_array();
+	json_t *items = json_array();
 	json_t *list;
 	const char *id;
-	json_t *row;
+	json_t *item;
 
-	json_object_foreach(platform->vms, id, row)
+	json_object_foreach(platform->vms, id, item)
 	{
-		if (strcmp(json_string_or(row, "state", ""), "spare") != 0)
-			json_array_append(rows, row);
+		if (strcmp(json_string_or(item, "state", ""), "spare") != 0)
+			json_array_append(items, item);
 	}
-	list = json_pack("{s:o}", "vms", rows);
-	g_free(platform->vms_seen);
-	platform->vms_seen = json_dumps(list, JSON_COMPACT | JSON_SORT_KEYS);
+	list = json_pack("{s:o}", "vms", items);
+	g_free(platform->vms_published);
+	platform->vms_published = json_dumps(list, JSON_COMPACT | JSON_SORT_KEYS);
 	platform->vms_version++;
 	json_decref(list);
 }
 
-static void vms_changed(platform_t *platform)
+/* Publishes the VM list after the configured lag. */
+static void vms_schedule_publish(platform_t *platform)
 {
 	if (platform->lag_ms == 0)
 		vms_publish(platform);
 	else
-		standin_after(platform->loop, (uint64_t)platform->lag_ms,
-			      vms_publish, platform);
+		standin_start_timer(platform->loop, (uint64_t)platform->lag_ms,
+				    vms_publish, platform);
 }
 
+/* Replies with the published VM list, or 304 if it is at version "after". */
 static void vms_get(platform_t *platform, http_exchange_t *exchange)
 {
 	const char *after = http_exchange_query(exchange, "after");
@@ -425,71 +443,80 @@
 		return;
 	}
 	etag = g_strdup_printf("\"%" G_GUINT64_FORMAT "\"", platform->vms_version);
-	standin_text(exchange, 200, etag, platform->vms_seen,
-		     strlen(platform->vms_seen));
+	standin_reply_text(exchange, 200, etag, platform->vms_published,
+			   strlen(platform->vms_published));
 	g_free(etag);
 }
 
-/* This cloud takes orders whatever their fencing number; it only counts. */
-static void note_fence(platform_t *platform, uint64_t fence)
+/* Counts orders with a stale fencing token. They are carried out all the same. */
+static void record_fencing_token(platform_t *platform, uint64_t fencing_token)
 {
-	if (fence < platform->fence)
+	if (fencing_token < platform->fencing_token)
 		platform->stale_orders++;
-	platform->fence = MAX(platform->fence, fence);
+	platform->fencing_token = MAX(platform->fencing_token, fencing_token);
 }
 
+/* Returns a spare VM of that zone and service, borrowed, or NULL. */
 static json_t *find_spare(platform_t *platform, const char *zone, const char *serves)
 {
 	const char *id;
-	json_t *row;
+	json_t *item;
 
-	json_object_foreach(platform->vms, id, row)
+	json_object_foreach(platform->vms, id, item)
 	{
-		if (!strcmp(json_string_or(row, "state", ""), "spare") &&
-		    !strcmp(json_string_or(row, "zone", ""), zone) &&
-		    !strcmp(json_string_or(row, "serves", ""), serves))
-			return row;
+		if (!strcmp(json_string_or(item, "state", ""), "spare") &&
+		    !strcmp(json_string_or(item, "zone", ""), zone) &&
+		    !strcmp(json_string_or(item, "serves", ""), serves))
+			return item;
 	}
 	return NULL;
 }
 
-static void start_vm(platform_t *platform, json_t *row, json_t *order)
+/* Makes a spare VM live under the order's tag. */
+static void start_vm(platform_t *platform, json_t *item, json_t *order)
 {
 	const char *tag = json_string_or(order, "tag", "");
 
-	json_object_set_new(row, "state", json_string("live"));
-	json_object_set_new(row, "tag", json_string(tag));
-	json_object_set(row, "reclaimable", json_object_get(order, "reclaimable"));
-	g_hash_table_add(platform->bought, g_strdup(tag));
-	vms_changed(platform);
+	json_object_set_new(item, "state", json_string("live"));
+	json_object_set_new(item, "tag", json_string(tag));
+	json_object_set(item, "reclaimable", json_object_get(order, "reclaimable"));
+	g_hash_table_add(platform->purchased_tags, g_strdup(tag));
+	vms_schedule_publish(platform);
 }
 
-/* A purchase turns a spare VM of that zone and name into a live one. */
-static int carry_out_purchase(platform_t *platform, json_t *order)
+/*
+ * Makes a spare VM of the order's zone and service live. Returns the HTTP status:
+ * 201 if a VM was started, 200 if the tag has one already, 503 if none is spare.
+ */
+static int purchase_vm(platform_t *platform, json_t *order)
 {
 	const char *tag = json_string_or(order, "tag", "");
 	json_t *spare = find_spare(platform, json_string_or(order, "zone", ""),
 				   json_string_or(order, "serves", ""));
 
-	note_fence(platform, (uint64_t)json_integer_or(order, "fence", 0));
-	json_object_set_new(platform->orders, tag,
-			    json_integer(json_integer_or(platform->orders, tag, 0) +
+	record_fencing_token(platform,
+			     (uint64_t)json_integer_or(order, "fence", 0));
+	json_object_set_new(platform->order_counts, tag,
+			    json_integer(json_integer_or(platform->order_counts,
+							 tag, 0) +
 					 1));
-	if (!platform->forgets_tags && g_hash_table_contains(platform->bought, tag))
+	if (!platform->forgets_tags &&
+	    g_hash_table_contains(platform->purchased_tags, tag))
 		return 200;
-	if (!spare || platform->starts_refused)
+	if (!spare || platform->purchases_rejected)
 		return 503;
 	start_vm(platform, spare, order);
 	return 201;
 }
 
-static void vms_buy(platform_t *platform, http_exchange_t *exchange)
+/* Carries out a purchase; aborts the connection if its reply is to be lost. */
+static void vms_post(platform_t *platform, http_exchange_t *exchange)
 {
-	json_t *order = standin_body(exchange);
-	int status = carry_out_purchase(platform, order);
+	json_t *order = standin_parse_body(exchange);
+	int status = purchase_vm(platform, order);
 
-	if (status == 201 && platform->lose_purchases > 0) {
-		platform->lose_purchases--;
+	if (status == 201 && platform->purchase_replies_to_lose > 0) {
+		platform->purchase_replies_to_lose--;
 		http_exchange_abort(exchange);
 	} else {
 		reply_status(exchange, status);
@@ -497,20 +524,24 @@
 	json_decref(order);
 }
 
+/* Releases a VM, which becomes spare. */
 static void vms_delete(platform_t *platform, http_exchange_t *exchange,
 		       const char *id)
 {
-	const char *fence = http_exchange_query(exchange, "fence");
-	json_t *row = json_object_get(platform->vms, id);
+	const char *fencing_token = http_exchange_query(exchange, "fence");
+	json_t *item = json_object_get(platform->vms, id);
 
-	note_fence(platform, fence ? g_ascii_strtoull(fence, NULL, 10) : 0);
-	if (!row) {
+	record_fencing_token(platform,
+			     fencing_token
+				     ? g_ascii_strtoull(fencing_token, NULL, 10)
+				     : 0);
+	if (!item) {
 		reply_status(exchange, 404);
 		return;
 	}
-	json_object_set_new(row, "state", json_string("spare"));
-	json_object_del(row, "tag");
-	vms_changed(platform);
+	json_object_set_new(item, "state", json_string("spare"));
+	json_object_del(item, "tag");
+	vms_schedule_publish(platform);
 	reply_status(exchange, 200);
 }
 
@@ -524,57 +555,60 @@
 		platform->counts[COUNT_READS]++;
 		vms_get(platform, exchange);
 	} else if (!strcmp(method, "POST")) {
-		vms_buy(platform, exchange);
+		vms_post(platform, exchange);
 	} else {
 		vms_delete(platform, exchange, path + strlen(prefix));
 	}
 }
 
-/* Tests add VMs with rows as the list shows them. */
+/* Adds a VM; the body is its item in the VM list. */
 static void standin_add_vm(platform_t *platform, http_exchange_t *exchange)
 {
-	json_t *row = standin_body(exchange);
+	json_t *item = standin_parse_body(exchange);
 
-	json_object_set(platform->vms, json_string_or(row, "id", "?"), row);
-	json_decref(row);
-	vms_changed(platform);
+	json_object_set(platform->vms, json_string_or(item, "id", "?"), item);
+	json_decref(item);
+	vms_schedule_publish(platform);
 	reply_status(exchange, 200);
 }
 
+/* Gives a VM its reclaim notice; by default it leaves in 30 s. */
 static void standin_notice(platform_t *platform, http_exchange_t *exchange)
 {
-	json_t *body = standin_body(exchange);
-	json_t *row =
+	json_t *body = standin_parse_body(exchange);
+	json_t *item =
 		json_object_get(platform->vms, json_string_or(body, "id", ""));
 
-	if (row) {
-		json_object_set_new(row, "state", json_string("leaving"));
-		json_object_set_new(row, "leaves_in_ms",
+	if (item) {
+		json_object_set_new(item, "state", json_string("leaving"));
+		json_object_set_new(item, "leaves_in_ms",
 				    json_integer(json_integer_or(body, "leaves_in_ms",
 								 30000)));
-		vms_changed(platform);
+		vms_schedule_publish(platform);
 	}
-	reply_status(exchange, row ? 200 : 404);
+	reply_status(exchange, item ? 200 : 404);
 	json_decref(body);
 }
 
+/* Sets the faults; those that the body lacks are cleared, but for the lag. */
 static void standin_faults(platform_t *platform, http_exchange_t *exchange)
 {
-	json_t *body = standin_body(exchange);
+	json_t *body = standin_parse_body(exchange);
 
 	platform->store_down =
 		json_is_true(json_object_get(body, "store_down"));
-	platform->starts_refused =
+	platform->purchases_rejected =
 		json_is_true(json_object_get(body, "starts_refused"));
-	platform->lose_answers = json_integer_or(body, "lose_answers", 0);
-	platform->lose_purchases = json_integer_or(body, "lose_purchases", 0);
+	platform->replies_to_lose = json_integer_or(body, "lose_answers", 0);
+	platform->purchase_replies_to_lose =
+		json_integer_or(body, "lose_purchases", 0);
 	platform->forgets_tags =
 		json_is_true(json_object_get(body, "forgets_tags"));
 	platform->delay_ms = json_integer_or(body, "delay_ms", 0);
-	platform->late_answers_ms = json_integer_or(body, "late_answers_ms", 0);
-	platform->late_writes_ms = json_integer_or(body, "late_writes_ms", 0);
-	platform->conflicts = json_integer_or(body, "conflicts", 0);
-	platform->too_many = json_integer_or(body, "too_many", 0);
+	platform->reply_delay_ms = json_integer_or(body, "late_answers_ms", 0);
+	platform->write_delay_ms = json_integer_or(body, "late_writes_ms", 0);
+	platform->conflicts_left = json_integer_or(body, "conflicts", 0);
+	platform->rate_limits_left = json_integer_or(body, "too_many", 0);
 	platform->lag_ms = json_integer_or(body, "lag_ms", platform->lag_ms);
 	reply_status(exchange, 200);
 	json_decref(body);
@@ -582,26 +616,28 @@
 
 static void standin_counts(platform_t *platform, http_exchange_t *exchange)
 {
-	standin_json(exchange, 200,
-		     json_pack("{s:I, s:I, s:I}", "writes",
-			       (json_int_t)platform->counts[COUNT_WRITES],
-			       "reads", (json_int_t)platform->counts[COUNT_READS],
-			       "conflicts",
-			       (json_int_t)platform->counts[COUNT_CONFLICTS]));
+	standin_reply_json(
+		exchange, 200,
+		json_pack("{s:I, s:I, s:I}", "writes",
+			  (json_int_t)platform->counts[COUNT_WRITES], "reads",
+			  (json_int_t)platform->counts[COUNT_READS], "conflicts",
+			  (json_int_t)platform->counts[COUNT_CONFLICTS]));
 }
 
-/* Tests ask what was ordered, and set prices. */
+/* Replies with the purchases by tag and the number of stale orders. */
 static void standin_orders(platform_t *platform, http_exchange_t *exchange)
 {
-	standin_json(exchange, 200,
-		     json_pack("{s:O, s:I}", "orders", platform->orders,
-			       "stale_orders", (json_int_t)platform->stale_orders));
+	standin_reply_json(exchange, 200,
+			   json_pack("{s:O, s:I}", "orders",
+				     platform->order_counts, "stale_orders",
+				     (json_int_t)platform->stale_orders));
 }
 
+/* Replaces the body that /prices replies with. */
 static void standin_prices(platform_t *platform, http_exchange_t *exchange)
 {
 	json_decref(platform->prices);
-	platform->prices = standin_body(exchange);
+	platform->prices = standin_parse_body(exchange);
 	reply_status(exchange, 200);
 }
 
@@ -623,27 +659,28 @@
 		standin_counts(platform, exchange);
 }
 
-typedef struct delayed {
+/* An object call that is held back for the configured delay. */
+typedef struct delayed_request {
 	platform_t *platform;
-	http_exchange_t *exchange; /* NULL once the caller is gone */
-} delayed_t;
+	http_exchange_t *exchange; /* NULL once the caller has disconnected */
+} delayed_request_t;
 
-static void delayed_gone(void *ctx)
+static void delayed_on_disconnect(void *ctx)
 {
-	delayed_t *delayed = ctx;
+	delayed_request_t *delayed_request = ctx;
 
-	delayed->exchange = NULL;
+	delayed_request->exchange = NULL;
 }
 
 static void delayed_run(void *ctx)
 {
-	delayed_t *delayed = ctx;
+	delayed_request_t *delayed_request = ctx;
 
-	if (delayed->exchange) {
-		http_exchange_on_disconnect(delayed->exchange, NULL, NULL);
-		on_objects(delayed->platform, delayed->exchange);
+	if (delayed_request->exchange) {
+		http_exchange_on_disconnect(delayed_request->exchange, NULL, NULL);
+		on_objects(delayed_request->platform, delayed_request->exchange);
 	}
-	g_free(delayed);
+	g_free(delayed_request);
 }
 
 static void on_request(void *ctx, http_exchange_t *exchange)
@@ -652,19 +689,20 @@
 	const char *path = http_exchange_path(exchange);
 
 	if (g_str_has_prefix(path, "/objects") && platform->delay_ms) {
-		delayed_t *delayed = g_new0(delayed_t, 1);
-
-		delayed->platform = platform;
-		delayed->exchange = exchange;
-		http_exchange_on_disconnect(exchange, delayed_gone, delayed);
-		standin_after(platform->loop, (uint64_t)platform->delay_ms,
-			      delayed_run, delayed);
+		delayed_request_t *delayed_request = g_new0(delayed_request_t, 1);
+
+		delayed_request->platform = platform;
+		delayed_request->exchange = exchange;
+		http_exchange_on_disconnect(exchange, delayed_on_disconnect,
+				      delayed_request);
+		standin_start_timer(platform->loop, (uint64_t)platform->delay_ms,
+				    delayed_run, delayed_request);
 	} else if (g_str_has_prefix(path, "/objects")) {
 		on_objects(platform, exchange);
 	} else if (g_str_has_prefix(path, "/vms")) {
 		on_vms(platform, exchange);
 	} else if (!strcmp(path, "/prices")) {
-		standin_json(exchange, 200, json_incref(platform->prices));
+		standin_reply_json(exchange, 200, json_incref(platform->prices));
 	} else if (g_str_has_prefix(path, "/weights/")) {
 		reply_status(exchange, bucket_take(&platform->weights) ? 200 : 429);
 	} else if (g_str_has_prefix(path, "/standin/")) {
@@ -679,23 +717,23 @@
 	platform_t platform = {
 		.loop = uv_default_loop(),
 		.lag_ms = 200,
-		.writes = { WRITES_PER_SECOND, WRITES_PER_SECOND, 0 },
-		.reads = { READS_PER_SECOND, READS_PER_SECOND, 0 },
-		.weights = { WEIGHTS_PER_SECOND, WEIGHTS_PER_SECOND, 0 },
+		.writes = { WRITES_PER_S, WRITES_PER_S, 0 },
+		.reads = { READS_PER_S, READS_PER_S, 0 },
+		.weights = { WEIGHTS_PER_S, WEIGHTS_PER_S, 0 },
 	};
 
 	platform.objects = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						 object_free);
-	platform.bought =
+	platform.purchased_tags =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	platform.vms = json_object();
-	platform.orders = json_object();
+	platform.order_counts = json_object();
 	platform.prices = json_pack("{s:[]}", "offers");
-	list_init(&platform.waiters);
+	list_init(&platform.watches);
 	vms_publish(&platform);
-	uv_timer_init(platform.loop, &platform.sweep);
-	platform.sweep.data = &platform;
-	uv_timer_start(&platform.sweep, on_sweep, 100, 100);
+	uv_timer_init(platform.loop, &platform.sweep_timer);
+	platform.sweep_timer.data = &platform;
+	uv_timer_start(&platform.sweep_timer, on_watch_sweep, 100, 100);
 	standin_serve(platform.loop, on_request, &platform);
 	standin_run(platform.loop);
 	return 0;
