--- a/bench/bench_gateway.c
+++ b/bench/bench_gateway.c
@@ -59,7 +59,7 @@
 	rig_put_config(rig, 1, "");
 	for (int i = 0; i < RIG_UPSTREAMS; i++) {
 		rig->upstreams[i].behavior = strcmp(route, "safe") ? RIG_STREAM
-								  : RIG_ANSWER;
+								   : RIG_ANSWER;
 		rig_put_upstream(rig, i, "ready");
 	}
 	rig_start(rig, 0);
--- a/bench/bench_members.c
+++ b/bench/bench_members.c
@@ -176,10 +176,11 @@
 		bool all = node->wave_known_count == RECLAIM_VMS;
 
 		if (!node->dead)
-			result->reclaim_s = MAX(result->reclaim_s,
-						(double)(all ? node->wave_known_at - since
-							     : MEASURE_TIMEOUT) /
-							PD_SEC);
+			result->reclaim_s =
+				MAX(result->reclaim_s,
+				    (double)(all ? node->wave_known_at - since
+						 : MEASURE_TIMEOUT) /
+					    PD_SEC);
 	}
 }
 
--- a/tests/standins/standin_platform.c
+++ b/tests/standins/standin_platform.c
@@ -694,7 +694,7 @@
 		delayed_request->platform = platform;
 		delayed_request->exchange = exchange;
 		http_exchange_on_disconnect(exchange, delayed_on_disconnect,
-				      delayed_request);
+					    delayed_request);
 		standin_start_timer(platform->loop, (uint64_t)platform->delay_ms,
 				    delayed_run, delayed_request);
 	} else if (g_str_has_prefix(path, "/objects")) {
