--- a/tests/harness/gateway_calls.c
+++ b/tests/harness/gateway_calls.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 
 /* Returns whether a caller has received TEXT by now. */
-bool rig_heard(rig_caller_t *caller, const char *text)
+bool rig_has_received(rig_caller_t *caller, const char *text)
 {
 	rig_receive(caller);
 	return strstr(caller->received->str, text) != NULL;
@@ -40,8 +40,8 @@
 }
 
 /* Sends a call with a body of four bytes on an open connection. */
-void rig_say_call(rig_caller_t *caller, const char *method, const char *path,
-		  const char *id)
+void rig_send_call(rig_caller_t *caller, const char *method, const char *path,
+		   const char *id)
 {
 	char *text = g_strdup_printf("%s %s HTTP/1.1\r\nHost: h\r\n"
 				     "X-Attempt-Id: %s\r\n"
@@ -60,6 +60,6 @@
 {
 	rig_caller_t *caller = rig_call(rig, rig_port(rig, number, "callers"), "");
 
-	rig_say_call(caller, method, path, id);
+	rig_send_call(caller, method, path, id);
 	return caller;
 }
--- a/tests/harness/gateway_calls.h
+++ b/tests/harness/gateway_calls.h
@@ -4,11 +4,11 @@
 
 #include "tests/harness/gateway_rig.h"
 
-bool rig_heard(rig_caller_t *caller, const char *text);
+bool rig_has_received(rig_caller_t *caller, const char *text);
 bool rig_is_closed(rig_caller_t *caller);
 bool rig_is_ready(gateway_rig_t *rig, int number);
-void rig_say_call(rig_caller_t *caller, const char *method, const char *path,
-		  const char *id);
+void rig_send_call(rig_caller_t *caller, const char *method, const char *path,
+		   const char *id);
 rig_caller_t *rig_call_at(gateway_rig_t *rig, int number, const char *method,
 			  const char *path, const char *id);
 
--- a/tests/process/test_gateway.c
+++ b/tests/process/test_gateway.c
@@ -125,9 +125,9 @@
 			 "chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n");
 	const char *last;
 
-	RIG_UNTIL(rig, rig_heard(caller, "from "));
-	assert_true(rig_heard(caller, "HTTP/1.1 200"));
-	assert_true(rig_heard(caller, "X-Response-Seal: s"));
+	RIG_UNTIL(rig, rig_has_received(caller, "from "));
+	assert_true(rig_has_received(caller, "HTTP/1.1 200"));
+	assert_true(rig_has_received(caller, "X-Response-Seal: s"));
 	last = last_request(rig);
 	assert_non_null(strstr(last, "PATCH /unsafe/x%20y?q=1&r\n"));
 	assert_non_null(strstr(last, "X-Tenant: mill\n"));
@@ -149,16 +149,16 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller = call(rig, "/safe/");
 
-	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
-	assert_true(rig_heard(caller, "HTTP/1.1 503"));
-	assert_true(rig_heard(caller, "Retry-After: "));
+	RIG_UNTIL(rig, rig_has_received(caller, "\r\n\r\n"));
+	assert_true(rig_has_received(caller, "HTTP/1.1 503"));
+	assert_true(rig_has_received(caller, "Retry-After: "));
 	assert_false(rig_is_ready(rig, 0));
 	rig_caller_destroy(caller);
 	rig_put_config(rig, 1, "");
 	rig_put_upstream(rig, 0, "ready");
 	RIG_UNTIL(rig, rig_is_ready(rig, 0));
 	caller = call(rig, "/safe/");
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
 }
 
@@ -167,12 +167,12 @@
 	gateway_rig_t *rig = *state;
 	rig_caller_t *caller = call(rig, "/nowhere/");
 
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 404"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 404"));
 	rig_caller_destroy(caller);
 	caller = rig_call(rig, rig_port(rig, 0, "callers"),
 			  "GET /safe/ HTTP/1.1\r\nHost: h\r\n"
 			  "Authorization: Bearer wrong\r\n\r\n");
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 401"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 401"));
 	assert_int_equal(arrivals(rig), 0);
 	rig_caller_destroy(caller);
 }
@@ -212,9 +212,9 @@
 
 	set_all_behaviors(rig, RIG_CUT);
 	caller = call(rig, "/unsafe/");
-	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
-	assert_true(rig_heard(caller, "HTTP/1.1 502"));
-	assert_false(rig_heard(caller, "Retry-After"));
+	RIG_UNTIL(rig, rig_has_received(caller, "\r\n\r\n"));
+	assert_true(rig_has_received(caller, "HTTP/1.1 502"));
+	assert_false(rig_has_received(caller, "Retry-After"));
 	assert_int_equal(arrivals(rig), 1);
 	rig_caller_destroy(caller);
 }
@@ -231,8 +231,8 @@
 		rig->upstreams[0].behavior = behaviors[i];
 		for (int tries = 0; tries < 4; tries++) {
 			caller = call(rig, "/safe/");
-			RIG_UNTIL(rig, rig_heard(caller, "from 1"));
-			assert_true(rig_heard(caller, "HTTP/1.1 200"));
+			RIG_UNTIL(rig, rig_has_received(caller, "from 1"));
+			assert_true(rig_has_received(caller, "HTTP/1.1 200"));
 			rig_caller_destroy(caller);
 		}
 	}
@@ -246,9 +246,9 @@
 
 	set_all_behaviors(rig, RIG_REJECT);
 	caller = call(rig, "/unsafe/");
-	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
-	assert_true(rig_heard(caller, "HTTP/1.1 503"));
-	assert_true(rig_heard(caller, "Retry-After: "));
+	RIG_UNTIL(rig, rig_has_received(caller, "\r\n\r\n"));
+	assert_true(rig_has_received(caller, "HTTP/1.1 503"));
+	assert_true(rig_has_received(caller, "Retry-After: "));
 	rig_caller_destroy(caller);
 }
 
@@ -263,9 +263,9 @@
 
 	set_all_behaviors(rig, RIG_DOUBLE);
 	caller = call(rig, "/unsafe/");
-	RIG_UNTIL(rig, rig_heard(caller, "from "));
-	assert_true(rig_heard(caller, "X-Attempt-Id: c1"));
-	assert_false(rig_heard(caller, "of-another-call"));
+	RIG_UNTIL(rig, rig_has_received(caller, "from "));
+	assert_true(rig_has_received(caller, "X-Attempt-Id: c1"));
+	assert_false(rig_has_received(caller, "of-another-call"));
 	rig_caller_destroy(caller);
 }
 
@@ -298,7 +298,7 @@
 	for (int i = 0; i < 4; i++) {
 		rig_caller_t *caller = call(rig, "/stream/");
 
-		RIG_UNTIL(rig, rig_heard(caller, "\r\n0\r\n\r\n"));
+		RIG_UNTIL(rig, rig_has_received(caller, "\r\n0\r\n\r\n"));
 		assert_events(caller);
 		rig_caller_destroy(caller);
 	}
@@ -315,9 +315,9 @@
 	set_all_behaviors(rig, RIG_STREAM_CUT);
 	caller = call(rig, "/once/");
 	RIG_UNTIL(rig, rig_is_closed(caller));
-	assert_true(rig_heard(caller, "id: 3\n"));
-	assert_false(rig_heard(caller, "id: 4\n"));
-	assert_false(rig_heard(caller, "\r\n0\r\n\r\n"));
+	assert_true(rig_has_received(caller, "id: 3\n"));
+	assert_false(rig_has_received(caller, "id: 4\n"));
+	assert_false(rig_has_received(caller, "\r\n0\r\n\r\n"));
 	assert_int_equal(arrivals(rig), 1);
 	rig_caller_destroy(caller);
 }
@@ -331,7 +331,7 @@
 
 	set_all_behaviors(rig, RIG_HANG);
 	caller = call(rig, "/unsafe/");
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 504"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 504"));
 	assert_true(uv_hrtime() - began < 3500000000);
 	assert_int_equal(arrivals(rig), 1);
 	rig_caller_destroy(caller);
@@ -348,9 +348,9 @@
 	RIG_UNTIL(rig, arrivals(rig) == 1);
 	process_signal(rig->gateways[0], SIGTERM);
 	RIG_UNTIL(rig, !rig_is_ready(rig, 0));
-	RIG_UNTIL(rig, rig_heard(caller, "from "));
-	assert_true(rig_heard(caller, "HTTP/1.1 200"));
-	assert_true(rig_heard(caller, "Connection: close"));
+	RIG_UNTIL(rig, rig_has_received(caller, "from "));
+	assert_true(rig_has_received(caller, "HTTP/1.1 200"));
+	assert_true(rig_has_received(caller, "Connection: close"));
 	RIG_UNTIL(rig, process_ended(rig->gateways[0]));
 	assert_int_equal(rig->gateways[0]->status, 0);
 	rig_caller_destroy(caller);
@@ -380,8 +380,8 @@
 	set_all_behaviors(rig, RIG_STREAM);
 	stop_until_long_are_refused(rig);
 	caller = call(rig, "/stream/");
-	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
-	assert_true(rig_heard(caller, "HTTP/1.1 503"));
+	RIG_UNTIL(rig, rig_has_received(caller, "\r\n\r\n"));
+	assert_true(rig_has_received(caller, "HTTP/1.1 503"));
 	assert_int_equal(arrivals(rig), 0);
 	rig_caller_destroy(caller);
 }
@@ -399,12 +399,12 @@
 	short_caller = rig_call(rig, rig_port(rig, 0, "callers"), "");
 	since = uv_hrtime();
 	RIG_UNTIL(rig, uv_hrtime() - since > SOME_TICKS_NS);
-	rig_say_call(long_caller, "POST", "/stream/", "c1");
-	rig_say_call(short_caller, "POST", "/safe/", "c2");
-	RIG_UNTIL(rig, rig_heard(long_caller, "\r\n\r\n"));
-	assert_true(rig_heard(long_caller, "HTTP/1.1 503"));
-	RIG_UNTIL(rig, rig_heard(short_caller, "from "));
-	assert_true(rig_heard(short_caller, "Connection: close"));
+	rig_send_call(long_caller, "POST", "/stream/", "c1");
+	rig_send_call(short_caller, "POST", "/safe/", "c2");
+	RIG_UNTIL(rig, rig_has_received(long_caller, "\r\n\r\n"));
+	assert_true(rig_has_received(long_caller, "HTTP/1.1 503"));
+	RIG_UNTIL(rig, rig_has_received(short_caller, "from "));
+	assert_true(rig_has_received(short_caller, "Connection: close"));
 	rig_caller_destroy(long_caller);
 	rig_caller_destroy(short_caller);
 }
@@ -422,8 +422,8 @@
 	rig_send(caller, "X-Attempt-Id: c1\r\nX-Deadline-Ms: 3000\r\n"
 			 "Authorization: Bearer k\r\n"
 			 "Content-Length: 0\r\n\r\n");
-	RIG_UNTIL(rig, rig_heard(caller, "from "));
-	assert_true(rig_heard(caller, "Connection: close"));
+	RIG_UNTIL(rig, rig_has_received(caller, "from "));
+	assert_true(rig_has_received(caller, "Connection: close"));
 	RIG_UNTIL(rig, process_ended(rig->gateways[0]));
 	assert_int_equal(rig->gateways[0]->status, 0);
 	rig_caller_destroy(caller);
@@ -460,12 +460,12 @@
 
 	rig_put_upstream(rig, 0, "draining");
 	caller = call(rig, "/safe/");
-	RIG_UNTIL(rig, rig_heard(caller, "from "));
+	RIG_UNTIL(rig, rig_has_received(caller, "from "));
 	rig_caller_destroy(caller);
 	before = rig->upstreams[0].arrivals;
 	for (int i = 0; i < 5; i++) {
 		caller = call(rig, "/safe/");
-		RIG_UNTIL(rig, rig_heard(caller, "from 1"));
+		RIG_UNTIL(rig, rig_has_received(caller, "from 1"));
 		rig_caller_destroy(caller);
 	}
 	assert_int_equal(rig->upstreams[0].arrivals, before);
@@ -490,19 +490,19 @@
 	rig_put_config(rig, 2, route);
 	rig_put_upstream(rig, 0, "draining");
 	caller = rig_call_at(rig, 1, "GET", "/new/", "c1");
-	RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
+	RIG_UNTIL(rig, rig_has_received(caller, "\r\n\r\n"));
 	/* The update takes a moment to arrive; after it the route stays. */
 	while (!strstr(caller->received->str, "HTTP/1.1 200")) {
 		rig_caller_destroy(caller);
 		caller = rig_call_at(rig, 1, "GET", "/new/", "c1");
-		RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
+		RIG_UNTIL(rig, rig_has_received(caller, "\r\n\r\n"));
 	}
 	rig_caller_destroy(caller);
 	RIG_UNTIL(rig, rig->upstreams[1].arrivals > 0);
 	before = rig->upstreams[0].arrivals;
 	for (int i = 0; i < 4; i++) {
 		caller = rig_call_at(rig, 1, "GET", "/new/", "c1");
-		RIG_UNTIL(rig, rig_heard(caller, "from 1"));
+		RIG_UNTIL(rig, rig_has_received(caller, "from 1"));
 		rig_caller_destroy(caller);
 	}
 	assert_true(rig->upstreams[0].arrivals <= before + 1);
@@ -537,8 +537,8 @@
 	RIG_UNTIL(rig, uv_hrtime() - began > 4000000000);
 	for (int number = 0; number < 2; number++) {
 		caller = rig_call_at(rig, number, "GET", "/safe/", "c1");
-		RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
-		assert_true(rig_heard(caller, "HTTP/1.1 200"));
+		RIG_UNTIL(rig, rig_has_received(caller, "\r\n\r\n"));
+		assert_true(rig_has_received(caller, "HTTP/1.1 200"));
 		rig_caller_destroy(caller);
 	}
 }
@@ -565,8 +565,8 @@
 	rig_put_upstream_started_at(rig, 1, 1500);
 	RIG_UNTIL(rig, has_logged(rig, 0, "id=u1 stage=serving"));
 	rig_put_upstream_started_at(rig, 0, 2000);
-	RIG_UNTIL(rig, rig_heard(safe, "HTTP/1.1 200"));
-	RIG_UNTIL(rig, rig_heard(unsafe, "HTTP/1.1 502"));
+	RIG_UNTIL(rig, rig_has_received(safe, "HTTP/1.1 200"));
+	RIG_UNTIL(rig, rig_has_received(unsafe, "HTTP/1.1 502"));
 	assert_true(has_logged(rig, 0, "upstream restarted"));
 	assert_int_equal(rig_run_count(rig, "n1"), 1);
 	rig_caller_destroy(safe);
@@ -593,7 +593,7 @@
 	assert_true(has_logged(rig, 0, "odd0"));
 	assert_false(has_logged(rig, 0, "odd19"));
 	caller = call(rig, "/safe/x");
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 200"));
 	assert_int_equal(rig->upstreams[0].arrivals, 0);
 	rig_put_upstream(rig, 0, "ready");
 	RIG_UNTIL(rig, has_logged(rig, 0, "id=u0 stage=serving"));
@@ -646,7 +646,7 @@
 	uint64_t begun = uv_hrtime() / 1000000;
 
 	/* The limit in the configuration is three seconds. */
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 408"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 408"));
 	assert_true(uv_hrtime() / 1000000 - begun < 5000);
 	RIG_UNTIL(rig, (rig_receive(caller), caller->closed));
 	rig_caller_destroy(caller);
@@ -663,7 +663,7 @@
 					"Authorization: Bearer k\r\n"
 					"Content-Length: 4\r\n\r\nbo");
 
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 408"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 408"));
 	assert_int_equal(arrivals(rig), 0);
 	rig_caller_destroy(caller);
 }
@@ -681,7 +681,7 @@
 	while (!served && uv_hrtime() / 1000000 < until) {
 		rig_caller_t *caller = rig_call_at(rig, 0, "GET", "/new/", "c1");
 
-		RIG_UNTIL(rig, rig_heard(caller, "\r\n\r\n"));
+		RIG_UNTIL(rig, rig_has_received(caller, "\r\n\r\n"));
 		served = strstr(caller->received->str, "HTTP/1.1 200") != NULL;
 		rig_caller_destroy(caller);
 	}
@@ -731,7 +731,7 @@
 	process_signal(rig->gateways[0], SIGHUP);
 	RIG_UNTIL(rig, has_logged(rig, 0, "settings: reload"));
 	caller = call(rig, "/safe/");
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
 }
 
@@ -755,8 +755,8 @@
 	for (int i = 0; i < LEAVE_CALLS; i++)
 		callers[i] = rig_call_at(rig, 0, "GET", "/safe/x", "c");
 	for (int i = 0; i < LEAVE_CALLS; i++) {
-		RIG_UNTIL(rig, rig_heard(callers[i], "\r\n\r\n"));
-		assert_true(rig_heard(callers[i], "HTTP/1.1 200"));
+		RIG_UNTIL(rig, rig_has_received(callers[i], "\r\n\r\n"));
+		assert_true(rig_has_received(callers[i], "HTTP/1.1 200"));
 		rig_caller_destroy(callers[i]);
 	}
 }
@@ -828,7 +828,7 @@
 	run_for(rig, CONNECTING_MS);
 	rig_put_upstream(rig, 1, "ready");
 	rig_put_upstream(rig, 0, "draining");
-	RIG_UNTIL(rig, rig_heard(caller, "from 1"));
+	RIG_UNTIL(rig, rig_has_received(caller, "from 1"));
 	assert_true(has_logged(rig, 0, "reason=\"upstream left\" upstream=u0"));
 	rig_caller_destroy(caller);
 	for (int i = 0; i < BACKLOG_FILLERS; i++)
--- a/tests/process/test_gateway_restart.c
+++ b/tests/process/test_gateway_restart.c
@@ -124,7 +124,7 @@
 			number = (number + 1) % RIG_GATEWAYS;
 		snprintf(id, sizeof(id), "c%d", i);
 		caller = rig_call_at(rig, number, "POST", "/safe/x", id);
-		RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
+		RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 200"));
 		rig_caller_destroy(caller);
 	}
 }
@@ -258,7 +258,7 @@
 	assert_true(number >= 0);
 	RIG_UNTIL(rig, window_has_begun(rig));
 	caller = rig_call_at(rig, number, "POST", "/safe/x", "c0");
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
 	run_for(rig, COUNTS_SENT_MS);
 	process_signal(rig->gateways[number], SIGSTOP);
@@ -462,7 +462,7 @@
 	RIG_UNTIL(rig, find_writer(rig, 0) >= 0);
 	rig->answers_to_drop = 2;
 	caller = rig_call_at(rig, 0, "POST", "/safe/x", "first");
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 200"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
 	RIG_UNTIL(rig, rig->answers_to_drop == 0);
 	send_calls(rig);
@@ -489,8 +489,8 @@
 		caller = rig_call_at(rig, 0, "POST", "/safe/x", "c1");
 		run_for(rig, CALL_READ_MS);
 		rig_put_config(rig, i + 2, "");
-		RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 "));
-		served = rig_heard(caller, "HTTP/1.1 200");
+		RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 "));
+		served = rig_has_received(caller, "HTTP/1.1 200");
 		rig_caller_destroy(caller);
 		process_destroy(rig->gateways[0]);
 		rig->gateways[0] = NULL;
@@ -512,8 +512,8 @@
 	rig_start(rig, 0);
 	RIG_UNTIL(rig, count_logged(rig, 0, "gateway: start") == 2);
 	caller = rig_call_at(rig, 0, "POST", "/safe/x", "c1");
-	RIG_UNTIL(rig, rig_heard(caller, "HTTP/1.1 "));
-	assert_true(rig_heard(caller, "HTTP/1.1 200"));
+	RIG_UNTIL(rig, rig_has_received(caller, "HTTP/1.1 "));
+	assert_true(rig_has_received(caller, "HTTP/1.1 200"));
 	rig_caller_destroy(caller);
 }
 
