--- a/core/forward/scale_plan.c
+++ b/core/forward/scale_plan.c
@@ -62,7 +62,7 @@
  * Each change drains engines and loses what they have cached: a fleet that followed the
  * load up and down served 85 in 100 requests in time, where one of constant size and
  * the same price served 91. With a delay of two minutes, a fleet that a first wave had
- * made too large cost 0.01 more of worth.
+ * made too large lowered the score of a simulated day by 0.01 more.
  */
 #define SHRINK_DELAY (20 * PD_SEC)
 
