--- a/core/event.c
+++ b/core/event.c
@@ -75,12 +75,12 @@
 }
 
 /* Frees the strings of NOTE, not NOTE itself. */
-void claim_msg_clear(claim_msg_t *note)
+void claim_msg_clear(claim_msg_t *msg)
 {
-	g_free(note->key);
-	g_free(note->nonce);
-	g_free(note->digest);
-	g_free(note->answer);
+	g_free(msg->key);
+	g_free(msg->nonce);
+	g_free(msg->digest);
+	g_free(msg->answer);
 }
 
 /* Frees the contents of HANDOVER, not HANDOVER itself. */
--- a/ports/peer.h
+++ b/ports/peer.h
@@ -112,7 +112,7 @@
 
 peer_msg_t *peer_msg_create(peer_msg_kind_t kind);
 void peer_msg_destroy(peer_msg_t *msg);
-void claim_msg_clear(claim_msg_t *note);
+void claim_msg_clear(claim_msg_t *msg);
 void handover_clear(handover_t *handover);
 void member_info_copy(member_info_t *to, const member_info_t *from);
 void member_info_clear(member_info_t *info);
