--- a/adapters/http1/http1_call.c
+++ b/adapters/http1/http1_call.c
@@ -10,7 +10,7 @@
  * connections after a time that it doesn't announce, and a call sent at that
  * moment is lost. Half of the shortest common idle timeout.
  */
-#define IDLE_MAX_MS 2500
+#define IDLE_TIMEOUT_MS 2500
 #define IDLE_CHANNELS_MAX 4
 #define CONNECT_TIMEOUT_MS 1000
 
@@ -177,7 +177,7 @@
 
 		if (channel->busy)
 			continue;
-		if (now - channel->idle_since < IDLE_MAX_MS)
+		if (now - channel->idle_since < IDLE_TIMEOUT_MS)
 			return channel;
 		channel_close(channel);
 	}
