--- a/core/claims.c
+++ b/core/claims.c
@@ -283,7 +283,7 @@
 	shard->confirmed_at = shard->requested_at;
 	shard->phase = SHARD_FRESH;
 	claims->confirmed_at = shard->requested_at;
-	if (version != shard->doubt_version)
+	if (version != shard->in_doubt_version)
 		shard->write_in_doubt = false;
 	shard_resolve(claims, shard);
 }
@@ -314,7 +314,7 @@
 		break;
 	case STORE_UNKNOWN:
 		shard->write_in_doubt = true;
-		shard->doubt_version = shard->version;
+		shard->in_doubt_version = shard->version;
 		/* fall through */
 	case STORE_CONFLICT:
 	case STORE_MISSING:
