--- a/adapters/http1/http1.c
+++ b/adapters/http1/http1.c
@@ -55,7 +55,7 @@
 	bool closing;
 	bool ended; /* on_end was called, or must not be called */
 	size_t head_bytes;
-	size_t head_max;
+	size_t head_bytes_max;
 	GByteArray *pending; /* read while paused */
 };
 
@@ -99,7 +99,7 @@
 	conn->text = g_string_sized_new(256);
 	conn->header_offsets =
 		g_array_sized_new(FALSE, FALSE, sizeof(header_offsets_t), 16);
-	conn->head_max = HEAD_BYTES_MAX;
+	conn->head_bytes_max = HEAD_BYTES_MAX;
 	http_parser_init(&conn->parser,
 			 side == HTTP1_SERVER ? HTTP_REQUEST : HTTP_RESPONSE);
 	conn->parser.data = conn;
@@ -111,7 +111,7 @@
 /* Sets the maximum size of a head; a longer one ends the connection. */
 void http1_set_head_limit(http1_t *conn, size_t bytes)
 {
-	conn->head_max = bytes;
+	conn->head_bytes_max = bytes;
 }
 
 static void on_alloc(uv_handle_t *handle, size_t size, uv_buf_t *buf)
@@ -317,7 +317,7 @@
 {
 	g_string_append_len(conn->text, at, (gssize)len);
 	conn->head_bytes += len;
-	if (conn->head_bytes > conn->head_max)
+	if (conn->head_bytes > conn->head_bytes_max)
 		conn->too_large = true;
 }
 
