--- a/core/claims_state.h
+++ b/core/claims_state.h
@@ -43,7 +43,7 @@
 	uint64_t version;
 	bool has_write_permit; /* may write once */
 	pd_time_t write_permit_at; /* when the permit was granted */
-	bool write_in_doubt; /* a write based on in_doubt_version may land */
+	bool write_in_doubt; /* a write based on in_doubt_version may take effect */
 	uint64_t in_doubt_version;
 	claim_table_t *table;
 	claim_table_t *write_table; /* content of the write in flight */
