--- a/adapters/placer_runner.c
+++ b/adapters/placer_runner.c
@@ -140,7 +140,7 @@
 
 	log_line(G_LOG_LEVEL_INFO, LOG_COMPONENT, "purchase %s: %s", call->tag,
 		 answer->status == STORE_OK	? "accepted"
-		 : answer->status == STORE_DOWN ? "failed"
+		 : answer->status == STORE_DOWN ? "refused"
 						: "outcome unknown");
 	runner_handle(call->runner, &event);
 	g_free(call->tag);
